--- a/benchmarks/fairness.py
+++ b/benchmarks/fairness.py
@@ -94,9 +94,18 @@
     for row in lines:
         alone = row["id"] if row["session"] in ("", "-", "None") else ""  # of no session: every line is its own
         same[row["cls"], row["tenant"], row["session"], row["prompt"], alone].append(row)
-    found = [Request(cls, tenant, session + alone, float(prompt), min(float(row["came"]) for row in copies),
-                     any(row["end"] == "served" for row in copies), all(refused(row) for row in copies))
-             for (cls, tenant, session, prompt, alone), copies in same.items()]
+    found = [
+        Request(
+            cls,
+            tenant,
+            session + alone,
+            float(prompt),
+            min(float(row["came"]) for row in copies),
+            any(row["end"] == "served" for row in copies),
+            all(refused(row) for row in copies),
+        )
+        for (cls, tenant, session, prompt, alone), copies in same.items()
+    ]
     return sorted(found, key=lambda r: (r.came_ms, r.session, r.prompt))
 
 
@@ -110,7 +119,7 @@
     ordered = sorted(some, key=lambda r: -r.prompt)
     name, part = ("quarter", 4) if len(some) < 400 else ("tenth", 10)
     end = max(len(some) // part, 1)
-    groups = {f"longest {name} of prompts": ordered[:end], "next fifth of prompts": ordered[end:end + len(some) // 5]}
+    groups = {f"longest {name} of prompts": ordered[:end], "next fifth of prompts": ordered[end : end + len(some) // 5]}
     return {name: group for name, group in groups.items() if group}
 
 
@@ -122,8 +131,13 @@
     part = sum(r.refused for r in some) / len(some)
     chance = sum(part ** len(turns) for turns in sessions.values()) / len(sessions)
     share = sum(all(turns) for turns in sessions.values()) / len(sessions)
-    return Figure(f"{name}, chance {chance:.3f}", len(sessions), share,
-                  chance + SESSIONS_OVER_CHANCE if quiet else None, at_most=True)
+    return Figure(
+        f"{name}, chance {chance:.3f}",
+        len(sessions),
+        share,
+        chance + SESSIONS_OVER_CHANCE if quiet else None,
+        at_most=True,
+    )
 
 
 def longest_ms(lines: list[Row]) -> float:
@@ -158,13 +172,20 @@
     for cls in sorted({r.cls for r in everything}):
         some = groups[f"0 class {cls}"]
         floor = (PROMPT_PART_QUIET if quiet else PROMPT_PART) * answered(some)
-        out += [Figure(f"{cls}: {name}", len(group), answered(group), floor)
-                for name, group in prompt_groups(some).items()]
+        out += [
+            Figure(f"{cls}: {name}", len(group), answered(group), floor) for name, group in prompt_groups(some).items()
+        ]
         out.append(refused_sessions(f"{cls}: refused sessions", some, quiet))
     stretches = [longest_ms(lines) for lines in dispatchers]
-    out.append(Figure(f"dispatchers turning all away, most {max(stretches) / 1_000:.1f} s", len(dispatchers),
-                      sum(ms >= STRETCH_MS for ms in stretches) / len(dispatchers),
-                      STRETCH_DISPATCHERS if quiet or roll else None, at_most=True))
+    out.append(
+        Figure(
+            f"dispatchers turning all away, most {max(stretches) / 1_000:.1f} s",
+            len(dispatchers),
+            sum(ms >= STRETCH_MS for ms in stretches) / len(dispatchers),
+            STRETCH_DISPATCHERS if quiet or roll else None,
+            at_most=True,
+        )
+    )
     return out
 
 
@@ -188,8 +209,16 @@
         raise click.UsageError(f"no effect is given for {', '.join(unknown)}" if unknown else f"no *.log in {folder}")
     day = figures(dispatchers, by_class, quiet, roll)
     click.echo(f"{'':<46}{'count':>7}{'share':>8}{'bound':>10}{'margin':>9}")
-    click.echo("\n".join([*map(str, day), "no bound: it is a part of what the late-seeing policy serves, which logs do "
-                          "not tell, or is not asked on such a day", least(day)]))
+    click.echo(
+        "\n".join(
+            [
+                *map(str, day),
+                "no bound: it is a part of what the late-seeing policy serves, which logs do "
+                "not tell, or is not asked on such a day",
+                least(day),
+            ]
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/first_token.py
+++ b/benchmarks/first_token.py
@@ -37,8 +37,16 @@
 
 
 def traffic(readers: int, seed: int, **more: Any) -> Traffic:
-    return Traffic(**{"seed": seed, "seconds": SECONDS[readers], "rate_per_s": RATE_PER_READER * readers,
-                      "openings": 200, "answer_tokens": 4, **more})
+    return Traffic(
+        **{
+            "seed": seed,
+            "seconds": SECONDS[readers],
+            "rate_per_s": RATE_PER_READER * readers,
+            "openings": 200,
+            "answer_tokens": 4,
+            **more,
+        }
+    )
 
 
 def play(job: tuple[str, int, str]) -> tuple[tuple[str, int, str], dict[int, int], dict[str, int], float]:
@@ -61,14 +69,32 @@
     def program() -> LoadReport:
         for number in range(readers + readers // 2):
             role, name = ("read", f"r{number}") if number < readers else ("write", f"w{number}")
-            settings = msgspec.convert({
-                "name": name, "role": role, "events": role == "read", "slots": 4 if role == "read" else 64,
-                "queue": 64, "cache_tokens": 40_000, "read_tokens_per_s": 20_000.0, "journal": "boxes"}, EngineSettings)
+            settings = msgspec.convert(
+                {
+                    "name": name,
+                    "role": role,
+                    "events": role == "read",
+                    "slots": 4 if role == "read" else 64,
+                    "queue": 64,
+                    "cache_tokens": 40_000,
+                    "read_tokens_per_s": 20_000.0,
+                    "journal": "boxes",
+                },
+                EngineSettings,
+            )
             engine = Engine(sim.program(name), settings)
             _, port = engine.start(HOST, 0)
             engines.append(engine)
-            boxes.append(Box(settings, 0, "reader" if role == "read" else "writer", port=port,
-                             events_port=engine.events_port, replay_port=engine.replay_port))
+            boxes.append(
+                Box(
+                    settings,
+                    0,
+                    "reader" if role == "read" else "writer",
+                    port=port,
+                    events_port=engine.events_port,
+                    replay_port=engine.replay_port,
+                )
+            )
         sim.files["servers.toml"] = server_list(boxes).encode()
         document: dict[str, Any] = {"index": {"block_size": 64, "mode": mode}}
         planner = Planner(sim.program("planner"), parse("c", to_toml({**document, "planner": {"listen": f"{HOST}:0"}})))
@@ -89,8 +115,20 @@
     def flood(at_us: int, edges: list[tuple[str, int]]) -> None:
         world = sim.programs["clients"]
         world.sleep_until(at_us)
-        run_load(world, traffic(readers, 2, seconds=SECONDS[readers] / 3, opening_words=0, turn_words=300, turns=1.0,
-                                rate_per_s=0.4 * RATE_PER_READER * readers), edges, "yardspindle-demo")
+        run_load(
+            world,
+            traffic(
+                readers,
+                2,
+                seconds=SECONDS[readers] / 3,
+                opening_words=0,
+                turn_words=300,
+                turns=1.0,
+                rate_per_s=0.4 * RATE_PER_READER * readers,
+            ),
+            edges,
+            "yardspindle-demo",
+        )
 
     report = sim.run("case", program)
     assert not sim.crashes, sim.crashes[:1]
@@ -103,8 +141,10 @@
     """Play all cases and print a table."""
     cases = [(kind, readers, mode) for readers in sorted(SECONDS, reverse=True) for kind in KINDS for mode in MODES]
     with multiprocessing.get_context("spawn").Pool(jobs) as pool:
-        results = {case: (LoadReport(outcomes=outcomes, first_us=first_us), hits)
-                   for case, first_us, outcomes, hits in pool.imap_unordered(play, cases)}
+        results = {
+            case: (LoadReport(outcomes=outcomes, first_us=first_us), hits)
+            for case, first_us, outcomes, hits in pool.imap_unordered(play, cases)
+        }
     for readers in sorted(SECONDS):
         for kind in KINDS:
             off = results[(kind, readers, "off")][0]
@@ -112,8 +152,10 @@
                 report, hits = results[(kind, readers, mode)]
                 ordered = sorted(report.first_us.values())
                 times = "  ".join(f"p{at} {ordered[len(ordered) * at // 100] / 1_000:6.1f}" for at in (50, 90, 99))
-                click.echo(f"{readers:3} readers  {kind:7} {mode:7} hits {hits:.3f}  first token, virtual ms: {times}  "
-                           f"{dict(sorted(report.outcomes.items()))}")
+                click.echo(
+                    f"{readers:3} readers  {kind:7} {mode:7} hits {hits:.3f}  first token, virtual ms: {times}  "
+                    f"{dict(sorted(report.outcomes.items()))}"
+                )
                 if mode != "off":
                     click.echo(f"{'':14}against off: {paired(off, report, 1)}")
 
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -50,10 +50,21 @@
         self.sim.files["servers.toml"] = "\n".join(rows).encode()
 
         def config(name: str) -> Any:
-            return parse("bench", to_toml({
-                "planner": {"servers": "servers.toml", "reread_ms": 5_000}, "fleet": {
-                    "store": [f"http://{HOST}:{port}"], "ttl_ms": TTL_MS, "margin_ms": 200, "call_ms": 400,
-                    "member": name}}))
+            return parse(
+                "bench",
+                to_toml(
+                    {
+                        "planner": {"servers": "servers.toml", "reread_ms": 5_000},
+                        "fleet": {
+                            "store": [f"http://{HOST}:{port}"],
+                            "ttl_ms": TTL_MS,
+                            "margin_ms": 200,
+                            "call_ms": 400,
+                            "member": name,
+                        },
+                    }
+                ),
+            )
 
         for name in self.names:
             world = self.sim.program(name)
@@ -194,4 +205,3 @@
 
 if __name__ == "__main__":
     main()
-
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -50,9 +50,15 @@
 
 
 def body(tokens: int, number: int, **more: Any) -> bytes:
-    return msgspec.json.encode({
-        "model": "yardspindle-demo", "stream": True, "max_tokens": tokens,
-        "messages": [{"role": "user", "content": f"{number} " + "word " * 100}], **more})
+    return msgspec.json.encode(
+        {
+            "model": "yardspindle-demo",
+            "stream": True,
+            "max_tokens": tokens,
+            "messages": [{"role": "user", "content": f"{number} " + "word " * 100}],
+            **more,
+        }
+    )
 
 
 def stream(http: HttpClient, address: tuple[str, int], data: bytes) -> tuple[int, int]:
@@ -91,8 +97,7 @@
         world.spawn("pair", serve, listener.accept())
 
 
-def load(world: RealWorld, http: HttpClient, address: tuple[str, int], streams: int, rounds: int,
-         tokens: int) -> int:
+def load(world: RealWorld, http: HttpClient, address: tuple[str, int], streams: int, rounds: int, tokens: int) -> int:
     """Events of `streams` clients at once, each asking `rounds` times."""
     total = 0
 
@@ -125,8 +130,10 @@
             theirs = load(world, http, bare_address, STREAMS, 1, EVENTS)
             after = cpu_ns(edge), cpu_ns(bare.pid)
             ratios.append((after[0] - before[0]) / ours / ((after[1] - before[1]) / theirs))
-        print(f"CPU of a streamed event, edge / bare copy loop: {statistics.median(ratios):.2f} "
-              f"(of {', '.join(f'{r:.2f}' for r in ratios)}); aim: at most 3")
+        print(
+            f"CPU of a streamed event, edge / bare copy loop: {statistics.median(ratios):.2f} "
+            f"(of {', '.join(f'{r:.2f}' for r in ratios)}); aim: at most 3"
+        )
         for _ in range(3):
             started = [cpu_ns(pid) for pid in (edge, planner, bare.pid)]
             load(world, http, address, 4, SHORT // 4, 1)
@@ -150,13 +157,21 @@
         _, first = stream(http, address, body(1, 10_000 + number))
         ours.append(first - started)
         started = world.now_us()
-        read = http.request("127.0.0.1", reader.port, b"POST", b"/v1/chat/completions",
-                            [*HEADERS, (b"x-request-id", b"bench-%d" % number)],
-                            body(1, 20_000 + number, kv_transfer_params=READ_PARAMS))
+        read = http.request(
+            "127.0.0.1",
+            reader.port,
+            b"POST",
+            b"/v1/chat/completions",
+            [*HEADERS, (b"x-request-id", b"bench-%d" % number)],
+            body(1, 20_000 + number, kv_transfer_params=READ_PARAMS),
+        )
         params = msgspec.json.decode(read.read_all())["kv_transfer_params"]
         read.close()
-        _, first = stream(http, ("127.0.0.1", writer.port), body(
-            1, 20_000 + number, kv_transfer_params={**params, "do_remote_prefill": True}))
+        _, first = stream(
+            http,
+            ("127.0.0.1", writer.port),
+            body(1, 20_000 + number, kv_transfer_params={**params, "do_remote_prefill": True}),
+        )
         straight.append(first - started)
     ratio = statistics.median(ours) / statistics.median(straight)
     print(f"time to first token, dispatcher / straight at the same engines: {ratio:.2f} (medians of 100 each)")
@@ -165,6 +180,7 @@
 def system_calls() -> None:
     """Counted in one process with all parts, but only at the edge's own sockets; the poll is shared."""
     import tempfile
+
     counts = {"recv": 0, "send": 0}
 
     class Counting:
@@ -184,8 +200,13 @@
         def __getattr__(self, name: str) -> Any:
             return getattr(self._sock, name)
 
-    with tempfile.TemporaryDirectory() as folder, FleetThread(Path(folder), boxes=(
-            EngineSettings(name="r0", role="read"), EngineSettings(name="w0", role="write", step_ms=2.0))) as fleet:
+    with (
+        tempfile.TemporaryDirectory() as folder,
+        FleetThread(
+            Path(folder),
+            boxes=(EngineSettings(name="r0", role="read"), EngineSettings(name="w0", role="write", step_ms=2.0)),
+        ) as fleet,
+    ):
         started = real.RealStream.__init__
         edge_ports = {fleet.port, fleet.planner_port}
 
@@ -218,8 +239,10 @@
         real.RealStream.__init__ = started  # type: ignore[method-assign]
     short, long = done
     for name in counts:
-        print(f"{name} calls: {short[name] / 20:.1f} a request of one token, "
-              f"{(long[name] - short[name]) / 20 / 200:.2f} for each further event")
+        print(
+            f"{name} calls: {short[name] / 20:.1f} a request of one token, "
+            f"{(long[name] - short[name]) / 20 / 200:.2f} for each further event"
+        )
 
 
 @click.command()
@@ -230,9 +253,21 @@
     if relay_to is not None:
         world.run("relay", relay, world, ("127.0.0.1", relay_to))
         return
-    boxes = [Box(EngineSettings(name=name, role=role, slots=200, queue=200, memory_tokens=4_000_000,  # type: ignore[arg-type]
-                                step_ms=STEP_MS), 0, kind)
-             for name, role, kind in (("r0", "read", "reader"), ("w0", "write", "writer"), ("b0", "both", "both"))]
+    boxes = [
+        Box(
+            EngineSettings(
+                name=name,
+                role=role,  # type: ignore[arg-type]
+                slots=200,
+                queue=200,
+                memory_tokens=4_000_000,
+                step_ms=STEP_MS,
+            ),
+            0,
+            kind,
+        )
+        for name, role, kind in (("r0", "read", "reader"), ("w0", "write", "writer"), ("b0", "both", "both"))
+    ]
     boxes[2].listed = False  # the bare loop's own engine: it reads and writes
     config = {"log": {"level": "warning"}, "edge": {"stalled_client_ms": 60_000.0}}
     fleet = Fleet(world, config, boxes, [Dispatcher(0)])
--- a/benchmarks/policy_size.py
+++ b/benchmarks/policy_size.py
@@ -19,8 +19,10 @@
 
 
 def ask(policy: Policy, number: int, now: int) -> list[i.Action]:
-    return policy.handle(now, i.Request(number, "c", now + 7_500_000, 5_000.0, 3_000.0, prefix=f"p{number % TEXTS}",
-                                        session=f"s{number}"))
+    return policy.handle(
+        now,
+        i.Request(number, "c", now + 7_500_000, 5_000.0, 3_000.0, prefix=f"p{number % TEXTS}", session=f"s{number}"),
+    )
 
 
 def sent(actions: list[i.Action]) -> int | None:
@@ -38,9 +40,17 @@
 
 
 def costs(hosts: int) -> tuple[float, float, float]:
-    policy = Policy(i.Settings(
-        me=0, instances=1_024, zone="a", classes=(i.RequestClass("c", 1_500_000, 7_500_000),),
-        kinds=(i.Kind("r", i.Role.READ), i.Kind("w", i.Role.WRITE, 150_000.0)), cross_zone_price=1.0), seed=1)
+    policy = Policy(
+        i.Settings(
+            me=0,
+            instances=1_024,
+            zone="a",
+            classes=(i.RequestClass("c", 1_500_000, 7_500_000),),
+            kinds=(i.Kind("r", i.Role.READ), i.Kind("w", i.Role.WRITE, 150_000.0)),
+            cross_zone_price=1.0,
+        ),
+        seed=1,
+    )
     now = 1_000_000
     began = time.perf_counter()
     for version in range(ROUNDS):
--- a/benchmarks/prefix_hits.py
+++ b/benchmarks/prefix_hits.py
@@ -53,8 +53,9 @@
     waits_us: list[int] = field(default_factory=list)
 
 
-def prompt(rng: random.Random, kind: str, now_s: float,
-           sessions: dict[int, list[int]], seconds: float) -> tuple[str, str, list[int], int]:
+def prompt(
+    rng: random.Random, kind: str, now_s: float, sessions: dict[int, list[int]], seconds: float
+) -> tuple[str, str, list[int], int]:
     """Shared text's name, session's name, tokens, and the shared text's length."""
     if kind == "flood" and seconds / 3 < now_s < 2 * seconds / 3 and rng.random() < 0.3:
         name = rng.randrange(10**9)
@@ -74,18 +75,41 @@
     boxes: list[Reader] = []
     for _ in range(readers):
         sent: list[tuple[int, bytes]] = []
-        boxes.append(Reader(BlockCache(ROOM_BLOCKS, SIZE, rng.getrandbits(60), lambda n, d, s=sent: s.append((n, d)),  # type: ignore[misc]
-                                       lambda: now_us / 1e6), 0, sent))
-    settings = [i.Settings(me=me, instances=ROUTERS, zone="a", classes=(i.RequestClass("c", 1_500_000, 7_500_000),),
-                           kinds=(i.Kind("r", i.Role.READ), i.Kind("w", i.Role.WRITE, 1e9))) for me in range(ROUTERS)]
+        boxes.append(
+            Reader(
+                BlockCache(
+                    ROOM_BLOCKS,
+                    SIZE,
+                    rng.getrandbits(60),
+                    lambda n, d, s=sent: s.append((n, d)),  # type: ignore[misc]
+                    lambda: now_us / 1e6,
+                ),
+                0,
+                sent,
+            )
+        )
+    settings = [
+        i.Settings(
+            me=me,
+            instances=ROUTERS,
+            zone="a",
+            classes=(i.RequestClass("c", 1_500_000, 7_500_000),),
+            kinds=(i.Kind("r", i.Role.READ), i.Kind("w", i.Role.WRITE, 1e9)),
+        )
+        for me in range(ROUTERS)
+    ]
     policies = [Policy(one, seed) for seed, one in enumerate(settings)]
-    entries = (*(i.Entry(n + 1, "a", "r", 0, i.State.SERVING, 1.0) for n in range(readers)),
-               i.Entry(10_000, "a", "w", 0, i.State.SERVING, 1.0))
+    entries = (
+        *(i.Entry(n + 1, "a", "r", 0, i.State.SERVING, 1.0) for n in range(readers)),
+        i.Entry(10_000, "a", "w", 0, i.State.SERVING, 1.0),
+    )
     now_us = 0
     for policy in policies:
         policy.handle(0, i.Members(i.ListKind.COMPLETE, 1, entries))
-    known = [PrefixKnowledge(ByteTokenizer(), SIZE, 1_000_000, guessing=mode == "guess", following=mode == "events")
-             for _ in range(ROUTERS)]
+    known = [
+        PrefixKnowledge(ByteTokenizer(), SIZE, 1_000_000, guessing=mode == "guess", following=mode == "events")
+        for _ in range(ROUTERS)
+    ]
     names = [str(n + 1) for n in range(readers)]
     for knowledge in known:
         knowledge.listed(names)
@@ -137,28 +161,48 @@
             knowledge = known[router]
             if mode == "events":
                 for n, reader in enumerate(boxes):
-                    for seq, data in reader.sent[heard[router][n]:]:
+                    for seq, data in reader.sent[heard[router][n] :]:
                         knowledge.batch(now_us, names[n], seq, msgspec.msgpack.decode(data, type=Batch))
                     heard[router][n] = len(reader.sent)
             if mode == "oracle":
-                told = {name: float(box.cache.found(list(blocks.hashes)) * SIZE)
-                        for name, box in zip(names, boxes, strict=True)}
+                told = {
+                    name: float(box.cache.found(list(blocks.hashes)) * SIZE)
+                    for name, box in zip(names, boxes, strict=True)
+                }
             elif mode == "neither":
                 told = {}
             else:
                 told = knowledge.kept(now_us, blocks, names, float(len(tokens)))
             asks[number] = (router, list(tokens), blocks, told)
             kept = {int(name): value for name, value in told.items()} if mode != "neither" else None
-            act(router, policies[router].handle(now_us, i.Request(
-                number, "c", now_us + 7_500_000, float(len(tokens)), float(shared), 20.0, prefix=text,
-                session=session, kept=kept)))
+            act(
+                router,
+                policies[router].handle(
+                    now_us,
+                    i.Request(
+                        number,
+                        "c",
+                        now_us + 7_500_000,
+                        float(len(tokens)),
+                        float(shared),
+                        20.0,
+                        prefix=text,
+                        session=session,
+                        kept=kept,
+                    ),
+                ),
+            )
         elif what == "read":
             router, request, server, cached, sent_us = value
             _, tokens, blocks, told = asks[request]
             if mode == "guess":
                 known[router].read(names[server - 1], blocks, len(tokens), cached, None)
-            act(router, policies[router].handle(now_us, i.Outcome(
-                request, 0, server, i.Status.READ, now_us - sent_us, False, cached)))
+            act(
+                router,
+                policies[router].handle(
+                    now_us, i.Outcome(request, 0, server, i.Status.READ, now_us - sent_us, False, cached)
+                ),
+            )
         elif what == "written":
             router, request = value
             act(router, policies[router].handle(now_us, i.Outcome(request, 1, 10_000, i.Status.SERVED, 1_000, True)))
--- a/benchmarks/prefix_index.py
+++ b/benchmarks/prefix_index.py
@@ -94,13 +94,16 @@
             for text in sample:
                 made.remove("box1", text)
                 made.store("box1", text)
+
         return work
 
     look = timed(lambda: [ours.match(text) for text in sample]) / timed(lambda: [plain.match(text) for text in sample])
     update = timed(updates(ours)) / timed(updates(plain))
     clear = timed(lambda: ours.clear("box2"), 1) / timed(lambda: plain.clear("box2"), 1)
-    print(f"{count} boxes, {len(texts) * TEXT} blocks, ours / dict of sets: look-up {look:.2f}, update {update:.2f}, "
-          f"clear {clear:.6f}; bytes a block {our_bytes / blocks:.0f} against {plain_bytes / blocks:.0f}")
+    print(
+        f"{count} boxes, {len(texts) * TEXT} blocks, ours / dict of sets: look-up {look:.2f}, update {update:.2f}, "
+        f"clear {clear:.6f}; bytes a block {our_bytes / blocks:.0f} against {plain_bytes / blocks:.0f}"
+    )
 
 
 @click.command()
--- a/benchmarks/releases.py
+++ b/benchmarks/releases.py
@@ -38,8 +38,12 @@
     rng = random.Random(seed)
     names = [f"u{n:04}" for n in range(size)]
     places = {n: p.Place(n, "dispatcher", {"zone": "abc"[at % 3], "cell": str(at % 20)}) for at, n in enumerate(names)}
-    fleet = p.Fleet(places, {n: p.Status(n, "0", "well", "v1") for n in names}, {},
-                    (Limit("all", most_out_share=most_out), Limit("zone", most_out_share=4 * most_out)))
+    fleet = p.Fleet(
+        places,
+        {n: p.Status(n, "0", "well", "v1") for n in names},
+        {},
+        (Limit("all", most_out_share=most_out), Limit("zone", most_out_share=4 * most_out)),
+    )
     release = r.begin("r", r.PlanFile("v2", "v1", tuple(names), settle_s=10, start_s=120), places)
     orders: dict[str, r.Order] = {}
     due: dict[str, int] = {}
@@ -59,8 +63,11 @@
                     fleet = replace(fleet, permits={n: row for n, row in fleet.permits.items() if n != name})
                 case r.Grant(name, order, permit):
                     orders[name], due[name] = order, now + rng.randint(8 * S, 25 * S)
-                    fleet = replace(fleet, permits={**fleet.permits, name: permit},
-                                    statuses={**fleet.statuses, name: p.Status(name, "0", "draining", "v1")})
+                    fleet = replace(
+                        fleet,
+                        permits={**fleet.permits, name: permit},
+                        statuses={**fleet.statuses, name: p.Status(name, "0", "draining", "v1")},
+                    )
                     assert not p.broken(fleet)
     return (now - began) / S, steps
 
@@ -74,13 +81,19 @@
             for more in (0.01, 0.05, 0.2):
                 took = sorted(until_halt(seed, base, more, mix, 200) or 1 << 30 for seed in range(20))[10]
                 found.append(f"{more:.0%} more: {took if took < 1 << 30 else 'not in 200 windows'}")
-            print(f"bad {base:.1%}, {mix[0]} and {mix[1]} a window: false halts {false} of {runs}; requests until the "
-                  f"halt, median: {'; '.join(found)}", flush=True)
+            print(
+                f"bad {base:.1%}, {mix[0]} and {mix[1]} a window: false halts {false} of {runs}; requests until the "
+                f"halt, median: {'; '.join(found)}",
+                flush=True,
+            )
     for size in (20, 60, 300):
         for share in (0.05, 0.1):
             seconds, steps = whole(size, share, size)
-            print(f"{size} units, {share:.0%} out at most: {seconds / 60:.1f} minutes, {steps / size:.1f} transactions "
-                  "a unit", flush=True)
+            print(
+                f"{size} units, {share:.0%} out at most: {seconds / 60:.1f} minutes, {steps / size:.1f} transactions "
+                "a unit",
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -42,8 +42,7 @@
         warmth, later = (start + (1 - start) * min(t / cold_s, 1.0) for t in (at, at + fall_s / 2))
         n = multiple * (warmth if line else start) * work
         mean = part * later * work
-        total += part * warmth * work / fall_s * cold_s / STEPS * beyond(
-            mean, math.floor(n + 2 * math.sqrt(n) + 2))
+        total += part * warmth * work / fall_s * cold_s / STEPS * beyond(mean, math.floor(n + 2 * math.sqrt(n) + 2))
     return total
 
 
@@ -82,14 +81,23 @@
     for site in SITES:
         print("start {}, cold {:g} s, multiple {} in {:g} s".format(*site))
         for hosts in (1, 2, 32, 512):
-            print(f"  {hosts} cold: " + ", ".join(
-                f"work {work}: {(part := most(hosts, work, site)):.2f} (g {part / SLOW_START_PART:.2f}; without a ramp "
-                f"{most(hosts, work, site, line=False):.2f})" for work in WORK))
+            print(
+                f"  {hosts} cold: "
+                + ", ".join(
+                    f"work {work}: {(part := most(hosts, work, site)):.2f} (g {part / SLOW_START_PART:.2f}; "
+                    f"without a ramp {most(hosts, work, site, line=False):.2f})"
+                    for work in WORK
+                )
+            )
     for dispatchers in (2, 32, 1_024):
         for uneven in (0.0, 1.5):
-            print(f"{dispatchers} dispatchers, exponent {uneven}: variance over mean " + ", ".join(
-                f"{name} {spread(dispatchers, uneven, 10.0, even):.2f}" for name, even in (
-                    ("drawn", False), ("even parts", True))))
+            print(
+                f"{dispatchers} dispatchers, exponent {uneven}: variance over mean "
+                + ", ".join(
+                    f"{name} {spread(dispatchers, uneven, 10.0, even):.2f}"
+                    for name, even in (("drawn", False), ("even parts", True))
+                )
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/slow_start_fleet.py
+++ b/benchmarks/slow_start_fleet.py
@@ -87,8 +87,15 @@
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.pushed = 0
         hosts = case.cells * 6
-        self.hosts = {n + 1: Host(i.Entry(n + 1, "ab"[n // 6 % 2], "rw"[n % 6 // 3], n // 6, i.State.SERVING, 1.0),
-                                  n % 6 < 3, case.rate, case.by_work) for n in range(hosts)}
+        self.hosts = {
+            n + 1: Host(
+                i.Entry(n + 1, "ab"[n // 6 % 2], "rw"[n % 6 // 3], n // 6, i.State.SERVING, 1.0),
+                n % 6 < 3,
+                case.rate,
+                case.by_work,
+            )
+            for n in range(hosts)
+        }
         self.cold = [h for at, h in enumerate(self.hosts.values()) if case.cold(at, h)]
         self.policies = [Policy(self.settings(me, dispatchers), seed * 1_000 + me) for me in range(dispatchers)]
         self.told: dict[tuple[int, int], int] = {}
@@ -102,11 +109,20 @@
     def settings(self, me: int, dispatchers: int) -> i.Settings:
         warm = len(self.hosts) / 2 * self.case.rate
         return i.Settings(
-            me=me, instances=dispatchers, zone="ab"[me % 2], classes=(i.RequestClass("c", AIM_US, LIFE_US),),
+            me=me,
+            instances=dispatchers,
+            zone="ab"[me % 2],
+            classes=(i.RequestClass("c", AIM_US, LIFE_US),),
             kinds=(i.Kind("r", i.Role.READ), i.Kind("w", i.Role.WRITE, SLOTS * TOKENS * 4)),
-            tenants=tuple(i.Tenant("t", 1.0, part * warm) for part in self.case.quota), cold_us=COLD_US,
-            start_capacity=START, fall_multiple=MULTIPLE, fall_us=FALL_US, cancel=True, retry_after=True,
-            max_retry_after_us=500 * MS)
+            tenants=tuple(i.Tenant("t", 1.0, part * warm) for part in self.case.quota),
+            cold_us=COLD_US,
+            start_capacity=START,
+            fall_multiple=MULTIPLE,
+            fall_us=FALL_US,
+            cancel=True,
+            retry_after=True,
+            max_retry_after_us=500 * MS,
+        )
 
     def at(self, when: float, then: Callable[[], None]) -> None:
         self.pushed += 1
@@ -165,8 +181,9 @@
         if host.dead(self.now):
             return self.end(me, number, seq, i.Status.CONNECT_FAILED, sent)
         if host in self.cold and self.now >= host.up:
-            host.sent.append((self.now, host.warmth(self.now),
-                              self.now >= self.told.get((me, host.entry.server), 1 << 60)))
+            host.sent.append(
+                (self.now, host.warmth(self.now), self.now >= self.told.get((me, host.entry.server), 1 << 60))
+            )
         took = self.draw.uniform(0.5, 1.5) / host.warmth(self.now)
         held = host in self.places.get(number, set())
         if host.full or (host.waiting >= QUEUE if host.reads else host.busy >= SLOTS and not held):
@@ -253,8 +270,11 @@
         text = f"t{self.draw.randrange(self.case.texts)}" if self.draw.random() < 0.5 else None
         if self.draw.random() < self.case.hot:
             text = self.hot
-        self.ask(me, i.Request(0, "c", 0, TOKENS, TOKENS / 2 if text else 0.0, prefix=text, session=session),
-                 self.case.repeats)
+        self.ask(
+            me,
+            i.Request(0, "c", 0, TOKENS, TOKENS / 2 if text else 0.0, prefix=text, session=session),
+            self.case.repeats,
+        )
 
     def times(self) -> Iterator[float]:
         """A Poisson stream for both stages, half as much again from the return on."""
@@ -294,8 +314,9 @@
         reader = next((h.entry.server for h in self.cold if h.reads), None)
         policy = Policy(self.policies[0].set, 1)
         policy.handle(0, i.Members(i.ListKind.COMPLETE, 1, tuple(h.entry for h in self.hosts.values())))
-        return next(t for t in map("h{}".format, count())
-                    if reader is None or policy._order(t)[0].entry.server == reader)
+        return next(
+            t for t in map("h{}".format, count()) if reader is None or policy._order(t)[0].entry.server == reader
+        )
 
     # --- what came of it
 
@@ -306,8 +327,13 @@
     def ratio(self, host: Host, sent: list[tuple[int, float, bool]]) -> float:
         while_cold = [row for row in sent if row[0] < host.up + COLD_US]
         times = [at for at, _, _ in while_cold]
-        return max(((bisect_left(times, at + FALL_US) - n) / allowance(budget(host, warmth), self.case.roots)
-                    for n, (at, warmth, _) in enumerate(while_cold)), default=0.0)
+        return max(
+            (
+                (bisect_left(times, at + FALL_US) - n) / allowance(budget(host, warmth), self.case.roots)
+                for n, (at, warmth, _) in enumerate(while_cold)
+            ),
+            default=0.0,
+        )
 
     def broken(self) -> float:
         """As the pages break the rule: the largest ratio of a window of which over two thirds came from those told."""
@@ -339,9 +365,16 @@
         """
         if not self.cold:
             return {"refused"} if self.ends["refused"] else set()
-        return {name for name, holds in {
-            "all": self.worst() <= 1, "told": self.worst(told=True) <= 1, "rule": self.broken() <= 1,
-            "busy": self.busy() >= 0.8}.items() if not holds}
+        return {
+            name
+            for name, holds in {
+                "all": self.worst() <= 1,
+                "told": self.worst(told=True) <= 1,
+                "rule": self.broken() <= 1,
+                "busy": self.busy() >= 0.8,
+            }.items()
+            if not holds
+        }
 
 
 LATE = (3 * S, 3_500 * MS)  # the list tells of it so long after its start
@@ -359,13 +392,13 @@
     "few carry most": (Case(first, uneven=1.5), (200,)),
     "started in the future": (Case(first, ahead_us=3_600 * S), (30,)),
     "repeats: all others die": (Case(first, dead=others, repeats=2, until=SHORT), (20, 200)),
-    "repeats: a zone dies": (Case(
-        first, dead=lambda at, host: host.entry.zone == "b", repeats=2, until=SHORT), (30,)),
+    "repeats: a zone dies": (Case(first, dead=lambda at, host: host.entry.zone == "b", repeats=2, until=SHORT), (30,)),
     "repeats: all others full": (Case(first, full=others, repeats=2, until=SHORT), (30, 200)),
     "a hot text": (Case(first, hot=0.3), (30, 200)),
     "survivors of a role": (
         Case(first, dead=other_writers, dead_us=3 * S, rate=2.5, by_work=True, roots=3, repeats=2),
-        (6, 200)),
+        (6, 200),
+    ),
     "warm by work": (Case(half, by_work=True), (6, 200)),
     "no start at all": (Case(lambda at, host: False, load=0.6, burst=1.0), (6, 200)),
 }
@@ -383,8 +416,10 @@
     for name, (_, sizes) in CASES.items():
         for dispatchers in sizes:
             fleet = played(name, dispatchers, int(seed))
-            print(f"{name:<40}{dispatchers:>5}  all {fleet.worst():.2f}  told {fleet.worst(told=True):.2f}  "
-                  f"rule {fleet.broken():.2f}  busy {fleet.busy():.2f}  {' '.join(sorted(fleet.failing()))}")
+            print(
+                f"{name:<40}{dispatchers:>5}  all {fleet.worst():.2f}  told {fleet.worst(told=True):.2f}  "
+                f"rule {fleet.broken():.2f}  busy {fleet.busy():.2f}  {' '.join(sorted(fleet.failing()))}"
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/slow_start_hosts.py
+++ b/benchmarks/slow_start_hosts.py
@@ -58,6 +58,7 @@
 
 # --- which hosts of a fleet, by place in the list
 
+
 def first(at: int, host: Host) -> bool:
     """A reader and a writer of one cell."""
     return at in (0, 3)
--- a/benchmarks/stages.py
+++ b/benchmarks/stages.py
@@ -62,16 +62,20 @@
     read = [row for row in requests if "prefill:" in row["ms"]]
     prompts = sum(float(row["prompt"]) for row in read)
     kept = sum(min(float(row["kept"]), float(row["prompt"])) for row in read)
-    out.append(f"kept {kept / max(prompts, 1):.3f} of the prompt tokens read, best possible "
-               f"{best_kept(read) / max(prompts, 1):.3f}; new tokens a read {(prompts - kept) / max(len(read), 1):.0f}"
-               f" of {prompts / max(len(read), 1):.0f}")
+    out.append(
+        f"kept {kept / max(prompts, 1):.3f} of the prompt tokens read, best possible "
+        f"{best_kept(read) / max(prompts, 1):.3f}; new tokens a read {(prompts - kept) / max(len(read), 1):.0f}"
+        f" of {prompts / max(len(read), 1):.0f}"
+    )
     tries = [[int(part) for part in row["tries"].split(",")] for row in requests]
     reads, writes, asked, refused = (sum(column) for column in zip(*tries, strict=True)) if tries else (0, 0, 0, 0)
     out.append(f"reads {reads}, writes {writes}, places asked {asked}, refused {refused}")
     at = [[place.split("/") for place in row["at"].split(",")] for row in requests]
     pairs = [(r, w) for r, w in at if len(r) == 3 and len(w) == 3]
-    out.append(f"moved to another cell {sum(r[2] != w[2] for r, w in pairs)}, to another zone "
-               f"{sum(r[1] != w[1] for r, w in pairs)}, of {len(pairs)}")
+    out.append(
+        f"moved to another cell {sum(r[2] != w[2] for r, w in pairs)}, to another zone "
+        f"{sum(r[1] != w[1] for r, w in pairs)}, of {len(pairs)}"
+    )
     out.append("readers: " + spread(Counter(r[0] for r, _ in at if len(r) == 3)))
     out.append("writers: " + spread(Counter(w[0] for _, w in at if len(w) == 3)))
     times: dict[str, list[float]] = defaultdict(list)
@@ -79,8 +83,10 @@
         for part in filter(None, row["ms"].split(",")):
             name, _, value = part.partition(":")
             times[name].append(float(value))
-    out.append("ms p50/p99: " + ", ".join(
-        f"{name} {quantile(times[name], 0.5):.0f}/{quantile(times[name], 0.99):.0f}" for name in STAGES))
+    out.append(
+        "ms p50/p99: "
+        + ", ".join(f"{name} {quantile(times[name], 0.5):.0f}/{quantile(times[name], 0.99):.0f}" for name in STAGES)
+    )
     return out
 
 
@@ -99,8 +105,10 @@
 
 def failed(lines: Iterable[str], requests: list[Row]) -> Iterator[tuple[str, float]]:
     """Host and about when (their ends are told) of attempts that failed; a log's own clock is put on Unix time."""
-    ends = {row["id"]: float(row["came"]) + sum(float(p.split(":")[1]) for p in row["ms"].split(",") if p)
-            for row in requests}
+    ends = {
+        row["id"]: float(row["came"]) + sum(float(p.split(":")[1]) for p in row["ms"].split(",") if p)
+        for row in requests
+    }
     offsets = []
     tried = []
     for line in lines:
@@ -120,15 +128,21 @@
     times = sent(requests)
     for host, at in failed(lines, requests):
         times[host].append(at)
-    starts = {(row["id"], row["kind"], float(row["up"]))
-              for row in (dict(FIELD.findall(line)) for line in lines if "host started id=" in line)}
+    starts = {
+        (row["id"], row["kind"], float(row["up"]))
+        for row in (dict(FIELD.findall(line)) for line in lines if "host started id=" in line)
+    }
     most: dict[str, list[int]] = defaultdict(list)
     for host, kind, up in starts:
         while_cold = sorted(at for at in times[host] if up <= at < up + cold_ms)
-        most[kind].append(max((sum(at <= other < at + window_ms for other in while_cold) for at in while_cold),
-                              default=0))
-    return [f"cold {kind}: {len(counts)} started, sent in {window_ms / 1_000:g} s at most {max(counts)}, "
-            f"median {quantile([float(n) for n in counts], 0.5):.0f}" for kind, counts in sorted(most.items())]
+        most[kind].append(
+            max((sum(at <= other < at + window_ms for other in while_cold) for at in while_cold), default=0)
+        )
+    return [
+        f"cold {kind}: {len(counts)} started, sent in {window_ms / 1_000:g} s at most {max(counts)}, "
+        f"median {quantile([float(n) for n in counts], 0.5):.0f}"
+        for kind, counts in sorted(most.items())
+    ]
 
 
 def main(folder: str, cold_s: str = "0", window_s: str = "2") -> None:
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -40,8 +40,7 @@
     pass
 
 
-def run(set_timer: Callable[[int, Callable[[], None]], Callable[[], None]],
-        pop_due: Callable[[int], object]) -> float:
+def run(set_timer: Callable[[int, Callable[[], None]], Callable[[], None]], pop_due: Callable[[int], object]) -> float:
     started = time.perf_counter()
     open_timers: list[Callable[[], None]] = []
     for number in range(REQUESTS):
@@ -59,10 +58,14 @@
     ratios = []
     for _ in range(5):
         ours, plain = Timers(), PlainHeap()
-        ratios.append(run(lambda due, call, t=ours: t.set(due, call).cancel, ours.pop_due)  # type: ignore[misc]
-                      / run(plain.set, plain.pop_due))
-    print(f"held for {OPEN} open timers: ours {len(ours)} timers and {ours.ticks_held} ticks, "
-          f"plain heap {len(plain.heap)} entries")
+        ratios.append(
+            run(lambda due, call, t=ours: t.set(due, call).cancel, ours.pop_due)  # type: ignore[misc]
+            / run(plain.set, plain.pop_due)
+        )
+    print(
+        f"held for {OPEN} open timers: ours {len(ours)} timers and {ours.ticks_held} ticks, "
+        f"plain heap {len(plain.heap)} entries"
+    )
     print(f"time, ours / plain: median {sorted(ratios)[2]:.2f} of {', '.join(f'{r:.2f}' for r in ratios)}")
 
 
--- a/tests/agent_standin.py
+++ b/tests/agent_standin.py
@@ -41,10 +41,11 @@
     def body(self) -> bytes:
         if self.says is not None:
             return self.says
-        members = [{"id": name, "host_port": f"10.3.{n >> 8}.{n & 255}:9000", "flavor": "reads", "phase": phase}
-                   for n, (name, phase) in enumerate(self.phases.items())]
-        return json.dumps({"revision": self.revision, "complete": self.complete, "members": members},
-                          indent=4).encode()
+        members = [
+            {"id": name, "host_port": f"10.3.{n >> 8}.{n & 255}:9000", "flavor": "reads", "phase": phase}
+            for n, (name, phase) in enumerate(self.phases.items())
+        ]
+        return json.dumps({"revision": self.revision, "complete": self.complete, "members": members}, indent=4).encode()
 
     def drain(self, host: str = "h0") -> None:
         self.phases[host], self.revision = "Terminating", self.revision + 1
@@ -63,10 +64,15 @@
             while (head := read_request(stream, parser)) is not None:
                 self.asked.append((self.world.now_us(), head.target))
                 query: dict[bytes, Any] = dict(
-                    part.split(b"=") for part in head.target.partition(b"?")[2].split(b"&") if part)
+                    part.split(b"=") for part in head.target.partition(b"?")[2].split(b"&") if part
+                )
                 until = self.world.now_us() + int(query.get(b"wait", 0)) * 1_000
-                while (self.waits and int(query.get(b"index", -1)) >= self.revision and self.world.now_us() < until
-                       and not self.faulty):
+                while (
+                    self.waits
+                    and int(query.get(b"index", -1)) >= self.revision
+                    and self.world.now_us() < until
+                    and not self.faulty
+                ):
                     self.sleep(1_000)
                 answer = plain(200, self.body())
                 if self.faulty and self.fault is not None:
@@ -100,8 +106,9 @@
 
 def after(part: float, then: Fault) -> Fault:
     """A part of the answer, and then the fault."""
+
     def fault(agent: Agent, stream: Stream, answer: bytes) -> None:
-        stream.write(answer[:round(part * len(answer))])
+        stream.write(answer[: round(part * len(answer))])
         agent.sleep(5_000)  # it arrives
         then(agent, stream, answer)
 
@@ -125,9 +132,10 @@
 
 def bytewise(every_us: int) -> Fault:
     """The true answer in pieces of one byte."""
+
     def fault(agent: Agent, stream: Stream, answer: bytes) -> None:
         for at in range(len(answer)):
-            stream.write(answer[at:at + 1])
+            stream.write(answer[at : at + 1])
             agent.sleep(every_us)
 
     return fault
--- a/tests/crossing_agent.py
+++ b/tests/crossing_agent.py
@@ -50,8 +50,13 @@
 
     def listed(self, hosts: list[Host] | None = None) -> bytes:
         """The whole list."""
-        return json.dumps({"revision": self.revision, "complete": True, "members": [
-            host.entry() for host in (self.hosts if hosts is None else hosts)]}).encode()
+        return json.dumps(
+            {
+                "revision": self.revision,
+                "complete": True,
+                "members": [host.entry() for host in (self.hosts if hosts is None else hosts)],
+            }
+        ).encode()
 
     def waiting(self) -> AgentCall | None:
         """A watch that knows the latest."""
--- a/tests/crossing_clients.py
+++ b/tests/crossing_clients.py
@@ -22,8 +22,14 @@
 
 
 def written(number: bytes, cls: bytes, deadline_ms: int, session: bytes, body: bytes = b'{"stream":true}') -> bytes:
-    headers = [(b"host", b"api"), (b"req-id", number), (b"req-kind", cls), (b"req-key", session),
-               (b"req-deadline-ms", b"%d" % deadline_ms), (b"req-extra", b"prompt_len=1000,max_out=10")]
+    headers = [
+        (b"host", b"api"),
+        (b"req-id", number),
+        (b"req-kind", cls),
+        (b"req-key", session),
+        (b"req-deadline-ms", b"%d" % deadline_ms),
+        (b"req-extra", b"prompt_len=1000,max_out=10"),
+    ]
     return http1.write_request(b"POST", b"/v1/chat/completions", headers, body)
 
 
@@ -210,8 +216,13 @@
             with contextlib.suppress(StreamError):
                 while sent < size and not connection.left:
                     more = b"%s.p%d" % (number, at)
-                    data = written(more, ask.cls.encode(), ask.deadline_ms, ask.session,
-                                   b'{"stream":true,"x":"%s"}' % (b"x" * min(size, 20_000)))
+                    data = written(
+                        more,
+                        ask.cls.encode(),
+                        ask.deadline_ms,
+                        ask.session,
+                        b'{"stream":true,"x":"%s"}' % (b"x" * min(size, 20_000)),
+                    )
                     connection.stream.write(data)
                     self.ledger.asked[more] = Asked(more, ask.effect, ask.deadline_ms * 1_000, self.now_us(), False)
                     sent, at = sent + len(data), at + 1
--- a/tests/crossing_draw.py
+++ b/tests/crossing_draw.py
@@ -14,8 +14,21 @@
 MADE_BY_THE_DISPATCHER = ("read_first", "read_last", "place_last", "write_first", "write_last")
 STEPS = ("client_sent", *MADE_BY_THE_DISPATCHER, "read_answer", "place_answer", "first_token", "chunk", "last_chunk")
 CLIENT = ("client_fin", "client_rst", "client_flood", "client_again")
-HOST = ("host_rst", "host_fin", "host_silent", "host_503", "host_410", "host_500", "host_cut", "host_second",
-        "host_late", "host_never", "host_spoilt", "host_fin_last", "host_rests")
+HOST = (
+    "host_rst",
+    "host_fin",
+    "host_silent",
+    "host_503",
+    "host_410",
+    "host_500",
+    "host_cut",
+    "host_second",
+    "host_late",
+    "host_never",
+    "host_spoilt",
+    "host_fin_last",
+    "host_rests",
+)
 DISCOVERY = ("drain", "gone", "watch_silent", "watch_reset", "agent_down", "list_other", "moved")
 WHOLE = ("sigterm", "idle")
 EVENTS = (*CLIENT, *HOST, *DISCOVERY, *WHOLE)
@@ -89,8 +102,15 @@
         crossings.append(Crossing(event, target.number, step, rng.choice(OFFSETS_US), rng.randrange(1 << 30)))
         if event == "host_second" and rng.random() < 0.3:  # and the connection is wanted again just then
             crossings[-1] = replace(crossings[-1], step="read_last", offset_us=0)
-            crossings.append(Crossing("client_again", target.number, "read_answer", rng.choice((RIGHT_AFTER_US, 1_000)),
-                                      rng.randrange(1 << 30)))
+            crossings.append(
+                Crossing(
+                    "client_again",
+                    target.number,
+                    "read_answer",
+                    rng.choice((RIGHT_AFTER_US, 1_000)),
+                    rng.randrange(1 << 30),
+                )
+            )
     crossings += ways(seed, asks, crossings)
     events = {crossing.event for crossing in crossings}
     if events & UNHEARD and events & ENDING:
@@ -115,21 +135,34 @@
     settings = copy.deepcopy(SETTINGS)
     for row in settings["services"]:
         give_up_us = rng.choice((400_000, 600_000, 1_000_000, 1_500_000, 2_500_000, 5_000_000))
-        row.update({"idempotency": rng.choice(("free", "guarded", "single_shot", "single_shot")),
-                    "give-up-us": give_up_us, "goal-time-us": give_up_us // rng.choice((2, 4))})
-    settings["family-info"].update({"holds-allowed": rng.random() < 0.7, "resume": rng.random() < 0.5,
-                                    "let-go-by-us": rng.randrange(300_000, 600_001, 50_000)})
+        row.update(
+            {
+                "idempotency": rng.choice(("free", "guarded", "single_shot", "single_shot")),
+                "give-up-us": give_up_us,
+                "goal-time-us": give_up_us // rng.choice((2, 4)),
+            }
+        )
+    settings["family-info"].update(
+        {
+            "holds-allowed": rng.random() < 0.7,
+            "resume": rng.random() < 0.5,
+            "let-go-by-us": rng.randrange(300_000, 600_001, 50_000),
+        }
+    )
     settings["obligations"]["drain-grace-us"] = rng.randrange(250_000, 500_001, 50_000)
-    settings["allowed"].update({"most-tries": rng.randrange(2, 7), "conn-idle-us": rng.choice(
-        (2_000_000, 5_000_000, 15_000_000))})
+    settings["allowed"].update(
+        {"most-tries": rng.randrange(2, 7), "conn-idle-us": rng.choice((2_000_000, 5_000_000, 15_000_000))}
+    )
     return settings
 
 
 def steady(rng: Random, settings: dict[str, Any]) -> list[Ask]:
     """A client that asks again and again, also after what was not heard counts as told."""
     row = rng.choice(settings["services"])
-    return [Ask(b"t.%d" % turn, at_us, row["name"], row["idempotency"], int(row["give-up-us"]) // 1_000, b"t", False)
-            for turn, at_us in enumerate(range(20_000, STEADY_US[1], STEADY_US[0]))]
+    return [
+        Ask(b"t.%d" % turn, at_us, row["name"], row["idempotency"], int(row["give-up-us"]) // 1_000, b"t", False)
+        for turn, at_us in enumerate(range(20_000, STEADY_US[1], STEADY_US[0]))
+    ]
 
 
 def draw_client(rng: Random, settings: dict[str, Any], at: int, world_us: int) -> list[Ask]:
@@ -139,6 +172,9 @@
         row = rng.choice(settings["services"])
         longest_ms = int(row["give-up-us"]) // 1_000
         deadline_ms = longest_ms if rng.random() < 0.7 else max(400, rng.randrange(longest_ms // 2, longest_ms + 1))
-        asks.append(Ask(b"c%d.%d" % (at, turn), at_us, row["name"], row["idempotency"], deadline_ms, session,
-                        rng.random() < 0.3))
+        asks.append(
+            Ask(
+                b"c%d.%d" % (at, turn), at_us, row["name"], row["idempotency"], deadline_ms, session, rng.random() < 0.3
+            )
+        )
     return asks
--- a/tests/crossing_events.py
+++ b/tests/crossing_events.py
@@ -11,8 +11,16 @@
 if TYPE_CHECKING:
     from tests.crossing_worlds import World
 
-ORDERS = {"host_silent": "silence", "host_503": "503", "host_410": "410", "host_500": "500", "host_cut": "cut",
-          "host_second": "second", "host_spoilt": "spoilt", "host_fin_last": "fin_last"}
+ORDERS = {
+    "host_silent": "silence",
+    "host_503": "503",
+    "host_410": "410",
+    "host_500": "500",
+    "host_cut": "cut",
+    "host_second": "second",
+    "host_spoilt": "spoilt",
+    "host_fin_last": "fin_last",
+}
 NEVER_US = 3_000_000
 
 
--- a/tests/crossing_hosts.py
+++ b/tests/crossing_hosts.py
@@ -358,8 +358,9 @@
             rows = [row for row in rows if row["id"] in changed]
         if self.older:
             self.older = False
-            return json.dumps({"revision": 0, "complete": True, "members": [
-                {**row, "phase": "Ready"} for row in super().members()]}).encode()
+            return json.dumps(
+                {"revision": 0, "complete": True, "members": [{**row, "phase": "Ready"} for row in super().members()]}
+            ).encode()
         for name in self.undelivered:
             self.ledger.delivered(name, self.sim.now_us())
         self.undelivered.clear()
--- a/tests/crossing_ledger.py
+++ b/tests/crossing_ledger.py
@@ -34,11 +34,25 @@
     answers: list[tuple[float, Message]] = field(default_factory=list)
 
 
-def request(number: str, cls: str = "ask", deadline_ms: int = 5_000, body: bytes = b'{"stream":true}',
-            headers: tuple[bytes, ...] = (), key: str = "k") -> Request:
-    rows = [b"POST /v1/chat/completions HTTP/1.1", b"Host: api", b"Req-Id: " + number.encode(),
-            b"Req-Kind: " + cls.encode(), b"Req-Key: " + key.encode(), b"Req-Deadline-Ms: %d" % deadline_ms,
-            b"Req-Extra: prompt_len=1000,max_out=10", b"Content-Length: %d" % len(body), *headers]
+def request(
+    number: str,
+    cls: str = "ask",
+    deadline_ms: int = 5_000,
+    body: bytes = b'{"stream":true}',
+    headers: tuple[bytes, ...] = (),
+    key: str = "k",
+) -> Request:
+    rows = [
+        b"POST /v1/chat/completions HTTP/1.1",
+        b"Host: api",
+        b"Req-Id: " + number.encode(),
+        b"Req-Kind: " + cls.encode(),
+        b"Req-Key: " + key.encode(),
+        b"Req-Deadline-Ms: %d" % deadline_ms,
+        b"Req-Extra: prompt_len=1000,max_out=10",
+        b"Content-Length: %d" % len(body),
+        *headers,
+    ]
     return Request(number.encode(), cls, deadline_ms, b"\r\n".join(rows) + b"\r\n\r\n" + body)
 
 
@@ -103,8 +117,11 @@
         """A client saw its connection ended by the program."""
         with self.lock:
             self.say(f"the client sees {how}")
-            waiting = [r for r in requests if r.left is None and r.written and (
-                not r.answers or r.asked is None or r.asked > r.answers[0][0])]
+            waiting = [
+                r
+                for r in requests
+                if r.left is None and r.written and (not r.answers or r.asked is None or r.asked > r.answers[0][0])
+            ]
             if how == "rst" and waiting:
                 self.seen.append(f"{waiting[0].id.decode()}: reset under a request or its answer")
             if stray:
@@ -192,8 +209,15 @@
             found = list(self.seen)
             for r in self.requests:
                 own = self._own(r)
-                found += [f"{r.id.decode()}: {text}" for text in (
-                    *self._answers(r, own), *self._alone(r, own), *self._times(r, own), *self._effect(r, own))]
+                found += [
+                    f"{r.id.decode()}: {text}"
+                    for text in (
+                        *self._answers(r, own),
+                        *self._alone(r, own),
+                        *self._times(r, own),
+                        *self._effect(r, own),
+                    )
+                ]
             for number in {known for _, _, known in self.moves}:
                 longest, _ = self.holds(number, monotonic())
                 if longest > self.release_s + HELD_MORE_S:
@@ -208,10 +232,13 @@
 
     def _own(self, r: Request) -> list[Attempt]:
         """A request's attempts: where an id came again, those up to then."""
-        again = min((s.asked for s in self.requests if s.id == r.id and s.asked and s.asked > (r.asked or 0.0)),
-                    default=float("inf"))
-        return sorted((a for a in self.attempts if a.id == r.id and (r.asked or 0.0) <= a.at < again),
-                      key=lambda a: a.at)
+        again = min(
+            (s.asked for s in self.requests if s.id == r.id and s.asked and s.asked > (r.asked or 0.0)),
+            default=float("inf"),
+        )
+        return sorted(
+            (a for a in self.attempts if a.id == r.id and (r.asked or 0.0) <= a.at < again), key=lambda a: a.at
+        )
 
     def _answers(self, r: Request, own: list[Attempt]) -> list[str]:
         """One final answer, the stream that a host made."""
@@ -232,8 +259,11 @@
             return ["a stream that no host made"]
         if message.whole:
             return [] if made.finished is not None and message.body == made.events else ["a part passed on as whole"]
-        if made.finished is not None and at - self.awake(made.finished) > ENDED_S or (
-                made.finished is not None and self.term is None):
+        if (
+            made.finished is not None
+            and at - self.awake(made.finished) > ENDED_S
+            or (made.finished is not None and self.term is None)
+        ):
             return ["a stream cut though its host had ended it"]
         if made.over is None and self.term is None:
             return ["a stream cut while its host writes"]
@@ -241,13 +271,22 @@
 
     def _alone(self, r: Request, own: list[Attempt]) -> list[str]:
         """Never two at once, no write before a read's word, and nothing let go of under an attempt."""
-        found = [f"two attempts at once, at {a.host} and {b.host}" for a, b in zip(own, own[1:], strict=False)
-                 if a.over is None or a.over > b.at]
-        found += ["written before it was read" for a in own if a.role == "write" and not any(
-            b.how == 202 and b.over is not None and b.over <= a.at for b in own)]
+        found = [
+            f"two attempts at once, at {a.host} and {b.host}"
+            for a, b in zip(own, own[1:], strict=False)
+            if a.over is None or a.over > b.at
+        ]
+        found += [
+            "written before it was read"
+            for a in own
+            if a.role == "write" and not any(b.how == 202 and b.over is not None and b.over <= a.at for b in own)
+        ]
         freed = [at for at, kind, known in self.moves if kind == "freed" and known == r.id]
-        return found + [f"let go of under its {a.role}" for a in own if any(
-            a.at < at and (a.over is None or at < a.over) for at in freed)]
+        return found + [
+            f"let go of under its {a.role}"
+            for a in own
+            if any(a.at < at and (a.over is None or at < a.over) for at in freed)
+        ]
 
     def _times(self, r: Request, own: list[Attempt]) -> list[str]:
         """Nothing begins once its client has gone, and no more time is told than is left."""
@@ -259,8 +298,10 @@
                 left_ms = r.deadline_ms - (a.arrived - self.awake(r.asked)) * 1_000
                 more_ms = TOLD_MORE_MS + (a.stalled - r.stalled) * 1_000  # what the machine withheld nobody can know
                 if a.told_ms > left_ms + more_ms:
-                    found.append(f"{a.role} was told {a.told_ms:.0f} ms with {left_ms:.0f} ms left"
-                                 f" (the machine withheld {more_ms - TOLD_MORE_MS:.0f} ms)")
+                    found.append(
+                        f"{a.role} was told {a.told_ms:.0f} ms with {left_ms:.0f} ms left"
+                        f" (the machine withheld {more_ms - TOLD_MORE_MS:.0f} ms)"
+                    )
         return found
 
     def _effect(self, r: Request, own: list[Attempt]) -> list[str]:
--- a/tests/crossing_messages.py
+++ b/tests/crossing_messages.py
@@ -33,7 +33,7 @@
             if not found:
                 return message, 0
             begin, size = at + len(line) + 2, int(line, 16)
-            message.body += data[begin:begin + size]
+            message.body += data[begin : begin + size]
             if len(data) < begin + size + 2:
                 return message, 0
             at = begin + size + 2
--- a/tests/crossing_parties.py
+++ b/tests/crossing_parties.py
@@ -167,8 +167,9 @@
         self.now: Message | None = None  # the answer that is coming
         super().__init__(stage, socket.create_connection((HERE, stage.port), BOUND_S))
 
-    def ask(self, number: str, cls: str = "ask", deadline_ms: int = 5_000, upto: int | None = None,
-            **more: Any) -> Request:
+    def ask(
+        self, number: str, cls: str = "ask", deadline_ms: int = 5_000, upto: int | None = None, **more: Any
+    ) -> Request:
         """Send a request, or its first bytes."""
         r = self.asks(number, cls, deadline_ms, **more)
         self.more(r, upto)
@@ -184,7 +185,7 @@
     def more(self, r: Request, upto: int | None = None) -> None:
         """Send a request's bytes on, up to this one or to the last."""
         self.late_reset()
-        data = r.data[r.written:upto]
+        data = r.data[r.written : upto]
         r.written += len(data)
         if r.written == len(r.data):
             r.stalled, r.asked = self.stage.stalled(), monotonic()
@@ -221,8 +222,11 @@
 
     def late_reset(self) -> None:
         """Note a reset that answered bytes written after the other end's end; reading does not show it."""
-        if self.sock.fileno() >= 0 and self.end == "fin" and (
-                self.refused or self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)):
+        if (
+            self.sock.fileno() >= 0
+            and self.end == "fin"
+            and (self.refused or self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
+        ):
             self.end = "rst"
             self.stage.ledger.ended(self.requests, "rst", b"")
 
@@ -259,8 +263,16 @@
             self.stage.sweep()  # what ended before this came is noted before it
             self.attempt = None
             if self.kind in ("read", "write"):
-                self.attempt = Attempt(self.id, self.host.name, self.kind, float(message.headers[b"req-deadline-ms"]),
-                                       self.first, monotonic(), self.stage.stalled(), self.arrived)
+                self.attempt = Attempt(
+                    self.id,
+                    self.host.name,
+                    self.kind,
+                    float(message.headers[b"req-deadline-ms"]),
+                    self.first,
+                    monotonic(),
+                    self.stage.stalled(),
+                    self.arrived,
+                )
                 ledger.came(self.attempt)
             else:  # a place may be held from now on, answered or not
                 ledger.move({"free": "freed", "place": "placed"}[self.kind], self.id)
@@ -363,6 +375,13 @@
         self.stage.watch(self.listener, self.accept)
 
     def entry(self) -> dict[str, Any]:
-        return {"id": self.name, "host_port": f"{HERE}:{self.listener.getsockname()[1]}", "locality": "a",
-                "flavor": "reads" if self.role == "read" else "writes", "cell": 1, "phase": self.phase, "size": 1.0,
-                "up_since_ms": 0}
+        return {
+            "id": self.name,
+            "host_port": f"{HERE}:{self.listener.getsockname()[1]}",
+            "locality": "a",
+            "flavor": "reads" if self.role == "read" else "writes",
+            "cell": 1,
+            "phase": self.phase,
+            "size": 1.0,
+            "up_since_ms": 0,
+        }
--- a/tests/crossing_planted.py
+++ b/tests/crossing_planted.py
@@ -48,67 +48,137 @@
 NOT_SAID_AGAIN = (UnreadCalls, "take_due", "due.append(request)", "pass")
 
 PLANTED: dict[str, Planted] = {
-    "a client's leaving is not told": one(
-        Server, "_watch", "exchange.left()", "return", "after its client left", 5),
+    "a client's leaving is not told": one(Server, "_watch", "exchange.left()", "return", "after its client left", 5),
     "500 is taken for turned away": one(
-        Hosts, "send", "head.status in (503, 504) and declined", "head.status in (500, 503, 504)", "sent again", 147),
+        Hosts, "send", "head.status in (503, 504) and declined", "head.status in (500, 503, 504)", "sent again", 147
+    ),
     "a drain on the list is passed over": one(
-        HostList, "_state", "PHASES.get(m.phase, i.State.DRAINING)", "i.State.SERVING", "after its drain was told", 7),
+        HostList, "_state", "PHASES.get(m.phase, i.State.DRAINING)", "i.State.SERVING", "after its drain was told", 7
+    ),
     "drains on a list that may lag are passed over": one(
-        HostList, "take", "self.doubt == LAGS and self._drain(answer)", "False", "after its drain was told", 933),
+        HostList, "take", "self.doubt == LAGS and self._drain(answer)", "False", "after its drain was told", 933
+    ),
     "what is missing on a list that may lag is passed over": one(
-        HostList, "_drain", "else host.up_since_ms <= newest)", "else False)", "after its drain was told", 3_888),
+        HostList, "_drain", "else host.up_since_ms <= newest", "else False", "after its drain was told", 3_888
+    ),
     "nothing is let go of": one(
-        ReleaseTasks, "_release", "heard = self._hosts.release(server, self._ids[room.request], ready)", "heard = True",
-        "was held", 7),
+        ReleaseTasks,
+        "_release",
+        "heard = self._hosts.release(server, self._ids[room.request], ready)",
+        "heard = True",
+        "was held",
+        7,
+    ),
     "a word that may have come too early is not said again": Planted(
-        (NOT_SAID_AGAIN, (Ends, "_release_all", "c.ReleaseAll(r.ask.request, r.unsure)",
-                          "c.ReleaseAll(r.ask.request, False)")), "was held", 53_680),
+        (
+            NOT_SAID_AGAIN,
+            (Ends, "_release_all", "c.ReleaseAll(r.ask.request, r.unsure)", "c.ReleaseAll(r.ask.request, False)"),
+        ),
+        "was held",
+        53_680,
+    ),
     "a word that was not heard counts as heard": one(
-        Rooms, "settled", "if not heard:", "if heard and not heard:", "was held", 4_052),
+        Rooms, "settled", "if not heard:", "if heard and not heard:", "was held", 4_052
+    ),
     "a read that was called off left nothing": Planted(
-        (NOT_SAID_AGAIN, (Ends, "_abort", "r.unsure = True  # it may end well just as it is called off\n"
-                          "                self._hold(now_us, r)", "pass")),
-        "was held", 44),
+        (
+            NOT_SAID_AGAIN,
+            (
+                Ends,
+                "_abort",
+                "r.unsure = True  # it may end well just as it is called off\n                self._hold(now_us, r)",
+                "pass",
+            ),
+        ),
+        "was held",
+        44,
+    ),
     "what is behind an answer is not looked at": one(
-        Response, "close", " and not self.connection.parser.buffered", "", "no host made", 644),
+        Response, "close", " and not self.connection.parser.buffered", "", "no host made", 644
+    ),
     "a silent agent is waited for": one(
-        Discovery, "_ask", "wait_us + timeouts.SILENT_AGENT_US", "wait_us + 60_000_000",
-        "after its drain was told", 210),
-    "a kept connection is not looked at": Planted((
-        (HttpClient, "_take", "elif connection.stream.quiet():", "elif True:"),
-        (HttpClient, "request", "if connection.stream.quiet():", "if True:")), "no host made", 704),
+        Discovery, "_ask", "wait_us + timeouts.SILENT_AGENT_US", "wait_us + 60_000_000", "after its drain was told", 210
+    ),
+    "a kept connection is not looked at": Planted(
+        (
+            (HttpClient, "_take", "elif connection.stream.quiet():", "elif True:"),
+            (HttpClient, "request", "if connection.stream.quiet():", "if True:"),
+        ),
+        "no host made",
+        704,
+    ),
     "a kept connection does not rest": one(
-        HttpClient, "_rested", "connection.used_us + rest_us <=", "connection.used_us <=",
-        "two attempts out at once", 43),
+        HttpClient,
+        "_rested",
+        "connection.used_us + rest_us <=",
+        "connection.used_us <=",
+        "two attempts out at once",
+        43,
+    ),
     "a cut stream is taken for whole": one(
-        Executor, "_relay", 'return Ended(i.Status.RESET, detail=f"stream broken: {error}")',
-        "return Ended(i.Status.SERVED)", "ended as whole", 26),
+        Executor,
+        "_relay",
+        'return Ended(i.Status.RESET, detail=f"stream broken: {error}")',
+        "return Ended(i.Status.SERVED)",
+        "ended as whole",
+        26,
+    ),
     "an end of file ends a stream": one(
-        Stream, "next", 'raise ExchangeBroken("closed inside the stream")', "return None", "ended as whole", 26),
+        Stream, "next", 'raise ExchangeBroken("closed inside the stream")', "return None", "ended as whole", 26
+    ),
     "a spoilt stream is taken for whole": one(
-        Executor, "_relay", 'return Ended(i.Status.ERROR, detail=f"stream spoilt: {error}")',
-        "return Ended(i.Status.SERVED)", "ended as whole", 42),
+        Executor,
+        "_relay",
+        'return Ended(i.Status.ERROR, detail=f"stream spoilt: {error}")',
+        "return Ended(i.Status.SERVED)",
+        "ended as whole",
+        42,
+    ),
     "the end of the process waits for nobody": one(
-        Server, "drain", "next(iter(self._connections)).join()", "self._connections.popitem()[0].cancel()",
-        "closed without an answer", 4),
+        Server,
+        "drain",
+        "next(iter(self._connections)).join()",
+        "self._connections.popitem()[0].cancel()",
+        "closed without an answer",
+        4,
+    ),
     "attempts are told more time": one(
-        Executor, "_ready", "self._left_ms(command))]", "(self._left_ms(command) + 200))]", "more than is left"),
+        Executor, "_ready", "self._left_ms(command))]", "(self._left_ms(command) + 200))]", "more than is left"
+    ),
     "the time left is not looked at when an attempt goes out": one(
-        Lifecycle, "left_ms", "(r.out.until_us - now_us)", "(r.out.until_us - r.out.sent_us)", "more than is left", 40),
+        Lifecycle, "left_ms", "(r.out.until_us - now_us)", "(r.out.until_us - r.out.sent_us)", "more than is left", 40
+    ),
     "an attempt is called off by name only": one(
-        Executor, "_carry_out", "known.attempts.pop(attempt).cancel()", "known.attempts.pop(attempt)",
-        "two attempts out at once", 38),
+        Executor,
+        "_carry_out",
+        "known.attempts.pop(attempt).cancel()",
+        "known.attempts.pop(attempt)",
+        "two attempts out at once",
+        38,
+    ),
     "a client's pieces are kept back": one(
-        Exchange, "send", "self._write(before +",
-        "self._world.sleep_until(self._world.now_us() + 400_000) or self._write(before +", "us late"),
+        Exchange,
+        "send",
+        "self._write(before +",
+        "self._world.sleep_until(self._world.now_us() + 400_000) or self._write(before +",
+        "us late",
+    ),
     "an attempt waits when all has been looked at": one(
-        Executor, "_ready", "return [(b\"req-deadline-ms\", b\"%d\" % self._left_ms(command))]",
+        Executor,
+        "_ready",
+        'return [(b"req-deadline-ms", b"%d" % self._left_ms(command))]',
         "left_ms = self._left_ms(command); self._world.sleep_until(self._world.now_us() + 250_000)\n"
-        "                return [(b\"req-deadline-ms\", b\"%d\" % left_ms)]", "more than is left"),
+        '                return [(b"req-deadline-ms", b"%d" % left_ms)]',
+        "more than is left",
+    ),
     "an attempt that was written has not run": one(
-        Hosts, "send", "Status.ERROR if error.spoilt else Status.RESET, detail=str(error), stale=error.stale",
-        "Status.CONNECT_FAILED, detail=str(error), stale=error.stale", "though it may have run", 59),
+        Hosts,
+        "send",
+        "Status.ERROR if error.spoilt else Status.RESET, detail=str(error), stale=error.stale",
+        "Status.CONNECT_FAILED, detail=str(error), stale=error.stale",
+        "though it may have run",
+        59,
+    ),
 }
 
 
@@ -118,8 +188,17 @@
     source = inspect.getsource(function)
     assert source.count(old) == 1, f"{owner.__name__}.{method} has this {source.count(old)} times: {old}"
     space: dict[str, Any] = {}
-    exec(compile(textwrap.dedent(source.replace(old, new)), f"<planted in {method}>", "exec", dont_inherit=True,
-                 flags=__future__.annotations.compiler_flag), function.__globals__, space)  # annotations stay text
+    exec(
+        compile(
+            textwrap.dedent(source.replace(old, new)),
+            f"<planted in {method}>",
+            "exec",
+            dont_inherit=True,
+            flags=__future__.annotations.compiler_flag,
+        ),
+        function.__globals__,
+        space,
+    )  # annotations stay text
     planted: Callable[..., Any] = space[method]
     return planted
 
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -30,15 +30,36 @@
 TICKS = os.sysconf("SC_CLK_TCK")
 DUE_S = 0.01  # past its time a timer of the program is due
 SETTINGS: dict[str, Any] = {
-    "me": 0, "instances": 1, "zone": "a", "shapes": ["reads", "writes"], "membership-mode": "push",
-    "family-info": {"duty-by-kind": ["read", "write"], "holds-allowed": True, "let-go-by-us": RELEASE_S * 1e6,
-                    "memory-tokens": [100_000, 100_000], "resume": True},
-    "obligations": {"drain-grace-us": GRACE_S * 1e6, "answer-slack-us": 8_000}}
+    "me": 0,
+    "instances": 1,
+    "zone": "a",
+    "shapes": ["reads", "writes"],
+    "membership-mode": "push",
+    "family-info": {
+        "duty-by-kind": ["read", "write"],
+        "holds-allowed": True,
+        "let-go-by-us": RELEASE_S * 1e6,
+        "memory-tokens": [100_000, 100_000],
+        "resume": True,
+    },
+    "obligations": {"drain-grace-us": GRACE_S * 1e6, "answer-slack-us": 8_000},
+}
 ALLOWED: dict[str, Any] = {
-    "most-tries": 6, "cancel": True, "retry-after": True, "max-retry-after-us": 2_000_000,
-    "conn-idle-us": 15_000_000, "connect-timeout-us": 250_000}
-TROUBLE = ("rule broken", "a task failed", "a request's handler failed", "a timer failed", "the policy failed",
-           "Traceback")
+    "most-tries": 6,
+    "cancel": True,
+    "retry-after": True,
+    "max-retry-after-us": 2_000_000,
+    "conn-idle-us": 15_000_000,
+    "connect-timeout-us": 250_000,
+}
+TROUBLE = (
+    "rule broken",
+    "a task failed",
+    "a request's handler failed",
+    "a timer failed",
+    "the policy failed",
+    "Traceback",
+)
 LATE = "rule broken rule=one final answer"  # its own clock goes on while it is stopped: the ledger judges that
 
 
@@ -47,9 +68,19 @@
 
     ROOT = Path(__file__).parent.parent
 
-    def __init__(self, folder: Path, give_up_ms: int = 5_000, readers: int = 1, writers: int = 1,
-                 package: Path = ROOT, sockets: int = 256, heard: bool = True, descriptors: int = 0,
-                 resume: bool = True, **allowed: Any) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        give_up_ms: int = 5_000,
+        readers: int = 1,
+        writers: int = 1,
+        package: Path = ROOT,
+        sockets: int = 256,
+        heard: bool = True,
+        descriptors: int = 0,
+        resume: bool = True,
+        **allowed: Any,
+    ) -> None:
         """`heard`: the agent answers; else the program is given once it waits for the agent's first list.
 
         `descriptors`: how many the machine gives the program; 0: as many as us.
@@ -61,11 +92,17 @@
         self.hosts: list[Host] = []
         self._made, self._rest, self._seen = 0, b"", 0
         self.give_up_s = give_up_ms / 1_000
-        services = [{"name": name, "goal-time-us": give_up_ms * 500, "give-up-us": give_up_ms * 1_000,
-                     "idempotency": effect} for name, effect in (("ask", "free"), ("order", "single_shot"))]
+        services = [
+            {"name": name, "goal-time-us": give_up_ms * 500, "give-up-us": give_up_ms * 1_000, "idempotency": effect}
+            for name, effect in (("ask", "free"), ("order", "single_shot"))
+        ]
         more = {name.replace("_", "-"): value for name, value in allowed.items()}
-        self.settings = {**SETTINGS, "services": services, "allowed": {**ALLOWED, **more},
-                         "family-info": {**SETTINGS["family-info"], "resume": resume}}
+        self.settings = {
+            **SETTINGS,
+            "services": services,
+            "allowed": {**ALLOWED, **more},
+            "family-info": {**SETTINGS["family-info"], "resume": resume},
+        }
         self._thread.start()
         self.agent = Agent(self, self.new_hosts(readers, writers, 200))
         self.agent.silent = not heard
@@ -82,18 +119,35 @@
         spare.close()
         self.config = self.folder / "config.json"
         self.configure(self.agent)
-        env = {**os.environ, "ROUTER_NAME": "n", "ROUTER_LISTEN": f"{HERE}:{self.port}",
-               "ROUTER_DISCOVERY": self.agent.address, "ROUTER_CONFIG": str(self.config),
-               "PYTHONPATH": str(self.package)}
-        self.node = subprocess.Popen([sys.executable, "-m", "yardspindle.node"], cwd=self.folder, env=env,
-                                     stderr=subprocess.PIPE, stdout=subprocess.DEVNULL, preexec_fn=self._limit)
+        env = {
+            **os.environ,
+            "ROUTER_NAME": "n",
+            "ROUTER_LISTEN": f"{HERE}:{self.port}",
+            "ROUTER_DISCOVERY": self.agent.address,
+            "ROUTER_CONFIG": str(self.config),
+            "PYTHONPATH": str(self.package),
+        }
+        self.node = subprocess.Popen(
+            [sys.executable, "-m", "yardspindle.node"],
+            cwd=self.folder,
+            env=env,
+            stderr=subprocess.PIPE,
+            stdout=subprocess.DEVNULL,
+            preexec_fn=self._limit,
+        )
         assert self.node.stderr is not None
         self._errors = self.node.stderr.fileno()
         seen = len(self.log)
         self.watch(self._errors, self._read_log)
         calls = self.agent.asked
-        return not self.until("a start", lambda: "waits" if self.agent.silent and self.agent.asked > calls else next(
-            (row for _, row in self.log[seen:] if row.startswith(("ready", "ROUTER_LISTEN"))), "")).startswith("R")
+        return not self.until(
+            "a start",
+            lambda: (
+                "waits"
+                if self.agent.silent and self.agent.asked > calls
+                else next((row for _, row in self.log[seen:] if row.startswith(("ready", "ROUTER_LISTEN"))), "")
+            ),
+        ).startswith("R")
 
     def _limit(self) -> None:
         if self.descriptors:
@@ -102,8 +156,11 @@
     def configure(self, agent: Agent) -> None:
         """Write the configuration file."""
         known = {"known": json.loads(agent.listed())} if agent.silent else {}
-        self.config.write_text(json.dumps(
-            {"settings": self.settings, "discovery": agent.address, "limits": {"sockets": self.sockets}, **known}))
+        self.config.write_text(
+            json.dumps(
+                {"settings": self.settings, "discovery": agent.address, "limits": {"sockets": self.sockets}, **known}
+            )
+        )
 
     def __enter__(self) -> Stage:
         return self
@@ -162,6 +219,7 @@
                     self.calls.remove(known)
                     return known[0]
             return None
+
         call = self.until(f"a {kind} of {number}", look)
         if kind == "read":
             self._with_its_place(call.id)
@@ -176,6 +234,7 @@
 
     def play(self, *clients: Client) -> None:
         """Read and write whatever comes until each of these clients has its answer, or sees its connection end."""
+
         def over(client: Client) -> bool:
             return bool(client.end) or len(client.answers) >= len(client.requests)
 
@@ -203,8 +262,10 @@
 
     def connected(self, host: Host) -> None:
         """Wait until no connection to a host is being made, and those that were are used or ended."""
-        self.until(f"no more connections to {host.name}", lambda: not self._syn(host) and all(
-            call.end or call.count for call in host.connections if not call.ours))
+        self.until(
+            f"no more connections to {host.name}",
+            lambda: not self._syn(host) and all(call.end or call.count for call in host.connections if not call.ours),
+        )
 
     # --- the program
 
@@ -244,8 +305,9 @@
 
     def line(self, text: str) -> float:
         """Wait for a line of the program's log; when it came."""
-        return self.until(f"the line {text!r}", lambda: next(
-            (at for at, row in self.log if row.startswith(text)), None))
+        return self.until(
+            f"the line {text!r}", lambda: next((at for at, row in self.log if row.startswith(text)), None)
+        )
 
     def exited(self) -> int:
         """Wait for the program's end."""
@@ -289,10 +351,11 @@
                 self.news.wait(0.05)
             for client in self.clients:
                 client.late_reset()
-            rows = self.log[self._seen:]
+            rows = self.log[self._seen :]
             self._seen = len(self.log)
             found = self.ledger.judge() + [
-                row for _, row in rows if row.startswith(TROUBLE) and not row.startswith(LATE)]
+                row for _, row in rows if row.startswith(TROUBLE) and not row.startswith(LATE)
+            ]
             if self.node.poll() not in (None, 0):
                 found.append(f"the program ended with {self.node.returncode}")
             return found
--- a/tests/fleet_check.py
+++ b/tests/fleet_check.py
@@ -78,7 +78,7 @@
     def _gone(self, key: str, now: int) -> None:
         value, create, _ = self.keys.pop(key)
         if key.startswith(self.root + "duties/"):
-            duty = key[len(self.root + "duties/"):]
+            duty = key[len(self.root + "duties/") :]
             self.fences[duty][create] = (self.fences[duty][create][0], now)
         if key.startswith(self.root + "members/edge/"):
             rows = self.registered[json.loads(value)["epoch"]]
@@ -87,8 +87,11 @@
     def _txn(self, call: dict[str, Any], answer: dict[str, Any], now: int) -> None:
         ops = call.get("success", []) if answer.get("succeeded") else call.get("failure", [])
         revision = int(answer["header"]["revision"])
-        under = [text(c["key"]) for c in call.get("compare", []) if c.get("target") == "CREATE"
-                 and int(c.get("create_revision") or 0)]
+        under = [
+            text(c["key"])
+            for c in call.get("compare", [])
+            if c.get("target") == "CREATE" and int(c.get("create_revision") or 0)
+        ]
         for op in ops:
             if put := op.get("request_put"):
                 self._put(text(put["key"]), text(put.get("value", "")), int(put.get("lease", 0)), revision, now, under)
@@ -104,7 +107,7 @@
     def _put(self, key: str, value: str, lease: int, revision: int, now: int, under: list[str]) -> None:
         old = self.keys.get(key)
         if key.startswith(self.root + "duties/"):
-            duty = key[len(self.root + "duties/"):]
+            duty = key[len(self.root + "duties/") :]
             if old is not None and old[0] != value:
                 self.broken.append(f"duty {duty}: taken over while {old[0]} holds it")
             if old is None:
--- a/tests/fleet_scenarios.py
+++ b/tests/fleet_scenarios.py
@@ -97,8 +97,9 @@
         p.world.sleep_until(stopped + 3 * p.ttl_ms * 1_000)
     seen = len(p.lines("r0"))
     relay.mend()
-    p.until("its order arrives", lambda: any(row["ev"] == "order" and row["fence"] == fence
-                                             for row in p.lines("r0")[seen:]))
+    p.until(
+        "its order arrives", lambda: any(row["ev"] == "order" and row["fence"] == fence for row in p.lines("r0")[seen:])
+    )
     p.send(name, signal.SIGCONT)
     p.until("it knows", lambda: p.logged(name, "duty ended"))
     p.until("it takes part again", lambda: f"steward/{name}" in p.rows("members/"))
@@ -162,8 +163,9 @@
 def leases_that_end_early(p: Processes) -> None:
     name, fence = ready(p)
     p.control("expire")
-    newer = p.until("it is owned anew", lambda: (
-        owner if (owner := p.owner("sweep/0")) is not None and owner[1] > fence else None))
+    newer = p.until(
+        "it is owned anew", lambda: owner if (owner := p.owner("sweep/0")) is not None and owner[1] > fence else None
+    )
     p.until("the owner of before stops", lambda: p.logged(name, "duty ended", duty="sweep/0", fence=fence))
     p.until("the next one acts", lambda: p.logged(newer[0], "duty taken", duty="sweep/0", fence=newer[1]))
     p.until("all are back", lambda: len(p.rows("members/steward/")) == 3)
@@ -195,8 +197,9 @@
     assert p.chat()[0] == 200, "traffic goes on without the store"
     p.control("restore")
     p.control("leader")
-    said = p.until("it says so", lambda: p.logged("s0", "the store went back; nothing is taken from it or "
-                                                        "written to it"))
+    said = p.until(
+        "it says so", lambda: p.logged("s0", "the store went back; nothing is taken from it or written to it")
+    )
     assert "it had told" in said["reason"]
     assert p.owner("sweep/0") is None and p.chat()[0] == 200
     checked(p)
@@ -208,8 +211,9 @@
     for name in ("s0", "s1", "s2", "edge0"):
         p.kill(name)
     p.steward("s3")
-    owner = p.until("an owner", lambda: (
-        owner if (owner := p.owner("sweep/0")) is not None and owner[1] > fence else None))
+    owner = p.until(
+        "an owner", lambda: owner if (owner := p.owner("sweep/0")) is not None and owner[1] > fence else None
+    )
     assert owner[0] == "s3"
     p.until("what the edge left is found by one who did not see it end", lambda: not p.holds("r0"))
     checked(p)
@@ -231,8 +235,7 @@
     p.kill("edge1")
     p.until("one is gone", lambda: p.logged("s0", "an edge is gone for good"))
     at = p.world.now_us()
-    p.until("engines were swept since", lambda: any(
-        row["ev"] == "order" and row["t"] > at for row in p.lines("r0")))
+    p.until("engines were swept since", lambda: any(row["ev"] == "order" and row["t"] > at for row in p.lines("r0")))
     assert hold in p.holds("r0")
     checked(p)
 
@@ -252,8 +255,10 @@
     p.engine("r0", "read", port=p.ports["r0"])
     seen = len(p.lines("r0"))
     relay.mend()
-    p.until("the old order arrives", lambda: any(row["ev"] == "order" and row["fence"] == fence
-                                                 for row in p.lines("r0")[seen:]))
+    p.until(
+        "the old order arrives",
+        lambda: any(row["ev"] == "order" and row["fence"] == fence for row in p.lines("r0")[seen:]),
+    )
     checked(p)
 
 
@@ -263,8 +268,7 @@
     assert p.children[name].wait(p.world.now_us() + 5 * S) == 0
     other, later = other_owner(p, name)
     rows = [row for row in p.lines("store") if row["ev"] == "call" and row["path"] == "/v3/kv/txn"]
-    ends = [row["t"] for row in rows
-            if "request_delete_range" in str(row["call"]) and row["answer"].get("succeeded")]
+    ends = [row["t"] for row in rows if "request_delete_range" in str(row["call"]) and row["answer"].get("succeeded")]
     takes = [row["t"] for row in rows if int(row["answer"]["header"]["revision"]) == later]
     assert any(0 <= takes[0] - end < 100_000 for end in ends), (ends, takes)
     checked(p)
@@ -289,4 +293,5 @@
     an_edge_lives_while_another_dies,
     all_but_the_owner_race,
     an_engine_that_was_restarted_refuses_an_old_order,
-    handing_over_on_purpose_takes_less_than_a_tenth_of_a_second]
+    handing_over_on_purpose_takes_less_than_a_tenth_of_a_second,
+]
--- a/tests/fleet_thread.py
+++ b/tests/fleet_thread.py
@@ -18,23 +18,35 @@
 from yardspindle.runtime.real import RealWorld
 
 CONFIG: dict[str, Any] = {
-    "classes": [{"name": "chat", "effect": "safe", "aim_ms": 1_500, "give_up_ms": 3_000},
-                {"name": "order", "effect": "unsafe", "aim_ms": 1_500, "give_up_ms": 3_000}],
-    "rules": {"max_retry_after_ms": 200}, "planner": {"reread_ms": 20}, "index": {"block_size": 64}}
+    "classes": [
+        {"name": "chat", "effect": "safe", "aim_ms": 1_500, "give_up_ms": 3_000},
+        {"name": "order", "effect": "unsafe", "aim_ms": 1_500, "give_up_ms": 3_000},
+    ],
+    "rules": {"max_retry_after_ms": 200},
+    "planner": {"reread_ms": 20},
+    "index": {"block_size": 64},
+}
 
 
 class FleetThread:
     """Edge, planner and engines; `call` runs a function inside the World and gives its result."""
 
-    def __init__(self, folder: Path, config: dict[str, Any] | None = None,
-                 boxes: tuple[EngineSettings, ...] | None = None, engine_type: type[Engine] = Engine) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        config: dict[str, Any] | None = None,
+        boxes: tuple[EngineSettings, ...] | None = None,
+        engine_type: type[Engine] = Engine,
+    ) -> None:
         self.folder = folder
         self.engine_type = engine_type
         self.journal = folder / "journal.jsonl"
         base = {**CONFIG, **(config or {})}
         self.boxes = boxes or (EngineSettings(name="r0", role="read"), EngineSettings(name="w0", role="write"))
-        self.document = {**base, "planner": {**base.get("planner", {}), "servers": str(folder / "servers.toml"),
-                                             "listen": "127.0.0.1:0"}}
+        self.document = {
+            **base,
+            "planner": {**base.get("planner", {}), "servers": str(folder / "servers.toml"), "listen": "127.0.0.1:0"},
+        }
         self.world = RealWorld(seed=7)
         self.engines: list[Engine] = []
         self.states: dict[str, str] = {}
@@ -110,9 +122,14 @@
         rows = [f"count = {len(self.engines)}"]
         for engine in self.engines:
             kind = {"read": "reader", "write": "writer"}[engine.set.role]
-            rows += ["[[servers]]", f'name = "{engine.set.name}"', f'address = "127.0.0.1:{engine.port}"',
-                     f'kind = "{kind}"', f'state = "{self.states.get(engine.set.name, "serving")}"',
-                     f"places = {str(engine.set.places).lower()}"]
+            rows += [
+                "[[servers]]",
+                f'name = "{engine.set.name}"',
+                f'address = "127.0.0.1:{engine.port}"',
+                f'kind = "{kind}"',
+                f'state = "{self.states.get(engine.set.name, "serving")}"',
+                f"places = {str(engine.set.places).lower()}",
+            ]
             if engine.set.events:
                 rows += [f'events = "127.0.0.1:{engine.events_port}"', f'replay = "127.0.0.1:{engine.replay_port}"']
         (self.folder / "servers.toml").write_text("\n".join(rows))
@@ -126,18 +143,21 @@
 
     def until(self, condition: Callable[[], bool]) -> None:
         """Wait inside the World for a condition that must come true."""
+
         def wait() -> bool:
             with self.world.deadline(self.world.now_us() + 10_000_000):
                 while not condition():
                     self.world.sleep_until(self.world.now_us() + 2_000)
             return True
+
         assert self.call(wait)
 
     def control(self, name: str, do: str, factor: float = 1.0) -> None:
         port = next(engine.port for engine in self.engines if engine.set.name == name)
         connection = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
-        connection.request("POST", "/v1/lab/control", json.dumps({"do": do, "factor": factor}),
-                           {"content-type": "application/json"})
+        connection.request(
+            "POST", "/v1/lab/control", json.dumps({"do": do, "factor": factor}), {"content-type": "application/json"}
+        )
         assert connection.getresponse().status == 200
         connection.close()
 
--- a/tests/ledger.py
+++ b/tests/ledger.py
@@ -29,15 +29,28 @@
 def settings(**other: object) -> i.Settings:
     """Settings with every effect and every role."""
     base: dict[str, object] = {
-        "me": 0, "instances": 2, "zone": "a",
+        "me": 0,
+        "instances": 2,
+        "zone": "a",
         "classes": (
             i.RequestClass("safe", 1_000_000, 5_000_000, i.Effect.SAFE),
             i.RequestClass("once", 1_000_000, 5_000_000, i.Effect.UNSAFE),
-            i.RequestClass("keyed", 1_000_000, 5_000_000, i.Effect.KEYED, "cell", 400_000)),
+            i.RequestClass("keyed", 1_000_000, 5_000_000, i.Effect.KEYED, "cell", 400_000),
+        ),
         "kinds": (i.Kind("r", i.Role.READ), i.Kind("w", i.Role.WRITE, 50_000.0), i.Kind("m", i.Role.BOTH)),
-        "release_us": 300_000, "drain_grace_us": 200_000, "cold_us": 5_000_000, "start_capacity": 0.3,
-        "fall_multiple": 3.0, "fall_us": 1_000_000, "answer_slack_us": 8_000, "max_attempts": 5,
-        "cancel": True, "retry_after": True, "max_retry_after_us": 500_000, "tick_us": 2_000}
+        "release_us": 300_000,
+        "drain_grace_us": 200_000,
+        "cold_us": 5_000_000,
+        "start_capacity": 0.3,
+        "fall_multiple": 3.0,
+        "fall_us": 1_000_000,
+        "answer_slack_us": 8_000,
+        "max_attempts": 5,
+        "cancel": True,
+        "retry_after": True,
+        "max_retry_after_us": 500_000,
+        "tick_us": 2_000,
+    }
     return i.Settings(**(base | other))  # type: ignore[arg-type]
 
 
@@ -95,15 +108,22 @@
 
     def fleet(self, spec: str) -> None:
         """A letter a server: its kind; cells of four, zones of eight."""
-        self.listing([i.Entry(at + 1, "ab"[at // 8 % 2], kind, at // 4, i.State.SERVING, 1.0)
-                      for at, kind in enumerate(spec)], i.ListKind.STALE)
+        self.listing(
+            [i.Entry(at + 1, "ab"[at // 8 % 2], kind, at // 4, i.State.SERVING, 1.0) for at, kind in enumerate(spec)],
+            i.ListKind.STALE,
+        )
 
     def ask(self, cls: str | None = None, life_us: int = 3_000_000, prompt: float = 1000.0) -> int:
         self.number += 1
-        row = self.draw.choice(self.set.classes) if cls is None else next(
-            c for c in self.set.classes if c.name == cls)
-        ask = i.Request(self.number, row.name, self.now + life_us, prompt,
-                        prefix=self.draw.choice([None, "p", "q"]), session=f"s{self.number % 9}")
+        row = self.draw.choice(self.set.classes) if cls is None else next(c for c in self.set.classes if c.name == cls)
+        ask = i.Request(
+            self.number,
+            row.name,
+            self.now + life_us,
+            prompt,
+            prefix=self.draw.choice([None, "p", "q"]),
+            session=f"s{self.number % 9}",
+        )
         self.held[self.number] = Held(ask, row)
         self.feed(ask)
         return ask.request
@@ -132,8 +152,9 @@
         alive = [(n, a) for n, h in self.held.items() for a in h.out]
         move = self.draw.random()
         if move < 0.25 or not alive:
-            self.ask(life_us=self.draw.choice([4_000, 300_000, 3_000_000]),
-                     prompt=self.draw.choice([10.0, 1000.0, 30_000.0]))
+            self.ask(
+                life_us=self.draw.choice([4_000, 300_000, 3_000_000]), prompt=self.draw.choice([10.0, 1000.0, 30_000.0])
+            )
         elif move < 0.75:
             number, attempt = self.draw.choice(alive)
             h = self.held[number]
@@ -170,8 +191,9 @@
             entry = self.draw.choice(list(self.entries.values()))
             state = self.draw.choice(list(i.State))
             since = self.now if state is i.State.SERVING and self.draw.random() < 0.5 else entry.up_since_us
-            self.listing([i.Entry(entry.server, entry.zone, entry.kind, entry.cell, state, 1.0, since)],
-                         i.ListKind.CHANGES)
+            self.listing(
+                [i.Entry(entry.server, entry.zone, entry.kind, entry.cell, state, 1.0, since)], i.ListKind.CHANGES
+            )
 
     def advance(self, by_us: int) -> None:
         """Let time pass; what falls due in between happens in its order."""
@@ -182,8 +204,12 @@
             self.feed(i.Outcome(number, attempt, server, i.Status.CANCELLED, took, over))
         while True:
             due = [(max(t, self.now), 0, token, 0) for t, token in self.timers]
-            due += [(max(x[2], self.now), 1, n, a) for n, h in self.held.items() for a, x in h.out.items()
-                    if h.streaming != a]
+            due += [
+                (max(x[2], self.now), 1, n, a)
+                for n, h in self.held.items()
+                for a, x in h.out.items()
+                if h.streaming != a
+            ]
             due = [row for row in due if row[0] <= until]
             if not due:
                 break
@@ -232,8 +258,7 @@
                     for before, sent in h.ran:
                         cells = self.entries[before].cell, self.entries[server].cell
                         same = h.cls.group == "all" or cells[0] == cells[1]
-                        keyed = (h.cls.effect is i.Effect.KEYED and same
-                                 and self.now - sent <= h.cls.window_us)
+                        keyed = h.cls.effect is i.Effect.KEYED and same and self.now - sent <= h.cls.window_us
                         if h.cls.effect is not i.Effect.SAFE and not keyed:
                             raise Broken(f"effects: {number} is sent again")
                 ends = h.ask.expires_us if timeout == 0 else min(self.now + timeout, h.ask.expires_us)
@@ -255,8 +280,7 @@
                     raise Broken(f"answered: {number} is answered twice")
                 h.finished = True
                 may = h.ran or any(not self.reads(row[0]) for row in h.out.values())
-                harmless = h.cls.effect is i.Effect.SAFE or (
-                    h.cls.effect is i.Effect.KEYED and h.cls.group == "all")
+                harmless = h.cls.effect is i.Effect.SAFE or (h.cls.effect is i.Effect.KEYED and h.cls.group == "all")
                 if isinstance(action, i.Refuse) and may and not harmless:
                     raise Broken(f"effects: {number} is refused though it may have run")
                 if self.now > h.ask.expires_us + self.set.answer_slack_us:
@@ -280,8 +304,9 @@
         """Alone, an instance may send a cold server what its part of the budget surely allows."""
         since = self.entries[server].up_since_us
         if since and self.now - since < self.set.cold_us:
-            times = self.sent_cold[server] = [
-                t for t in self.sent_cold[server] if t > self.now - self.set.fall_us] + [self.now]
+            times = self.sent_cold[server] = [t for t in self.sent_cold[server] if t > self.now - self.set.fall_us] + [
+                self.now
+            ]
             busiest = max(1, self.number)
             if len(times) > max(1.0, self.set.fall_multiple * busiest):
                 raise Broken(f"cold: server {server} got {len(times)} in a span")
--- a/tests/ownership_model.py
+++ b/tests/ownership_model.py
@@ -54,10 +54,28 @@
     late: bool = False  # an answer was kept back
 
     def key(self) -> str:
-        store = (self.store.revision, sorted((n, k.ends_us) for n, k in self.store.leases.items()),
-                 self.store.rows(b"\0", b"\0"))
-        return repr((self.now, self.states, self.calls, self.stopped, self.orders, self.accepted[-1:], self.highest,
-                     self.written[-1:], store, self.early, self.ever_stopped, self.lost, self.late))
+        store = (
+            self.store.revision,
+            sorted((n, k.ends_us) for n, k in self.store.leases.items()),
+            self.store.rows(b"\0", b"\0"),
+        )
+        return repr(
+            (
+                self.now,
+                self.states,
+                self.calls,
+                self.stopped,
+                self.orders,
+                self.accepted[-1:],
+                self.highest,
+                self.written[-1:],
+                store,
+                self.early,
+                self.ever_stopped,
+                self.lost,
+                self.late,
+            )
+        )
 
 
 @dataclass(frozen=True)
@@ -129,7 +147,7 @@
             if self.rules.late and not world.late:
                 yield "time, and an answer that is late", self._time(world, True)
         for at, call in enumerate(world.calls):
-            rest = world.calls[:at] + world.calls[at + 1:]
+            rest = world.calls[:at] + world.calls[at + 1 :]
             if call.done and not world.stopped[call.who]:
                 yield f"late answer to {NAMES[call.who]}", self._answered(world, rest, call)
             elif not call.done:
@@ -151,7 +169,7 @@
                 stopped = (who == 0, who == 1)
                 yield f"{NAMES[who]} is stopped", replace(world, stopped=stopped, ever_stopped=True)
         for at, (who, fence) in enumerate(world.orders):
-            left = world.orders[:at] + world.orders[at + 1:]
+            left = world.orders[:at] + world.orders[at + 1 :]
             yield f"order {fence} of {NAMES[who]} arrives", self._arrive(replace(world, orders=left), fence)
         if world.store.leases and not world.early and self.rules.early:
             store = world.store.copy()
@@ -167,8 +185,11 @@
                 continue
             row = next(iter(world.store.rows(KEYS.duty(DUTY), b"")), None)
             held = {} if row is None else {DUTY: holder(row)}
-            world = self.feed(world, who, own.Told(own.Seen(
-                world.store.revision, held, frozenset(NAMES), frozenset([DUTY]))))  # type: ignore[arg-type]
+            world = self.feed(
+                world,
+                who,
+                own.Told(own.Seen(world.store.revision, held, frozenset(NAMES), frozenset([DUTY]))),  # type: ignore[arg-type]
+            )
             if world.states[who].lease and not any(c.who == who and c.kind == "keep" for c in world.calls):
                 world = self._commit(world, world.calls, Call(who, "keep", now, world.states[who].lease))
                 if late and not world.late:
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -58,6 +58,7 @@
 def state_release_forgotten() -> None:
     def forget(self: Lifecycle, r: Open) -> None:
         r.state, r.state_at = None, None
+
     swap(Lifecycle, "_release_state", lambda _: forget)
 
 
@@ -65,6 +66,7 @@
 def place_release_forgotten() -> None:
     def forget(self: Lifecycle, r: Open) -> None:
         r.place = None
+
     swap(Lifecycle, "_release_place", lambda _: forget)
 
 
@@ -81,7 +83,9 @@
             if status is i.Status.READ:
                 return commands
             return [row for row in commands if not isinstance(row, c.ReleaseState)]
+
         return ended
+
     swap(Lifecycle, "attempt_ended", make)
 
 
@@ -91,7 +95,9 @@
         def abort(self: Lifecycle, now: int, r: Open) -> None:
             real(self, now, r)
             self._commands = [row for row in self._commands if not isinstance(row, c.ReleaseState)]
+
         return abort
+
     swap(Lifecycle, "_abort", make)
 
 
@@ -100,7 +106,9 @@
     def make(real: Any) -> Any:
         def answered(self: Any, now: int, request: int, number: int, server: Any, held: bool | None) -> Any:
             return real(self, now, request, number, server, bool(held))
+
         return answered
+
     swap(EdgeCore, "place_answered", make)
 
 
@@ -111,7 +119,9 @@
             if request not in self.life.open:
                 return []
             return real(self, now, request, number, server, held)
+
         return answered
+
     swap(EdgeCore, "place_answered", make)
 
 
@@ -121,6 +131,7 @@
         if r.final is None:
             self._final(r, final, code, retry)
             self._settle(now, r)
+
     swap(Lifecycle, "_answer", lambda _: answer)
 
     def tick(self: Lifecycle, now: int) -> list[c.Command]:
@@ -128,6 +139,7 @@
             if r.final is None and now >= r.ask.expires_us + self.rules.answer_slack_us:
                 answer(self, now, r, c.Final.FAILED, "deadline")
         return self._take()
+
     swap(Lifecycle, "tick", lambda _: tick)
 
 
@@ -138,20 +150,29 @@
 
 def _ending(change: Callable[[Any, Any], Any]) -> None:
     """Change how the end of an attempt is taken."""
-    swap(Executor, "_ended", lambda real: lambda self, run, command, ended: real(
-        self, run, command, change(run, ended)))
+    swap(
+        Executor, "_ended", lambda real: lambda self, run, command, ended: real(self, run, command, change(run, ended))
+    )
 
 
 @plant
 def reset_taken_for_not_connected() -> None:
-    _ending(lambda run, ended: replace(ended, status=i.Status.CONNECT_FAILED)
-            if ended.status is i.Status.RESET and not run.first_us else ended)
+    _ending(
+        lambda run, ended: (
+            replace(ended, status=i.Status.CONNECT_FAILED)
+            if ended.status is i.Status.RESET and not run.first_us
+            else ended
+        )
+    )
 
 
 @plant
 def cut_stream_taken_for_whole() -> None:
-    _ending(lambda run, ended: replace(ended, status=i.Status.SERVED)
-            if ended.status is i.Status.RESET and run.first_us else ended)
+    _ending(
+        lambda run, ended: (
+            replace(ended, status=i.Status.SERVED) if ended.status is i.Status.RESET and run.first_us else ended
+        )
+    )
 
 
 @plant
@@ -160,7 +181,9 @@
         def take(self: Roster, document: roster.ListDocument) -> Any:
             rows = tuple(msgspec.structs.replace(row, state="serving") for row in document.servers)
             return real(self, msgspec.structs.replace(document, servers=rows))
+
         return take
+
     swap(Roster, "take", make)
 
 
@@ -171,7 +194,9 @@
             listed = {row.name for row in document.servers}
             kept = tuple(row for row in self.servers if row.name not in listed)
             return real(self, msgspec.structs.replace(document, servers=(*document.servers, *kept)))
+
         return take
+
     swap(Roster, "take", make)
 
 
@@ -181,7 +206,9 @@
         def take(self: Roster, document: roster.ListDocument) -> Any:
             rows = tuple(msgspec.structs.replace(row, up_since_ms=0.0) for row in document.servers)
             return real(self, msgspec.structs.replace(document, servers=rows))
+
         return take
+
     swap(Roster, "take", make)
 
 
@@ -190,7 +217,9 @@
     def make(real: Any) -> Any:
         def init(self: PlanningSession, handle: Any, edge_now: int, planner_now: int) -> None:
             real(self, handle, planner_now, planner_now)
+
         return init
+
     swap(PlanningSession, "__init__", make)
 
 
@@ -206,7 +235,9 @@
             real(self, now, owed, heard)
             if not heard:
                 self._lines[(owed.server.host, owed.server.port)].out += 1
+
         return settled
+
     swap(Releases, "settled", make)
 
 
@@ -214,9 +245,11 @@
 def event_cut_between_reads_lost() -> None:
     def make(real: Any) -> Any:
         def feed(self: SseParser, data: bytes) -> Any:
-            whole = data[:data.rfind(b"\n\n") + 2] if b"\n\n" in data else b""
+            whole = data[: data.rfind(b"\n\n") + 2] if b"\n\n" in data else b""
             return real(self, whole)
+
         return feed
+
     swap(SseParser, "feed", make)
 
 
@@ -227,7 +260,9 @@
             got = real(self, data)
             self._buffer.clear()
             return got
+
         return feed
+
     swap(frames.FrameReader, "feed", make)
 
 
@@ -237,7 +272,9 @@
         def take(self: Intake, now: int, number: int, said: Any) -> Any:
             taken = real(self, now, number, said)
             return replace(taken, request=replace(taken.request, expires_us=taken.request.expires_us + 600_000))
+
         return take
+
     swap(Intake, "take", make)
 
 
@@ -251,23 +288,27 @@
     def down(self: Lifecycle, now: int) -> list[c.Command]:
         self.epoch = 0
         return self._take()
+
     swap(Lifecycle, "planner_down", lambda _: down)
 
 
 @plant
 def stale_epoch_believed() -> None:
     """Requests of an earlier planner pass to the next, which knows nothing of them."""
+
     def up(self: Lifecycle, now: int, epoch: int) -> list[c.Command]:
         self.epoch = epoch
         self.directory = Directory()
         for r in self.open.values():
             r.epoch = epoch
         return self._take()
+
     swap(Lifecycle, "planner_up", lambda _: up)
 
     def down(self: Lifecycle, now: int) -> list[c.Command]:
         self.epoch = 0
         return self._take()
+
     swap(Lifecycle, "planner_down", lambda _: down)
 
 
@@ -276,7 +317,9 @@
     def make(real: Any) -> Any:
         def perform(self: Executor, commands: list[c.Command]) -> None:
             real(self, [row for row in commands if not isinstance(row, c.Abort)])
+
         return perform
+
     swap(Executor, "perform", make)
 
 
@@ -303,7 +346,9 @@
             result = real(self, stream)
             self._pending[:0] = kept
             return result
+
         return session
+
     swap(PlannerLink, "_session", make)
 
 
@@ -314,7 +359,9 @@
             real(self, world, config)
             self.unique = f"{config.edge.number:012x}"
             self.executor._engines = vllm.EngineClient(self.http, self.unique)
+
         return init
+
     swap(Edge, "__init__", make)
 
 
@@ -330,6 +377,7 @@
                 good.append(row)
         good[0] = f"count = {len(good) - 1}\n"
         return real(file, "[[servers]]".join(good).encode(), config)
+
     swap(file_source, "parse_list", lambda real: lambda file, data, config: parse(real, file, data, config))
 
 
--- a/tests/planted_fleet.py
+++ b/tests/planted_fleet.py
@@ -35,8 +35,16 @@
 @plant
 def a_duty_is_taken_without_looking() -> None:
     _swap(Keys, "take", _no_compare)
-    _swap(spread, "shares", lambda real: lambda free, holders, names: {
-        duty: sorted(order, key=lambda name: name != _me[0]) for duty, order in real(free, holders, names).items()})
+    _swap(
+        spread,
+        "shares",
+        lambda real: (
+            lambda free, holders, names: {
+                duty: sorted(order, key=lambda name: name != _me[0])
+                for duty, order in real(free, holders, names).items()
+            }
+        ),
+    )
     _swap(app.Steward, "__init__", _remember_name)
 
 
@@ -47,6 +55,7 @@
     def init(self: app.Steward, *arguments: Any) -> None:
         real(self, *arguments)
         _me[0] = self.name
+
     return init
 
 
@@ -72,14 +81,22 @@
 
 @plant
 def an_ended_lease_is_taken_for_a_death() -> None:
-    _swap(Fates, "asked", lambda real: lambda self, now, epoch, answer, found: real(
-        self, now, epoch, Answer.REFUSED, ""))
+    _swap(
+        Fates, "asked", lambda real: lambda self, now, epoch, answer, found: real(self, now, epoch, Answer.REFUSED, "")
+    )
 
 
 @plant
 def silence_is_taken_for_a_death() -> None:
-    _swap(Fates, "asked", lambda real: lambda self, now, epoch, answer, found: real(
-        self, now, epoch, Answer.REFUSED if answer is Answer.SILENT else answer, found))
+    _swap(
+        Fates,
+        "asked",
+        lambda real: (
+            lambda self, now, epoch, answer, found: real(
+                self, now, epoch, Answer.REFUSED if answer is Answer.SILENT else answer, found
+            )
+        ),
+    )
 
 
 @plant
@@ -96,16 +113,23 @@
 @plant
 def a_store_that_went_back_is_used() -> None:
     _swap(Gateway, "_check", lambda real: lambda self, before, header: None)
-    _swap(ownership, "step", lambda real: lambda state, now, event: real(
-        replace(state, seen=ownership.Seen()) if isinstance(event, ownership.Told) else state, now, event))
+    _swap(
+        ownership,
+        "step",
+        lambda real: (
+            lambda state, now, event: real(
+                replace(state, seen=ownership.Seen()) if isinstance(event, ownership.Told) else state, now, event
+            )
+        ),
+    )
 
 
 def main() -> None:
     from yardspindle.cli.main import main as program
+
     PLANTS[sys.argv.pop(1)]()
     program()
 
 
 if __name__ == "__main__":
     main()
-
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -16,19 +16,43 @@
 from yardspindle.runtime.world import Stream, StreamError
 
 SETTINGS: dict[str, Any] = {
-    "me": 0, "instances": 2, "zone": "a", "shapes": ["reads", "writes"], "membership-mode": "push",
+    "me": 0,
+    "instances": 2,
+    "zone": "a",
+    "shapes": ["reads", "writes"],
+    "membership-mode": "push",
     "services": [
         {"name": "ask", "goal-time-us": 1_500_000, "give-up-us": 7_500_000, "idempotency": "free"},
-        {"name": "order", "goal-time-us": 1_000_000, "give-up-us": 5_000_000, "idempotency": "single_shot"}],
-    "family-info": {"duty-by-kind": ["read", "write"], "holds-allowed": True, "let-go-by-us": 300_000,
-                    "memory-tokens": [100_000, 100_000], "resume": True},
+        {"name": "order", "goal-time-us": 1_000_000, "give-up-us": 5_000_000, "idempotency": "single_shot"},
+    ],
+    "family-info": {
+        "duty-by-kind": ["read", "write"],
+        "holds-allowed": True,
+        "let-go-by-us": 300_000,
+        "memory-tokens": [100_000, 100_000],
+        "resume": True,
+    },
     "obligations": {"drain-grace-us": 500_000, "answer-slack-us": 8_000},
-    "allowed": {"most-tries": 6, "cancel": True, "retry-after": True, "max-retry-after-us": 2_000_000,
-                "conn-idle-us": 15_000_000, "connect-timeout-us": 250_000, "unheard-of": 1}}
-TOLD = {"ROUTER_NAME": "n", "ROUTER_LISTEN": "10.1.0.1:9000", "ROUTER_DISCOVERY": "10.2.0.1:8500",
-        "ROUTER_CONFIG": "/config.json"}
+    "allowed": {
+        "most-tries": 6,
+        "cancel": True,
+        "retry-after": True,
+        "max-retry-after-us": 2_000_000,
+        "conn-idle-us": 15_000_000,
+        "connect-timeout-us": 250_000,
+        "unheard-of": 1,
+    },
+}
+TOLD = {
+    "ROUTER_NAME": "n",
+    "ROUTER_LISTEN": "10.1.0.1:9000",
+    "ROUTER_DISCOVERY": "10.2.0.1:8500",
+    "ROUTER_CONFIG": "/config.json",
+}
 EVENTS = [b'data: {"choices":[{"index":0,"delta":{"content":"%d"}}]}\n\n' % n for n in range(4)] + [
-    b'data: {"choices":[],"usage":{"prompt_tokens_details":{"cached_tokens":64}}}\n\n', b"data: [DONE]\n\n"]
+    b'data: {"choices":[],"usage":{"prompt_tokens_details":{"cached_tokens":64}}}\n\n',
+    b"data: [DONE]\n\n",
+]
 HEAD = b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
 Script = Callable[["Host", Stream, bytes], bool]  # a request with this id came; True: go on on this connection
 
@@ -155,8 +179,19 @@
         return [what for what, _, known in self.seen if known == number]
 
     def members(self) -> list[dict[str, Any]]:
-        return [{"id": h.name, "host_port": h.address, "locality": "a", "flavor": h.flavor, "cell": 1,
-                 "phase": h.phase, "size": 1.0, "up_since_ms": h.up_since_ms} for h in self.hosts.values()]
+        return [
+            {
+                "id": h.name,
+                "host_port": h.address,
+                "locality": "a",
+                "flavor": h.flavor,
+                "cell": 1,
+                "phase": h.phase,
+                "size": 1.0,
+                "up_since_ms": h.up_since_ms,
+            }
+            for h in self.hosts.values()
+        ]
 
     # --- discovery
 
@@ -217,8 +252,14 @@
 
 
 def request(number: bytes, cls: bytes = b"ask", deadline_ms: int = 5_000) -> bytes:
-    headers = [(b"host", b"api"), (b"req-id", number), (b"req-kind", cls), (b"req-key", b"k"),
-               (b"req-deadline-ms", b"%d" % deadline_ms), (b"req-extra", b"prompt_len=1000,max_out=10")]
+    headers = [
+        (b"host", b"api"),
+        (b"req-id", number),
+        (b"req-kind", cls),
+        (b"req-key", b"k"),
+        (b"req-deadline-ms", b"%d" % deadline_ms),
+        (b"req-extra", b"prompt_len=1000,max_out=10"),
+    ]
     return http1.write_request(b"POST", b"/v1/chat/completions", headers, b'{"stream":true}')
 
 
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -26,7 +26,9 @@
 TTL_MS = 1_000
 CONFIG: dict[str, Any] = {
     "classes": [{"name": "chat", "effect": "safe", "aim_ms": 1_500, "give_up_ms": 10_000}],
-    "index": {"mode": "off"}, "log": {"format": "json"}}
+    "index": {"mode": "off"},
+    "log": {"format": "json"},
+}
 
 
 class Processes:
@@ -59,8 +61,13 @@
         return self.relays[name]
 
     def engine(self, name: str, role: str, cell: int = 0, port: int = 0) -> None:
-        settings = {"name": name, "role": role, "journal": str(self.folder / f"{name}.jsonl"), "hold_ms": 60_000,
-                    "fences": str(self.folder / f"{name}.fences")}
+        settings = {
+            "name": name,
+            "role": role,
+            "journal": str(self.folder / f"{name}.jsonl"),
+            "hold_ms": 60_000,
+            "fences": str(self.folder / f"{name}.fences"),
+        }
         file = self.folder / f"{name}.json"
         file.write_text(json.dumps(settings))
         ready = self.child(name, "engine", "--settings", str(file), "--port", str(port))
@@ -72,14 +79,26 @@
         rows = [f"count = {len(self.boxes)}"]
         for name, (role, cell) in self.boxes.items():
             port = self.relay(f"{name} {steward}", self.ports[name]).port if steward else self.ports[name]
-            rows += ["[[servers]]", f'name = "{name}"', f'address = "127.0.0.1:{port}"',
-                     f'kind = "{"reader" if role == "read" else "writer"}"', f"cell = {cell}", "places = true"]
+            rows += [
+                "[[servers]]",
+                f'name = "{name}"',
+                f'address = "127.0.0.1:{port}"',
+                f'kind = "{"reader" if role == "read" else "writer"}"',
+                f"cell = {cell}",
+                "places = true",
+            ]
         (self.folder / f"servers{steward}.toml").write_text("\n".join(rows) + "\n")
 
     def config(self, name: str, **sections: Any) -> str:
         relay = self.relay(f"store {name}", self.ports["store"])
-        fleet = {"store": [f"http://{relay.address}"], "ttl_ms": self.ttl_ms, "margin_ms": self.ttl_ms / 10,
-                 "call_ms": self.ttl_ms / 4, "member": name, **sections.pop("fleet", {})}
+        fleet = {
+            "store": [f"http://{relay.address}"],
+            "ttl_ms": self.ttl_ms,
+            "margin_ms": self.ttl_ms / 10,
+            "call_ms": self.ttl_ms / 4,
+            "member": name,
+            **sections.pop("fleet", {}),
+        }
         file = self.folder / f"{name}.toml"
         file.write_bytes(to_toml({**CONFIG, "fleet": fleet, **sections}))
         return str(file)
@@ -89,15 +108,21 @@
         self.child(name, "steward", self.config(name, planner={"servers": str(self.folder / f"servers{name}.toml")}))
 
     def dispatcher(self, number: int, dispatchers: int = 1) -> None:
-        planner = {"servers": str(self.folder / "servers.toml"),
-                   "listen": f"127.0.0.1:{self.ports.get(f'p{number}', 0)}"}
+        planner = {
+            "servers": str(self.folder / "servers.toml"),
+            "listen": f"127.0.0.1:{self.ports.get(f'p{number}', 0)}",
+        }
         ready = self.child(f"planner{number}", "plan", self.config(f"planner{number}", planner=planner))
         self.ports[f"p{number}"] = int(ready.rpartition(":")[2])
         self.edge(number, dispatchers)
 
     def edge(self, number: int, dispatchers: int = 1) -> None:
-        edge = {"planner": f"127.0.0.1:{self.ports[f'p{number}']}", "number": number, "dispatchers": dispatchers,
-                "listen": f"127.0.0.1:{self.ports.get(f'edge{number}', 0)}"}
+        edge = {
+            "planner": f"127.0.0.1:{self.ports[f'p{number}']}",
+            "number": number,
+            "dispatchers": dispatchers,
+            "listen": f"127.0.0.1:{self.ports.get(f'edge{number}', 0)}",
+        }
         ready = self.child(f"edge{number}", "edge", self.config(f"edge{number}", edge=edge))
         self.ports[f"edge{number}"] = int(ready.split("//")[1].split("/")[0].rpartition(":")[2])
 
@@ -150,8 +175,9 @@
         def work() -> None:
             connection = http.client.HTTPConnection("127.0.0.1", port, timeout=timeout)
             try:
-                connection.request(method, path, json.dumps(body) if body is not None else None,
-                                   {"content-type": "application/json"})
+                connection.request(
+                    method, path, json.dumps(body) if body is not None else None, {"content-type": "application/json"}
+                )
                 answer = connection.getresponse()
                 result.append((answer.status, answer.read()))
             except OSError as error:
@@ -172,13 +198,22 @@
         import base64
 
         from yardspindle.core.fleet.kv import prefix_end
+
         key = f"/yardspindle/main/{prefix}".encode()
-        status, data = self.call(self.ports["store"], "POST", "/v3/kv/range", {
-            "key": base64.b64encode(key).decode(), "range_end": base64.b64encode(prefix_end(key)).decode()})
+        status, data = self.call(
+            self.ports["store"],
+            "POST",
+            "/v3/kv/range",
+            {"key": base64.b64encode(key).decode(), "range_end": base64.b64encode(prefix_end(key)).decode()},
+        )
         assert status == 200
-        return {base64.b64decode(row["key"]).decode()[len(key):]: (json.loads(base64.b64decode(row["value"])),
-                                                                   int(row["create_revision"]))
-                for row in json.loads(data).get("kvs", [])}
+        return {
+            base64.b64decode(row["key"]).decode()[len(key) :]: (
+                json.loads(base64.b64decode(row["value"])),
+                int(row["create_revision"]),
+            )
+            for row in json.loads(data).get("kvs", [])
+        }
 
     def owner(self, duty: str) -> tuple[str, int] | None:
         """Who owns a duty, and its fence."""
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -87,7 +87,7 @@
         role, how = draw.choice(("read", "write")), draw.choice(("full", "dead", "silent", "well"))
         group = [host for host in hosts if host.role == role]
         draw.shuffle(group)
-        back, others = group[:draw.choice((1, 1, 2))], group[2:]
+        back, others = group[: draw.choice((1, 1, 2))], group[2:]
         wait_s, seconds = draw.uniform(0.0, COLD_S - 1.0), draw.uniform(0.8, 2.5)
         self.say(f"cold return of {' '.join(h.name for h in back)}, {wait_s:.2f} s later the others are {how}")
         self.injected[f"cold return, the others {how}"] += 1
@@ -220,8 +220,9 @@
         if self.crowded:
             await asyncio.gather(*(self.crowd(name) for name in names))
         self.began = monotonic()
-        clients = [asyncio.create_task(self.client(name, number))
-                   for name in names for number in range(self.plan.clients)]
+        clients = [
+            asyncio.create_task(self.client(name, number)) for name in names for number in range(self.plan.clients)
+        ]
         faults = [asyncio.create_task(self._at(at, kind)) for at, kind in self._draw()]
         await asyncio.sleep(self.plan.seconds)
         await asyncio.gather(*faults)
@@ -232,9 +233,25 @@
         return self.judge()
 
     def _draw(self) -> list[tuple[float, str]]:
-        kinds = ["freeze"] * 5 + ["host mute"] * 2 + [
-            "host reset", "host lose", "host slow", "host decline", "host error", "host dies", "drain", "agents silent",
-            "dispatcher held up", "dispatcher ends", "dispatcher dies", "signals", "burst"]
+        kinds = (
+            ["freeze"] * 5
+            + ["host mute"] * 2
+            + [
+                "host reset",
+                "host lose",
+                "host slow",
+                "host decline",
+                "host error",
+                "host dies",
+                "drain",
+                "agents silent",
+                "dispatcher held up",
+                "dispatcher ends",
+                "dispatcher dies",
+                "signals",
+                "burst",
+            ]
+        )
         drawn = [self.random.choice(kinds) for _ in range(self.plan.faults)] + ["cold return"] * self.plan.cold_returns
         return [(self.random.uniform(0.0, self.plan.seconds), kind) for kind in drawn]
 
@@ -243,8 +260,12 @@
         await self.fault(kind)
 
     def judge(self) -> list[str]:
-        rows = [json.loads(line) for file in self.folder.glob("*er-*.jsonl") for line in file.read_text().splitlines()
-                if line.endswith("}")]
+        rows = [
+            json.loads(line)
+            for file in self.folder.glob("*er-*.jsonl")
+            for line in file.read_text().splitlines()
+            if line.endswith("}")
+        ]
         deaths = self.folder / "deaths.jsonl"
         died = [json.loads(line) for line in deaths.read_text().splitlines()] if deaths.exists() else []
         self.loads = loads(rows, self.cold_starts)
@@ -252,8 +273,11 @@
         self._count_tests(rows)
         for life in self.lives:
             found += [f"{life.log.name}: {text}" for text in judge_life(life, rows, died, self.frozen)]
-            found += [f"{life.log.name}: {line}" for line in life.log.read_text().splitlines()
-                      if line.startswith(TROUBLE) and not (line.startswith(LATE) and life.ledger.away)]
+            found += [
+                f"{life.log.name}: {line}"
+                for line in life.log.read_text().splitlines()
+                if line.startswith(TROUBLE) and not (line.startswith(LATE) and life.ledger.away)
+            ]
             if life.killed is None and life.process.poll() not in (None, 0):
                 found.append(f"{life.log.name}: ended with {life.process.returncode}")
         return found
@@ -263,11 +287,16 @@
         kinds = Counter(row["what"] for row in rows)
         requests = [r for life in self.lives for r in life.ledger.requests]
         self.tested = {
-            "final answers": len(requests), "orders": sum(r.cls == "order" for r in requests),
+            "final answers": len(requests),
+            "orders": sum(r.cls == "order" for r in requests),
             "attempts without an answer": sum(row["what"] == "over" and not row["how"] for row in rows),
-            "drains told": sum(len(life.told) for life in self.lives), "cold hosts": len(self.loads),
+            "drains told": sum(len(life.told) for life in self.lives),
+            "cold hosts": len(self.loads),
             "fullest of them": round(max((load.ratio for load in self.loads), default=0.0), 2),
-            "releases": kinds["freed"], "places": kinds["placed"], "shut unread": self.shut_unread}
+            "releases": kinds["freed"],
+            "places": kinds["placed"],
+            "shut unread": self.shut_unread,
+        }
 
     def counts(self) -> dict[str, int]:
         """Of the answers that clients got, by status."""
@@ -278,6 +307,7 @@
                 counts[key] = counts.get(key, 0) + 1
         return counts
 
+
 def play(seed: int, plan: Plan, folder: Path) -> tuple[list[str], Soak]:
     """One run: what was broken."""
     soak = Soak(seed, plan, folder)
@@ -303,9 +333,11 @@
         broken += bool(found)
         injected.update(soak.injected)
         tested.update({rule: count for rule, count in soak.tested.items() if rule != "fullest of them"})
-        print(f"seed {seed}: {len(found)} breaks, answers {soak.counts()}, {soak.family}, "
-              f"deadline {soak.deadline_ms} ms, retries {soak.retries}, crowd {soak.crowded}, {soak.tested}",
-              flush=True)
+        print(
+            f"seed {seed}: {len(found)} breaks, answers {soak.counts()}, {soak.family}, "
+            f"deadline {soak.deadline_ms} ms, retries {soak.retries}, crowd {soak.crowded}, {soak.tested}",
+            flush=True,
+        )
         if found:
             (folder / "breaks").write_text("\n".join([*found, "", f"second 0 is {soak.began:.3f}", *soak.story]))
             print("\n".join(f"  {text}" for text in found[:20]), *(f"  {row}" for row in soak.story), sep="\n")
--- a/tests/soak_host.py
+++ b/tests/soak_host.py
@@ -117,8 +117,14 @@
             return
         number = message.headers[b"req-id"]
         attempt = f"{self.name} {monotonic()}"
-        self.say("taken", number, attempt=attempt, first=first, arrived=arrived,
-                 told=float(message.headers[b"req-deadline-ms"]))
+        self.say(
+            "taken",
+            number,
+            attempt=attempt,
+            first=first,
+            arrived=arrived,
+            told=float(message.headers[b"req-deadline-ms"]),
+        )
         how, events, finished = 0, b"", 0.0
         state = self.folder / "states" / number.decode()
         read = self.folder / "reads" / number.decode()
@@ -258,7 +264,6 @@
 
 
 if __name__ == "__main__":
-    host = SoakHost(sys.argv[1], sys.argv[2], Path(sys.argv[3]), sys.argv[4], int(sys.argv[5]),
-                    *sys.argv[6:])
+    host = SoakHost(sys.argv[1], sys.argv[2], Path(sys.argv[3]), sys.argv[4], int(sys.argv[5]), *sys.argv[6:])
     print(host.listener.getsockname()[1], flush=True)
     host.run()
--- a/tests/soak_judge.py
+++ b/tests/soak_judge.py
@@ -42,12 +42,17 @@
             if attempt.host == death["host"] and attempt.at < death["at"] and (attempt.over is None):
                 attempt.over = _last_ran(death["host"], death["at"], frozen)
                 ledger.moves.append((death["at"], "ended", attempt.id))  # until then it may be out
-        ledger.moves += [(death["at"], "died", number) for number in {
-            a.id for a in attempts.values() if a.host == death["host"] and a.at < death["at"]}]
+        ledger.moves += [
+            (death["at"], "died", number)
+            for number in {a.id for a in attempts.values() if a.host == death["host"] and a.at < death["at"]}
+        ]
     ledger.attempts = list(attempts.values())
     gone = life.ended if life.ended is not None else math.inf  # places read after it are the platform's to free
-    ledger.moves = [(at, kind, number) for at, kind, number in ledger.moves
-                    if number not in cut and not (kind == "placed" and at > gone)]
+    ledger.moves = [
+        (at, kind, number)
+        for at, kind, number in ledger.moves
+        if number not in cut and not (kind == "placed" and at > gone)
+    ]
     return ledger.judge()
 
 
@@ -64,8 +69,9 @@
     ledger, number, at = life.ledger, row["id"].encode(), row["at"]
     match row["what"]:
         case "taken":
-            attempt = Attempt(number, row["host"], row["role"], row["told"], row["first"], at, TOLD_MORE_S,
-                              row["arrived"])
+            attempt = Attempt(
+                number, row["host"], row["role"], row["told"], row["first"], at, TOLD_MORE_S, row["arrived"]
+            )
             attempts[row["attempt"]] = attempt
             ledger.moves.append((at, row["role"], number))
         case "stream":
--- a/tests/soak_parties.py
+++ b/tests/soak_parties.py
@@ -75,9 +75,16 @@
     listed_before_ms: int = 0  # the start that it tells until then
 
     def entry(self) -> dict[str, Any]:
-        return {"id": self.name, "host_port": f"{HERE}:{self.port}", "locality": "a", "cell": 1, "phase": self.phase,
-                "flavor": "reads" if self.role == "read" else "writes", "size": 1.0,
-                "up_since_ms": self.up_since_ms if monotonic() >= self.listed_from else self.listed_before_ms}
+        return {
+            "id": self.name,
+            "host_port": f"{HERE}:{self.port}",
+            "locality": "a",
+            "cell": 1,
+            "phase": self.phase,
+            "flavor": "reads" if self.role == "read" else "writes",
+            "size": 1.0,
+            "up_since_ms": self.up_since_ms if monotonic() >= self.listed_from else self.listed_before_ms,
+        }
 
     def order(self, kind: str, seconds: float = 0.0) -> None:
         assert self.process.stdin is not None
@@ -92,8 +99,10 @@
     def __init__(self, seed: int, plan: Plan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
         self.random = Random(seed)
-        self.family = {"holds-allowed": self.random.random() < PLACES_PART,
-                       "resume": self.random.random() < RESUME_PART}
+        self.family = {
+            "holds-allowed": self.random.random() < PLACES_PART,
+            "resume": self.random.random() < RESUME_PART,
+        }
         self.deadline_ms = self.random.choice(DEADLINES_MS)
         self.retries = RETRIES_MOST if self.random.random() < RETRIES_PART else 0
         self.crowded = self.random.random() < CROWD_PART
@@ -140,19 +149,51 @@
 
     def start_dispatcher(self, name: str) -> None:
         config = self.folder / f"{name}.json"
-        services = [{"name": kind, "goal-time-us": self.deadline_ms * 500, "give-up-us": self.deadline_ms * 1_000,
-                     "idempotency": effect} for kind, effect in (("ask", "free"), ("order", "single_shot"))]
-        settings = {**SETTINGS, "services": services, "allowed": ALLOWED, "instances": self.plan.dispatchers,
-                    "obligations": {**SETTINGS["obligations"], **OBLIGATIONS},
-                    "family-info": {**SETTINGS["family-info"], **self.family}}
-        config.write_text(json.dumps({"settings": settings, "discovery": self.agents[name],
-                                      "limits": {"sockets": SOCKETS}, "known": self.listed()}))
-        env = {**os.environ, "ROUTER_NAME": name, "ROUTER_LISTEN": f"{HERE}:{self.ports[name]}",
-               "ROUTER_DISCOVERY": self.agents[name], "ROUTER_CONFIG": str(config), "PYTHONPATH": str(ROOT)}
+        services = [
+            {
+                "name": kind,
+                "goal-time-us": self.deadline_ms * 500,
+                "give-up-us": self.deadline_ms * 1_000,
+                "idempotency": effect,
+            }
+            for kind, effect in (("ask", "free"), ("order", "single_shot"))
+        ]
+        settings = {
+            **SETTINGS,
+            "services": services,
+            "allowed": ALLOWED,
+            "instances": self.plan.dispatchers,
+            "obligations": {**SETTINGS["obligations"], **OBLIGATIONS},
+            "family-info": {**SETTINGS["family-info"], **self.family},
+        }
+        config.write_text(
+            json.dumps(
+                {
+                    "settings": settings,
+                    "discovery": self.agents[name],
+                    "limits": {"sockets": SOCKETS},
+                    "known": self.listed(),
+                }
+            )
+        )
+        env = {
+            **os.environ,
+            "ROUTER_NAME": name,
+            "ROUTER_LISTEN": f"{HERE}:{self.ports[name]}",
+            "ROUTER_DISCOVERY": self.agents[name],
+            "ROUTER_CONFIG": str(config),
+            "PYTHONPATH": str(ROOT),
+        }
         log = self.folder / f"{name}-{len(self.lives)}.log"
         with open(log, "wb") as errors:
-            process = subprocess.Popen([sys.executable, "-m", "yardspindle.node"], cwd=self.folder, env=env,
-                                       stdin=subprocess.DEVNULL, stdout=subprocess.DEVNULL, stderr=errors)
+            process = subprocess.Popen(
+                [sys.executable, "-m", "yardspindle.node"],
+                cwd=self.folder,
+                env=env,
+                stdin=subprocess.DEVNULL,
+                stdout=subprocess.DEVNULL,
+                stderr=errors,
+            )
         life = Life(name, Ledger(RELEASE_S, GRACE_S, lambda: 0.0), process, log)
         self.lives.append(life)
         self.current[name] = life
@@ -178,7 +219,8 @@
                     query = dict(part.split(b"=") for part in target.partition(b"?")[2].split(b"&") if part)
                     until = monotonic() + int(query.get(b"wait", 0)) / 1_000
                     while monotonic() < self.silent_until or (
-                            int(query.get(b"index", -1)) >= self.revision and monotonic() < until):
+                        int(query.get(b"index", -1)) >= self.revision and monotonic() < until
+                    ):
                         await asyncio.sleep(0.005)
                     for host in self.hosts.values():
                         if host.phase != "Ready":
@@ -215,8 +257,9 @@
             with contextlib.suppress(OSError):
                 self.crowds.append((await asyncio.open_connection(HERE, self.ports[name]))[1])
 
-    async def _connection(self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
-                          draw: Random) -> None:
+    async def _connection(
+        self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, draw: Random
+    ) -> None:
         life, kept, tries_left = self.current[name], False, self.retries
         again = False
         while not self.ended:
@@ -245,8 +288,13 @@
     def _request(self, name: str, life: Life, draw: Random, again: bool) -> Request:
         """The next request of a client, noted in the ledger of its dispatcher's life."""
         self._requests += 1
-        r = request(f"{name}.{self._requests}", "order" if draw.random() < ORDERS_PART else "ask", self.deadline_ms,
-                    headers=(b"Req-Retry: 1",) if again else (), key=f"k{draw.randrange(40)}")
+        r = request(
+            f"{name}.{self._requests}",
+            "order" if draw.random() < ORDERS_PART else "ask",
+            self.deadline_ms,
+            headers=(b"Req-Retry: 1",) if again else (),
+            key=f"k{draw.randrange(40)}",
+        )
         r.asked, r.written = monotonic(), len(r.data)
         life.ledger.requests.append(r)
         return r
--- a/tests/soak_slow_start.py
+++ b/tests/soak_slow_start.py
@@ -10,8 +10,12 @@
 COLD_S, START_CAPACITY, FALL_MULTIPLE, FALL_S = 5.0, 0.26, 2.5, 2.0
 WARM_RATE = {"read": 20.0, "write": 6.0}  # requests a second that a warm host of a role does
 SMALL_BUDGET = 30  # under so many requests the pages allow three times the root
-OBLIGATIONS = {"cold-us": COLD_S * 1e6, "start-capacity": START_CAPACITY, "fall-multiple": FALL_MULTIPLE,
-               "fall-us": FALL_S * 1e6}
+OBLIGATIONS = {
+    "cold-us": COLD_S * 1e6,
+    "start-capacity": START_CAPACITY,
+    "fall-multiple": FALL_MULTIPLE,
+    "fall-us": FALL_S * 1e6,
+}
 
 
 @dataclass(frozen=True)
@@ -60,15 +64,27 @@
     """The fullest window of each cold start that was sent anything; every call that reached the host counts."""
     found = []
     for start in starts:
-        until = min([later.at for later in starts if later.host == start.host and later.at > start.at],
-                    default=math.inf)
-        times = sorted(row["arrived"] for row in rows if row["what"] == "taken" and row["host"] == start.host
-                       and start.at <= row["arrived"] < min(until, start.at + COLD_S))
+        until = min(
+            [later.at for later in starts if later.host == start.host and later.at > start.at], default=math.inf
+        )
+        times = sorted(
+            row["arrived"]
+            for row in rows
+            if row["what"] == "taken"
+            and row["host"] == start.host
+            and start.at <= row["arrived"] < min(until, start.at + COLD_S)
+        )
         windows = []
         for before, at in enumerate(times):
             capacity = WARM_RATE[start.role] * warmth(start.role, at - start.at, before if start.by_work else None)
-            windows.append(Load(start, at - start.at, bisect_left(times, at + FALL_S) - before,
-                                allowance(FALL_MULTIPLE * capacity * FALL_S)))
+            windows.append(
+                Load(
+                    start,
+                    at - start.at,
+                    bisect_left(times, at + FALL_S) - before,
+                    allowance(FALL_MULTIPLE * capacity * FALL_S),
+                )
+            )
         if windows:
             found.append(max(windows, key=lambda load: load.ratio))
     return found
@@ -76,5 +92,9 @@
 
 def pushed_over(found: list[Load]) -> list[str]:
     """Each cold host that was sent more than it may be."""
-    return [f"slow start: {load.start.host}, {load.age:.2f} s after its start, was sent {load.sent} calls in "
-            f"{FALL_S:g} s, {load.allowed:.1f} allowed" for load in found if load.ratio > 1]
+    return [
+        f"slow start: {load.start.host}, {load.age:.2f} s after its start, was sent {load.sent} calls in "
+        f"{FALL_S:g} s, {load.allowed:.1f} allowed"
+        for load in found
+        if load.ratio > 1
+    ]
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -12,25 +12,66 @@
 
 ROOT = Path(__file__).parent.parent
 SETUP = {
-    "me": 0, "instances": 1, "zone": "a", "shapes": ["reads", "writes"], "membership-mode": "push",
+    "me": 0,
+    "instances": 1,
+    "zone": "a",
+    "shapes": ["reads", "writes"],
+    "membership-mode": "push",
     "services": [{"name": "chat", "goal-time-us": 1_000_000, "give-up-us": 5_000_000, "idempotency": "free"}],
     "family-info": {"duty-by-kind": ["read", "write"], "holds-allowed": True, "let-go-by-us": 300_000},
-    "allowed": {"most-tries": 5, "cancel": True, "key-added-later": 3}, "unknown": {"x": 1}}
-START = ["frame 1000", "page 0 2", "entry 11 a reads 0 SERVING 1 -", "entry 12 a writes 0 SERVING 1 -",
-         "spawn 0 7 " + json.dumps(SETUP), "view 0 C 1 0", "eob"]
-DAY = [*START,
-       "frame 2000", "submit 0 5 100 0 0 900 chat - 4000000 - - s1", "eob",
-       "frame 3000", "reserved 0 5 0 12 1 0", "resolved 0 5 0 11 prefilled 900 0 0 rif:1,new:2", "eob",
-       "frame 4000", "flowing 0 5 1 12 900", "eob",
-       "frame 5000", "resolved 0 5 1 12 S 1900 1 0 -", "eob"]
-GOLDEN = ["yield", "attempt 0 5 11 0", "claim_writer 0 5 12", "wake_me 0 22000 1099511627776", "yield",
-          "attempt 0 5 12 0", "yield", "yield", "discard 0 5", "yield"]
+    "allowed": {"most-tries": 5, "cancel": True, "key-added-later": 3},
+    "unknown": {"x": 1},
+}
+START = [
+    "frame 1000",
+    "page 0 2",
+    "entry 11 a reads 0 SERVING 1 -",
+    "entry 12 a writes 0 SERVING 1 -",
+    "spawn 0 7 " + json.dumps(SETUP),
+    "view 0 C 1 0",
+    "eob",
+]
+DAY = [
+    *START,
+    "frame 2000",
+    "submit 0 5 100 0 0 900 chat - 4000000 - - s1",
+    "eob",
+    "frame 3000",
+    "reserved 0 5 0 12 1 0",
+    "resolved 0 5 0 11 prefilled 900 0 0 rif:1,new:2",
+    "eob",
+    "frame 4000",
+    "flowing 0 5 1 12 900",
+    "eob",
+    "frame 5000",
+    "resolved 0 5 1 12 S 1900 1 0 -",
+    "eob",
+]
+GOLDEN = [
+    "yield",
+    "attempt 0 5 11 0",
+    "claim_writer 0 5 12",
+    "wake_me 0 22000 1099511627776",
+    "yield",
+    "attempt 0 5 12 0",
+    "yield",
+    "yield",
+    "discard 0 5",
+    "yield",
+]
 
 
 def drill(lines: list[str], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     env = {**os.environ, "PYTHONHASHSEED": hash_seed, "PYTHONDONTWRITEBYTECODE": "1"}
-    return subprocess.run([sys.executable, "-m", "yardspindle.drill"], input="\n".join([*lines, ""]),
-                          cwd=ROOT, env=env, capture_output=True, text=True, check=False)
+    return subprocess.run(
+        [sys.executable, "-m", "yardspindle.drill"],
+        input="\n".join([*lines, ""]),
+        cwd=ROOT,
+        env=env,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
 
 
 @pytest.mark.parametrize("hash_seed", ["0", "1", "4242"])
@@ -40,15 +81,18 @@
     assert done.stdout.splitlines() == GOLDEN
 
 
-@pytest.mark.parametrize(("lines", "at", "fault"), [
-    ([*START, "frame 2", "dance 0 1", "eob"], 9, "unknown message 'dance'"),
-    ([*START, "frame 2", "hangup 0", "eob"], 9, "hangup has 1 fields, 2 expected"),
-    ([*START, "frame 2", "hangup 0 x", "eob"], 9, "invalid literal"),
-    ([*START, "frame 2", "hangup 3 1", "eob"], 9, "instance 3, which was not spawned"),
-    ([*START, "frame 2", "hangup 0 1"], 9, "the input ends inside a frame"),
-    (["frame 1", "spawn 0 1 {}", "eob"], 2, "no such value: 'services'"),
-    (["hello"], 1, "frame expected"),
-])
+@pytest.mark.parametrize(
+    ("lines", "at", "fault"),
+    [
+        ([*START, "frame 2", "dance 0 1", "eob"], 9, "unknown message 'dance'"),
+        ([*START, "frame 2", "hangup 0", "eob"], 9, "hangup has 1 fields, 2 expected"),
+        ([*START, "frame 2", "hangup 0 x", "eob"], 9, "invalid literal"),
+        ([*START, "frame 2", "hangup 3 1", "eob"], 9, "instance 3, which was not spawned"),
+        ([*START, "frame 2", "hangup 0 1"], 9, "the input ends inside a frame"),
+        (["frame 1", "spawn 0 1 {}", "eob"], 2, "no such value: 'services'"),
+        (["hello"], 1, "frame expected"),
+    ],
+)
 def test_malformed_input_ends_with_one_plain_line(lines: list[str], at: int, fault: str) -> None:
     done = drill(lines)
     assert done.returncode == 2
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -22,17 +22,23 @@
         self.now, self.next = 1_000 * MS, 0
         self.entries = [
             i.Entry(at + 1, "a", kind, int(cells[at]) if cells else 0, i.State.SERVING, 1.0)
-            for at, kind in enumerate(spec)]
+            for at, kind in enumerate(spec)
+        ]
         self.feed(i.Members(i.ListKind.COMPLETE, 1, tuple(self.entries)))
 
     def feed(self, event: i.Event) -> list[i.Action]:
         return self.policy.handle(self.now, event)
 
-    def ask(self, cls: str = "safe", prompt: float = 500.0, prefix: str | None = "p", session: str = "s",
-            life_us: int = LIFE) -> list[i.Action]:
+    def ask(
+        self,
+        cls: str = "safe",
+        prompt: float = 500.0,
+        prefix: str | None = "p",
+        session: str = "s",
+        life_us: int = LIFE,
+    ) -> list[i.Action]:
         self.next += 1
-        return self.feed(i.Request(self.next, cls, self.now + life_us, prompt, prefix=prefix,
-                                   session=session))
+        return self.feed(i.Request(self.next, cls, self.now + life_us, prompt, prefix=prefix, session=session))
 
     def home(self, **other: str | None) -> int:
         """Where a request is read while nothing else is open."""
@@ -40,14 +46,14 @@
         self.feed(i.Hangup(self.next))
         return server
 
-    def end(self, number: int, attempt: int, server: int, status: i.Status, note: int = 0,
-            closed: bool = False) -> list[i.Action]:
+    def end(
+        self, number: int, attempt: int, server: int, status: i.Status, note: int = 0, closed: bool = False
+    ) -> list[i.Action]:
         return self.feed(i.Outcome(number, attempt, server, status, 50 * MS, closed, note))
 
     def change(self, server: int, state: i.State, since: int = 0) -> None:
         was = self.entries[server - 1]
-        self.feed(i.Members(i.ListKind.CHANGES, 2, (
-            i.Entry(server, was.zone, was.kind, was.cell, state, 1.0, since),)))
+        self.feed(i.Members(i.ListKind.CHANGES, 2, (i.Entry(server, was.zone, was.kind, was.cell, state, 1.0, since),)))
 
     def sweep(self, to_ms: int) -> list[i.Action]:
         acts: list[i.Action] = []
@@ -256,8 +262,9 @@
     seen = set()
     for _ in range(6):
         router.next += 1
-        for reader in sends(router.feed(i.Request(router.next, "safe", router.now + LIFE, 500.0, shared,
-                                                  prefix="p", session="s"))):
+        for reader in sends(
+            router.feed(i.Request(router.next, "safe", router.now + LIFE, 500.0, shared, prefix="p", session="s"))
+        ):
             seen.add(reader)
             router.feed(i.Outcome(router.next, 0, reader, i.Status.READ, 2_000 * MS, False))
         router.feed(i.Hangup(router.next))
--- a/tests/test_choices_failures.py
+++ b/tests/test_choices_failures.py
@@ -64,8 +64,7 @@
 
 
 def test_what_waits_is_tried_in_order_of_worth() -> None:
-    classes = (i.RequestClass("safe", 1_000_000, 5_000_000),
-               i.RequestClass("dear", 1_000_000, 5_000_000, worth=3.0))
+    classes = (i.RequestClass("safe", 1_000_000, 5_000_000), i.RequestClass("dear", 1_000_000, 5_000_000, worth=3.0))
     router = Router("rw", classes=classes)
     for cls in ("safe", "safe", "dear"):  # the first is read, the others wait
         router.ask(cls)
@@ -120,9 +119,18 @@
     assert 1 <= held <= max(1, 0.9 * 8 * 50_000 / instances / 3_000)
 
 
-@pytest.mark.parametrize(("field", "value"), [
-    ("me", 5), ("instances", 0), ("start_capacity", 0.0), ("classes", ()), ("kinds", ()), ("release_us", 0),
-    ("max_attempts", 0)])
+@pytest.mark.parametrize(
+    ("field", "value"),
+    [
+        ("me", 5),
+        ("instances", 0),
+        ("start_capacity", 0.0),
+        ("classes", ()),
+        ("kinds", ()),
+        ("release_us", 0),
+        ("max_attempts", 0),
+    ],
+)
 def test_invalid_settings_name_the_field(field: str, value: object) -> None:
     with pytest.raises(ValueError, match=field):
         settings(**{field: value})
@@ -180,8 +188,9 @@
     """Resets of kept connections had most of a warm fleet ejected, and counted as freshly started."""
     router = Router("rw")
     reader = router.policy.servers[1]
-    for number, (status, stale, failures) in enumerate([
-            (i.Status.RESET, True, 0), (i.Status.CONNECT_FAILED, True, 0), (i.Status.RESET, False, 1)], 1):
+    for number, (status, stale, failures) in enumerate(
+        [(i.Status.RESET, True, 0), (i.Status.CONNECT_FAILED, True, 0), (i.Status.RESET, False, 1)], 1
+    ):
         assert sends(router.ask()) == [1]
         router.feed(i.Outcome(number, 0, 1, status, 1 * MS, False, stale=stale))
         assert reader.failures == failures
@@ -195,10 +204,16 @@
 
 def test_readers_of_the_own_zone_draw_more_keys_where_attempts_across_zones_cost() -> None:
     """In two zones half of all attempts crossed, on the calmest days too."""
+
     def near(price: float) -> float:
         router = Router("rrrrrrww", cross_zone_price=price)
-        router.feed(i.Members(i.ListKind.COMPLETE, 2, tuple(
-            i.Entry(e.server, "ab"[e.server % 2], e.kind, 0, e.state, 1.0) for e in router.entries)))
+        router.feed(
+            i.Members(
+                i.ListKind.COMPLETE,
+                2,
+                tuple(i.Entry(e.server, "ab"[e.server % 2], e.kind, 0, e.state, 1.0) for e in router.entries),
+            )
+        )
         homes = [router.home(prefix=f"p{n}") for n in range(200)]
         return sum(router.policy.servers[home].entry.zone == router.policy.set.zone for home in homes) / 200
 
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -13,8 +13,14 @@
 
 
 def test_one_that_is_off_is_out_and_the_others_are_not() -> None:
-    word = judge({name: sample(*at(offset)) for name, offset in
-                  zip("abcde", (0, 3 * MS, -3 * MS, MS, 60_000 * MS), strict=True)}, EPOCHS, 5_000 * MS)
+    word = judge(
+        {
+            name: sample(*at(offset))
+            for name, offset in zip("abcde", (0, 3 * MS, -3 * MS, MS, 60_000 * MS), strict=True)
+        },
+        EPOCHS,
+        5_000 * MS,
+    )
     assert word.out == ("epoch of e",) and abs(word.offsets["e"] - 60_000 * MS) < 5 * MS
 
 
@@ -24,8 +30,9 @@
 
 
 def test_a_slow_answer_proves_nothing() -> None:
-    word = judge({"a": sample(0, 0, 0), "b": sample(*at(0)), "c": sample(0, 8_000 * MS, 20_000 * MS)}, EPOCHS,
-                 5_000 * MS)
+    word = judge(
+        {"a": sample(0, 0, 0), "b": sample(*at(0)), "c": sample(0, 8_000 * MS, 20_000 * MS)}, EPOCHS, 5_000 * MS
+    )
     assert word.out == ()
 
 
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -28,14 +28,16 @@
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
 def test_up_serves_until_a_signal_and_leaves_nothing(number: signal.Signals, tmp_path: Path) -> None:
     environment = {**os.environ, "TMPDIR": str(tmp_path)}
-    process = subprocess.Popen(command("up"), cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True,
-                               env=environment)
+    process = subprocess.Popen(
+        command("up"), cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True, env=environment
+    )
     try:
         assert process.stdout is not None
         ready = process.stdout.readline().split()
         assert ready[0] == "ready" and ready[1].startswith("http://127.0.0.1:") and ready[1].endswith("/v1")
-        body = json.dumps({"model": "yardspindle-demo", "max_tokens": 2,
-                           "messages": [{"role": "user", "content": "Hello"}]}).encode()
+        body = json.dumps(
+            {"model": "yardspindle-demo", "max_tokens": 2, "messages": [{"role": "user", "content": "Hello"}]}
+        ).encode()
         asked = urllib.request.Request(ready[1] + "/chat/completions", body, {"content-type": "application/json"})
         with urllib.request.urlopen(asked, timeout=20) as answer:
             assert json.load(answer)["choices"][0]["message"]["content"] == "w0 w1"
@@ -63,12 +65,17 @@
         assert done.stderr.splitlines()[-1] == f"{file}: planner.listen: 127.0.0.1:{port}: Address already in use"
 
 
-@pytest.mark.parametrize(("text", "says"), [
-    ("x = 1", "x: unknown key"), ("[edge]\nnumber = 'a'", "edge.number: expected `int`, got `str`"),
-    ("[rules]\nmax_attempts = 1", "rules.max_attempts: expected `int` >= 2"), ("a", "not TOML")])
+@pytest.mark.parametrize(
+    ("text", "says"),
+    [
+        ("x = 1", "x: unknown key"),
+        ("[edge]\nnumber = 'a'", "edge.number: expected `int`, got `str`"),
+        ("[rules]\nmax_attempts = 1", "rules.max_attempts: expected `int` >= 2"),
+        ("a", "not TOML"),
+    ],
+)
 @pytest.mark.parametrize("sub", [("config", "check"), ("edge",), ("plan",)])
-def test_a_bad_configuration_is_one_line_and_exit_2(tmp_path: Path, sub: tuple[str, ...], text: str,
-                                                   says: str) -> None:
+def test_a_bad_configuration_is_one_line_and_exit_2(tmp_path: Path, sub: tuple[str, ...], text: str, says: str) -> None:
     file = tmp_path / "c.toml"
     file.write_text(text)
     done = run(*sub, str(file))
@@ -106,9 +113,11 @@
             "    body = json.dumps({'model': 'yardspindle-demo', 'max_tokens': 2, 'messages': "
             f"[{{'role': 'user', 'content': {secret!r}}}]}}).encode()\n"
             "    urllib.request.urlopen(urllib.request.Request(fleet.url + '/chat/completions', body, "
-            "{'content-type': 'application/json'})).read()\n")
-        done = subprocess.run([sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True, timeout=60,
-                              check=True)
+            "{'content-type': 'application/json'})).read()\n"
+        )
+        done = subprocess.run(
+            [sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True, timeout=60, check=True
+        )
     lines = [json.loads(line) for line in done.stderr.splitlines()]
     request = next(line for line in lines if line["event"] == "request")
     assert request["request_id"].startswith("req-") and request["final"] == "served"
@@ -117,15 +126,26 @@
 
 def test_the_adapter_starts_in_a_bare_interpreter() -> None:
     """The bench runs it with the standard library only: no package of the product may be needed."""
-    done = subprocess.run([sys.executable, "-I", "-S", "-B", "-c",
-                           f"import sys; sys.path.insert(0, {str(ROOT)!r}); import yardspindle.drill as d; "
-                           "print(sorted(m.split('.')[0] for m in sys.modules if m.split('.')[0] in "
-                           "('greenlet', 'msgspec', 'structlog', 'click', 'xxhash', 'prometheus_client')), "
-                           "sorted(m for m in sys.modules if m.startswith('yardspindle')))"],
-                          capture_output=True, text=True, check=True)
+    done = subprocess.run(
+        [
+            sys.executable,
+            "-I",
+            "-S",
+            "-B",
+            "-c",
+            f"import sys; sys.path.insert(0, {str(ROOT)!r}); import yardspindle.drill as d; "
+            "print(sorted(m.split('.')[0] for m in sys.modules if m.split('.')[0] in "
+            "('greenlet', 'msgspec', 'structlog', 'click', 'xxhash', 'prometheus_client')), "
+            "sorted(m for m in sys.modules if m.startswith('yardspindle')))",
+        ],
+        capture_output=True,
+        text=True,
+        check=True,
+    )
     assert done.stdout.strip() == (
         "[] ['yardspindle', 'yardspindle.drill', 'yardspindle.interface', 'yardspindle.policy', "
         "'yardspindle.policy.decide', 'yardspindle.policy.hosts', 'yardspindle.policy.life', "
         "'yardspindle.policy.readers', 'yardspindle.policy.slow_start', 'yardspindle.policy.state', "
         "'yardspindle.policy.writers', "
-        "'yardspindle.settings_map']")
+        "'yardspindle.settings_map']"
+    )
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -27,26 +27,34 @@
 
 # --- configuration
 
-@pytest.mark.parametrize(("text", "says"), [
-    ("colour = 1", "c.toml: colour: unknown key"),
-    ("[edge]\nlisten = 3", "c.toml: edge.listen: expected `str`, got `int`"),
-    ("[edge]\nlisten = 'localhost:80'", "c.toml: edge.listen: expected `str` matching regex"),
-    ("[edge]\nlisten = '127.0.0.1:70000'", "c.toml: edge.listen: not an address"),
-    ("[edge]\nlisten = '127.0.0.999:70'", "c.toml: edge.listen: not an address"),
-    ("[rules]\nrelease_ms = 0", "c.toml: rules.release_ms: expected `float` > 0"),
-    ("[rules]\nanswer_slack_ms = 90", "c.toml: rules.answer_slack_ms: not under answer_margin_ms (80)"),
-    ("[[classes]]\neffect = 'safe'", "c.toml: classes[0].name: missing"),
-    ("[[classes]]\nname = 'a'\neffect = 'mild'", "c.toml: classes[0].effect: invalid enum value 'mild'"),
-    ("[[classes]]\nname = 'a'\n[[classes]]\nname = 'a'", "c.toml: classes: a comes twice"),
-    ("[[classes]]\nname = 'a'\naim_ms = 9\ngive_up_ms = 8", "c.toml: classes.a.aim_ms: over give_up_ms (8)"),
-    ("[[classes]]\nname = 'a'\naim_ms = 9\ngive_up_ms = 90", "c.toml: classes.a.give_up_ms: not over twice"),
-    ("classes = []", "c.toml: classes: empty"),
-    ("[[kinds]]\nname = 'a'\nrole = 'read'", "c.toml: kinds: no kind that reads, or none that writes"),
-    ("[edge]\nnumber = 1", "c.toml: edge.number: not under edge.dispatchers (1)"),
-    ("[edge]\ndefault_class = 'x'", "c.toml: edge.default_class: no such class: x"),
-    ("[[tenants]]\nname = 'a'\nkeys = ['12345678']\n[[tenants]]\nname = 'b'\nkeys = ['12345678']",
-     "c.toml: tenants: a key comes twice"),
-    ("a = ", "c.toml: not TOML"), ("\udcff", "c.toml: byte 0: not UTF-8")])
+
+@pytest.mark.parametrize(
+    ("text", "says"),
+    [
+        ("colour = 1", "c.toml: colour: unknown key"),
+        ("[edge]\nlisten = 3", "c.toml: edge.listen: expected `str`, got `int`"),
+        ("[edge]\nlisten = 'localhost:80'", "c.toml: edge.listen: expected `str` matching regex"),
+        ("[edge]\nlisten = '127.0.0.1:70000'", "c.toml: edge.listen: not an address"),
+        ("[edge]\nlisten = '127.0.0.999:70'", "c.toml: edge.listen: not an address"),
+        ("[rules]\nrelease_ms = 0", "c.toml: rules.release_ms: expected `float` > 0"),
+        ("[rules]\nanswer_slack_ms = 90", "c.toml: rules.answer_slack_ms: not under answer_margin_ms (80)"),
+        ("[[classes]]\neffect = 'safe'", "c.toml: classes[0].name: missing"),
+        ("[[classes]]\nname = 'a'\neffect = 'mild'", "c.toml: classes[0].effect: invalid enum value 'mild'"),
+        ("[[classes]]\nname = 'a'\n[[classes]]\nname = 'a'", "c.toml: classes: a comes twice"),
+        ("[[classes]]\nname = 'a'\naim_ms = 9\ngive_up_ms = 8", "c.toml: classes.a.aim_ms: over give_up_ms (8)"),
+        ("[[classes]]\nname = 'a'\naim_ms = 9\ngive_up_ms = 90", "c.toml: classes.a.give_up_ms: not over twice"),
+        ("classes = []", "c.toml: classes: empty"),
+        ("[[kinds]]\nname = 'a'\nrole = 'read'", "c.toml: kinds: no kind that reads, or none that writes"),
+        ("[edge]\nnumber = 1", "c.toml: edge.number: not under edge.dispatchers (1)"),
+        ("[edge]\ndefault_class = 'x'", "c.toml: edge.default_class: no such class: x"),
+        (
+            "[[tenants]]\nname = 'a'\nkeys = ['12345678']\n[[tenants]]\nname = 'b'\nkeys = ['12345678']",
+            "c.toml: tenants: a key comes twice",
+        ),
+        ("a = ", "c.toml: not TOML"),
+        ("\udcff", "c.toml: byte 0: not UTF-8"),
+    ],
+)
 def test_a_fault_is_one_line_with_file_key_and_reason(text: str, says: str) -> None:
     with pytest.raises(cfg.ConfigError) as caught:
         cfg.parse("c.toml", text.encode("utf-8", "surrogateescape"))
@@ -64,24 +72,30 @@
 
 # --- server list
 
+
 def listed(*rows: str, count: int | None = None) -> bytes:
-    return "\n".join([f"count = {len(rows) if count is None else count}",
-                      *(f"[[servers]]\n{row}" for row in rows)]).encode()
+    return "\n".join(
+        [f"count = {len(rows) if count is None else count}", *(f"[[servers]]\n{row}" for row in rows)]
+    ).encode()
 
 
 A = "name = 'a'\naddress = '127.0.0.1:1'\nkind = 'reader'"
 B = "name = 'b'\naddress = '127.0.0.1:2'\nkind = 'writer'"
 
 
-@pytest.mark.parametrize(("data", "says"), [
-    (listed(A, count=2), "s.toml: count: says 2, the list holds 1"),
-    (listed(A, A), "s.toml: servers.name: a comes twice"),
-    (listed(A, B.replace(":2", ":1")), "s.toml: servers.address: 127.0.0.1:1 comes twice"),
-    (listed(A + "\nunits = 0", B + "\nunits = 0.0"), "s.toml: servers.units: every one is zero"),
-    (listed(A.replace("reader", "gpu")), "s.toml: servers.a.kind: not configured: gpu"),
-    (listed(A.replace(":1'", ":0'")), "s.toml: servers.a.address: no such port: 0"),
-    (listed(A + "\nstate = 'ill'"), "s.toml: servers[0].state: invalid enum value 'ill'"),
-    (listed(A)[9:], "s.toml: count: missing")])
+@pytest.mark.parametrize(
+    ("data", "says"),
+    [
+        (listed(A, count=2), "s.toml: count: says 2, the list holds 1"),
+        (listed(A, A), "s.toml: servers.name: a comes twice"),
+        (listed(A, B.replace(":2", ":1")), "s.toml: servers.address: 127.0.0.1:1 comes twice"),
+        (listed(A + "\nunits = 0", B + "\nunits = 0.0"), "s.toml: servers.units: every one is zero"),
+        (listed(A.replace("reader", "gpu")), "s.toml: servers.a.kind: not configured: gpu"),
+        (listed(A.replace(":1'", ":0'")), "s.toml: servers.a.address: no such port: 0"),
+        (listed(A + "\nstate = 'ill'"), "s.toml: servers[0].state: invalid enum value 'ill'"),
+        (listed(A)[9:], "s.toml: count: missing"),
+    ],
+)
 def test_a_list_is_refused_whole(data: bytes, says: str) -> None:
     with pytest.raises(cfg.ConfigError) as caught:
         parse_list("s.toml", data, DEFAULT)
@@ -113,6 +127,7 @@
 
 # --- estimate and intake
 
+
 @settings(max_examples=100, deadline=None)
 @given(st.floats(0.05, 2.0), st.lists(st.integers(200, 50_000), min_size=60, max_size=80))
 def test_the_estimate_comes_to_what_engines_count(per_byte: float, sizes: list[int]) -> None:
@@ -175,10 +190,16 @@
     assert intake.take(0, 4, said(timeout_ms=2.0)).request.expires_us == 1
 
 
-@pytest.mark.parametrize(("more", "param"), [
-    ({"cls": "nope"}, "metadata.class"), ({"timeout_ms": 0.0}, "timeout_ms"),
-    ({"timeout_ms": float("nan")}, "timeout_ms"), ({"session": "s" * 600}, "metadata.session"),
-    ({"client_timeout_ms": -1.0}, "x-stainless-read-timeout")])
+@pytest.mark.parametrize(
+    ("more", "param"),
+    [
+        ({"cls": "nope"}, "metadata.class"),
+        ({"timeout_ms": 0.0}, "timeout_ms"),
+        ({"timeout_ms": float("nan")}, "timeout_ms"),
+        ({"session": "s" * 600}, "metadata.session"),
+        ({"client_timeout_ms": -1.0}, "x-stainless-read-timeout"),
+    ],
+)
 def test_bad_fields_are_named(more: dict[str, Any], param: str) -> None:
     with pytest.raises(IntakeError) as caught:
         Intake(DEFAULT).take(0, 1, said(**more))
@@ -187,6 +208,7 @@
 
 # --- answers
 
+
 def chunk(delta: dict[str, Any] | None = None, finish: str | None = None, index: int = 0, **more: Any) -> bytes:
     choices = [{"index": index, "delta": delta or {}, "finish_reason": finish}] if delta is not None or finish else []
     base = {"id": "c1", "object": "chat.completion.chunk", "model": "m", "choices": choices}
@@ -237,16 +259,21 @@
 
 def test_tool_calls_and_unknown_fields_are_put_together() -> None:
     whole = Collected()
-    for part in ({"index": 0, "id": "t1", "type": "function", "function": {"name": "f", "arguments": ""}},
-                 {"index": 0, "function": {"arguments": '{"a"'}}, {"index": 0, "function": {"arguments": ":1}"}},
-                 {"index": 1, "id": "t2", "type": "function", "function": {"name": "g", "arguments": "{}"}}):
+    for part in (
+        {"index": 0, "id": "t1", "type": "function", "function": {"name": "f", "arguments": ""}},
+        {"index": 0, "function": {"arguments": '{"a"'}},
+        {"index": 0, "function": {"arguments": ":1}"}},
+        {"index": 1, "id": "t2", "type": "function", "function": {"name": "g", "arguments": "{}"}},
+    ):
         whole.add(chunk({"tool_calls": [part]}))
     whole.add(chunk({"reasoning_content": "be"}, novel={"x": 1}))
     whole.add(chunk({"reasoning_content": "cause"}, "tool_calls", usage=USAGE))
     body = json.loads(whole.body())
     message = body["choices"][0]["message"]
     assert [call["function"] for call in message["tool_calls"]] == [
-        {"name": "f", "arguments": '{"a":1}'}, {"name": "g", "arguments": "{}"}]
+        {"name": "f", "arguments": '{"a":1}'},
+        {"name": "g", "arguments": "{}"},
+    ]
     assert message["reasoning_content"] == "because" and message["content"] is None
     assert body["novel"] == {"x": 1} and body["usage"] == USAGE
 
@@ -260,16 +287,24 @@
     assert http_of(Answer(1, Final.FAILED, "deadline"), unsafe=False).headers == ()
 
 
-@pytest.mark.parametrize(("status", "code", "expected"), [
-    (503, "engine_full", (i.Status.FULL, 0)), (429, "engine_draining", (i.Status.FULL, 0)),
-    (503, None, (i.Status.ERROR, 0)), (500, "engine_full", (i.Status.ERROR, 0)),
-    (409, "no_state", (i.Status.FULL, 1)), (400, "bad", (i.Status.ERROR, 0))])
+@pytest.mark.parametrize(
+    ("status", "code", "expected"),
+    [
+        (503, "engine_full", (i.Status.FULL, 0)),
+        (429, "engine_draining", (i.Status.FULL, 0)),
+        (503, None, (i.Status.ERROR, 0)),
+        (500, "engine_full", (i.Status.ERROR, 0)),
+        (409, "no_state", (i.Status.FULL, 1)),
+        (400, "bad", (i.Status.ERROR, 0)),
+    ],
+)
 def test_only_known_words_of_an_engine_prove_that_nothing_ran(status: int, code: str | None, expected: object) -> None:
     assert status_of_refusal(status, code) == expected
 
 
 # --- releases
 
+
 def server(number: int = 1, places: bool = True) -> Server:
     return Server(number, f"s{number}", "h", number, i.Role.WRITE, i.State.SERVING, places)
 
@@ -319,6 +354,7 @@
 
 # --- planning
 
+
 def test_timers_fire_on_the_edges_clock_and_a_fault_fails_one_request() -> None:
     calls: list[tuple[i.Event, int]] = []
 
@@ -343,25 +379,46 @@
 # --- link
 
 some_events = st.one_of(
-    st.builds(i.Request, st.integers(0, 2**32), st.text(max_size=5), st.integers(0, 2**60),
-              st.floats(0, 1e9), tenant=st.none() | st.text(max_size=3), prefix=st.none() | st.text(max_size=3)),
-    st.builds(i.First, *[st.integers(0, 2**40)] * 4), st.builds(i.Hangup, st.integers(0, 99)),
+    st.builds(
+        i.Request,
+        st.integers(0, 2**32),
+        st.text(max_size=5),
+        st.integers(0, 2**60),
+        st.floats(0, 1e9),
+        tenant=st.none() | st.text(max_size=3),
+        prefix=st.none() | st.text(max_size=3),
+    ),
+    st.builds(i.First, *[st.integers(0, 2**40)] * 4),
+    st.builds(i.Hangup, st.integers(0, 99)),
     st.builds(i.Note, *[st.integers(0, 99)] * 3, held=st.booleans()),
-    st.builds(i.Outcome, *[st.integers(0, 99)] * 3, status=st.sampled_from([*i.Status]),
-              latency_us=st.integers(0, 9), closed=st.booleans(), note=st.integers(0, 9)))
+    st.builds(
+        i.Outcome,
+        *[st.integers(0, 99)] * 3,
+        status=st.sampled_from([*i.Status]),
+        latency_us=st.integers(0, 9),
+        closed=st.booleans(),
+        note=st.integers(0, 9),
+    ),
+)
 some_actions = st.one_of(
-    st.builds(i.Send, *[st.integers(0, 99)] * 3), st.builds(i.Ahead, *[st.integers(0, 99)] * 2),
-    st.builds(i.Refuse, *[st.integers(0, 99)] * 2), st.builds(i.Discard, st.integers(0, 99)),
-    st.builds(i.Fail, st.integers(0, 99)), st.builds(i.Cancel, *[st.integers(0, 99)] * 2))
+    st.builds(i.Send, *[st.integers(0, 99)] * 3),
+    st.builds(i.Ahead, *[st.integers(0, 99)] * 2),
+    st.builds(i.Refuse, *[st.integers(0, 99)] * 2),
+    st.builds(i.Discard, st.integers(0, 99)),
+    st.builds(i.Fail, st.integers(0, 99)),
+    st.builds(i.Cancel, *[st.integers(0, 99)] * 2),
+)
 
 
 @settings(max_examples=150, deadline=None)
 @given(st.lists(some_events, max_size=6), st.lists(some_actions, max_size=6), st.lists(st.integers(0, 900), max_size=5))
 def test_frames_arrive_as_sent_however_cut(events: list[i.Event], actions: list[i.Action], cuts: list[int]) -> None:
     sent: list[frames.Frame] = [
-        frames.Hello(1, 0, 1, "z", 5, "h"), frames.Servers(3, [server()]),
+        frames.Hello(1, 0, 1, "z", 5, "h"),
+        frames.Servers(3, [server()]),
         frames.Events(1, 9, [frames.mirror(event) for event in events]),
-        frames.Actions(1, [frames.mirror(action) for action in actions])]
+        frames.Actions(1, [frames.mirror(action) for action in actions]),
+    ]
     data = b"".join(frames.encode(frame) for frame in sent)
     points = sorted({point % (len(data) + 1) for point in cuts})
     reader = frames.FrameReader()
@@ -371,9 +428,16 @@
     assert isinstance(got[3], frames.Actions) and [frames.original(action) for action in got[3].actions] == actions
 
 
-@pytest.mark.parametrize("data", [
-    b"\xff\xff\xff\xff", b"\0\0\0\1\xc1", b"\0\0\0\2\x91\xa0",
-    frames.encode(frames.Bye("x")).replace(b"Bye", b"Hi!"), (2).to_bytes(4) + b"\x92\x01"])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"\xff\xff\xff\xff",
+        b"\0\0\0\1\xc1",
+        b"\0\0\0\2\x91\xa0",
+        frames.encode(frames.Bye("x")).replace(b"Bye", b"Hi!"),
+        (2).to_bytes(4) + b"\x92\x01",
+    ],
+)
 def test_what_is_no_frame_ends_the_link(data: bytes) -> None:
     with pytest.raises(frames.LinkError):
         frames.FrameReader().feed(data)
--- a/tests/test_crossing_ledger.py
+++ b/tests/test_crossing_ledger.py
@@ -78,8 +78,11 @@
 
 BREAKS: dict[str, tuple[Callable[[Ledger], object], str, float]] = {
     "no answer": (lambda to: attempt(to, "read", 503), "ask", 0.0),
-    "more than one answer": (lambda to: to.requests[0].answers.extend(
-        [(monotonic(), Message(b"HTTP/1.1 503 x", {}))] * 2), "ask", 0.0),
+    "more than one answer": (
+        lambda to: to.requests[0].answers.extend([(monotonic(), Message(b"HTTP/1.1 503 x", {}))] * 2),
+        "ask",
+        0.0,
+    ),
     "an answer 503 with no request before it": (answered_twice, "ask", 0.0),
     "after its time": (lambda to: answer(to, 503), "ask", 1.0),
     "two attempts at once": (twice, "ask", 0.0),
@@ -91,7 +94,8 @@
     "after its client left": (left, "ask", 0.0),
     "reset under a request": (lambda to: to.ended(to.requests, "rst", b""), "ask", 0.0),
     "bytes that are no answer": (lambda to: to.ended(to.requests, "fin", b"x"), "ask", 0.0),
-    "a stream that no host made": (lambda to: answer(to, 200, b"x"), "ask", 0.0)}
+    "a stream that no host made": (lambda to: answer(to, 200, b"x"), "ask", 0.0),
+}
 
 
 @pytest.mark.parametrize("says", BREAKS)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -37,6 +37,7 @@
 
 def flood(stage: Stage, how: str, count: int = 5, body: int = 61_000, phase: str = "read out") -> None:
     """Much more comes after the first request, and the end."""
+
     def more() -> None:
         client.send(b"".join(client.asks(f"more-{at}", body=b"{%s}" % (b" " * body)).data for at in range(count)))
         client.leave(how)
@@ -71,8 +72,9 @@
 @pytest.mark.parametrize("how", LEAVING)
 @pytest.mark.parametrize("phase", PHASES)
 @pytest.mark.parametrize("count,body", [(5, 61_000), (3 * AHEAD_REQUESTS_MOST, 10)])
-def test_a_client_sends_much_and_goes_while_its_first_request_waits(stage: Stage, how: str, phase: str, count: int,
-                                                                    body: int) -> None:
+def test_a_client_sends_much_and_goes_while_its_first_request_waits(
+    stage: Stage, how: str, phase: str, count: int, body: int
+) -> None:
     flood(stage, how, 1 if phase == "before the read" and body > 10 else count, body, phase)
 
 
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -35,8 +35,9 @@
 def whole(stage: Stage, agent: Agent) -> AgentCall:
     """A call for the whole list, which follows the reset of a watch."""
     held(stage, agent).close(reset=True)
-    return stage.until("a call for the whole list", lambda: next(
-        (call for call in agent.calls if call.open and call.index < 0), None))
+    return stage.until(
+        "a call for the whole list", lambda: next((call for call in agent.calls if call.open and call.index < 0), None)
+    )
 
 
 def second(stage: Stage, revision: int) -> Agent:
@@ -62,8 +63,14 @@
     served(stage)
 
 
-MOVES = ("a watch waits", "a whole list is awaited", "half an answer has come", "the first call is reset",
-         "its first answer comes by halves", "an answer comes in one turn")
+MOVES = (
+    "a watch waits",
+    "a whole list is awaited",
+    "half an answer has come",
+    "the first call is reset",
+    "its first answer comes by halves",
+    "an answer comes in one turn",
+)
 
 
 @pytest.mark.parametrize("phase", MOVES)
@@ -131,8 +138,9 @@
     with stage.news:
         stage.agent = last
     stage.until("a watch at the last", last.waiting)
-    stage.until("the end of the others", lambda: all(
-        call.end for agent in {old, other} - {last} for call in agent.calls))
+    stage.until(
+        "the end of the others", lambda: all(call.end for agent in {old, other} - {last} for call in agent.calls)
+    )
     last.tell(*stage.new_hosts(1, 1))
     assert sum(call.open and not call.end for call in last.calls) == 1
     served(stage)
--- a/tests/test_crossings_drain.py
+++ b/tests/test_crossings_drain.py
@@ -161,6 +161,7 @@
 
 # --- idle connections that are closed
 
+
 def room_is_made(folder: Path, order: str) -> list[str]:
     """The connection that has been idle longest is closed to make room as its next request comes."""
     with Stage(folder, sockets=16) as stage:
--- a/tests/test_crossings_hosts.py
+++ b/tests/test_crossings_hosts.py
@@ -210,8 +210,12 @@
     stage.check()
 
 
-CUTS = {"nothing": b"", "head": HEAD, "part of a chunk": HEAD + chunk(EVENT)[:20],
-        "word": b"HTTP/1.1 503 x\r\nsrv-declined: 1\r\ncontent-length: 5\r\n\r\nno"}
+CUTS = {
+    "nothing": b"",
+    "head": HEAD,
+    "part of a chunk": HEAD + chunk(EVENT)[:20],
+    "word": b"HTTP/1.1 503 x\r\nsrv-declined: 1\r\ncontent-length: 5\r\n\r\nno",
+}
 
 
 @pytest.mark.parametrize("reset", [False, True])
@@ -224,7 +228,7 @@
 @pytest.mark.parametrize("reset", [False, True])
 @pytest.mark.parametrize("cls", ["ask", "order"])
 def test_a_readers_answer_is_cut_after_its_head(stage: Stage, cls: str, reset: bool) -> None:
-    cut_after_head(stage, "read", cls, reset, b"HTTP/1.1 202 x\r\ncontent-length: 20\r\n\r\n{\"cach")
+    cut_after_head(stage, "read", cls, reset, b'HTTP/1.1 202 x\r\ncontent-length: 20\r\n\r\n{"cach')
 
 
 @pytest.mark.parametrize("reset", [False, True])
@@ -286,10 +290,10 @@
                 stage.signal(signal.SIGHUP)
                 watch.send(word)
         case _:
-            watch.send(word[:len(word) // 2])
+            watch.send(word[: len(word) // 2])
             stage.signal(signal.SIGHUP)
             stage.until("a call", lambda: new.asked)
-            watch.send(word[len(word) // 2:])
+            watch.send(word[len(word) // 2 :])
     stage.until("a watch at the new address", new.waiting)
     client = stage.client()
     client.ask("a")
--- a/tests/test_crossings_pieces.py
+++ b/tests/test_crossings_pieces.py
@@ -18,8 +18,10 @@
 BEGIN_S = 0.55  # after SIGTERM the first bytes are written
 PIECES = 100  # of one to three bytes, the last of them one
 STEPS = {  # resume, when the last byte comes (before or after a step), what it is answered
-    "before the close": (CLOSE_S, {True: 200, False: 200}), "before the refusal": (LEAVE_S, {True: 200, False: 503}),
-    "before the end": (GONE_S, {True: 503, False: 503})}
+    "before the close": (CLOSE_S, {True: 200, False: 200}),
+    "before the refusal": (LEAVE_S, {True: 200, False: 503}),
+    "before the end": (GONE_S, {True: 503, False: 503}),
+}
 
 
 def in_pieces(folder: Path, resume: bool, step: str, crossing: bool) -> list[str] | None:
@@ -66,6 +68,7 @@
 @pytest.mark.parametrize("crossing", [False, True])
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("resume", [True, False])
-def test_a_request_comes_byte_by_byte_across_a_step_of_the_drain(tmp_path: Path, resume: bool, step: str,
-                                                                 crossing: bool) -> None:
+def test_a_request_comes_byte_by_byte_across_a_step_of_the_drain(
+    tmp_path: Path, resume: bool, step: str, crossing: bool
+) -> None:
     assert not in_time(lambda folder: in_pieces(folder, resume, step, crossing), tmp_path)
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -22,8 +22,14 @@
 @pytest.fixture(scope="module")
 def journals(tmp_path_factory: pytest.TempPathFactory) -> tuple[list[Line], list[Line]]:
     folder = tmp_path_factory.mktemp("day")
-    done = subprocess.run([sys.executable, "-m", "yardspindle", "lab", "day", "examples/days/short.toml",
-                           "--keep", str(folder)], cwd=ROOT, capture_output=True, text=True, timeout=120, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "yardspindle", "lab", "day", "examples/days/short.toml", "--keep", str(folder)],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=120,
+        check=False,
+    )
     assert done.returncode == 0, done.stdout + done.stderr
     assert done.stdout.endswith("rules broken: 0\n")
     return read_lines(str(folder / "clients.jsonl")), read_lines(str(folder / "boxes.jsonl"))
@@ -38,7 +44,8 @@
     assert all(report.named[f"attempts whose box died mid-{part}"] for part in ("read", "move", "stream"))
     assert report.tally["order"]["served"] and report.tally["enquiry"]["served"]
     assert {"killed", "control", "start", "hold state", "hold place", "release", "fetched"} <= {
-        line["ev"] for line in boxes}
+        line["ev"] for line in boxes
+    }
 
 
 def first(lines: list[Line], **wanted: Any) -> Line:
@@ -47,8 +54,13 @@
 
 def served_order(clients: list[Line]) -> str:
     orders = {line["try"] for line in clients if line["ev"] == "send" and line["cls"] == "order"}
-    return str(next(line["try"] for line in clients if line["ev"] == "final" and line["outcome"] == "served"
-                    and line["try"] in orders))
+    return str(
+        next(
+            line["try"]
+            for line in clients
+            if line["ev"] == "final" and line["outcome"] == "served" and line["try"] in orders
+        )
+    )
 
 
 def no_final(clients: list[Line], boxes: list[Line]) -> None:
@@ -69,8 +81,9 @@
 
 
 def cut_short_but_served(clients: list[Line], boxes: list[Line]) -> None:
-    line = next(line for line in clients if line["ev"] == "final" and line["outcome"] == "served"
-                and line["events"] > 2)
+    line = next(
+        line for line in clients if line["ev"] == "final" and line["outcome"] == "served" and line["events"] > 2
+    )
     line["events"] -= 1
 
 
@@ -118,25 +131,41 @@
 Fault = Callable[[list[Line], list[Line]], None]
 
 
-@pytest.mark.parametrize(("fault", "rule"), [
-    (no_final, "one final answer"), (two_finals, "one final answer"), (late, "one final answer"),
-    (something_after_the_end, "one final answer"), (cut_short_but_served, "one final answer"),
-    (ran_twice, "no effect twice"), (ran_and_refused, "no effect twice"), (broke_off_and_served, "no effect twice"),
-    (sent_to_a_drained_box, "drains kept"), (fell_over, "no cold server pushed over"),
-    (state_never_let_go, "nothing left pinned"), (place_let_go_late, "nothing left pinned"),
-    (lapsed, "nothing left pinned")])
-def test_the_audit_finds_each_rule_broken_on_purpose(journals: tuple[list[Line], list[Line]], fault: Fault,
-                                                     rule: str) -> None:
+@pytest.mark.parametrize(
+    ("fault", "rule"),
+    [
+        (no_final, "one final answer"),
+        (two_finals, "one final answer"),
+        (late, "one final answer"),
+        (something_after_the_end, "one final answer"),
+        (cut_short_but_served, "one final answer"),
+        (ran_twice, "no effect twice"),
+        (ran_and_refused, "no effect twice"),
+        (broke_off_and_served, "no effect twice"),
+        (sent_to_a_drained_box, "drains kept"),
+        (fell_over, "no cold server pushed over"),
+        (state_never_let_go, "nothing left pinned"),
+        (place_let_go_late, "nothing left pinned"),
+        (lapsed, "nothing left pinned"),
+    ],
+)
+def test_the_audit_finds_each_rule_broken_on_purpose(
+    journals: tuple[list[Line], list[Line]], fault: Fault, rule: str
+) -> None:
     clients, boxes = copy.deepcopy(journals)
     fault(clients, boxes)
     assert rule in {name for name, _ in audit(clients, boxes, FIGURES).breaks}
 
 
-@pytest.mark.parametrize(("text", "says"), [
-    ("seed = 1\nseconds = 1\nrate_per_s = 1\nclasses = []", "classes: empty"),
-    ("seed = 1\nseconds = 1\nrate_per_s = 0\nclasses = []", "rate_per_s: expected"),
-    ("[[troubles]]\nat_s = 1\ndo = 'kill'\nbox = 'x'\n", "no such box: x"),
-    ("[[troubles]]\nat_s = 1\ndo = 'dance'\n", "troubles[0].do: invalid enum value 'dance'")])
+@pytest.mark.parametrize(
+    ("text", "says"),
+    [
+        ("seed = 1\nseconds = 1\nrate_per_s = 1\nclasses = []", "classes: empty"),
+        ("seed = 1\nseconds = 1\nrate_per_s = 0\nclasses = []", "rate_per_s: expected"),
+        ("[[troubles]]\nat_s = 1\ndo = 'kill'\nbox = 'x'\n", "no such box: x"),
+        ("[[troubles]]\nat_s = 1\ndo = 'dance'\n", "troubles[0].do: invalid enum value 'dance'"),
+    ],
+)
 def test_a_days_file_is_checked(tmp_path: Path, text: str, says: str) -> None:
     base = 'seed = 1\nseconds = 1\nrate_per_s = 1\n[[classes]]\nname = "a"\neffect = "safe"\nshare = 1\n'
     file = tmp_path / "d.toml"
--- a/tests/test_edge_core.py
+++ b/tests/test_edge_core.py
@@ -19,15 +19,25 @@
 from yardspindle.core.request.releases import Thing
 
 RULES = EdgeRules(
-    effects={"safe": i.Effect.SAFE, "once": i.Effect.UNSAFE, "keyed": i.Effect.KEYED}, release_us=300_000,
-    drain_grace_us=100_000, answer_slack_us=40_000, retry_after_us=1_000_000, max_attempts=4, most_open=6)
+    effects={"safe": i.Effect.SAFE, "once": i.Effect.UNSAFE, "keyed": i.Effect.KEYED},
+    release_us=300_000,
+    drain_grace_us=100_000,
+    answer_slack_us=40_000,
+    retry_after_us=1_000_000,
+    max_attempts=4,
+    most_open=6,
+)
 READER, READER2, WRITER, WRITER2, BOTH = 1, 2, 3, 4, 5
 ROLES = {READER: i.Role.READ, READER2: i.Role.READ, WRITER: i.Role.WRITE, WRITER2: i.Role.WRITE, BOTH: i.Role.BOTH}
 
 
 def fleet(draining: frozenset[int] = frozenset()) -> list[Server]:
-    return [Server(n, f"s{n}", "127.0.0.1", 1000 + n, role,
-                   i.State.DRAINING if n in draining else i.State.SERVING, places=True) for n, role in ROLES.items()]
+    return [
+        Server(
+            n, f"s{n}", "127.0.0.1", 1000 + n, role, i.State.DRAINING if n in draining else i.State.SERVING, places=True
+        )
+        for n, role in ROLES.items()
+    ]
 
 
 def started() -> EdgeCore:
@@ -53,6 +63,7 @@
 
 # --- the ordinary path and the named hard cases
 
+
 def test_a_request_is_read_written_and_served() -> None:
     core = started()
     assert of(c.TellPlanner, core.arrive(0, ask()))[0].event == ask()
@@ -153,8 +164,11 @@
     core.attempt_ended(6, 5, 1, i.Status.RESET)
     out = core.planner_down(10)
     answers = {a.request: (a.final, a.code) for a in of(c.Answer, out)}
-    assert answers == {1: (c.Final.REFUSED, "planner_lost"), 2: (c.Final.REFUSED, "planner_lost"),
-                       5: (c.Final.FAILED, "may_have_run")}
+    assert answers == {
+        1: (c.Final.REFUSED, "planner_lost"),
+        2: (c.Final.REFUSED, "planner_lost"),
+        5: (c.Final.FAILED, "may_have_run"),
+    }
     assert of(c.Abort, out) == [c.Abort(2, 0, fleet()[READER - 1], c.AbortReason.PLANNER_LOST)]
     core.planner_up(11, 8)
     assert not core.act(12, 8, i.Fail(4)), "a later planner knows nothing of what an earlier one decided"
@@ -201,9 +215,17 @@
     assert [r.owed.server.number for r in of(c.Release, out)] == [WRITER2]
 
 
-@pytest.mark.parametrize(("status", "released"), [
-    (None, True), (i.Status.CONNECT_FAILED, True), (i.Status.RESET, True), (i.Status.TIMEOUT, True),
-    (i.Status.FULL, False), (i.Status.SERVED, False)])
+@pytest.mark.parametrize(
+    ("status", "released"),
+    [
+        (None, True),
+        (i.Status.CONNECT_FAILED, True),
+        (i.Status.RESET, True),
+        (i.Status.TIMEOUT, True),
+        (i.Status.FULL, False),
+        (i.Status.SERVED, False),
+    ],
+)
 def test_a_place_whose_write_may_never_have_come_is_let_go(status: i.Status | None, released: bool) -> None:
     """Seed 191 of the virtual days: the client left before its write was on the wire, and the place lapsed."""
     core = started()
@@ -232,7 +254,8 @@
     st.tuples(st.just("wait"), st.integers(1, 200), st.just(0)),
     st.tuples(st.just("drain"), st.sampled_from([READER, WRITER]), st.just(0)),
     st.tuples(st.just("planner"), st.booleans(), st.just(0)),
-    st.tuples(st.just("release"), st.booleans(), st.just(0)))
+    st.tuples(st.just("release"), st.booleans(), st.just(0)),
+)
 
 
 class Hostile:
@@ -291,8 +314,11 @@
             case "act":
                 number = self.pick(a)
                 actions: dict[str, i.Action] = {
-                    "refuse": i.Refuse(number), "fail": i.Fail(number), "discard": i.Discard(number),
-                    "cancel": i.Cancel(number, max((k[1] for k in self.out if k[0] == number), default=0))}
+                    "refuse": i.Refuse(number),
+                    "fail": i.Fail(number),
+                    "discard": i.Discard(number),
+                    "cancel": i.Cancel(number, max((k[1] for k in self.out if k[0] == number), default=0)),
+                }
                 self.take(core.act(now, self.epoch, actions[b]))
             case "end" if self.out:
                 key = list(self.out)[a % len(self.out)]
--- a/tests/test_edge_core_rules.py
+++ b/tests/test_edge_core_rules.py
@@ -35,7 +35,6 @@
     assert tally.taken == len(world.numbers) == tally.served + tally.refused + tally.failed + tally.left
 
 
-
 def test_the_watch_finds_each_planted_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     def fault(change: Callable[[pytest.MonkeyPatch], None], script: list[tuple[str, Any, Any]]) -> set[str]:
         with monkeypatch.context() as patch:
@@ -51,11 +50,13 @@
     assert fault(never_ran, again) == {"no effect twice"}
 
     def no_hindrance(patch: pytest.MonkeyPatch) -> None:
-        patch.setattr(lifecycle.Lifecycle, "_hindrance",
-                      lambda self, now, r, number: (None, self.directory.servers.get(number)))
+        patch.setattr(
+            lifecycle.Lifecycle, "_hindrance", lambda self, now, r, number: (None, self.directory.servers.get(number))
+        )
 
     assert fault(no_hindrance, [("arrive", "safe", 400), ("send", 0, READER), ("send", 0, READER2)]) == {
-        "no effect twice"}
+        "no effect twice"
+    }
     drained = [("arrive", "safe", 400), ("drain", READER, 0), ("wait", 150, 0), ("send", 0, READER)]
     assert fault(no_hindrance, drained) == {"drains kept"}
 
@@ -69,8 +70,16 @@
     def never_untaken(patch: pytest.MonkeyPatch) -> None:
         patch.setattr(lifecycle.Lifecycle, "_untaken", lambda self, now, r, out: None)
 
-    placed = [("arrive", "safe", 400), ("send", 0, READER), ("ahead", 0, WRITER), ("place", 0, True),
-              ("end", 0, i.Status.READ), ("send", 0, WRITER), ("end", 0, i.Status.RESET), ("wait", 199, 0)]
+    placed = [
+        ("arrive", "safe", 400),
+        ("send", 0, READER),
+        ("ahead", 0, WRITER),
+        ("place", 0, True),
+        ("end", 0, i.Status.READ),
+        ("send", 0, WRITER),
+        ("end", 0, i.Status.RESET),
+        ("wait", 199, 0),
+    ]
     assert fault(never_untaken, [*placed, ("wait", 199, 0)]) == {"nothing left pinned"}
 
     def answers_twice(patch: pytest.MonkeyPatch) -> None:
@@ -81,4 +90,5 @@
         patch.setattr(lifecycle.Lifecycle, "_answer", answer)
 
     assert fault(answers_twice, [("arrive", "safe", 400), ("act", 0, "fail"), ("act", 0, "fail")]) >= {
-        "one final answer"}
+        "one final answer"
+    }
--- a/tests/test_engine_client.py
+++ b/tests/test_engine_client.py
@@ -76,6 +76,7 @@
     def script(stream: Stream, number: int) -> bool:
         stream.write(data)
         return go_on
+
     return script
 
 
@@ -101,33 +102,54 @@
     return reply(status, {"error": {"message": "m", "code": code}})
 
 
-STATE = {"kv_transfer_params": {"remote_host": "h", "remote_port": 1}, "usage": {
-    "prompt_tokens": 7, "prompt_tokens_details": {"cached_tokens": 5}}}
-
-
-@pytest.mark.parametrize(("script", "status", "note"), [
-    (answers(reply(200, STATE)), Status.READ, 5),
-    (answers(reply(200, {"usage": {}})), Status.ERROR, 0),
-    (answers(http1.write_response(200, [], b"nonsense")), Status.ERROR, 0),
-    (answers(error(503, "engine_full")), Status.FULL, 0), (answers(error(503, "engine_draining")), Status.FULL, 0),
-    (answers(error(503, None)), Status.ERROR, 0), (answers(error(500, "engine_full")), Status.ERROR, 0),
-    (answers(http1.write_response(502, [], b"<html>")), Status.ERROR, 0),
-    (resets, Status.RESET, 0), (closes, Status.RESET, 0), (answers(b"HTTP/9 nonsense\r\n\r\n", False), Status.RESET, 0),
-    (answers(b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{", False), Status.RESET, 0)])
+STATE = {
+    "kv_transfer_params": {"remote_host": "h", "remote_port": 1},
+    "usage": {"prompt_tokens": 7, "prompt_tokens_details": {"cached_tokens": 5}},
+}
+
+
+@pytest.mark.parametrize(
+    ("script", "status", "note"),
+    [
+        (answers(reply(200, STATE)), Status.READ, 5),
+        (answers(reply(200, {"usage": {}})), Status.ERROR, 0),
+        (answers(http1.write_response(200, [], b"nonsense")), Status.ERROR, 0),
+        (answers(error(503, "engine_full")), Status.FULL, 0),
+        (answers(error(503, "engine_draining")), Status.FULL, 0),
+        (answers(error(503, None)), Status.ERROR, 0),
+        (answers(error(500, "engine_full")), Status.ERROR, 0),
+        (answers(http1.write_response(502, [], b"<html>")), Status.ERROR, 0),
+        (resets, Status.RESET, 0),
+        (closes, Status.RESET, 0),
+        (answers(b"HTTP/9 nonsense\r\n\r\n", False), Status.RESET, 0),
+        (answers(b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{", False), Status.RESET, 0),
+    ],
+)
 def test_how_a_read_ends(script: Script, status: Status, note: int) -> None:
     ended = with_peer(script, lambda world, peer, engines: engines.read(peer.server(Role.READ), 1, 0, b"{}"))
     assert (ended.status, ended.note) == (status, note)
     assert not may_have_run(Role.READ, ended.status), "a read has no effect, however it ends"
     if status is Status.READ:
-        assert ended.state == {"remote_host": "h", "remote_port": 1, "do_remote_prefill": True,
-                               "do_remote_decode": False}
-
-
-@pytest.mark.parametrize(("script", "status", "note", "proves"), [
-    (answers(error(503, "engine_full")), Status.FULL, 0, True), (answers(error(409, "no_state")), Status.FULL, 1, True),
-    (answers(error(503, None)), Status.ERROR, 0, False), (answers(error(500, None)), Status.ERROR, 0, False),
-    (answers(error(400, "bad_request")), Status.ERROR, 0, False),
-    (resets, Status.RESET, 0, False), (closes, Status.RESET, 0, False)])
+        assert ended.state == {
+            "remote_host": "h",
+            "remote_port": 1,
+            "do_remote_prefill": True,
+            "do_remote_decode": False,
+        }
+
+
+@pytest.mark.parametrize(
+    ("script", "status", "note", "proves"),
+    [
+        (answers(error(503, "engine_full")), Status.FULL, 0, True),
+        (answers(error(409, "no_state")), Status.FULL, 1, True),
+        (answers(error(503, None)), Status.ERROR, 0, False),
+        (answers(error(500, None)), Status.ERROR, 0, False),
+        (answers(error(400, "bad_request")), Status.ERROR, 0, False),
+        (resets, Status.RESET, 0, False),
+        (closes, Status.RESET, 0, False),
+    ],
+)
 def test_how_a_write_ends_before_its_stream(script: Script, status: Status, note: int, proves: bool) -> None:
     ended = with_peer(script, lambda world, peer, engines: engines.write(peer.server(), 1, 1, b"{}", None))
     assert isinstance(ended, Ended) and (ended.status, ended.note) == (status, note)
@@ -160,8 +182,10 @@
                 world.call_at(world.now_us(), lambda: world.scheduler.interrupt(task, DeadlineExceeded()))
 
             server = Server(1, "peer", "127.0.0.1", port, role, State.SERVING, False)
-            with (pytest.raises(DeadlineExceeded),
-                  world.deadline(world.now_us() + (50_000 if port == full.port else 600_000_000))):
+            with (
+                pytest.raises(DeadlineExceeded),
+                world.deadline(world.now_us() + (50_000 if port == full.port else 600_000_000)),
+            ):
                 if role is Role.READ:
                     engines.read(server, 1, 0, b"{}", written)
                 else:
@@ -233,7 +257,8 @@
 
         with pytest.raises(NotSent):
             HttpClient(world, 1_000_000, 1_000_000).request(
-                "127.0.0.1", listener.port, b"POST", b"/", [], b"{}", ready=ready)
+                "127.0.0.1", listener.port, b"POST", b"/", [], b"{}", ready=ready
+            )
         if not reset:
             assert accepted.result.read() == b""
 
@@ -270,8 +295,9 @@
     assert with_peer(answers(reply(200, STATE)), use) == 3
 
 
-@pytest.mark.parametrize(("tail", "whole"), [
-    (http1.write_chunk(write_event(b"[DONE]")) + http1.LAST_CHUNK, True), (b"", False)])
+@pytest.mark.parametrize(
+    ("tail", "whole"), [(http1.write_chunk(write_event(b"[DONE]")) + http1.LAST_CHUNK, True), (b"", False)]
+)
 def test_a_stream_that_is_cut_is_told_from_one_that_ended(tail: bytes, whole: bool) -> None:
     start = http1.write_response(200, [], None) + http1.write_chunk(write_event(b'{"a":1}'))
 
@@ -289,28 +315,47 @@
         return got
 
     got = with_peer(answers(start + tail, go_on=False), use)
-    assert got == [b'{"a":1}', b"[DONE]"][:1 + whole]
-
-
-@pytest.mark.parametrize(("data", "held"), [
-    (reply(200, {"held": True}), True), (reply(409, {"held": False}), False), (reply(404, {}), None),
-    (reply(500, {}), None)])
+    assert got == [b'{"a":1}', b"[DONE]"][: 1 + whole]
+
+
+@pytest.mark.parametrize(
+    ("data", "held"),
+    [
+        (reply(200, {"held": True}), True),
+        (reply(409, {"held": False}), False),
+        (reply(404, {}), None),
+        (reply(500, {}), None),
+    ],
+)
 def test_a_place_is_held_only_on_the_writers_word(data: bytes, held: bool | None) -> None:
-    assert with_peer(answers(data), lambda world, peer, engines: engines.ask_place(
-        peer.server(), 1, 1, 9.0, peer.server(Role.READ), 0)) is held
+    assert (
+        with_peer(
+            answers(data),
+            lambda world, peer, engines: engines.ask_place(peer.server(), 1, 1, 9.0, peer.server(Role.READ), 0),
+        )
+        is held
+    )
 
 
 def test_a_release_that_was_not_heard_says_so() -> None:
-    assert with_peer(answers(http1.write_response(204, [], b"")), lambda world, peer, engines: (
-        engines.release_state(peer.server(), 1, 0), engines.release_place(peer.server(), 1, 1))) == (True, True)
+    assert with_peer(
+        answers(http1.write_response(204, [], b"")),
+        lambda world, peer, engines: (
+            engines.release_state(peer.server(), 1, 0),
+            engines.release_place(peer.server(), 1, 1),
+        ),
+    ) == (True, True)
     assert with_peer(resets, lambda world, peer, engines: engines.release_state(peer.server(), 1, 0)) is False
 
 
 def test_bodies_of_the_two_stages() -> None:
     import msgspec
-    raw = msgspec.json.decode(b'{"model":"m","messages":[{"role":"user","content":"x"}],"n":2,"min_tokens":5,'
-                              b'"stream":false,"stream_options":{"novel":1},"top_k":0.10}',
-                              type=dict[str, msgspec.Raw])
+
+    raw = msgspec.json.decode(
+        b'{"model":"m","messages":[{"role":"user","content":"x"}],"n":2,"min_tokens":5,'
+        b'"stream":false,"stream_options":{"novel":1},"top_k":0.10}',
+        type=dict[str, msgspec.Raw],
+    )
     read = json.loads(read_body(raw))
     assert (read["max_tokens"], read["stream"]) == (1, False)
     assert read["kv_transfer_params"]["do_remote_decode"] and not {"n", "min_tokens", "stream_options"} & set(read)
