--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -35,23 +35,34 @@
 """
 # Without a bound: name, requests, share.
 UNBOUND = [
-    ("all", 15, 8 / 15), ("class chat", 10, 6 / 10), ("class order", 5, 2 / 5),
-    ("tenant a", 6, 4 / 6), ("tenant b", 9, 4 / 9),
-    ("third 1 of the day", 5, 3 / 5), ("third 2 of the day", 6, 4 / 6), ("third 3 of the day", 4, 1 / 4)]
+    ("all", 15, 8 / 15),
+    ("class chat", 10, 6 / 10),
+    ("class order", 5, 2 / 5),
+    ("tenant a", 6, 4 / 6),
+    ("tenant b", 9, 4 / 9),
+    ("third 1 of the day", 5, 3 / 5),
+    ("third 2 of the day", 6, 4 / 6),
+    ("third 3 of the day", 4, 1 / 4),
+]
 # Chance: of chat's requests 2 of 10 were refused, two of its eight sessions had two turns; of order's 1 of 5.
 QUIET = [
-    ("chat: longest quarter of prompts", 2, 1.0, 0.4, 0.6), ("chat: next fifth of prompts", 2, 0.5, 0.4, 0.1),
+    ("chat: longest quarter of prompts", 2, 1.0, 0.4, 0.6),
+    ("chat: next fifth of prompts", 2, 0.5, 0.4, 0.1),
     ("chat: refused sessions, chance 0.160", 8, 0.125, 0.28, 0.155),
     ("order: longest quarter of prompts", 1, 0.0, 0.8 / 3, -0.8 / 3),
     ("order: next fifth of prompts", 1, 1.0, 0.8 / 3, 2.2 / 3),
     ("order: refused sessions, chance 0.200", 5, 0.2, 0.32, 0.12),
-    ("dispatchers turning all away, most 0.0 s", 2, 0.0, 0.1, 0.1)]
+    ("dispatchers turning all away, most 0.0 s", 2, 0.0, 0.1, 0.1),
+]
 OTHER = [
-    ("chat: longest quarter of prompts", 2, 1.0, 0.3, 0.7), ("chat: next fifth of prompts", 2, 0.5, 0.3, 0.2),
+    ("chat: longest quarter of prompts", 2, 1.0, 0.3, 0.7),
+    ("chat: next fifth of prompts", 2, 0.5, 0.3, 0.2),
     ("chat: refused sessions, chance 0.160", 8, 0.125, None, None),
-    ("order: longest quarter of prompts", 1, 0.0, 0.2, -0.2), ("order: next fifth of prompts", 1, 1.0, 0.2, 0.8),
+    ("order: longest quarter of prompts", 1, 0.0, 0.2, -0.2),
+    ("order: next fifth of prompts", 1, 1.0, 0.2, 0.8),
     ("order: refused sessions, chance 0.200", 5, 0.2, None, None),
-    ("dispatchers turning all away, most 0.0 s", 2, 0.0, None, None)]
+    ("dispatchers turning all away, most 0.0 s", 2, 0.0, None, None),
+]
 
 
 @pytest.fixture
@@ -59,11 +70,14 @@
     return script("fairness")
 
 
-def line(ident: object, cls: str, tenant: str, session: str, prompt: object, came: object, end: str, tries: str,
-         ms: str = "") -> str:
+def line(
+    ident: object, cls: str, tenant: str, session: str, prompt: object, came: object, end: str, tries: str, ms: str = ""
+) -> str:
     at = ",".join("-" if n == "0" else f"{role}1/a/1" for role, n in zip("rw", tries.split(","), strict=True))
-    return (f"9.000 request id={ident} cls={cls} tenant={tenant} end={end} prompt={prompt} prefix=-:0 "
-            f"session={session} kept=0 tries={tries},0,0 at={at} came={came} ms={ms}")
+    return (
+        f"9.000 request id={ident} cls={cls} tenant={tenant} end={end} prompt={prompt} prefix=-:0 "
+        f"session={session} kept=0 tries={tries},0,0 at={at} came={came} ms={ms}"
+    )
 
 
 def logs(day: str = DAY) -> dict[str, list[str]]:
@@ -73,8 +87,14 @@
     return found
 
 
-def table(fairness: ModuleType, *, effects: dict[str, str] | None = None, quiet: bool = False, roll: bool = False,
-          day: str = DAY) -> list[tuple[object, ...]]:
+def table(
+    fairness: ModuleType,
+    *,
+    effects: dict[str, str] | None = None,
+    quiet: bool = False,
+    roll: bool = False,
+    day: str = DAY,
+) -> list[tuple[object, ...]]:
     found = fairness.figures([fairness.rows(lines) for lines in logs(day).values()], effects or {}, quiet, roll)
     return [(f.name, f.count, f.share, f.bound, f.margin) for f in found]
 
@@ -103,7 +123,8 @@
 
 @pytest.mark.parametrize(("count", "name", "sizes"), [(399, "quarter", (99, 79)), (400, "tenth", (40, 80))])
 def test_a_small_class_has_a_quarter_of_long_prompts(
-        fairness: ModuleType, count: int, name: str, sizes: tuple[int, int]) -> None:
+    fairness: ModuleType, count: int, name: str, sizes: tuple[int, int]
+) -> None:
     some = [fairness.Request("chat", "a", f"s{n}", float(n), float(n), True, False) for n in range(count)]
     groups = fairness.prompt_groups(some)
     assert list(groups) == [f"longest {name} of prompts", "next fifth of prompts"]
@@ -113,8 +134,9 @@
 
 
 def away(count: int, span_ms: int) -> list[str]:
-    return [line(n, "chat", "a", f"s{n}", 100, 1000 + n * span_ms // (count - 1), "overloaded", "0,0")
-            for n in range(count)]
+    return [
+        line(n, "chat", "a", f"s{n}", 100, 1000 + n * span_ms // (count - 1), "overloaded", "0,0") for n in range(count)
+    ]
 
 
 EARLY = line("x", "chat", "a", "x", 100, 500, "served", "1,1", "wait:{},prefill:{},hold:0,transfer:5,decode:9")
@@ -124,16 +146,24 @@
     "too short": (lambda: away(15, 3999), 3999.0),
     "a longer one, and as sparse": (lambda: away(15, 9000), 9000.0),
     "a request that was sent on, refused or not": (
-        lambda: [*away(15, 4000), line("x", "chat", "a", "x", 100, 1100, "overloaded", "1,0")], 0.0),
+        lambda: [*away(15, 4000), line("x", "chat", "a", "x", 100, 1100, "overloaded", "1,0")],
+        0.0,
+    ),
     "a request within that was sent on, the last time later": (
-        lambda: [*away(15, 4000), line("x", "chat", "a", "x", 100, 1100, "overloaded", "2,0", "wait:9000")], 0.0),
+        lambda: [*away(15, 4000), line("x", "chat", "a", "x", 100, 1100, "overloaded", "2,0", "wait:9000")],
+        0.0,
+    ),
     "an earlier request's read within": (lambda: [*away(15, 4000), EARLY.format(600, 5000)], 0.0),
     "an earlier request's write within": (lambda: [*away(15, 4000), EARLY.format(10, 600)], 0.0),
     "an earlier request that was done": (lambda: [*away(15, 4000), EARLY.format(10, 20)], 4000.0),
     "a client that left unserved": (
-        lambda: [*away(15, 4000), line("x", "chat", "a", "x", 100, 1100, "left", "0,0")], 4000.0),
-    "failures that were never sent on": (lambda: [row.replace("overloaded", "gave_up") for row in away(15, 4000)],
-                                         4000.0),
+        lambda: [*away(15, 4000), line("x", "chat", "a", "x", 100, 1100, "left", "0,0")],
+        4000.0,
+    ),
+    "failures that were never sent on": (
+        lambda: [row.replace("overloaded", "gave_up") for row in away(15, 4000)],
+        4000.0,
+    ),
 }
 
 
@@ -146,8 +176,12 @@
 def test_one_dispatcher_in_ten_may_turn_all_away(fairness: ModuleType) -> None:
     bad, good = fairness.rows(away(15, 4000)), fairness.rows(away(15, 3999))
     for bads, of, quiet, roll, margin in (
-            (1, 10, True, False, 0.0), (1, 10, False, True, 0.0), (1, 10, False, False, None),
-            (2, 10, False, True, -0.1), (1, 6, True, False, 0.1 - 1 / 6)):
+        (1, 10, True, False, 0.0),
+        (1, 10, False, True, 0.0),
+        (1, 10, False, False, None),
+        (2, 10, False, True, -0.1),
+        (1, 6, True, False, 0.1 - 1 / 6),
+    ):
         row = fairness.figures([bad] * bads + [good] * (of - bads), {}, quiet, roll)[-1]
         assert (row.name, row.count) == ("dispatchers turning all away, most 4.0 s", of)
         assert row.share == bads / of and row.margin == (None if margin is None else pytest.approx(margin))
--- a/tests/test_fleet_mistakes.py
+++ b/tests/test_fleet_mistakes.py
@@ -14,8 +14,10 @@
 
 MISTAKES = {
     "a_duty_is_taken_without_looking": (s.all_but_the_owner_race, "taken over while"),
-    "a_duty_is_handed_over_without_the_fence": (s.handing_over_on_purpose_takes_less_than_a_tenth_of_a_second,
-                                                "removed by somebody"),
+    "a_duty_is_handed_over_without_the_fence": (
+        s.handing_over_on_purpose_takes_less_than_a_tenth_of_a_second,
+        "removed by somebody",
+    ),
     "the_fleet_is_written_to_without_the_fence": (s.clocks_are_told, "did not prove to hold"),
     "an_engine_obeys_any_fence": (s.an_owner_that_was_stopped_wakes_up_late_and_does_no_harm, "obeyed after"),
     "an_engine_forgets_its_fences": (s.an_engine_that_was_restarted_refuses_an_old_order, "obeyed after"),
@@ -23,7 +25,8 @@
     "silence_is_taken_for_a_death": (s.a_stopped_edge_is_not_taken_for_a_dead_one, "still sends"),
     "everybodys_holds_are_let_go_of": (s.an_edge_lives_while_another_dies, "is registered"),
     "a_fence_is_guessed": (s.an_edge_that_is_killed_leaves_nothing_behind, "was never given"),
-    "a_store_that_went_back_is_used": (s.a_store_that_is_away_and_comes_back_older_is_refused, "went back")}
+    "a_store_that_went_back_is_used": (s.a_store_that_is_away_and_comes_back_older_is_refused, "went back"),
+}
 
 
 @pytest.mark.parametrize("name", MISTAKES)
--- a/tests/test_fleet_worlds.py
+++ b/tests/test_fleet_worlds.py
@@ -40,8 +40,13 @@
 
     patch.setattr(ownership, "_looked", looked)
     shares = spread.shares
-    patch.setattr(spread, "shares", lambda free, holders, names: {
-        duty: sorted(order, key=lambda name: 0) for duty, order in shares(free, holders, names).items()})
+    patch.setattr(
+        spread,
+        "shares",
+        lambda free, holders, names: {
+            duty: sorted(order, key=lambda name: 0) for duty, order in shares(free, holders, names).items()
+        },
+    )
 
 
 def _acts_without_its_lease(patch: pytest.MonkeyPatch) -> None:
@@ -76,13 +81,21 @@
 
 def _silence_is_death(patch: pytest.MonkeyPatch) -> None:
     real = Fates.asked
-    patch.setattr(Fates, "asked", lambda self, now, epoch, answer, found: real(
-        self, now, epoch, Answer.REFUSED if answer is Answer.SILENT else answer, found))
-
-
-MISTAKES = {"any holder is me": (_any_holder_is_me, 40), "acts without its lease": (_acts_without_its_lease, 40),
-            "a lost answer is a refusal": (_a_lost_answer_is_a_refusal, 40),
-            "silence is death": (_silence_is_death, 40)}
+    patch.setattr(
+        Fates,
+        "asked",
+        lambda self, now, epoch, answer, found: real(
+            self, now, epoch, Answer.REFUSED if answer is Answer.SILENT else answer, found
+        ),
+    )
+
+
+MISTAKES = {
+    "any holder is me": (_any_holder_is_me, 40),
+    "acts without its lease": (_acts_without_its_lease, 40),
+    "a lost answer is a refusal": (_a_lost_answer_is_a_refusal, 40),
+    "silence is death": (_silence_is_death, 40),
+}
 
 
 @pytest.mark.parametrize("name", MISTAKES)
--- a/tests/test_held_silent_hosts.py
+++ b/tests/test_held_silent_hosts.py
@@ -48,8 +48,10 @@
     client.ask("held", cls, deadline_ms=3_000)
     stage.call("read", "held").answer(202)
     freed = stage.number("held").encode()
-    stage.until("the word that lets go", lambda: any(
-        kind == "freed" and number == freed for _, kind, number in stage.ledger.moves))
+    stage.until(
+        "the word that lets go",
+        lambda: any(kind == "freed" and number == freed for _, kind, number in stage.ledger.moves),
+    )
     if cls == "order":  # it may have run: it is given up, and answered at once
         assert client.answer().status in (502, 504)
     else:
@@ -69,8 +71,10 @@
     served = monotonic()
     place.ended()
     freed = stage.number("a").encode()
-    stage.until("two words that let go, as the call may have been taken after the first", lambda: sum(
-        kind == "freed" and number == freed for _, kind, number in stage.ledger.moves) > 1)
+    stage.until(
+        "two words that let go, as the call may have been taken after the first",
+        lambda: sum(kind == "freed" and number == freed for _, kind, number in stage.ledger.moves) > 1,
+    )
     assert monotonic() - served < RELEASE_S + HELD_MORE_S
     stage.check()
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -56,8 +56,9 @@
         elif isinstance(event, h11.Data):
             body += bytes(event.data)
         elif isinstance(event, h11.EndOfMessage):
-            found.append((bytes(head.method), bytes(head.target), [(bytes(n), bytes(v)) for n, v in head.headers],
-                          body))
+            found.append(
+                (bytes(head.method), bytes(head.target), [(bytes(n), bytes(v)) for n, v in head.headers], body)
+            )
 
 
 class Httptools:
@@ -94,16 +95,27 @@
 
 
 token = st.text("abcdefgXYZ0123456789-_", min_size=1, max_size=12).map(str.encode)
-value = st.text("abc XYZ09,;=/\t\"\u00e9", max_size=20).map(lambda text: text.encode("latin-1").strip(b" \t"))
+value = st.text('abc XYZ09,;=/\t"\u00e9', max_size=20).map(lambda text: text.encode("latin-1").strip(b" \t"))
 bodies = st.binary(max_size=300)
 
 
 @st.composite
 def messages(draw: st.DrawFn) -> bytes:
-    reserved = (b"host", b"content-length", b"transfer-encoding", b"connection", b"expect", b"upgrade",
-                b"keep-alive", b"proxy-connection")
-    headers = [(b"Host", b"x")] + [(name, text) for name, text in draw(
-        st.lists(st.tuples(token, value), max_size=5)) if name.lower() not in reserved]
+    reserved = (
+        b"host",
+        b"content-length",
+        b"transfer-encoding",
+        b"connection",
+        b"expect",
+        b"upgrade",
+        b"keep-alive",
+        b"proxy-connection",
+    )
+    headers = [(b"Host", b"x")] + [
+        (name, text)
+        for name, text in draw(st.lists(st.tuples(token, value), max_size=5))
+        if name.lower() not in reserved
+    ]
     body = draw(bodies)
     kind = draw(st.sampled_from(["length", "chunks", "none"]))
     first = draw(st.sampled_from([b"POST", b"PUT", b"PATCH"])) + b" /" + draw(token) + b" HTTP/1.1"
@@ -111,8 +123,11 @@
         return http1.write_head(first, [*headers, (b"Content-Length", str(len(body)).encode())]) + body
     if kind == "chunks":
         pieces = cut(body, draw(st.lists(st.integers(0, 400), max_size=12)))
-        return (http1.write_head(first, [*headers, (b"Transfer-Encoding", b"chunked")])
-                + b"".join(map(http1.write_chunk, pieces)) + http1.LAST_CHUNK)
+        return (
+            http1.write_head(first, [*headers, (b"Transfer-Encoding", b"chunked")])
+            + b"".join(map(http1.write_chunk, pieces))
+            + http1.LAST_CHUNK
+        )
     return http1.write_head(first, headers)
 
 
@@ -127,14 +142,26 @@
 
 
 @settings(max_examples=600, deadline=None)
-@given(messages(), st.lists(st.tuples(st.integers(0, 600), st.sampled_from(
-    [b"", b"\r", b"\n", b" ", b"\t", b"\0", b":", b";", b"0", b"\r\n", b"chunked", b"Content-Length: 1\r\n"])),
-    min_size=1, max_size=3), st.booleans())
-def test_what_we_accept_of_mutated_requests_h11_accepts_alike(data: bytes, edits: list[tuple[int, bytes]],
-                                                              replace: bool) -> None:
+@given(
+    messages(),
+    st.lists(
+        st.tuples(
+            st.integers(0, 600),
+            st.sampled_from(
+                [b"", b"\r", b"\n", b" ", b"\t", b"\0", b":", b";", b"0", b"\r\n", b"chunked", b"Content-Length: 1\r\n"]
+            ),
+        ),
+        min_size=1,
+        max_size=3,
+    ),
+    st.booleans(),
+)
+def test_what_we_accept_of_mutated_requests_h11_accepts_alike(
+    data: bytes, edits: list[tuple[int, bytes]], replace: bool
+) -> None:
     for at, new in edits:
         at %= len(data) + 1
-        data = data[:at] + new + data[at + replace:]
+        data = data[:at] + new + data[at + replace :]
     try:
         ours = requests_of([data])
     except ProtocolError:
@@ -144,7 +171,7 @@
     except h11.RemoteProtocolError:
         theirs = None  # a later message on the connection broke: h11 gives no part of the whole
     if theirs is not None:
-        assert ours[:len(theirs)] == theirs[:len(ours)]
+        assert ours[: len(theirs)] == theirs[: len(ours)]
 
 
 @settings(max_examples=400, deadline=None)
@@ -155,6 +182,7 @@
             return requests_of(pieces)
         except ProtocolError as error:
             return error.status
+
     whole, parts = outcome([data]), outcome(cut(data, cuts))
     if isinstance(whole, list) or isinstance(parts, list):
         assert whole == parts
@@ -164,12 +192,19 @@
 def test_small_chunks_that_came_together_are_one_piece(size: int) -> None:
     """One by one each took 9 us: a client's close behind a body of them was seen 0.2 s late."""
     chunk = http1.write_chunk(b"x" * size)
-    data = (b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk * 2_000
-            + b"%x;a=b\r\n" % size + b"y" * size + b"\r\n" + chunk * 2_000 + http1.LAST_CHUNK)
+    data = (
+        b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
+        + chunk * 2_000
+        + b"%x;a=b\r\n" % size
+        + b"y" * size
+        + b"\r\n"
+        + chunk * 2_000
+        + http1.LAST_CHUNK
+    )
     pieces: list[bytes] = []
     parser = http1.RequestParser(limits=http1.Limits(body=4_001 * size))
     for at in range(0, len(data), 65_536):
-        parser.feed(data[at:at + 65_536])
+        parser.feed(data[at : at + 65_536])
         while isinstance(event := parser.next_event(), http1.RequestHead | http1.Data):
             pieces += [event.data] if isinstance(event, http1.Data) else []
     assert isinstance(event, http1.End)
@@ -204,10 +239,16 @@
 }
 CHUNKED = b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
 BAD_CHUNKS = {
-    "no size": b"\r\nabc", "a sign": b"+3\r\nabc\r\n0\r\n\r\n", "0x": b"0x3\r\nabc\r\n0\r\n\r\n",
-    "a space before": b" 3\r\nabc\r\n0\r\n\r\n", "an underscore": b"1_0\r\n", "bare LF": b"3\nabc\r\n0\r\n\r\n",
-    "17 digits": b"00000000000000003\r\nabc\r\n", "too long a piece": b"3\r\nabcd\r\n0\r\n\r\n",
-    "LF in an extension": b"3;a=\nb\r\nabc\r\n0\r\n\r\n", "a bad trailer": b"0\r\nA : b\r\n\r\n",
+    "no size": b"\r\nabc",
+    "a sign": b"+3\r\nabc\r\n0\r\n\r\n",
+    "0x": b"0x3\r\nabc\r\n0\r\n\r\n",
+    "a space before": b" 3\r\nabc\r\n0\r\n\r\n",
+    "an underscore": b"1_0\r\n",
+    "bare LF": b"3\nabc\r\n0\r\n\r\n",
+    "17 digits": b"00000000000000003\r\nabc\r\n",
+    "too long a piece": b"3\r\nabcd\r\n0\r\n\r\n",
+    "LF in an extension": b"3;a=\nb\r\nabc\r\n0\r\n\r\n",
+    "a bad trailer": b"0\r\nA : b\r\n\r\n",
 }
 
 
@@ -223,14 +264,19 @@
         requests_of([CHUNKED + BAD_CHUNKS[name]])
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (b"GET / HTTP/2.0\r\n\r\n", 505), (b"GET /" + b"a" * 200 + b" HTTP/1.1\r\nHost: x\r\n\r\n", 414),
-    (b"GET / HTTP/1.1\r\nHost: x\r\nA: " + b"a" * 200 + b"\r\n\r\n", 431),
-    (b"GET / HTTP/1.1\r\nHost: x\r\n" + b"A: b\r\n" * 9 + b"\r\n", 431),
-    (b"GET / HTTP/1.1\r\n" + b"A: " + b"a" * 700, 431),
-    (b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99\r\n\r\n", 413),
-    (CHUNKED + b"20\r\n" + b"a" * 32 + b"\r\n20\r\n", 413),
-    (b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: br\r\n\r\n", 501)])
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (b"GET / HTTP/2.0\r\n\r\n", 505),
+        (b"GET /" + b"a" * 200 + b" HTTP/1.1\r\nHost: x\r\n\r\n", 414),
+        (b"GET / HTTP/1.1\r\nHost: x\r\nA: " + b"a" * 200 + b"\r\n\r\n", 431),
+        (b"GET / HTTP/1.1\r\nHost: x\r\n" + b"A: b\r\n" * 9 + b"\r\n", 431),
+        (b"GET / HTTP/1.1\r\n" + b"A: " + b"a" * 700, 431),
+        (b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99\r\n\r\n", 413),
+        (CHUNKED + b"20\r\n" + b"a" * 32 + b"\r\n20\r\n", 413),
+        (b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: br\r\n\r\n", 501),
+    ],
+)
 def test_limits_have_their_status(data: bytes, status: int) -> None:
     with pytest.raises(ProtocolError) as caught:
         requests_of([data], Limits(line=128, head=512, headers=8, body=48))
@@ -247,11 +293,16 @@
 
 # --- responses
 
+
 @settings(max_examples=200, deadline=None)
-@given(st.integers(200, 599), bodies, st.sampled_from(["length", "chunks", "close"]),
-       st.lists(st.integers(0, 900), max_size=5), st.sampled_from([b"GET", b"HEAD"]))
-def test_responses_read_as_h11_reads_them(status: int, body: bytes, kind: str, cuts: list[int],
-                                          method: bytes) -> None:
+@given(
+    st.integers(200, 599),
+    bodies,
+    st.sampled_from(["length", "chunks", "close"]),
+    st.lists(st.integers(0, 900), max_size=5),
+    st.sampled_from([b"GET", b"HEAD"]),
+)
+def test_responses_read_as_h11_reads_them(status: int, body: bytes, kind: str, cuts: list[int], method: bytes) -> None:
     if kind == "close":
         data = http1.write_head(b"HTTP/1.1 %d x" % status, []) + body
     else:
@@ -259,7 +310,7 @@
         data += http1.write_chunk(body) + http1.LAST_CHUNK if kind == "chunks" else b""
     bodiless = status in (204, 304) or method == b"HEAD"
     if bodiless:
-        data = data[:data.index(b"\r\n\r\n") + 4]
+        data = data[: data.index(b"\r\n\r\n") + 4]
     parser = ResponseParser()
     parser.expects(method)
     got, head, ended = b"", None, False
@@ -288,9 +339,14 @@
     assert (head.status, got) == (theirs.status_code, their_body) == (status, b"" if bodiless else body)
 
 
-@pytest.mark.parametrize("data", [
-    b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
-    b"HTTP/1.1 200"])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
+        b"HTTP/1.1 200",
+    ],
+)
 def test_a_response_cut_short_is_an_error(data: bytes) -> None:
     parser = ResponseParser()
     parser.expects(b"GET")
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -42,9 +42,15 @@
         self.log: list[str] = []
         world.spawn("planner", self.accept)
         self.link = PlannerLink(
-            world, ("127.0.0.1", self.listener.port), lambda: HELLO, lambda epoch: self.log.append(f"up {epoch}"),
-            lambda: self.log.append("down"), lambda servers: self.log.append(f"servers {len(servers)}"),
-            lambda epoch, actions: self.log.append(f"{epoch}: {actions}"), 1_000_000)
+            world,
+            ("127.0.0.1", self.listener.port),
+            lambda: HELLO,
+            lambda epoch: self.log.append(f"up {epoch}"),
+            lambda: self.log.append("down"),
+            lambda servers: self.log.append(f"servers {len(servers)}"),
+            lambda epoch, actions: self.log.append(f"{epoch}: {actions}"),
+            1_000_000,
+        )
         self.task = world.spawn("link", self.link.run)
 
     def accept(self) -> None:
@@ -85,9 +91,16 @@
     assert log[:5] == ["up 1", "servers 0", "1: [Fail(request=4)]", "down", "up 2"]
 
 
-@pytest.mark.parametrize("sent", [
-    frames.encode(frames.Welcome(99, 1)), frames.encode(frames.Bye("no")), frames.encode(frames.Servers(1, [])),
-    b"GET / HTTP/1.1\r\n\r\n", b""])
+@pytest.mark.parametrize(
+    "sent",
+    [
+        frames.encode(frames.Welcome(99, 1)),
+        frames.encode(frames.Bye("no")),
+        frames.encode(frames.Servers(1, [])),
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"",
+    ],
+)
 def test_what_is_no_greeting_never_comes_up(sent: bytes) -> None:
     tries: list[int] = []
 
@@ -172,10 +185,14 @@
     planner_side(tmp_path, use)
 
 
-@pytest.mark.parametrize(("sent", "says"), [
-    (frames.encode(frames.Hello(99, 0, 1, "z", 1, HELLO.settings_hash)), "version"),
-    (frames.encode(frames.Hello(1, 0, 1, "z", 1, "other")), "differ"),
-    (frames.encode(frames.Events(1, 1, [])), "version")])
+@pytest.mark.parametrize(
+    ("sent", "says"),
+    [
+        (frames.encode(frames.Hello(99, 0, 1, "z", 1, HELLO.settings_hash)), "version"),
+        (frames.encode(frames.Hello(1, 0, 1, "z", 1, "other")), "differ"),
+        (frames.encode(frames.Events(1, 1, [])), "version"),
+    ],
+)
 def test_a_planner_says_why_it_does_not_serve_an_edge(tmp_path: Path, sent: bytes, says: str) -> None:
     def use(world: RealWorld, planner: Planner, stream: Stream) -> None:
         stream.write(sent)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -48,10 +48,22 @@
     for name, mode in (("a", "off"), ("b", "events")):
         (tmp_path / f"{name}.toml").write_text(f'[index]\nmode = "{mode}"\nblock_size = 64\n')
     files = [str(traffic), str(tmp_path / "a.toml"), str(tmp_path / "b.toml")]
-    done = subprocess.run([sys.executable, "-m", "yardspindle", "lab", "compare", *files], cwd=ROOT,
-                          capture_output=True, text=True, timeout=90, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "yardspindle", "lab", "compare", *files],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=90,
+        check=False,
+    )
     assert done.returncode == 0, done.stderr
     assert done.stdout.count("first token, ms: p50") == 2 and "pairs" in done.stdout.splitlines()[-1]
-    away = subprocess.run([sys.executable, "-m", "yardspindle", "lab", "load", str(traffic), "--at", "10.0.0.1:80"],
-                          cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
+    away = subprocess.run(
+        [sys.executable, "-m", "yardspindle", "lab", "load", str(traffic), "--at", "10.0.0.1:80"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
     assert away.returncode == 2 and "not an address of this machine's loopback" in away.stderr
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -64,6 +64,7 @@
 
 # --- the ordinary path
 
+
 def test_events_pass_unchanged_and_a_place_is_asked_during_the_read() -> None:
     def main(platform: Platform, node: Node) -> None:
         answer = platform.ask(ID)
@@ -76,6 +77,7 @@
 
 def test_the_policys_timers_do_not_multiply() -> None:
     """A timer overtaken by an event of the same millisecond set another for good: 13,000 calls for 350 sweeps."""
+
     def main(platform: Platform, node: Node) -> None:
         executor, timers = node.executor, platform.sim.scheduler.timers
         before = len(timers)
@@ -104,8 +106,14 @@
 
 # --- what came back, and what it proves
 
-SPOILT = [b"\x00\x17noise\r\n\r\n", b"HTTP/1.1 200 OK\r\nx: y\r\n", HEAD + b"zz\r\n", HEAD + b"c0000000\r\nabc",
-          HEAD + b"5\r\nnoise\r\n", HEAD + b"9\r\ndata: {}\n"]
+SPOILT = [
+    b"\x00\x17noise\r\n\r\n",
+    b"HTTP/1.1 200 OK\r\nx: y\r\n",
+    HEAD + b"zz\r\n",
+    HEAD + b"c0000000\r\nabc",
+    HEAD + b"5\r\nnoise\r\n",
+    HEAD + b"9\r\ndata: {}\n",
+]
 
 
 @pytest.mark.parametrize("opening", SPOILT)
@@ -223,6 +231,7 @@
 
 # --- letting go
 
+
 def test_what_a_client_leaves_behind_is_let_go_of_though_a_host_hangs() -> None:
     def main(platform: Platform, node: Node) -> None:
         platform.ask(b"warm")
@@ -249,8 +258,11 @@
 # --- clients
 
 BAD = [
-    b"\x16\x03\x01garbage\r\n\r\n", b"GET / HTTP/1.1\r\n" + b"x: y\r\n" * 10, b"POST",
-    request(ID).replace(b"req-id: " + ID, b"x: y"), request(ID, b"nosuch"),
+    b"\x16\x03\x01garbage\r\n\r\n",
+    b"GET / HTTP/1.1\r\n" + b"x: y\r\n" * 10,
+    b"POST",
+    request(ID).replace(b"req-id: " + ID, b"x: y"),
+    request(ID, b"nosuch"),
     request(ID).replace(b"deadline-ms: 5000", b"deadline-ms: soon"),
     request(ID).replace(b"deadline-ms: 5000", b"deadline-ms: -5"),
     request(ID).replace(b"content-length: 15", b"content-length: -1"),
@@ -260,4 +272,5 @@
     request(ID).replace(b"content-length: 15", b"content-length: 15\r\ntransfer-encoding: chunked"),
     request(ID).replace(b'{"stream":true}', b'{"stream":tru}}'),
     request(ID).replace(b"prompt_len=1000", b"prompt_len=-1000"),
-    request(ID).replace(b"req-id", b"req-id: other\r\nreq-id")]
+    request(ID).replace(b"req-id", b"req-id: other\r\nreq-id"),
+]
--- a/tests/test_node_bounds.py
+++ b/tests/test_node_bounds.py
@@ -24,21 +24,36 @@
 Source = tuple[bytes, bytes]  # what is said first, and then again and again
 
 ENDLESS_HEADS: dict[str, Source] = {
-    "header lines": (b"HTTP/1.1 200 OK\r\n", b"x: y\r\n"), "one header line": (b"HTTP/1.1 200 OK\r\nx: ", LARGE),
-    "a status line": (b"HTTP/1.1 200 ", LARGE), "empty lines": (b"", b"\r\n" * 50), "carriage returns": (b"", b"\r"),
-    "interim answers": (b"", b"HTTP/1.1 102 Processing\r\n\r\n"), "hints": (b"", b"HTTP/1.1 103 x\r\na: b\r\n\r\n")}
+    "header lines": (b"HTTP/1.1 200 OK\r\n", b"x: y\r\n"),
+    "one header line": (b"HTTP/1.1 200 OK\r\nx: ", LARGE),
+    "a status line": (b"HTTP/1.1 200 ", LARGE),
+    "empty lines": (b"", b"\r\n" * 50),
+    "carriage returns": (b"", b"\r"),
+    "interim answers": (b"", b"HTTP/1.1 102 Processing\r\n\r\n"),
+    "hints": (b"", b"HTTP/1.1 103 x\r\na: b\r\n\r\n"),
+}
 ENDLESS_BODIES: dict[str, Source] = {
     f"{status} {kind}": (b"HTTP/1.1 %d x\r\n" % status + head, again)
-    for status in (202, 500, 503) for kind, head, again in (
-        ("chunks", CHUNKED, http1.write_chunk(b"x" * 100)), ("small chunks", CHUNKED, b"1\r\nx\r\n"),
-        ("trailers", CHUNKED + b"0\r\n", b"x: y\r\n"), ("a chunk's extension", CHUNKED + b"5;", b"x" * 100),
-        ("until it closes", b"\r\n", LARGE), ("a length", b"content-length: 262144\r\n\r\n", b"x"),
+    for status in (202, 500, 503)
+    for kind, head, again in (
+        ("chunks", CHUNKED, http1.write_chunk(b"x" * 100)),
+        ("small chunks", CHUNKED, b"1\r\nx\r\n"),
+        ("trailers", CHUNKED + b"0\r\n", b"x: y\r\n"),
+        ("a chunk's extension", CHUNKED + b"5;", b"x" * 100),
+        ("until it closes", b"\r\n", LARGE),
+        ("a length", b"content-length: 262144\r\n\r\n", b"x"),
         ("too long a length", b"content-length: 262145\r\n\r\n", LARGE),
-        ("nothing", b"content-length: 3\r\n\r\n", b"")) if status == 202 or kind in ("chunks", "nothing")}
+        ("nothing", b"content-length: 3\r\n\r\n", b""),
+    )
+    if status == 202 or kind in ("chunks", "nothing")
+}
 ENDLESS_OPENINGS: dict[str, Source] = {
     "one event": (HEAD, http1.write_chunk(b"data: " + b"x" * 1_000).replace(b"data: x", b"xxxxxxx")),
     "an event in small pieces": (HEAD + http1.write_chunk(b"data: "), http1.write_chunk(b"x")),
-    "a size line": (HEAD + b"0", b"0"), "a chunk": (HEAD + b"3ffff\r\ndata: ", LARGE), "nothing": (HEAD, b"")}
+    "a size line": (HEAD + b"0", b"0"),
+    "a chunk": (HEAD + b"3ffff\r\ndata: ", LARGE),
+    "nothing": (HEAD, b""),
+}
 
 
 def endless(source: Source, pause_us: int, speaks: Callable[[int], None]) -> Callable[[Host, Stream, bytes], bool]:
@@ -59,12 +74,20 @@
 
 
 @pytest.mark.parametrize("pause_us", [0, 20_000])
-@pytest.mark.parametrize(("flavor", "source"), [
-    *(pytest.param(flavor, source, id=f"{flavor}: {name}") for flavor in ("reads", "writes")
-      for name, source in {**ENDLESS_HEADS, **ENDLESS_BODIES}.items()),
-    *(pytest.param("writes", source, id=f"opening: {name}") for name, source in ENDLESS_OPENINGS.items())])
+@pytest.mark.parametrize(
+    ("flavor", "source"),
+    [
+        *(
+            pytest.param(flavor, source, id=f"{flavor}: {name}")
+            for flavor in ("reads", "writes")
+            for name, source in {**ENDLESS_HEADS, **ENDLESS_BODIES}.items()
+        ),
+        *(pytest.param("writes", source, id=f"opening: {name}") for name, source in ENDLESS_OPENINGS.items()),
+    ],
+)
 def test_an_answer_that_does_not_end_is_left_in_time(flavor: str, source: Source, pause_us: int) -> None:
     """A repeatable request is served elsewhere long before its time is up; the connection is reset."""
+
     def main(platform: Platform, node: Node) -> None:
         calls: list[int] = []
         said: list[int] = [0]
@@ -112,9 +135,15 @@
     play(main)
 
 
-@pytest.mark.parametrize("source", [
-    ENDLESS_HEADS["header lines"], ENDLESS_HEADS["interim answers"], ENDLESS_BODIES["202 chunks"],
-    ENDLESS_BODIES["500 nothing"]])
+@pytest.mark.parametrize(
+    "source",
+    [
+        ENDLESS_HEADS["header lines"],
+        ENDLESS_HEADS["interim answers"],
+        ENDLESS_BODIES["202 chunks"],
+        ENDLESS_BODIES["500 nothing"],
+    ],
+)
 def test_places_and_releases_that_are_answered_without_end_hold_nothing_up(source: Source) -> None:
     def main(platform: Platform, node: Node) -> None:
         def answering(host: Host) -> Callable[[Stream, http1.RequestHead], bool]:
@@ -123,6 +152,7 @@
                     return Host.answer(host, to, head)
                 platform.note("free" if head.method == b"DELETE" else "place", host, b"?")
                 return endless(source, 20_000, lambda said: None)(host, to, b"")
+
             return answer
 
         def breaks(host: Host, to: Stream, number: bytes) -> bool:
@@ -159,6 +189,7 @@
 
 def test_a_stream_without_end_holds_nothing_but_what_has_not_gone_out() -> None:
     """It goes on for as long as its client takes it; what is kept of it does not grow."""
+
     def main(platform: Platform, node: Node) -> None:
         def goes_on(host: Host, to: Stream, number: bytes) -> bool:
             host.platform.states.discard(number)
--- a/tests/test_node_cores.py
+++ b/tests/test_node_cores.py
@@ -23,8 +23,15 @@
 from yardspindle.protocol.http1 import ProtocolError
 
 RULES = EdgeRules(
-    effects={"safe": i.Effect.SAFE, "once": i.Effect.UNSAFE}, release_us=300_000, drain_grace_us=500_000,
-    answer_slack_us=8_000, retry_after_us=1_000_000, max_attempts=6, most_open=100, release_whole=True)
+    effects={"safe": i.Effect.SAFE, "once": i.Effect.UNSAFE},
+    release_us=300_000,
+    drain_grace_us=500_000,
+    answer_slack_us=8_000,
+    retry_after_us=1_000_000,
+    max_attempts=6,
+    most_open=100,
+    release_whole=True,
+)
 READER, WRITER, WRITER2 = 1, 2, 3
 
 
@@ -66,6 +73,7 @@
 
 # --- one word lets go of all
 
+
 def test_a_writer_that_finds_no_state_asks_for_no_release_of_its_own() -> None:
     core = started()
     reading(core)
@@ -222,6 +230,7 @@
 
 # --- whom to tell
 
+
 def ask(rooms: Rooms, at: int, servers: dict[int, Server], heard: bool = False) -> list[int]:
     """What is due now is said; who was asked."""
     due = rooms.take_due(at, servers)
@@ -293,6 +302,7 @@
 
 # --- the hosts' list
 
+
 def member(name: str, phase: str = "Ready", **more: Any) -> Member:
     return Member(name, f"10.0.0.{len(name)}:9000", "a", "reads", 1, phase, **more)
 
@@ -307,7 +317,8 @@
     for revision, name in enumerate(names):
         hosts.take(fleet(revision, member(name), complete=False))
     assert {s.name: s.number for s in hosts.servers()} == {
-        name: HostList({}).number(name) for name in ("s-1", "s-22", "s-333", "s-4444")}
+        name: HostList({}).number(name) for name in ("s-1", "s-22", "s-333", "s-4444")
+    }
 
 
 def test_a_bad_answer_never_empties_the_list() -> None:
@@ -343,9 +354,18 @@
     assert reader.ended and b"behind".startswith(reader.rest)
 
 
-@pytest.mark.parametrize("spoilt", [
-    b"xyz\r\n", b"-5\r\nhello\r\n", b"5\nhello", b"3\r\nhello\r\n", b"c0000000\r\nab", b"9" * 300,
-    b"0\r\n" + b"A: b\r\n" * 40])
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b"xyz\r\n",
+        b"-5\r\nhello\r\n",
+        b"5\nhello",
+        b"3\r\nhello\r\n",
+        b"c0000000\r\nab",
+        b"9" * 300,
+        b"0\r\n" + b"A: b\r\n" * 40,
+    ],
+)
 def test_a_spoilt_chunk_is_found_at_once(spoilt: bytes) -> None:
     with pytest.raises(ProtocolError):
         ChunkReader(1_000).feed(spoilt)
@@ -353,6 +373,7 @@
 
 # --- a planned end, and who may hold what
 
+
 @given(st.integers(0, 60_000_000), st.booleans())
 def test_a_departure_serves_what_is_owed_and_has_answered_before_the_kill(longest_us: int, resume: bool) -> None:
     times = shutdown_times(1_000_000, longest_us, resume)
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -23,20 +23,34 @@
 DEEP = b'{"revision":9,"complete":true,"more":' + b"[" * 100_000
 
 SPOILT: dict[str, Fault] = {
-    "the call, silent": a.silent, "the call, reset": a.reset, "the call, closed": a.closed,
-    "the head, silent": a.after(0.02, a.silent), "the head, reset": a.after(0.02, a.reset),
-    "the head, closed": a.after(0.02, a.closed), "the head, garbage": a.instead(b"\x00\xff garbage\r\n\r\n"),
-    "the head, endless": a.endless_head, "the head, a status": a.status(503),
-    "the body, silent": a.after(0.6, a.silent), "the body, reset": a.after(0.6, a.reset),
-    "the body, closed": a.after(0.6, a.closed), "the body, garbage": a.with_body(b"\x00\xff garbage"),
+    "the call, silent": a.silent,
+    "the call, reset": a.reset,
+    "the call, closed": a.closed,
+    "the head, silent": a.after(0.02, a.silent),
+    "the head, reset": a.after(0.02, a.reset),
+    "the head, closed": a.after(0.02, a.closed),
+    "the head, garbage": a.instead(b"\x00\xff garbage\r\n\r\n"),
+    "the head, endless": a.endless_head,
+    "the head, a status": a.status(503),
+    "the body, silent": a.after(0.6, a.silent),
+    "the body, reset": a.after(0.6, a.reset),
+    "the body, closed": a.after(0.6, a.closed),
+    "the body, garbage": a.with_body(b"\x00\xff garbage"),
     "the body, half": a.with_body(b'{"revision":9,"complete":true,"members":[{"id":"h'),
-    "the body, nested": a.with_body(DEEP), "the body, endless": a.endless_body, "the body, a flood": a.flood,
-    "the body, empty": a.with_body(b""), "the body, no host": a.with_body(
-        b'{"revision":9,"complete":true,"members":[]}')}
+    "the body, nested": a.with_body(DEEP),
+    "the body, endless": a.endless_body,
+    "the body, a flood": a.flood,
+    "the body, empty": a.with_body(b""),
+    "the body, no host": a.with_body(b'{"revision":9,"complete":true,"members":[]}'),
+}
 WHOLE: dict[str, Fault] = {
-    "a byte at a time": a.bytewise(100), "a byte every 3 ms": a.bytewise(3_000),
-    "the last byte late": a.last_byte_late, "then closed": a.after(1, a.closed), "then reset": a.after(1, a.reset),
-    "then garbage": a.after(1, a.instead(b"\xff garbage\r\n\r\n"))}
+    "a byte at a time": a.bytewise(100),
+    "a byte every 3 ms": a.bytewise(3_000),
+    "the last byte late": a.last_byte_late,
+    "then closed": a.after(1, a.closed),
+    "then reset": a.after(1, a.reset),
+    "then garbage": a.after(1, a.instead(b"\xff garbage\r\n\r\n")),
+}
 FAULTS = {**SPOILT, **WHOLE}
 
 
@@ -51,8 +65,9 @@
         self.discovery = Discovery(self.world, address(FIRST), self.hosts, self.news, self.world.signal())
 
     def news(self) -> None:
-        self.lists.append((self.hosts.revision, sorted(s.name for s in self.hosts.servers()
-                                                       if s.state is i.State.SERVING)))
+        self.lists.append(
+            (self.hosts.revision, sorted(s.name for s in self.hosts.servers() if s.state is i.State.SERVING))
+        )
 
     def until(self, holds: Callable[[], bool], within_us: int) -> int:
         """How long it takes until something holds, at most a millisecond too much."""
@@ -115,6 +130,7 @@
 
 def test_an_agent_whose_every_answer_comes_in_single_bytes_is_heard_in_time() -> None:
     """Read for half a second in all, none of its answers was ever heard."""
+
     def main(follower: Follower, agent: Agent) -> None:
         agent.fault, agent.faulty = a.bytewise(3_000), 1 << 30
         for host in ("h0", "h1"):
@@ -177,7 +193,8 @@
 @pytest.mark.parametrize("trouble", ["refused", "hanging", "cuts"])
 @pytest.mark.parametrize("down_us", [150_000, 3_000_000])
 def test_an_agent_that_cannot_be_connected_to_is_heard_within_a_drains_grace_of_its_return(
-        trouble: str, down_us: int) -> None:
+    trouble: str, down_us: int
+) -> None:
     def main(follower: Follower, agent: Agent) -> None:
         way = follower.sim.network.way("node", agent.world.name)
         setattr(way, trouble, 1)
@@ -196,7 +213,8 @@
 
 @pytest.mark.parametrize("answered", [True, False])
 def test_a_connection_for_want_of_descriptors_is_tried_on_and_never_without_pause(
-        answered: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    answered: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     def main(follower: Follower, agent: Agent) -> None:
         tries: list[int] = []
         connect = follower.world.connect
@@ -236,6 +254,7 @@
 @pytest.mark.parametrize("lost", [True, False])
 def test_a_revision_that_goes_back_after_a_restart_of_discovery_is_taken(lost: bool) -> None:
     """Held for older than the list, it was ignored for ever."""
+
     def main(follower: Follower, agent: Agent) -> None:
         agent.revision, agent.phases["h1"] = 2, "Terminating"
         if lost:
@@ -294,8 +313,11 @@
         elif trouble == "refused":
             follower.sim.network.way("node", agent.world.name).refused = 1
         else:
-            fault = {"garbage by turns": a.with_body(b"{"), "reset": a.reset,
-                     "older by turns": a.with_body(b'{"revision":1,"complete":false,"members":[]}')}[trouble]
+            fault = {
+                "garbage by turns": a.with_body(b"{"),
+                "reset": a.reset,
+                "older by turns": a.with_body(b'{"revision":1,"complete":false,"members":[]}'),
+            }[trouble]
 
             def by_turns(agent: Agent, stream: Stream, answer: bytes) -> None:
                 if b"index" in agent.asked[-1][1] or trouble == "reset":
@@ -325,7 +347,7 @@
             body = answer.partition(b"\r\n\r\n")[2]
             stream.write(a.ENDLESS)
             for at in range(0, len(body), 1_000):
-                stream.write(http1.write_chunk(body[at:at + 1_000]))
+                stream.write(http1.write_chunk(body[at : at + 1_000]))
             stream.write(http1.LAST_CHUNK)
 
         agent.fault, agent.faulty = chunks, 1
--- a/tests/test_node_effects.py
+++ b/tests/test_node_effects.py
@@ -18,8 +18,10 @@
 
 
 def with_effect(effect: str) -> dict[str, Any]:
-    services = [{**row, "idempotency": effect, "goal-time-us": 200_000, "give-up-us": SHORT_MS * 1_000}
-                for row in SETTINGS["services"]]
+    services = [
+        {**row, "idempotency": effect, "goal-time-us": 200_000, "give-up-us": SHORT_MS * 1_000}
+        for row in SETTINGS["services"]
+    ]
     return {**SETTINGS, "services": services}
 
 
@@ -87,11 +89,20 @@
             assert written == 1 and status in (502, 504)
 
 
-@pytest.mark.parametrize(("effect", "written", "status"), [
-    ("free", True, 503), ("free", False, 503), ("single_shot", True, 502), ("single_shot", False, 503),
-    ("guarded", True, 502), ("guarded", False, 503)])
+@pytest.mark.parametrize(
+    ("effect", "written", "status"),
+    [
+        ("free", True, 503),
+        ("free", False, 503),
+        ("single_shot", True, 502),
+        ("single_shot", False, 503),
+        ("guarded", True, 502),
+        ("guarded", False, 503),
+    ],
+)
 def test_an_attempt_cut_off_as_the_process_leaves_is_no_ground_for_a_refusal(
-        effect: str, written: bool, status: int) -> None:
+    effect: str, written: bool, status: int
+) -> None:
     """Of one whose last byte went out nothing is known, also at a reader, where a refusal says that it has not run."""
     sim = Simulation(5)
 
--- a/tests/test_node_fleet.py
+++ b/tests/test_node_fleet.py
@@ -40,6 +40,7 @@
 
 def at_each(platform: Platform, ask: Callable[[int, Stream], Any]) -> list[Task]:
     """A client's call at every dispatcher, all at one moment."""
+
     def call(at: int) -> Any:
         now = platform.clients.now_us()
         return ask(at, platform.clients.connect(f"10.1.1.{at}", 9000, now + 1_000_000))
@@ -55,8 +56,15 @@
 
 def test_a_dispatcher_of_a_thousand_starts_with_a_thousand_hosts_and_takes_hundreds_of_changes() -> None:
     def member(at: int, size: float = 1.0, phase: str = "Ready") -> dict[str, Any]:
-        return {"id": f"s-{at}", "host_port": f"10.5.{at // 250}.{at % 250}:9000", "locality": "ab"[at % 2],
-                "flavor": "writes" if at % 3 == 0 else "reads", "cell": at // 6, "size": size, "phase": phase}
+        return {
+            "id": f"s-{at}",
+            "host_port": f"10.5.{at // 250}.{at % 250}:9000",
+            "locality": "ab"[at % 2],
+            "flavor": "writes" if at % 3 == 0 else "reads",
+            "cell": at // 6,
+            "size": size,
+            "phase": phase,
+        }
 
     def main(sim: Simulation) -> None:
         known = {"revision": 1, "complete": True, "members": [member(at) for at in range(1_000)]}
@@ -97,6 +105,7 @@
 
 def test_what_is_held_is_let_go_of_in_time_though_half_of_the_hosts_fall_silent() -> None:
     """Ten silent hosts in a row were asked one by one, by all dispatchers in the same order."""
+
     def main(sim: Simulation) -> None:
         platform, nodes = fleet(sim)
         freed: dict[bytes, int] = {}
@@ -106,6 +115,7 @@
                 freed.setdefault(number, sim.now_us())
 
         platform.note = note  # type: ignore[method-assign]
+
         def hang(host: Host, to: Stream, number: bytes) -> bool:
             host.sleep(60_000_000)
             return False
@@ -119,7 +129,7 @@
         tasks = at_each(platform, ask)
         platform.sleep(500_000)
         by_number = sorted(platform.hosts.values(), key=lambda host: nodes[0].hosts.number(host.name))
-        for host in by_number[:len(by_number) // 2]:
+        for host in by_number[: len(by_number) // 2]:
             for at in range(NODES):
                 sim.network.cut(f"node {at}", host.name)
         for task in tasks:
--- a/tests/test_node_handover.py
+++ b/tests/test_node_handover.py
@@ -43,6 +43,7 @@
 
 # --- a second answer
 
+
 def own(number: bytes) -> list[bytes]:
     """A stream's events that name their request."""
     return [EVENTS[0].replace(b'"0"', b'"%s"' % number), *EVENTS[1:]]
@@ -52,6 +53,7 @@
 @pytest.mark.parametrize("flavor", ["reads", "writes"])
 def test_a_second_answer_is_never_taken_for_the_next_requests(flavor: str, after_us: int) -> None:
     """It came on a connection that was kept, after the next request was written on it, and went to that client."""
+
     def reads(host: Host, to: Stream, number: bytes) -> bool:
         host.sleep(30_000)
         platform = host.platform
@@ -142,6 +144,7 @@
 
 def test_a_connection_that_spoke_casts_no_doubt_on_the_others() -> None:
     """It was taken for one that its host had closed young: for 20 s nearly no kept connection was used any more."""
+
     def main(platform: Platform, node: Node) -> None:
         for host in writers(platform):
             host.script = twice(write, STRANGE, 5_000)
@@ -157,6 +160,7 @@
 
 # --- the end of an answer
 
+
 @pytest.mark.parametrize("reset", [False, True])
 def test_a_host_that_closes_with_its_last_chunk_has_served(reset: bool) -> None:
     def closes(host: Host, to: Stream, number: bytes) -> bool:
@@ -180,6 +184,7 @@
 
 def test_a_host_that_closes_with_its_last_byte_casts_no_doubt_on_other_connections() -> None:
     """It was kept, found dead at an age of next to nothing, and for 20 s nearly no kept connection was used."""
+
     def closes(host: Host, to: Stream, number: bytes) -> bool:
         if host.flavor == "reads":
             host.platform.states.add(number)
@@ -203,9 +208,17 @@
     play(main)
 
 
-CUT = [HEAD, HEAD[:-2], HEAD + b"5", HEAD + b"40\r\ndata: {", HEAD + http1.write_chunk(EVENTS[0][:-2]),
-       b"HTTP/1.1 200 OK\r\ncontent-length: 90\r\n\r\ndata: {}\n\n", b"HTTP/1.1 503 x\r\ncontent-length: 9\r\n\r\nab",
-       b"HTTP/1.1 202 x\r\ncontent-length: 9\r\n\r\nab", b"HTTP/1.1 202 x\r\ntransfer-encoding: chunked\r\n\r\n5\r\nab"]
+CUT = [
+    HEAD,
+    HEAD[:-2],
+    HEAD + b"5",
+    HEAD + b"40\r\ndata: {",
+    HEAD + http1.write_chunk(EVENTS[0][:-2]),
+    b"HTTP/1.1 200 OK\r\ncontent-length: 90\r\n\r\ndata: {}\n\n",
+    b"HTTP/1.1 503 x\r\ncontent-length: 9\r\n\r\nab",
+    b"HTTP/1.1 202 x\r\ncontent-length: 9\r\n\r\nab",
+    b"HTTP/1.1 202 x\r\ntransfer-encoding: chunked\r\n\r\n5\r\nab",
+]
 
 
 @pytest.mark.parametrize("said", CUT)
@@ -239,6 +252,7 @@
 @pytest.mark.parametrize("cls", [b"ask", b"order"])
 def test_an_answer_that_does_not_fit_what_was_asked_is_none(flavor: str, cls: bytes) -> None:
     """A reader's stream went to the client as the answer; a writer's 202 counted as a read."""
+
     def wrong(host: Host, to: Stream, number: bytes) -> bool:
         calls.append(number)
         if len(calls) > 1:
@@ -263,6 +277,7 @@
 
 # --- the deadline, and the end of the process
 
+
 def test_a_first_token_as_the_deadline_passes_gives_one_answer() -> None:
     def main(platform: Platform, node: Node) -> None:
         steady(platform)
@@ -283,8 +298,11 @@
             late += answer.status != 200
             if answer.status == 200:
                 assert answer.body == WHOLE
-        assert served > 5 and late > 5 and sum(
-            (node.core.life.tally.served, node.core.life.tally.failed, node.core.life.tally.refused)) == 60
+        assert (
+            served > 5
+            and late > 5
+            and sum((node.core.life.tally.served, node.core.life.tally.failed, node.core.life.tally.refused)) == 60
+        )
         at_ease(platform, node)
 
     play(main)
@@ -292,6 +310,7 @@
 
 # --- what is held
 
+
 @pytest.mark.parametrize("held", [True, False, None])
 @pytest.mark.parametrize("place_first", [False, True])
 def test_a_place_that_is_answered_as_its_read_fails_is_let_go_of(place_first: bool, held: bool | None) -> None:
@@ -302,7 +321,8 @@
     assert core.place_asked(0, 1, 1, server)
     steps: list[Callable[[], list[c.Command]]] = [
         lambda: core.place_answered(5_000, 1, 1, server, held),
-        lambda: core.attempt_ended(5_000, 1, 0, i.Status.ERROR)]
+        lambda: core.attempt_ended(5_000, 1, 0, i.Status.ERROR),
+    ]
     commands = [command for step in (steps if place_first else steps[::-1]) for command in step()]
     assert len({id(free.room) for free in of(c.Free, commands)}) == 1  # the read may have ended well
     assert core.rooms.owed
@@ -348,6 +368,7 @@
 
 def test_a_release_that_is_under_way_as_a_repeat_starts_takes_nothing_from_it() -> None:
     """One whose connection was still being made wrote its word after the repeat was sent."""
+
     def main(platform: Platform, node: Node) -> None:
         calls: list[bytes] = []
 
@@ -375,6 +396,7 @@
 
 # --- an id that comes again
 
+
 @pytest.mark.parametrize("pause_us", [0, 500, 1_000, 2_000, 5_000, 20_000, 100_000])
 def test_an_id_that_comes_again_as_its_first_is_let_go_of_is_served_and_leaves_nothing(pause_us: int) -> None:
     def main(platform: Platform, node: Node) -> None:
--- a/tests/test_node_held.py
+++ b/tests/test_node_held.py
@@ -36,6 +36,7 @@
 
 def test_a_state_is_let_go_of_in_time_though_no_writer_can_be_connected_to() -> None:
     """Three writers in a row took 250 ms each: the state that was to go there was held for 0.75 s."""
+
     def main(platform: Platform, node: Node) -> None:
         ended: list[int] = []
 
@@ -60,6 +61,7 @@
 
 def test_what_a_broken_read_left_is_let_go_of_though_no_other_reader_can_be_connected_to() -> None:
     """Each newer read put the word off: it was said only after the last connection that did not come up."""
+
     def main(platform: Platform, node: Node) -> None:
         broke: list[int] = []
 
@@ -119,8 +121,7 @@
     assert kinds(called_off) == ["Warn", "Abort", *(["CloseIdle"] if written else []), "Free"]
     (told,) = [command.event for command in of(c.TellPlanner, called_off)]
     assert told.status is (i.Status.TIMEOUT if written else i.Status.CONNECT_FAILED) and told.note == 1
-    assert of(c.Abort, called_off)[0].reason is (
-        c.AbortReason.UNANSWERED if written else c.AbortReason.NOT_CONNECTED)
+    assert of(c.Abort, called_off)[0].reason is (c.AbortReason.UNANSWERED if written else c.AbortReason.NOT_CONNECTED)
 
 
 def test_the_watch_finds_what_is_held_behind_connections_that_do_not_come_up() -> None:
@@ -150,6 +151,7 @@
 @pytest.mark.parametrize("accept_us", [60_000, 75_000, 150_000, 230_000])
 def test_hosts_that_are_slow_to_accept_are_told_in_time(accept_us: int, again: bool) -> None:
     """Each word's connection was given up after 70 ms: where all that are left take longer, nobody was ever told."""
+
     def main(platform: Platform, node: Node) -> None:
         platform.ask(b"before")
         connect, came = node.world.connect, []
--- a/tests/test_node_left.py
+++ b/tests/test_node_left.py
@@ -23,8 +23,10 @@
 
 ID = b"9b1f03aa5c7e2d41"
 RELEASE_US = SETTINGS["family-info"]["let-go-by-us"]
-CLOSES = pytest.mark.parametrize("leave", [pytest.param(lambda client: client.close(), id="FIN"),
-                                           pytest.param(lambda client: client.abort(), id="RST")])
+CLOSES = pytest.mark.parametrize(
+    "leave",
+    [pytest.param(lambda client: client.close(), id="FIN"), pytest.param(lambda client: client.abort(), id="RST")],
+)
 Leave = Callable[[Any], None]
 
 
@@ -111,6 +113,7 @@
 @CLOSES
 def test_it_leaves_while_the_connection_for_a_place_is_made(leave: Leave) -> None:
     """The client was looked for before the connection was made, and the place was asked after it had left."""
+
     def main(platform: Platform, node: Node) -> None:
         slow(platform, writers(platform))
         for host in readers(platform):
@@ -126,6 +129,7 @@
 @CLOSES
 def test_it_leaves_while_a_place_is_asked(leave: Leave) -> None:
     """What was asked before it left may be held: it is let go of."""
+
     def main(platform: Platform, node: Node) -> None:
         slow(platform, writers(platform))
         for host in readers(platform):
@@ -155,6 +159,7 @@
                 if head.method == b"DELETE":
                     host.sleep(45_000)
                 return Host.answer(host, to, head)
+
             return answer
 
         for host in platform.hosts.values():
@@ -194,6 +199,7 @@
 @CLOSES
 def test_it_leaves_in_the_moment_in_which_a_connection_comes_up(leave: Leave) -> None:
     """Both orders, and both within one turn of the loop: the cancelled task had been woken, and wrote at once."""
+
     def main(platform: Platform, node: Node) -> None:
         ids = watched(platform, node)
         for near, far in (("clients", "node"), ("node", "clients")):
@@ -219,6 +225,7 @@
 @pytest.mark.parametrize("role", [i.Role.READ, i.Role.WRITE])
 def test_it_leaves_in_the_turn_in_which_a_connection_is_there(role: i.Role, leave: Leave) -> None:
     """The task that was to write had been woken: it dropped the release that was owed by then, and kept the state."""
+
     def main(platform: Platform, node: Node) -> None:
         watched(platform, node)
         made = node.world.connect
@@ -231,6 +238,7 @@
             return stream
 
         node.world.connect = connect  # type: ignore[method-assign]
+
         def read_then_close(host: Host, to: Stream, number: bytes) -> bool:
             host.sleep(20_000)
             node.http.close_all()  # also the one that asked for a place: a new one is to be made
@@ -241,8 +249,11 @@
         client = begins(platform)
         platform.sleep(100_000)
         leave(client)
-        is_over(platform, node, [what for what in platform.kinds(ID) if what == "place" or (
-            what == "read" and role is i.Role.WRITE)])
+        is_over(
+            platform,
+            node,
+            [what for what in platform.kinds(ID) if what == "place" or (what == "read" and role is i.Role.WRITE)],
+        )
 
     play(main)
 
@@ -267,6 +278,7 @@
 @CLOSES
 def test_what_is_read_as_it_leaves_is_let_go_of_in_time(leave: Leave) -> None:
     """The read ends as its client leaves: both orders, and both within one turn."""
+
     def main(platform: Platform, node: Node) -> None:
         for near in platform.sim.programs:
             for far in platform.sim.programs:
@@ -289,6 +301,7 @@
 
 # --- on sockets
 
+
 def play_on_sockets(main: Callable[[RealWorld, Callable[[], Any], list[bytes]], None]) -> None:
     """`main` gets what connects to a dispatcher with one reader and one writer, and the ids that the reader saw."""
     world, seen = RealWorld(1), []
@@ -344,8 +357,10 @@
 @CLOSES
 @pytest.mark.parametrize("ahead", [b"", b"GET /up HTTP/1.1\r\nhost: x\r\n\r\n"])
 def test_a_close_that_came_with_the_request_is_found_before_a_kept_connection_is_written_to(
-        leave: Leave, ahead: bytes) -> None:
+    leave: Leave, ahead: bytes
+) -> None:
     """The close lay in the kernel, behind a look at the socket that the watching task had still to wait for."""
+
     def main(world: RealWorld, connect: Callable[[], Any], seen: list[bytes]) -> None:
         first = connect()
         first.write(request(b"warm"))
--- a/tests/test_node_lists.py
+++ b/tests/test_node_lists.py
@@ -73,6 +73,7 @@
 
 def test_a_dispatcher_that_starts_is_up_only_with_the_agents_list() -> None:
     """What the agent has counts from the first moment: by the list that was known, a drained host was sent to."""
+
     def main() -> None:
         platform = Platform(sim)
         platform.down_until_us = sim.now_us() + 4_000_000
@@ -103,6 +104,7 @@
 @pytest.mark.parametrize("down_us", [4_500_000, 8_123_000, 3_600_000_000])
 def test_a_dispatcher_is_ready_by_the_known_list_though_the_agent_is_silent(down_us: int) -> None:
     """Nine in ten restarted dispatchers have 6 s on short days, a second of which goes before `start`."""
+
     def main() -> None:
         platform = Platform(sim)
         began = sim.now_us()
@@ -128,6 +130,7 @@
 @pytest.mark.parametrize("below", [False, True])
 def test_a_move_while_the_first_list_is_awaited_brings_readiness_with_the_new_agents_list(below: bool) -> None:
     """A list that was only known stood against one that counts from below for 1.7 s after the process was up."""
+
     def main() -> None:
         platform = Platform(sim)
         platform.down_until_us = sim.now_us() + 3_600_000_000
--- a/tests/test_node_more.py
+++ b/tests/test_node_more.py
@@ -65,6 +65,7 @@
 
 # --- discovery
 
+
 def test_the_list_is_followed_and_a_drain_kept_whatever_discovery_says() -> None:
     def main(platform: Platform, node: Node) -> None:
         drained = writers(platform)[0]
@@ -110,8 +111,18 @@
             assert platform.ask(b"id%d" % at).status in (200, 502, 504)
             policy, core, tables = node.policy, node.core, node.executor
             held: list[Sized] = [
-                policy.servers, policy.open, core.life.directory.servers, core.life.open, core.rooms.owed,
-                core.rooms._heard, tables.ids, tables.running, node.hosts._numbers, node.http._idle, node._open_ids]
+                policy.servers,
+                policy.open,
+                core.life.directory.servers,
+                core.life.open,
+                core.rooms.owed,
+                core.rooms._heard,
+                tables.ids,
+                tables.running,
+                node.hosts._numbers,
+                node.http._idle,
+                node._open_ids,
+            ]
             counts.append(sum(len(table) for table in held))
         return counts
 
@@ -121,6 +132,7 @@
 
 # --- planned restarts
 
+
 def test_a_planned_restart_answers_what_it_took_and_ends_streams_before_it_is_killed() -> None:
     def endless(host: Host, to: Stream, number: bytes) -> bool:
         return stream(host, to, [EVENTS[0]] * 10_000)
@@ -165,6 +177,7 @@
 @pytest.mark.parametrize("state_us", [0, 60_000, 100_000])
 def test_what_is_held_as_a_process_leaves_is_let_go_of_before_it_ends(cut: int, state_us: int) -> None:
     """It ended 150 ms after it had left: too soon for hosts that are silent, and for the second word after a read."""
+
     def reads(host: Host, to: Stream, number: bytes) -> bool:
         to.wait_input()  # until it is called off
         host.sleep(state_us)
@@ -206,6 +219,7 @@
 @pytest.mark.parametrize("status", [200, 204])
 def test_a_place_that_is_answered_as_a_process_leaves_is_let_go_of_before_it_ends(status: int) -> None:
     """Its answer came when the process had ended, and the place was held until its host let go of it by itself."""
+
     def main(platform: Platform, node: Node) -> None:
         for host in writers(platform):
             host.answer = places_late(host, status)  # type: ignore[method-assign,assignment]
@@ -224,26 +238,43 @@
 
 # --- configuration
 
-@pytest.mark.parametrize(("data", "named"), [
-    (b"{", "no JSON"), (b"{}", "settings"), (b'{"settings":{}}', "settings"), (b'{"settings":3}', "settings"),
-    (json.dumps({"settings": SETTINGS, "listen": "x"}).encode(), "listen"),
-    (json.dumps({"settings": SETTINGS, "limits": {"sockets": "many"}}).encode(), "limits.sockets"),
-    (json.dumps({"settings": SETTINGS, "limits": {"sockets": 15}}).encode(), "limits.sockets"),
-    (json.dumps({"settings": {**SETTINGS, "me": 5}}).encode(), "me"),
-    *((json.dumps({"settings": {**SETTINGS, **change}}).encode(), named) for change, named in (
-        ({"me": "first"}, "settings.me"), ({"instances": None}, "settings.instances"),
-        ({"shapes": []}, "settings.shapes"), ({"services": []}, "settings.services"),
-        ({"services": [{"name": "ask"}]}, "goal-time-us"),
-        ({"services": [{"name": "a\n", "goal-time-us": 1, "give-up-us": 1}]}, "services[0].name"),
-        ({"services": [{"name": "ask", "goal-time-us": "soon", "give-up-us": 9}]}, "services[0].goal-time-us"),
-        ({"services": [{"name": "ask", "goal-time-us": 9, "give-up-us": 5}]}, "aim_us of ask"),
-        ({"services": [{"name": "ask", "goal-time-us": 1, "give-up-us": 5, "idempotency": "often"}]}, "idempotency"),
-        ({"services": [{"name": "ask", "goal-time-us": 1, "give-up-us": 5}] * 2}, "classes"),
-        ({"family-info": {"duty-by-kind": ["read", "sing"]}}, "settings.family-info.duty-by-kind[1]"),
-        ({"family-info": {"let-go-by-us": "late"}}, "settings.family-info.let-go-by-us"),
-        ({"family-info": 7}, "settings.family-info"),
-        ({"allowed": {"most-tries": 0}}, "settings.allowed.most-tries"),
-        ({"obligations": {"start-capacity": 0}}, "settings.obligations.start-capacity")))])
+
+@pytest.mark.parametrize(
+    ("data", "named"),
+    [
+        (b"{", "no JSON"),
+        (b"{}", "settings"),
+        (b'{"settings":{}}', "settings"),
+        (b'{"settings":3}', "settings"),
+        (json.dumps({"settings": SETTINGS, "listen": "x"}).encode(), "listen"),
+        (json.dumps({"settings": SETTINGS, "limits": {"sockets": "many"}}).encode(), "limits.sockets"),
+        (json.dumps({"settings": SETTINGS, "limits": {"sockets": 15}}).encode(), "limits.sockets"),
+        (json.dumps({"settings": {**SETTINGS, "me": 5}}).encode(), "me"),
+        *(
+            (json.dumps({"settings": {**SETTINGS, **change}}).encode(), named)
+            for change, named in (
+                ({"me": "first"}, "settings.me"),
+                ({"instances": None}, "settings.instances"),
+                ({"shapes": []}, "settings.shapes"),
+                ({"services": []}, "settings.services"),
+                ({"services": [{"name": "ask"}]}, "goal-time-us"),
+                ({"services": [{"name": "a\n", "goal-time-us": 1, "give-up-us": 1}]}, "services[0].name"),
+                ({"services": [{"name": "ask", "goal-time-us": "soon", "give-up-us": 9}]}, "services[0].goal-time-us"),
+                ({"services": [{"name": "ask", "goal-time-us": 9, "give-up-us": 5}]}, "aim_us of ask"),
+                (
+                    {"services": [{"name": "ask", "goal-time-us": 1, "give-up-us": 5, "idempotency": "often"}]},
+                    "idempotency",
+                ),
+                ({"services": [{"name": "ask", "goal-time-us": 1, "give-up-us": 5}] * 2}, "classes"),
+                ({"family-info": {"duty-by-kind": ["read", "sing"]}}, "settings.family-info.duty-by-kind[1]"),
+                ({"family-info": {"let-go-by-us": "late"}}, "settings.family-info.let-go-by-us"),
+                ({"family-info": 7}, "settings.family-info"),
+                ({"allowed": {"most-tries": 0}}, "settings.allowed.most-tries"),
+                ({"obligations": {"start-capacity": 0}}, "settings.obligations.start-capacity"),
+            )
+        ),
+    ],
+)
 def test_a_bad_configuration_is_one_clear_line(data: bytes, named: str) -> None:
     with pytest.raises(ConfigError) as caught:
         parse(TOLD, data)
--- a/tests/test_node_moves.py
+++ b/tests/test_node_moves.py
@@ -15,6 +15,7 @@
 
 def test_a_new_address_that_lags_is_believed_in_time_and_undoes_no_drain_that_was_told() -> None:
     """A drained host was served again once the older list was believed, though its drain had been told."""
+
     def main(follower: Follower, agent: Agent) -> None:
         agent.drain()
         follower.until(lambda: follower.hosts.revision == 6, 50_000)
@@ -28,10 +29,13 @@
     play(main)
 
 
-@pytest.mark.parametrize(("name", "times"), [
-    (name, times) for name in FAULTS for times in (1, 2) if times == 1 or name != "the body, endless"])  # 2 s each
+@pytest.mark.parametrize(
+    ("name", "times"),
+    [(name, times) for name in FAULTS for times in (1, 2) if times == 1 or name != "the body, endless"],
+)  # 2 s each
 def test_a_new_address_that_counts_from_below_is_in_force_in_time_whatever_its_calls_meet(
-        name: str, times: int) -> None:
+    name: str, times: int
+) -> None:
     def main(follower: Follower, agent: Agent) -> None:
         second = Agent(follower.sim, SECOND, revision=2, hosts=3)
         second.fault, second.faulty = FAULTS[name], times
@@ -47,7 +51,8 @@
 @pytest.mark.parametrize("name", FAULTS)
 @pytest.mark.parametrize("at_us", [timeouts.MOVED_US - 1_000, timeouts.MOVED_US, timeouts.MOVED_US + 1_000])
 def test_a_call_that_meets_a_fault_just_when_a_new_address_is_to_be_believed_is_made_again_in_time(
-        at_us: int, name: str) -> None:
+    at_us: int, name: str
+) -> None:
     def main(follower: Follower, agent: Agent) -> None:
         second = Agent(follower.sim, SECOND, revision=2)
         follower.discovery.move(address(SECOND))
@@ -60,9 +65,9 @@
 
 @pytest.mark.parametrize("gone", [False, True])
 @pytest.mark.parametrize("later_us", [0, 1_000, 90_000, 1_000_000, 1_690_000, 1_800_000, 2_500_000])
-def test_a_drain_that_a_new_address_writes_holds_at_once_though_its_list_is_older(
-        later_us: int, gone: bool) -> None:
+def test_a_drain_that_a_new_address_writes_holds_at_once_though_its_list_is_older(later_us: int, gone: bool) -> None:
     """Told once it is written: until the list was believed 1.7 s later, the drained host was sent to."""
+
     def main(follower: Follower, agent: Agent) -> None:
         second = Agent(follower.sim, SECOND, revision=2)
         follower.discovery.move(address(SECOND))
@@ -89,18 +94,41 @@
 
 def test_an_older_list_just_after_a_move_ends_hosts_and_does_nothing_else() -> None:
     hosts = HostList({})
-    mine = (Member("started again", up_since_ms=9.0), Member("ready"), Member("drains", phase="Terminating"),
-            Member("absent", up_since_ms=8.0), Member("not there yet", up_since_ms=8.5))
+    mine = (
+        Member("started again", up_since_ms=9.0),
+        Member("ready"),
+        Member("drains", phase="Terminating"),
+        Member("absent", up_since_ms=8.0),
+        Member("not there yet", up_since_ms=8.5),
+    )
     assert hosts.take(ListAnswer(7, True, mine), 0)
     hosts.moved(1)
-    old = ListAnswer(3, True, (Member("started again", phase="Terminating", up_since_ms=8.0), Member("drains"),
-                               Member("ready", phase="Terminating"), Member("more")))
+    old = ListAnswer(
+        3,
+        True,
+        (
+            Member("started again", phase="Terminating", up_since_ms=8.0),
+            Member("drains"),
+            Member("ready", phase="Terminating"),
+            Member("more"),
+        ),
+    )
     assert not hosts.take(old, 2) and hosts.revision == 7
     assert hosts.take(old, 2, anew=True) and hosts.doubt and hosts.revision == 7 and not hosts.started
     assert [entry.state.name for entry in hosts.members().entries] == [
-        "SERVING", "DRAINING", "DRAINING", "DRAINING", "SERVING"]
+        "SERVING",
+        "DRAINING",
+        "DRAINING",
+        "DRAINING",
+        "SERVING",
+    ]
     assert not hosts.take(old, 2, anew=True)
     restored = ListAnswer(3, True, tuple(replace(member, phase="Ready") for member in (*mine, Member("more"))))
     assert hosts.take(restored, 2, anew=True)  # the answer before had lost entries: nothing of it stays
     assert [entry.state.name for entry in hosts.members().entries] == [
-        "SERVING", "SERVING", "DRAINING", "SERVING", "SERVING"]
+        "SERVING",
+        "SERVING",
+        "DRAINING",
+        "SERVING",
+        "SERVING",
+    ]
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -41,15 +41,32 @@
 
 
 def started(path: str, listen: str, discovery: str, *command: str) -> subprocess.Popen[str]:
-    env = {**os.environ, "ROUTER_NAME": "n", "ROUTER_LISTEN": listen, "ROUTER_DISCOVERY": discovery,
-           "ROUTER_CONFIG": path}
-    return subprocess.Popen(command or [sys.executable, "-m", "yardspindle.node"], cwd=ROOT, env=env, text=True,
-                            stderr=subprocess.PIPE, stdout=subprocess.DEVNULL)
-
-
-@pytest.mark.parametrize("bad", [
-    "{", '{"x":' + "[" * 100_000, json.dumps({"settings": SETTINGS, "discovery": "999.0.0.1:1"}),
-    json.dumps({"settings": SETTINGS, "known": {"revision": 1, "complete": True, "members": [{"id": "h"}]}})])
+    env = {
+        **os.environ,
+        "ROUTER_NAME": "n",
+        "ROUTER_LISTEN": listen,
+        "ROUTER_DISCOVERY": discovery,
+        "ROUTER_CONFIG": path,
+    }
+    return subprocess.Popen(
+        command or [sys.executable, "-m", "yardspindle.node"],
+        cwd=ROOT,
+        env=env,
+        text=True,
+        stderr=subprocess.PIPE,
+        stdout=subprocess.DEVNULL,
+    )
+
+
+@pytest.mark.parametrize(
+    "bad",
+    [
+        "{",
+        '{"x":' + "[" * 100_000,
+        json.dumps({"settings": SETTINGS, "discovery": "999.0.0.1:1"}),
+        json.dumps({"settings": SETTINGS, "known": {"revision": 1, "complete": True, "members": [{"id": "h"}]}}),
+    ],
+)
 def test_it_serves_reads_new_configurations_and_ends_in_good_order(tmp_path: Path, bad: str) -> None:
     world = RealWorld(1)
     asked: list[str] = []
@@ -73,9 +90,19 @@
                         news.set()
                         if b"index" in event.target:  # a watch: nothing comes
                             continue
-                        stream.write(http1.write_response(200, [], json.dumps(
-                            {"revision": 1, "complete": True, "members": [
-                                {"id": "r", "host_port": "127.0.0.1:1", "flavor": "reads"}]}).encode()))
+                        stream.write(
+                            http1.write_response(
+                                200,
+                                [],
+                                json.dumps(
+                                    {
+                                        "revision": 1,
+                                        "complete": True,
+                                        "members": [{"id": "r", "host_port": "127.0.0.1:1", "flavor": "reads"}],
+                                    }
+                                ).encode(),
+                            )
+                        )
 
         def accept() -> None:
             try:
@@ -137,8 +164,13 @@
     assert "Traceback" not in log and "failed" not in log.replace("failed=0", "") and "violations=0" in log
 
 
-BAD_FILES = {"none": "No such file or directory", "folder": "Is a directory", "endless": "over 16777216 bytes",
-             "pipe": "no JSON: Input data was truncated", "empty": "no JSON: Input data was truncated"}
+BAD_FILES = {
+    "none": "No such file or directory",
+    "folder": "Is a directory",
+    "endless": "over 16777216 bytes",
+    "pipe": "no JSON: Input data was truncated",
+    "empty": "no JSON: Input data was truncated",
+}
 
 
 @pytest.mark.parametrize("name", BAD_FILES)
@@ -149,8 +181,9 @@
     (tmp_path / "empty").touch()
     os.mkfifo(tmp_path / "pipe")
     path = str(tmp_path / name)
-    node = started(path, "127.0.0.1:1", "127.0.0.1:2", "sh", "-c",
-                   f"ulimit -v 1000000; exec {sys.executable} -m yardspindle.node")
+    node = started(
+        path, "127.0.0.1:1", "127.0.0.1:2", "sh", "-c", f"ulimit -v 1000000; exec {sys.executable} -m yardspindle.node"
+    )
     try:
         _, log = node.communicate(timeout=20)
     finally:
--- a/tests/test_node_sending.py
+++ b/tests/test_node_sending.py
@@ -50,8 +50,10 @@
 
 # --- the time that is told
 
+
 def test_the_time_told_is_what_is_left_when_the_head_is_written() -> None:
     """It was taken before the connection was made, which takes 100 ms here."""
+
     def main(platform: Platform, node: Node) -> None:
         slow(platform, list(platform.hosts.values()))
         began = platform.sim.now_us()
@@ -68,8 +70,10 @@
 @pytest.mark.parametrize("flavor", ["reads", "writes"])
 @pytest.mark.parametrize("stalls_us", [20_000, 60_000, 90_000, 130_000])
 def test_the_time_told_by_a_further_attempt_is_what_is_left_also_after_the_process_stood_still(
-        flavor: str, stalls_us: int) -> None:
+    flavor: str, stalls_us: int
+) -> None:
     """Before its connection comes up, as it does, and while it waits for a release of what the first may have left."""
+
     def main(platform: Platform, node: Node) -> None:
         world = node.world
         assert isinstance(world, VirtualWorld)
@@ -132,6 +136,7 @@
 
 def test_a_host_is_not_blamed_for_a_connection_whose_request_is_out_of_time() -> None:
     """The request's own time was taken for the connection's, and each such request set its host aside."""
+
     def main(platform: Platform, node: Node) -> None:
         for host in readers(platform):
             platform.sim.network.way("node", host.name).hanging = 1
@@ -148,11 +153,17 @@
 
 # --- a list that changes while a connection is made
 
+
 def relisted(core: EdgeCore, now_us: int, number: int, state: i.State | None) -> None:
     """A new list in which one server drains, or (None) is missing."""
-    core.servers(now_us, [server(n, role, state if n == number and state else i.State.SERVING)
-                          for n, role in ((READER, i.Role.READ), (WRITER, i.Role.WRITE), (WRITER2, i.Role.WRITE))
-                          if n != number or state])
+    core.servers(
+        now_us,
+        [
+            server(n, role, state if n == number and state else i.State.SERVING)
+            for n, role in ((READER, i.Role.READ), (WRITER, i.Role.WRITE), (WRITER2, i.Role.WRITE))
+            if n != number or state
+        ],
+    )
 
 
 @pytest.mark.parametrize("state", [i.State.DRAINING, i.State.GONE, None])
@@ -202,7 +213,8 @@
 @pytest.mark.parametrize("gone", [False, True])
 @pytest.mark.parametrize("role", [i.Role.READ, i.Role.WRITE])
 def test_a_host_that_drains_while_it_is_connected_to_is_sent_nothing(
-        monkeypatch: pytest.MonkeyPatch, role: i.Role, gone: bool, cls: bytes) -> None:
+    monkeypatch: pytest.MonkeyPatch, role: i.Role, gone: bool, cls: bytes
+) -> None:
     """The list was asked before the connection was made: the send came past the drain's grace."""
     monkeypatch.setitem(SETTINGS["obligations"], "drain-grace-us", 20_000)
 
--- a/tests/test_node_streams.py
+++ b/tests/test_node_streams.py
@@ -42,8 +42,9 @@
     return body
 
 
-def arrivals(platform: Platform, *pieces: bytes, pause_us: int = 600_000,
-             opening: bytes = http1.write_chunk(EVENTS[0])) -> list[int]:
+def arrivals(
+    platform: Platform, *pieces: bytes, pause_us: int = 600_000, opening: bytes = http1.write_chunk(EVENTS[0])
+) -> list[int]:
     """The longest time between the writing of a piece that makes an event whole and its coming to the client."""
     wrote: list[int] = []
     came: list[int] = []
@@ -85,21 +86,28 @@
 NOTED = http1.write_chunk(ONE + b": a comment\n\n" + TWO)
 
 
-@pytest.mark.parametrize("pieces", [
-    pytest.param((CHUNK[:-2], CHUNK[-2:]), id="without the line end behind it"),
-    pytest.param((CHUNK[:-1], CHUNK[-1:]), id="in the middle of that line end"),
-    pytest.param((CHUNK[:len(ONE) + 9], CHUNK[len(ONE) + 9:]), id="in the middle of the second event"),
-    pytest.param((CHUNK[:4], CHUNK[4:len(ONE) + len(TWO) + 5], CHUNK[len(ONE) + len(TWO) + 5:]), id="in three"),
-    pytest.param(SPLIT, id="an event in two chunks"),
-    pytest.param((SPLIT[0], SPLIT[1][:-3], SPLIT[1][-3:] + CHUNK[:20], CHUNK[20:]), id="over the end of a chunk"),
-    pytest.param((http1.write_chunk(ONE[:-1]), TAIL[:9], TAIL[9:]), id="an event's end in two chunks"),
-    pytest.param((CRLF[:-2], CRLF[-2:]), id="with CRLF"),
-    pytest.param((http1.write_chunk(ONE.replace(b"\n", b"\r\n")[:-1]), TAIL[:9], TAIL[9:]), id="CRLF in two chunks"),
-    pytest.param((NOTED[:-2], NOTED[-2:]), id="with a comment"),
-    pytest.param((b"9\r", b"\n" + ONE[:9] + b"\r\n", http1.write_chunk(ONE[9:])), id="in the size line"),
-    pytest.param((http1.write_chunk(ONE), http1.write_chunk(TWO + THREE)), id="whole")])
+@pytest.mark.parametrize(
+    "pieces",
+    [
+        pytest.param((CHUNK[:-2], CHUNK[-2:]), id="without the line end behind it"),
+        pytest.param((CHUNK[:-1], CHUNK[-1:]), id="in the middle of that line end"),
+        pytest.param((CHUNK[: len(ONE) + 9], CHUNK[len(ONE) + 9 :]), id="in the middle of the second event"),
+        pytest.param((CHUNK[:4], CHUNK[4 : len(ONE) + len(TWO) + 5], CHUNK[len(ONE) + len(TWO) + 5 :]), id="in three"),
+        pytest.param(SPLIT, id="an event in two chunks"),
+        pytest.param((SPLIT[0], SPLIT[1][:-3], SPLIT[1][-3:] + CHUNK[:20], CHUNK[20:]), id="over the end of a chunk"),
+        pytest.param((http1.write_chunk(ONE[:-1]), TAIL[:9], TAIL[9:]), id="an event's end in two chunks"),
+        pytest.param((CRLF[:-2], CRLF[-2:]), id="with CRLF"),
+        pytest.param(
+            (http1.write_chunk(ONE.replace(b"\n", b"\r\n")[:-1]), TAIL[:9], TAIL[9:]), id="CRLF in two chunks"
+        ),
+        pytest.param((NOTED[:-2], NOTED[-2:]), id="with a comment"),
+        pytest.param((b"9\r", b"\n" + ONE[:9] + b"\r\n", http1.write_chunk(ONE[9:])), id="in the size line"),
+        pytest.param((http1.write_chunk(ONE), http1.write_chunk(TWO + THREE)), id="whole"),
+    ],
+)
 def test_each_event_goes_out_in_time_whatever_pieces_it_comes_in(pieces: tuple[bytes, ...]) -> None:
     """A chunk was passed on only when it was whole: its events waited for as long as its host paused inside it."""
+
     def main(platform: Platform, node: Node) -> None:
         assert max(arrivals(platform, *pieces)) < LATE_US
         at_ease(platform, node)
@@ -107,17 +115,22 @@
     play(main)
 
 
-@pytest.mark.parametrize(("opening", "rest"), [
-    pytest.param(CHUNK[:-2], CHUNK[-2:], id="without the line end behind it"),
-    pytest.param(CHUNK[:-1], CHUNK[-1:], id="in the middle of that line end"),
-    pytest.param(CHUNK[:len(ONE) + 9], CHUNK[len(ONE) + 9:], id="in the middle of the second event"),
-    pytest.param(SPLIT[0] + SPLIT[1] + CHUNK[:9], CHUNK[9:], id="in tiny chunks"),
-    pytest.param(http1.write_chunk(ONE[:-1]) + TAIL[:9], TAIL[9:], id="an event's end in two chunks"),
-    pytest.param(CRLF[:-2], CRLF[-2:], id="with CRLF"),
-    pytest.param(http1.write_chunk(ONE.replace(b"\n", b"\r\n")), CHUNK, id="CRLF, whole")])
+@pytest.mark.parametrize(
+    ("opening", "rest"),
+    [
+        pytest.param(CHUNK[:-2], CHUNK[-2:], id="without the line end behind it"),
+        pytest.param(CHUNK[:-1], CHUNK[-1:], id="in the middle of that line end"),
+        pytest.param(CHUNK[: len(ONE) + 9], CHUNK[len(ONE) + 9 :], id="in the middle of the second event"),
+        pytest.param(SPLIT[0] + SPLIT[1] + CHUNK[:9], CHUNK[9:], id="in tiny chunks"),
+        pytest.param(http1.write_chunk(ONE[:-1]) + TAIL[:9], TAIL[9:], id="an event's end in two chunks"),
+        pytest.param(CRLF[:-2], CRLF[-2:], id="with CRLF"),
+        pytest.param(http1.write_chunk(ONE.replace(b"\n", b"\r\n")), CHUNK, id="CRLF, whole"),
+    ],
+)
 @pytest.mark.parametrize("pause_us", [400_000, 600_000])
 def test_a_first_event_goes_out_in_time_whatever_pieces_it_comes_in(opening: bytes, rest: bytes, pause_us: int) -> None:
     """It waited for its whole chunk for half a second; then the attempt was given up, though its host had begun."""
+
     def main(platform: Platform, node: Node) -> None:
         assert max(arrivals(platform, rest, pause_us=pause_us, opening=opening)) < LATE_US
         at_ease(platform, node)
@@ -137,7 +150,7 @@
 
 def test_events_go_out_in_time_while_their_chunk_trickles_in() -> None:
     def main(platform: Platform, node: Node) -> None:
-        pieces = [CHUNK[at:at + 4] for at in range(0, len(CHUNK), 4)]
+        pieces = [CHUNK[at : at + 4] for at in range(0, len(CHUNK), 4)]
         assert max(arrivals(platform, *pieces, pause_us=40_000)) < LATE_US
 
     play(main)
@@ -160,11 +173,18 @@
     play(main)
 
 
-@pytest.mark.parametrize(("data", "later"), [
-    (CHUNK[:len(ONE) + 2], b""), (CHUNK[:4], b""), (CHUNK[:-2], b"zz"),
-    (CHUNK[:len(ONE) + 9], CHUNK[len(ONE) + 9:-2] + b"z")])
+@pytest.mark.parametrize(
+    ("data", "later"),
+    [
+        (CHUNK[: len(ONE) + 2], b""),
+        (CHUNK[:4], b""),
+        (CHUNK[:-2], b"zz"),
+        (CHUNK[: len(ONE) + 9], CHUNK[len(ONE) + 9 : -2] + b"z"),
+    ],
+)
 def test_a_first_chunk_without_a_whole_event_or_spoilt_at_once_is_no_answer(data: bytes, later: bytes) -> None:
     """Nothing of the stream has gone out yet: another host may still serve it whole."""
+
     def main(platform: Platform, node: Node) -> None:
         script = first_only(says(HEAD + data, later))
         for host in writers(platform):
@@ -177,6 +197,7 @@
 
 def test_whole_events_of_a_first_chunk_that_never_gets_whole_go_out_and_nothing_more() -> None:
     """They were written by a host: the attempt is the client's, which is not left waiting for its end."""
+
     def main(platform: Platform, node: Node) -> None:
         for host in writers(platform):
             host.script = says(HEAD + CHUNK[:-2])
@@ -187,15 +208,21 @@
     play(main)
 
 
-@given(st.lists(st.integers(1, 12), min_size=1, max_size=60), st.lists(st.booleans(), min_size=60, max_size=60),
-       st.lists(st.sampled_from([ONE, TWO, ONE + TWO, ONE[:7], ONE[7:], b"x", b"\n\n", ONE[:-1], b"\n", b"\r\n"]),
-                min_size=1, max_size=6))
+@given(
+    st.lists(st.integers(1, 12), min_size=1, max_size=60),
+    st.lists(st.booleans(), min_size=60, max_size=60),
+    st.lists(
+        st.sampled_from([ONE, TWO, ONE + TWO, ONE[:7], ONE[7:], b"x", b"\n\n", ONE[:-1], b"\n", b"\r\n"]),
+        min_size=1,
+        max_size=6,
+    ),
+)
 def test_what_is_given_out_early_is_not_given_again(cuts: list[int], early: list[bool], chunks: list[bytes]) -> None:
     data = b"".join(map(http1.write_chunk, chunks)) + http1.LAST_CHUNK + b"more"
     reader, out, at = ChunkReader(1_000), b"", 0
     for step in range(len(data)):
         size = cuts[step % len(cuts)]
-        out += reader.feed(data[at:at + size])
+        out += reader.feed(data[at : at + size])
         at += size
         if early[step % len(early)]:
             part = reader.early(EVENT_ENDS)
@@ -235,6 +262,7 @@
 @pytest.mark.parametrize("whole", [True, False])
 def test_a_host_that_speaks_again_as_its_silence_is_found_goes_on(whole: bool) -> None:
     """Both found in one turn: the bytes lay there, and the stream was broken off; a part of a chunk is no news."""
+
     def script(host: Host, to: Stream, number: bytes) -> bool:
         host.platform.states.discard(number)
         to.write(HEAD + http1.write_chunk(ONE))
@@ -263,6 +291,7 @@
 
 # --- the end of the process
 
+
 def streaming() -> Any:
     core = started(replace(RULES, resume=True))
     reading(core)
@@ -294,6 +323,7 @@
 @pytest.mark.parametrize("pieces", [1, 2, 6])
 def test_a_stream_that_its_host_has_finished_as_the_process_leaves_is_passed_on_whole(pieces: int) -> None:
     """Its end lay in the kernel, unread, and the stream was broken off: both orders, and both in one turn."""
+
     def main(platform: Platform, node: Node) -> None:
         steady(platform)
         leaves: list[int] = []
@@ -309,7 +339,7 @@
             rest = b"".join(http1.write_chunk(event) for event in EVENTS[1:]) + http1.LAST_CHUNK
             size = -(-len(rest) // pieces)
             for at in range(0, len(rest), size):
-                to.write(rest[at:at + size])
+                to.write(rest[at : at + size])
             finished[number] = host.world.now_us()
             return True
 
@@ -350,6 +380,7 @@
 
 # --- hosts that reset a stream
 
+
 def resets_after(data: bytes) -> Callable[[Host, Stream, bytes], bool]:
     def script(host: Host, to: Stream, number: bytes) -> bool:
         if data:
@@ -364,6 +395,7 @@
 @pytest.mark.parametrize("cls", [b"ask", b"order"])
 def test_a_stream_that_its_host_resets_before_the_first_event_is_settled_at_once(cls: bytes) -> None:
     """The reset ended the attempt's task; the core heard nothing, and the answer came when its time was up."""
+
     def main(platform: Platform, node: Node) -> None:
         script = first_only(resets_after(HEAD))
         for host in writers(platform):
--- a/tests/test_node_sweep.py
+++ b/tests/test_node_sweep.py
@@ -23,7 +23,7 @@
     end_us = agent.world.now_us() + timeouts.LIST_US - 50_000
     for at in range(len(body) - 1):
         agent.sleep(5_000)
-        stream.write(body[at:at + 1])
+        stream.write(body[at : at + 1])
     agent.world.sleep_until(end_us)
     stream.write(body[-1:])
 
@@ -39,18 +39,28 @@
 
 
 FAULTS: dict[str, tuple[Fault, ...]] = {  # what the open watch meets, and the calls after it
-    "reset": (a.reset,), "closed": (a.closed,), "silence": (a.silent,), "503": (a.status(503),),
-    "garbage": (a.instead(b"\x00\xff garbage\r\n\r\n"),), "a body of garbage": (a.with_body(b"\x00\xff"),),
-    "half a head": (a.after(HEAD_PART, a.silent),), "half a body": (a.after(0.6, a.silent),),
-    "refused": (refused,), "slow": (slow,), "no end": (a.endless_body,), "a flood": (a.flood,),
+    "reset": (a.reset,),
+    "closed": (a.closed,),
+    "silence": (a.silent,),
+    "503": (a.status(503),),
+    "garbage": (a.instead(b"\x00\xff garbage\r\n\r\n"),),
+    "a body of garbage": (a.with_body(b"\x00\xff"),),
+    "half a head": (a.after(HEAD_PART, a.silent),),
+    "half a body": (a.after(0.6, a.silent),),
+    "refused": (refused,),
+    "slow": (slow,),
+    "no end": (a.endless_body,),
+    "a flood": (a.flood,),
     "silence, no end, slow": (a.silent, a.endless_body, slow),
     "silence, half a head, slow": (a.silent, a.after(HEAD_PART, a.silent), slow),
     "slow, silence, slow": (slow, a.silent, slow),
-    "reset, 503, garbage, refused, slow": (a.reset, a.status(503), a.with_body(b"{"), refused, slow)}
+    "reset, 503, garbage, refused, slow": (a.reset, a.status(503), a.with_body(b"{"), refused, slow),
+}
 
 
 def swept(faults: tuple[Fault, ...], phase_us: int, around_us: int) -> int:
     """From when discovery had a drain and could be reached until it was in force."""
+
     def main(follower: Follower, agent: Agent) -> int:
         left = list(faults)
 
@@ -78,8 +88,11 @@
 
 @pytest.mark.parametrize("name", FAULTS)
 def test_a_drain_around_a_fault_in_any_phase_of_a_watch_is_in_force_in_time(name: str) -> None:
-    took = {(phase_us, around_us): swept(FAULTS[name], phase_us, around_us)
-            for phase_us in range(0, timeouts.WATCH_US + timeouts.SILENT_AGENT_US, STEP_US) for around_us in AROUND_US}
+    took = {
+        (phase_us, around_us): swept(FAULTS[name], phase_us, around_us)
+        for phase_us in range(0, timeouts.WATCH_US + timeouts.SILENT_AGENT_US, STEP_US)
+        for around_us in AROUND_US
+    }
     worst = max(took, key=lambda moment: took[moment])
     print(f"at worst {took[worst]} us, the fault {worst[0]} us into the watch and the drain {worst[1]} us from it")
     assert took[worst] < TOLD_US
--- a/tests/test_ownership_model.py
+++ b/tests/test_ownership_model.py
@@ -10,7 +10,8 @@
     "stopped owners and orders in sockets": Rules(stops=True, orders=2, until=6),
     "late and lost answers": Rules(late=True, lost=True, until=8),
     "leases that end early": Rules(early=True, orders=1, until=5),
-    "no margin": Rules(late=True, ttl=4, margin=0, until=9)}
+    "no margin": Rules(late=True, ttl=4, margin=0, until=9),
+}
 
 
 @pytest.mark.parametrize("name", WORLDS)
@@ -20,10 +21,14 @@
     assert states > 1_000, "the model hardly moved"
 
 
-@pytest.mark.parametrize(("rules", "found"), [
-    (Rules(stops=True, orders=2, receiver_compares=False), "obeyed after"),
-    (Rules(stops=True, orders=2, store_compares=False), "written after"),
-    (Rules(late=True, stops=True, ttl=4, margin=0, until=9, counts_from_before=False), "two owners at once")])
+@pytest.mark.parametrize(
+    ("rules", "found"),
+    [
+        (Rules(stops=True, orders=2, receiver_compares=False), "obeyed after"),
+        (Rules(stops=True, orders=2, store_compares=False), "written after"),
+        (Rules(late=True, stops=True, ttl=4, margin=0, until=9, counts_from_before=False), "two owners at once"),
+    ],
+)
 def test_without_a_guard_there_is_a_way_to_break_it(rules: Rules, found: str) -> None:
     _, problem, way = Explorer(rules).explore()
     assert found in problem and way
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -33,6 +33,7 @@
 
 # --- permits
 
+
 def test_one_at_a_time_and_a_permit_asked_twice_is_the_same() -> None:
     now = fleet()
     assert p.ask(now, "a") is None
@@ -78,8 +79,11 @@
 def test_a_group_of_one_can_never_go_when_one_must_serve() -> None:
     now = fleet("a", (Limit("zone", least_serving=1),))
     no = p.ask(now, "a")
-    assert no is not None and not no.again_us and p.never(now.places.values(), now.limits, ["a", "x"]) == [
-        f"a: {no.reason}", "x: there is no such unit"]
+    assert (
+        no is not None
+        and not no.again_us
+        and p.never(now.places.values(), now.limits, ["a", "x"]) == [f"a: {no.reason}", "x: there is no such unit"]
+    )
 
 
 def test_limits_lowered_below_what_is_out_give_nothing_and_are_told() -> None:
@@ -106,10 +110,14 @@
 STANDINGS = st.sampled_from(["well", "well", "well", "cold", "failing", None])
 
 
-@given(LIMITS, st.lists(st.tuples(st.sampled_from("xy"), st.sampled_from("01"), STANDINGS), min_size=1, max_size=8),
-       st.integers(0, 2**32))
-def test_drawn_grants_never_go_past_a_limit(limits: list[Limit], rows: list[tuple[str, str, p.Standing | None]],
-                                            seed: int) -> None:
+@given(
+    LIMITS,
+    st.lists(st.tuples(st.sampled_from("xy"), st.sampled_from("01"), STANDINGS), min_size=1, max_size=8),
+    st.integers(0, 2**32),
+)
+def test_drawn_grants_never_go_past_a_limit(
+    limits: list[Limit], rows: list[tuple[str, str, p.Standing | None]], seed: int
+) -> None:
     """A second reckoning, group by group: each grant leaves every group of the unit within its limit."""
     names = [f"u{n}" for n in range(len(rows))]
     places = {n: place(n, zone, cell=cell) for n, (zone, cell, _) in zip(names, rows, strict=True)}
@@ -129,6 +137,7 @@
 
 # --- the permits' protocol, every order of events
 
+
 def explore(counts_accidents: bool) -> str:
     """Three units, two askers' turns, accidents and recoveries in every order; what breaks, or nothing."""
     names, limit = "abc", (Limit("all", most_out=1),)
@@ -137,8 +146,12 @@
     while front:
         permits, ill = front.pop()
         told = () if not counts_accidents else ill
-        now = p.Fleet({n: place(n) for n in names}, {n: well(n) for n in names if n not in told},
-                      {n: p.Permit(n, "1", "x") for n in permits}, limit)
+        now = p.Fleet(
+            {n: place(n) for n in names},
+            {n: well(n) for n in names if n not in told},
+            {n: p.Permit(n, "1", "x") for n in permits},
+            limit,
+        )
         following = []
         for name in names:
             if name not in permits and p.ask(now, name) is None:
@@ -163,6 +176,7 @@
 
 # --- plans
 
+
 class Played:
     """A fleet whose units obey orders in drawn time, and whose owner may be another at each step."""
 
@@ -192,8 +206,12 @@
             if self.now >= due:
                 order = self.orders[name]
                 if order.version in self.never:
-                    self.status(name, p.Status(name, f"{name}.{order.number}", "stopped", order.version, order.number,
-                                               "it did not start"))
+                    self.status(
+                        name,
+                        p.Status(
+                            name, f"{name}.{order.number}", "stopped", order.version, order.number, "it did not start"
+                        ),
+                    )
                 else:
                     self.status(name, well(name, order.version, f"{name}.{order.number}"))
                 del self.due[name]
@@ -202,8 +220,9 @@
                 case r.Keep(release):
                     self.release = release
                 case r.Close(name):
-                    self.fleet = replace(self.fleet, permits={
-                        n: row for n, row in self.fleet.permits.items() if n != name})
+                    self.fleet = replace(
+                        self.fleet, permits={n: row for n, row in self.fleet.permits.items() if n != name}
+                    )
                 case r.Grant(name, order, permit):
                     assert order.number == (self.orders[name].number if name in self.orders else 0) + 1
                     self.fleet = replace(self.fleet, permits={**self.fleet.permits, name: permit})
@@ -247,8 +266,10 @@
     played = Played(1, 12, (Limit("all", most_out=1),))
     played.never = {"v2"}
     played.until("halted")
-    assert "did not start" in played.release.why and sum(
-        row.version == "v2" for row in played.fleet.statuses.values()) == 1
+    assert (
+        "did not start" in played.release.why
+        and sum(row.version == "v2" for row in played.fleet.statuses.values()) == 1
+    )
     played.release = r.told(played.release, "back", "")  # type: ignore[assignment]
     played.until("back")
     assert played.versions() == {"v1"}
@@ -279,6 +300,7 @@
 
 # --- verdicts
 
+
 def play_windows(seed: int, base: float, factor: float, windows: int, released: int = 100, others: int = 400) -> int:
     """Requests of the released until the halt; 0 when there was none. Every fifth window is a bad hour for both."""
     rng, trial = random.Random(seed), Trial()
@@ -309,16 +331,20 @@
 FILE = u.UnitFile("a", "dispatcher", "f", ("v1", "v2"), ("run",), "state")
 
 
-def carry_out(state: u.State, now: int, commands: tuple[u.Command, ...], deaths: list[int], log: list[str],
-              kill_at: int) -> u.State:
+def carry_out(
+    state: u.State, now: int, commands: tuple[u.Command, ...], deaths: list[int], log: list[str], kill_at: int
+) -> u.State:
     """Run commands to their end; the program is killed before the one numbered `kill_at` and starts anew."""
     todo = list(commands)
     while todo:
         command = todo.pop(0)
         if len(log) == kill_at and not deaths:
             deaths.append(now)
-            state, again = u.first(u.State(FILE, state.memory), now, bool(log) and log[-1] != "stop"
-                                   and any(row in ("start", "up") for row in log))
+            state, again = u.first(
+                u.State(FILE, state.memory),
+                now,
+                bool(log) and log[-1] != "stop" and any(row in ("start", "up") for row in log),
+            )
             todo = list(again)
             continue
         if isinstance(command, u.Remember):
--- a/tests/test_prefix.py
+++ b/tests/test_prefix.py
@@ -116,13 +116,14 @@
     assert len(first) == 2, "what is left over is no block"
     assert chain(pack([*range(8), 99, 99, 99]), SIZE) == first
     assert chain(pack([1, *range(1, 11)]), SIZE)[1] != first[1], "a block's hash covers all before it"
-    assert chain(tokens[SIZE * 4:], SIZE, parent=first[0])[0] == first[1]
+    assert chain(tokens[SIZE * 4 :], SIZE, parent=first[0])[0] == first[1]
     with pytest.raises(OverflowError):
         pack([2**32])
 
 
 # --- feeds
 
+
 class Publisher:
     """An engine's cache, published as vLLM does, with names of its own."""
 
@@ -140,10 +141,13 @@
         events: list[Any] = []
         if new:
             parent = self.name(hashes[new[0] - 1]) if new[0] else None
-            events.append(BlockStored([self.name(hashes[at]) for at in new], parent,
-                                      tokens[new[0] * SIZE:len(hashes) * SIZE], SIZE))
+            events.append(
+                BlockStored(
+                    [self.name(hashes[at]) for at in new], parent, tokens[new[0] * SIZE : len(hashes) * SIZE], SIZE
+                )
+            )
         for at in new:
-            self.held[hashes[at]] = tokens[:(at + 1) * SIZE]
+            self.held[hashes[at]] = tokens[: (at + 1) * SIZE]
         self.publish(events)
 
     def evict(self, count: int) -> None:
--- a/tests/test_prefix_more.py
+++ b/tests/test_prefix_more.py
@@ -40,9 +40,20 @@
 def test_what_does_not_fit_is_left_out_and_counted() -> None:
     index = PrefixIndex(100)
     feed = CacheFeed("a", index, SIZE)
-    feed.take(0, 0, Batch(1.0, [BlockStored([9], 8, [1] * SIZE, SIZE), BlockStored([1], None, [1] * 8, 8),
-                                BlockStored([1], None, [1], SIZE), BlockStored([1], None, [-1] * SIZE, SIZE),
-                                BlockRemoved([3])]))
+    feed.take(
+        0,
+        0,
+        Batch(
+            1.0,
+            [
+                BlockStored([9], 8, [1] * SIZE, SIZE),
+                BlockStored([1], None, [1] * 8, 8),
+                BlockStored([1], None, [1], SIZE),
+                BlockStored([1], None, [-1] * SIZE, SIZE),
+                BlockRemoved([3]),
+            ],
+        ),
+    )
     assert (feed.counts.orphans, feed.counts.misfits, index.held_by("a")) == (1, 3, 0)
 
 
@@ -65,22 +76,37 @@
     feed = CacheFeed("a", index, SIZE)
     feed.take(0, *publisher.sent[0])
     assert feed.take(0, *publisher.sent[4]) == 1 and feed.take(0, *publisher.sent[5]) is None
-    feed.replayed(0, [(number, msgspec.msgpack.decode(msgspec.msgpack.encode(batch), type=Batch))
-                      for number, batch in publisher.sent[1:]])
+    feed.replayed(
+        0,
+        [
+            (number, msgspec.msgpack.decode(msgspec.msgpack.encode(batch), type=Batch))
+            for number, batch in publisher.sent[1:]
+        ],
+    )
     assert (feed.last, feed.counts.lost, feed.trust(0)) == (9, 0, 1.0)
     assert feed.take(0, *publisher.sent[9]) is None and feed.counts.repeats == 1
 
 
 def test_batches_are_vllms_bytes() -> None:
     """Laid out by hand as vLLM's encoder does: arrays, the tag first; later fields are passed over."""
-    data = msgspec.msgpack.encode([1.5, [["BlockStored", [11, b"x"], None, [1] * 8, 4, None, "GPU"],
-                                         ["BlockRemoved", [11], "GPU"], ["AllBlocksCleared"]], 0])
+    data = msgspec.msgpack.encode(
+        [
+            1.5,
+            [
+                ["BlockStored", [11, b"x"], None, [1] * 8, 4, None, "GPU"],
+                ["BlockRemoved", [11], "GPU"],
+                ["AllBlocksCleared"],
+            ],
+            0,
+        ]
+    )
     batch = msgspec.msgpack.decode(data, type=Batch)
     assert batch == Batch(1.5, [BlockStored([11, b"x"], None, [1] * 8, 4), BlockRemoved([11]), AllBlocksCleared()])
 
 
 # --- guesses
 
+
 class Cache:
     """An engine with room for so many blocks, least recently used out first."""
 
@@ -130,8 +156,10 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(st.lists(st.tuples(boxes, st.lists(st.integers(1, 10**6), min_size=1, max_size=30)), max_size=60),
-       st.integers(1, 50))
+@given(
+    st.lists(st.tuples(boxes, st.lists(st.integers(1, 10**6), min_size=1, max_size=30)), max_size=60),
+    st.integers(1, 50),
+)
 def test_guesses_are_bounded_in_all(reads: list[tuple[str, list[int]]], most: int) -> None:
     guess = PrefixGuess(SIZE, most)
     for box, hashes in reads:
@@ -141,6 +169,7 @@
 
 # --- knowledge
 
+
 def test_events_count_while_they_are_trusted_and_guesses_after() -> None:
     knowledge = PrefixKnowledge(ByteTokenizer(), SIZE, 1_000)
     blocks = knowledge.blocks([("user", b"0123456789")], b"")
@@ -188,6 +217,7 @@
 
 def test_a_models_own_tokenizer_and_template() -> None:
     import tokenizers
+
     made = tokenizers.Tokenizer(tokenizers.models.WordLevel({"hi": 1, "you": 2, "user": 3, "?": 0}, unk_token="?"))
     made.pre_tokenizer = tokenizers.pre_tokenizers.Whitespace()
     template = "{% for m in messages %}{{ m.role }} {{ m.content }} {% endfor %}"
--- a/tests/test_prefix_path.py
+++ b/tests/test_prefix_path.py
@@ -41,8 +41,15 @@
     def _publish(self, number: int, data: bytes) -> None:
         batch = msgspec.msgpack.decode(data, type=Batch)
         packed = [b"<|system|>opening %d: price of heating oil today please confirm" % n * 20 for n in range(6)]
-        batch.events += [BlockStored([number * 1_000_000 + n * 1_000 + at for at in range(len(text) // 64)], None,
-                                     list(text[:len(text) // 64 * 64]), 64) for n, text in enumerate(packed)]
+        batch.events += [
+            BlockStored(
+                [number * 1_000_000 + n * 1_000 + at for at in range(len(text) // 64)],
+                None,
+                list(text[: len(text) // 64 * 64]),
+                64,
+            )
+            for n, text in enumerate(packed)
+        ]
         super()._publish(number, msgspec.msgpack.encode(batch))
 
 
@@ -86,16 +93,21 @@
         clients = Clients(world, "yardspindle-demo", lines.append, HABITS)
         tasks = []
         for number in range(requests):
-            tasks.append(world.spawn("client", clients.request, draw(rng, number, CLASSES, HABITS),
-                                     [("127.0.0.1", fleet.port)]))
+            tasks.append(
+                world.spawn("client", clients.request, draw(rng, number, CLASSES, HABITS), [("127.0.0.1", fleet.port)])
+            )
             world.sleep_until(world.now_us() + rng.randrange(8_000))
         for task in tasks:
             task.join()
         return True
 
     assert fleet.call(run)
-    fleet.until(lambda: not fleet.edge.core.busy and not any(
-        engine.states or engine.places or engine.load.running for engine in fleet.engines))
+    fleet.until(
+        lambda: (
+            not fleet.edge.core.busy
+            and not any(engine.states or engine.places or engine.load.running for engine in fleet.engines)
+        )
+    )
     assert not fleet.crashes
     report = audit(lines, read_lines(str(fleet.journal)), Figures(unsafe=("order",)))
     assert report.breaks == []
@@ -108,8 +120,10 @@
     return sum(row["served"] for row in report.tally.values()) / asked
 
 
-BOXES = tuple(EngineSettings(name=f"r{n}", role="read", events=True, cache_tokens=12_000, read_tokens_per_s=100_000.0)
-              for n in range(3)) + (EngineSettings(name="w0", role="write", slots=64, step_ms=1.0),)
+BOXES = tuple(
+    EngineSettings(name=f"r{n}", role="read", events=True, cache_tokens=12_000, read_tokens_per_s=100_000.0)
+    for n in range(3)
+) + (EngineSettings(name="w0", role="write", slots=64, step_ms=1.0),)
 
 
 def test_what_readers_tell_becomes_what_the_policy_hears(tmp_path: Path) -> None:
@@ -117,8 +131,11 @@
         play(fleet, 120)
         knowledge = fleet.edge.knowledge
         assert knowledge is not None
-        fleet.until(lambda: all(feed.last is not None and feed.trust(fleet.world.now_us()) == 1.0
-                                for feed in knowledge.feeds.values()))
+        fleet.until(
+            lambda: all(
+                feed.last is not None and feed.trust(fleet.world.now_us()) == 1.0 for feed in knowledge.feeds.values()
+            )
+        )
         for engine in fleet.engines[:3]:
             blocks = list(engine.cache.blocks)
             assert knowledge.index.held_by(engine.set.name) == len(blocks)
@@ -132,8 +149,7 @@
 
 
 @pytest.mark.parametrize("kind", [Hides, Claims, Late, Shuffles, OtherModel])
-def test_events_that_are_wrong_on_purpose_break_no_rule_and_cost_no_service(tmp_path: Path,
-                                                                          kind: type[Engine]) -> None:
+def test_events_that_are_wrong_on_purpose_break_no_rule_and_cost_no_service(tmp_path: Path, kind: type[Engine]) -> None:
     (tmp_path / "off").mkdir()
     with FleetThread(tmp_path / "off", {"index": {"mode": "off"}}, BOXES) as fleet:
         without = served(play(fleet, 150))
@@ -160,13 +176,27 @@
 
 # --- the policy's departure
 
+
 def router() -> Policy:
-    settings = i.Settings(me=0, instances=6, zone="a", classes=(i.RequestClass("c", 1_000_000, 5_000_000),),
-                          kinds=(i.Kind("r", i.Role.READ), i.Kind("w", i.Role.WRITE, 1e9)))
+    settings = i.Settings(
+        me=0,
+        instances=6,
+        zone="a",
+        classes=(i.RequestClass("c", 1_000_000, 5_000_000),),
+        kinds=(i.Kind("r", i.Role.READ), i.Kind("w", i.Role.WRITE, 1e9)),
+    )
     policy = Policy(settings, seed=1)
-    policy.handle(0, i.Members(i.ListKind.COMPLETE, 1, (
-        *(i.Entry(n, "a", "r", 0, i.State.SERVING, 1.0) for n in range(1, 7)),
-        i.Entry(9, "a", "w", 0, i.State.SERVING, 1.0))))
+    policy.handle(
+        0,
+        i.Members(
+            i.ListKind.COMPLETE,
+            1,
+            (
+                *(i.Entry(n, "a", "r", 0, i.State.SERVING, 1.0) for n in range(1, 7)),
+                i.Entry(9, "a", "w", 0, i.State.SERVING, 1.0),
+            ),
+        ),
+    )
     return policy
 
 
@@ -194,7 +224,8 @@
 
 
 def test_a_subscriber_so_slow_that_messages_are_dropped_makes_up_for_them(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     real = RealWorld.messages
 
     def messages(self: RealWorld, kind: Any, *more: Any) -> Any:
--- a/tests/test_pulse.py
+++ b/tests/test_pulse.py
@@ -87,14 +87,20 @@
     outcome = fleet.play()
     assert outcome.breaks == () and outcome.tally["refused"] > 20
     assert outcome.tally["served"] > 5
-    late = [edge.edge.core.life.tally.interlocks.get("answer overdue", 0)
-            for edge in fleet._edges.values() if edge.edge is not None]
+    late = [
+        edge.edge.core.life.tally.interlocks.get("answer overdue", 0)
+        for edge in fleet._edges.values()
+        if edge.edge is not None
+    ]
     assert late == [0, 0], "no request had to wait for its own deadline"
 
 
 def test_an_edge_that_stalled_itself_does_not_blame_its_planner() -> None:
-    script = Script(2, tuple((number, 15 * number) for number in range(400)), tuple(
-        Fault("edge stalls", at_ms, 1_200, "edge0") for at_ms in range(300, 6_000, 1_300)))
+    script = Script(
+        2,
+        tuple((number, 15 * number) for number in range(400)),
+        tuple(Fault("edge stalls", at_ms, 1_200, "edge0") for at_ms in range(300, 6_000, 1_300)),
+    )
     fleet = WorldRun(script)
     lost: list[int] = []
     start = fleet.start_edge
--- a/tests/test_release_rounds.py
+++ b/tests/test_release_rounds.py
@@ -19,16 +19,23 @@
 def fleet() -> dict[int, Server]:
     """Six readers and ten writers in two zones."""
     roles = [Role.READ] * 6 + [Role.WRITE] * 10
-    return {n: Server(n, f"s{n}", "127.0.0.1", n, role, State.SERVING, True, zone="ab"[n % 2])
-            for n, role in enumerate(roles)}
-
-
-@pytest.mark.parametrize("silent", [
-    pytest.param(lambda s: s.role is Role.WRITE, id="all writers"),
-    pytest.param(lambda s: s.role is Role.READ, id="all readers"),
-    pytest.param(lambda s: s.zone == "a", id="a zone")])
+    return {
+        n: Server(n, f"s{n}", "127.0.0.1", n, role, State.SERVING, True, zone="ab"[n % 2])
+        for n, role in enumerate(roles)
+    }
+
+
+@pytest.mark.parametrize(
+    "silent",
+    [
+        pytest.param(lambda s: s.role is Role.WRITE, id="all writers"),
+        pytest.param(lambda s: s.role is Role.READ, id="all readers"),
+        pytest.param(lambda s: s.zone == "a", id="a zone"),
+    ],
+)
 def test_a_release_is_heard_in_the_second_round_though_the_hosts_heard_last_are_silent(
-        silent: Callable[[Server], bool]) -> None:
+    silent: Callable[[Server], bool],
+) -> None:
     """S brink, split+term: 225 ms after the read's end, four rounds of 70 ms leave nothing of the 600 ms."""
     servers = fleet()
     rooms = Rooms(seed=1)
--- a/tests/test_release_worlds.py
+++ b/tests/test_release_worlds.py
@@ -44,10 +44,16 @@
 
 
 MISTAKES: dict[str, tuple[Callable[[Patch], None], int]] = {
-    plant.__name__: (plant, seed) for plant, seed in (
-        (accidents_do_not_count, 0), (a_zone_does_not_count, 0), (limits_are_one_too_high, 0),
-        (a_unit_forgets_what_it_began, 8), (a_bad_version_does_not_halt, 1),
-        (the_way_back_goes_forward, 0))}  # each with a world that is clean without it
+    plant.__name__: (plant, seed)
+    for plant, seed in (
+        (accidents_do_not_count, 0),
+        (a_zone_does_not_count, 0),
+        (limits_are_one_too_high, 0),
+        (a_unit_forgets_what_it_began, 8),
+        (a_bad_version_does_not_halt, 1),
+        (the_way_back_goes_forward, 0),
+    )
+}  # each with a world that is clean without it
 
 
 @pytest.mark.parametrize("name", MISTAKES)
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -45,8 +45,11 @@
         p.until("all are well", lambda: all(self.standing(name) == "well" for name in UNITS), 30 * S)
 
     def steward(self, name: str) -> None:
-        file = self.p.config(name, planner={"servers": str(self.p.folder / "servers.toml")},
-                             release={"limit": [{"group": "all", "most_out": MOST_OUT}]})
+        file = self.p.config(
+            name,
+            planner={"servers": str(self.p.folder / "servers.toml")},
+            release={"limit": [{"group": "all", "most_out": MOST_OUT}]},
+        )
         self.config = file
         self.p.child(name, "steward", file)
 
@@ -56,13 +59,22 @@
         journal = str(p.folder / "units.jsonl")
         module = [sys.executable, "-m", "tests.unit_standin"]
         rows: dict[str, Any] = {
-            "name": name, "kind": "dispatcher", "fleet": fleet, "versions": ["v1", "v2", "never1", "ill1"],
-            "run": [*module, "run", name, "{version}", str(port), journal], "check": [*module, "check", str(port)],
-            "state": str(p.folder / f"{name}.state"), "start_s": 5.0, "check_s": 3.0,
-            "groups": {"zone": "a" if name < "u2" else "b"}}
+            "name": name,
+            "kind": "dispatcher",
+            "fleet": fleet,
+            "versions": ["v1", "v2", "never1", "ill1"],
+            "run": [*module, "run", name, "{version}", str(port), journal],
+            "check": [*module, "check", str(port)],
+            "state": str(p.folder / f"{name}.state"),
+            "start_s": 5.0,
+            "check_s": 3.0,
+            "groups": {"zone": "a" if name < "u2" else "b"},
+        }
         file = p.folder / f"{name}.unit.toml"
-        file.write_text("".join(f"{key} = {json.dumps(value)}\n" for key, value in rows.items()
-                                if not isinstance(value, dict)) + f'[groups]\nzone = "{rows["groups"]["zone"]}"\n')
+        file.write_text(
+            "".join(f"{key} = {json.dumps(value)}\n" for key, value in rows.items() if not isinstance(value, dict))
+            + f'[groups]\nzone = "{rows["groups"]["zone"]}"\n'
+        )
         p.child(name, "unit", str(file))
 
     def status(self, name: str) -> dict[str, Any]:
@@ -98,8 +110,9 @@
         assert code == 0, text
 
     def until_phase(self, phase: str) -> dict[str, Any]:
-        return self.p.until(phase, lambda: release if (release := self.release()).get("phase") == phase else None,
-                            60 * S)
+        return self.p.until(
+            phase, lambda: release if (release := self.release()).get("phase") == phase else None, 60 * S
+        )
 
     def checked(self, most_out: int = MOST_OUT) -> None:
         assert 0 < out_at_once(self.p.folder / "units.jsonl", UNITS) <= most_out
@@ -181,13 +194,21 @@
 def a_unit_program_is_killed_in_the_middle(r: Releases) -> None:
     r.begin("v2")
     name = next(iter(r.p.until("a unit is let go", lambda: r.p.rows("permits/"))))
-    r.p.until("its order is begun", lambda: (r.p.folder / f"{name}.state").exists() and json.loads(
-        (r.p.folder / f"{name}.state").read_text())["number"] == 1)
+    r.p.until(
+        "its order is begun",
+        lambda: (
+            (r.p.folder / f"{name}.state").exists()
+            and json.loads((r.p.folder / f"{name}.state").read_text())["number"] == 1
+        ),
+    )
     r.p.kill(name)
     r.unit(name)
     r.until_phase("done")
-    ups = [row for row in map(json.loads, (r.p.folder / "units.jsonl").read_text().splitlines())
-           if row["unit"] == name and row["ev"] == "up" and row["version"] == "v2"]
+    ups = [
+        row
+        for row in map(json.loads, (r.p.folder / "units.jsonl").read_text().splitlines())
+        if row["unit"] == name and row["ev"] == "up" and row["version"] == "v2"
+    ]
     assert len(ups) == 1, "its order was carried out once"
     r.checked()
 
@@ -214,8 +235,13 @@
         assert len(r.p.rows("permits/")) == 1, "the other waits"
         r.p.world.sleep_until(r.p.world.now_us() + S // 10)
     assert r.say("undrain", r.config, "u1", "u2", "--by", "ana")[0] == 0
-    r.p.until("both are back", lambda: not r.p.rows("permits/") and not r.p.rows("wishes/")
-              and {r.standing(name) for name in UNITS} == {"well"}, 30 * S)
+    r.p.until(
+        "both are back",
+        lambda: (
+            not r.p.rows("permits/") and not r.p.rows("wishes/") and {r.standing(name) for name in UNITS} == {"well"}
+        ),
+        30 * S,
+    )
 
 
 def an_edge_told_to_end_asks_first(r: Releases) -> None:
@@ -226,8 +252,12 @@
     limits = {"limit": [{"group": "all", "most_out": MOST_OUT}]}
     planner = p.config("planner0", planner={"servers": str(p.folder / "servers.toml"), "listen": "127.0.0.1:0"})
     port = p.child("planner0", "plan", planner).rpartition(":")[2]
-    file = p.config("u0", edge={"planner": f"127.0.0.1:{port}"}, release=limits,
-                    fleet={"ask_leave": True, "member": "u0", "leave_wait_ms": 60_000})
+    file = p.config(
+        "u0",
+        edge={"planner": f"127.0.0.1:{port}"},
+        release=limits,
+        fleet={"ask_leave": True, "member": "u0", "leave_wait_ms": 60_000},
+    )
     p.child("edge of u0", "edge", file)
     p.send("edge of u0", signal.SIGTERM)
     p.until("it waits", lambda: p.logged("edge of u0", "leave is not given now"))
@@ -238,10 +268,15 @@
 
 
 SCENARIOS: list[Callable[[Releases], None]] = [
-    a_release_goes_through, a_version_that_does_not_start_halts_and_goes_back,
-    a_version_that_does_harm_halts_by_itself, the_steward_is_stopped_in_mid_wave,
-    a_unit_program_is_killed_in_the_middle, an_accident_counts_as_out, drained_by_hand_and_let_back,
-    an_edge_told_to_end_asks_first]
+    a_release_goes_through,
+    a_version_that_does_not_start_halts_and_goes_back,
+    a_version_that_does_harm_halts_by_itself,
+    the_steward_is_stopped_in_mid_wave,
+    a_unit_program_is_killed_in_the_middle,
+    an_accident_counts_as_out,
+    drained_by_hand_and_let_back,
+    an_edge_told_to_end_asks_first,
+]
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -29,8 +29,7 @@
 
 
 @run(max_examples=120, deadline=None, derandomize=True)
-@given(st.integers(0, 2**32), st.sampled_from(FLEETS), st.booleans(), st.booleans(),
-       st.sampled_from([1, 2, 6]))
+@given(st.integers(0, 2**32), st.sampled_from(FLEETS), st.booleans(), st.booleans(), st.sampled_from([1, 2, 6]))
 def test_rules_hold(seed: int, fleet: str, ahead: bool, writers_read: bool, attempts: int) -> None:
     played(Policy, seed, fleet, ahead=ahead, writers_read=writers_read, max_attempts=attempts)
 
@@ -71,8 +70,9 @@
         return [a for a in super().handle(now_us, event) if not isinstance(a, i.Discard)]
 
 
-@pytest.mark.parametrize(("broken", "rule"), [
-    (Forgets, "answered"), (Repeats, "effects"), (Deaf, "drains"), (Keeps, "pinned")])
+@pytest.mark.parametrize(
+    ("broken", "rule"), [(Forgets, "answered"), (Repeats, "effects"), (Deaf, "drains"), (Keeps, "pinned")]
+)
 def test_ledger_sees_a_broken_policy(broken: type[Policy], rule: str) -> None:
     with pytest.raises(Broken, match=rule):
         for seed in range(60):
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -20,12 +20,15 @@
 
 # --- timers
 
+
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 50_000), st.booleans()), max_size=80), st.integers(0, 60_000))
 def test_timers_fire_as_a_sorted_list_would(drawn: list[tuple[int, bool]], now: int) -> None:
     timers, fired = Timers(), []
-    handles = [(due, keep, timers.set(due, lambda n=n: fired.append(n)))  # type: ignore[misc]
-               for n, (due, keep) in enumerate(drawn)]
+    handles = [
+        (due, keep, timers.set(due, lambda n=n: fired.append(n)))  # type: ignore[misc]
+        for n, (due, keep) in enumerate(drawn)
+    ]
     for _, keep, handle in handles:
         if not keep:
             handle.cancel()
@@ -46,6 +49,7 @@
 
 # --- tasks
 
+
 def test_tasks_join_and_errors_reach_who_joins() -> None:
     w = world()
 
@@ -211,7 +215,8 @@
 
 
 @pytest.mark.parametrize("limit,most", [(40, 40), (resource.RLIM_INFINITY, 1 << 20)])
-def test_no_bound_on_descriptors_is_not_taken_for_a_small_one(monkeypatch: pytest.MonkeyPatch, limit: int,
-                                                              most: int) -> None:
+def test_no_bound_on_descriptors_is_not_taken_for_a_small_one(
+    monkeypatch: pytest.MonkeyPatch, limit: int, most: int
+) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda _: (limit, limit))
     assert RealWorld(1).descriptors() == most
--- a/tests/test_runtime_sockets.py
+++ b/tests/test_runtime_sockets.py
@@ -93,8 +93,9 @@
     w.run("main", main)
 
 
-@pytest.mark.parametrize(("own_us", "callers_us", "raised"), [
-    (20_000, 600_000_000, ConnectError), (600_000_000, 20_000, DeadlineExceeded)])
+@pytest.mark.parametrize(
+    ("own_us", "callers_us", "raised"), [(20_000, 600_000_000, ConnectError), (600_000_000, 20_000, DeadlineExceeded)]
+)
 def test_a_connection_that_does_not_come_up(own_us: int, callers_us: int, raised: type[Exception]) -> None:
     """Past its own time it failed; past its caller's nothing is known of the peer."""
     w = world()
@@ -148,6 +149,7 @@
 
 def test_a_signal_sets_stop_where_there_are_no_unix_sockets(monkeypatch: pytest.MonkeyPatch) -> None:
     """Every dispatcher of a fleet exited at its start: the far end of a Unix socket had no address."""
+
     def no_unix(*_: object) -> None:
         raise OSError(errno.EAFNOSUPPORT, "no Unix sockets")
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -55,19 +55,29 @@
                 exchange.reply(Reply(200, [], name.encode()))
 
 
-def serve(use: Callable[[RealWorld, Server, Handler, Callable[[], Stream]], Any],
-          **limits: int) -> tuple[Any, list[str]]:
+def serve(
+    use: Callable[[RealWorld, Server, Handler, Callable[[], Stream]], Any], **limits: int
+) -> tuple[Any, list[str]]:
     world = RealWorld(1)
     faults: list[str] = []
 
     def main() -> Any:
         handler = Handler(world)
-        server = Server(world, world.listen("127.0.0.1", 0), handler, ServingLimits(http1.Limits(), **limits),
-                        lambda fault: faults.append(type(fault).__name__))
+        server = Server(
+            world,
+            world.listen("127.0.0.1", 0),
+            handler,
+            ServingLimits(http1.Limits(), **limits),
+            lambda fault: faults.append(type(fault).__name__),
+        )
         world.spawn("accept", server.serve)
         with world.deadline(world.now_us() + 20_000_000):  # what never comes is a failure, not a wait
-            return use(world, server, handler, lambda: world.connect(
-                "127.0.0.1", server.listener.port, world.now_us() + 1_000_000))
+            return use(
+                world,
+                server,
+                handler,
+                lambda: world.connect("127.0.0.1", server.listener.port, world.now_us() + 1_000_000),
+            )
 
     return world.run("main", main), faults
 
@@ -198,6 +208,7 @@
 
 def test_a_request_that_has_woken_its_connection_is_served_though_the_server_closes_idle_ones() -> None:
     """A drain lost a request that it had read: the connection still counted as idle when it was cancelled."""
+
     def use(world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]) -> bytes:
         client = connect()
         client.write(GET % b"first")
--- a/tests/test_serving_close.py
+++ b/tests/test_serving_close.py
@@ -41,6 +41,7 @@
 
 # --- a close, and a request that has come to the kernel since the loop last looked
 
+
 def test_a_request_that_has_come_is_served_though_its_connection_was_to_be_closed() -> None:
     def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
         (client,) = rested(world, server, connect)
@@ -79,6 +80,7 @@
 
 # --- after our FIN
 
+
 def test_what_comes_after_the_fin_is_dropped_and_resets_nothing() -> None:
     def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> tuple[bytes, bool, bool]:
         (client,) = rested(world, server, connect)
@@ -136,6 +138,7 @@
 
 def test_a_burst_of_clients_is_taken_at_once_and_within_the_bound() -> None:
     """Room was made by a turn of the loop for each client: those behind it waited over 0.15 s before they were read."""
+
     def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> tuple[int, int, int]:
         rested(world, server, connect, 14)
         accepting = next(task for task in world.scheduler.tasks if task.name == "accept")
@@ -157,6 +160,7 @@
 
 def test_a_request_that_comes_right_behind_a_stream_begun_before_the_close_is_served() -> None:
     """The stream's head has promised that the connection stays open."""
+
     def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
         client, usual = connect(), handler.handle
 
@@ -196,6 +200,7 @@
 
 # --- the listener's end
 
+
 def test_who_has_connected_is_served_though_the_listener_closes() -> None:
     def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> list[bytes]:
         accepting = next(task for task in world.scheduler.tasks if task.name == "accept")
@@ -272,6 +277,7 @@
 
 def test_a_burst_of_connections_leaves_the_others_their_turns() -> None:
     """Hundreds of idle clients come at once: what is held for requests under way must be let go of in time."""
+
     def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> int:
         clients = []
         for _ in range(200):  # without a turn of the loop
@@ -290,6 +296,7 @@
 
 # --- what is sent ahead of its turn
 
+
 def test_a_client_that_floods_and_leaves_is_noticed() -> None:
     def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> int:
         client = connect()
@@ -308,7 +315,7 @@
     one, other = Inbox(http1.Limits(), budget, answering=True), Inbox(http1.Limits(), budget, answering=True)
     for inbox in (one, other):
         for at in range(0, len(big) * 4, 65_536):
-            inbox.feed(at, (big * 4)[at:at + 65_536])
+            inbox.feed(at, (big * 4)[at : at + 65_536])
         assert len(inbox.waiting) == 4
     assert [w.whole for w in one.waiting] == [True, True, False, False]  # its own bound
     assert [w.whole for w in other.waiting] == [True, False, False, False]  # that of all
@@ -322,6 +329,7 @@
 
 def test_bodies_that_come_together_are_bounded_and_each_is_answered_at_its_end() -> None:
     """Of first requests, too: many clients that begin one each must not fill the memory."""
+
     def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
         client = connect()
         client.write((POST % (b"big", 200_000) + b"x" * 200_000) + GET % b"last")
@@ -347,15 +355,16 @@
 CHUNKS = b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + b"2\r\nxy\r\n" * 20_000
 
 
-@pytest.mark.parametrize("sent,count,most", [
-    (HEADS * AHEAD_REQUESTS_MOST, 20, AHEAD_ALL_HEADS_MOST * 2), (CHUNKS, 1, 100_000)])
+@pytest.mark.parametrize(
+    "sent,count,most", [(HEADS * AHEAD_REQUESTS_MOST, 20, AHEAD_ALL_HEADS_MOST * 2), (CHUNKS, 1, 100_000)]
+)
 def test_what_waits_takes_no_more_memory_than_its_bounds_say(sent: bytes, count: int, most: int) -> None:
     budget = Budget()
     inboxes = [Inbox(http1.Limits(), budget, answering=True) for _ in range(count)]
     tracemalloc.start()
     for inbox in inboxes:
         for at in range(0, len(sent), 65_536):
-            inbox.feed(at, sent[at:at + 65_536])
+            inbox.feed(at, sent[at : at + 65_536])
     taken = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     assert taken < most
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -37,10 +37,26 @@
 
 ROOT = Path(__file__).parent.parent
 EFFECTS = ("free", "guarded", "single_shot")
-KINDS = (i.Status.READ, i.Status.SERVED, i.Status.FULL, i.Status.RESET, i.Status.TIMEOUT, i.Status.CONNECT_FAILED,
-         i.Status.ERROR)
-NAMES = {"ask": "Ü1", "order": "ask", "third": "order", "t1": "t2", "t2": "ask", "reads": "writes", "writes": "m",
-         "a": "b", "b": "zone c"}  # some old names come again with another meaning
+KINDS = (
+    i.Status.READ,
+    i.Status.SERVED,
+    i.Status.FULL,
+    i.Status.RESET,
+    i.Status.TIMEOUT,
+    i.Status.CONNECT_FAILED,
+    i.Status.ERROR,
+)
+NAMES = {
+    "ask": "Ü1",
+    "order": "ask",
+    "third": "order",
+    "t1": "t2",
+    "t2": "ask",
+    "reads": "writes",
+    "writes": "m",
+    "a": "b",
+    "b": "zone c",
+}  # some old names come again with another meaning
 
 
 def raw(effects: tuple[str, ...] = EFFECTS, more: Mapping[str, Any] | None = None) -> dict[str, Any]:
@@ -78,8 +94,10 @@
         self.counts: dict[int, int] = {}
         self.open: dict[int, None] = {}
         self.timer_us: int | None = None
-        self.entries = [i.Entry(100 + n, "ab"[n % 2], self.kinds[n % len(self.kinds)], n // 6, i.State.SERVING,
-                                1.0 + n % 3) for n in range(18)]
+        self.entries = [
+            i.Entry(100 + n, "ab"[n % 2], self.kinds[n % len(self.kinds)], n // 6, i.State.SERVING, 1.0 + n % 3)
+            for n in range(18)
+        ]
 
     def event(self) -> i.Event:
         draw = self.random
@@ -104,8 +122,16 @@
             closed = status is i.Status.SERVED
             if closed:
                 self.open.pop(request, None)
-            return i.Outcome(request, attempt, server, status, draw.randrange(1, 300_000), closed,
-                             draw.choice([0, 0, 1]), stale=draw.random() < 0.1)
+            return i.Outcome(
+                request,
+                attempt,
+                server,
+                status,
+                draw.randrange(1, 300_000),
+                closed,
+                draw.choice([0, 0, 1]),
+                stale=draw.random() < 0.1,
+            )
         if which < 0.6 and self.places:
             request, server = self.places.pop(draw.randrange(len(self.places)))
             return i.Note(request, 0, server, draw.random() < 0.7)
@@ -113,10 +139,19 @@
             return i.Hangup(draw.choice(list(self.open)))
         number = len(self.counts) + 1
         self.counts[number], self.open[number] = 0, None
-        return i.Request(number, draw.choice(self.classes), self.now + draw.randrange(300_000, 4_000_000),
-                         draw.randrange(10, 8_000), draw.choice([0, 500]), draw.randrange(1, 400),
-                         draw.choice(self.tenants), draw.choice([None, "p", "q"]), f"s{draw.randrange(40)}",
-                         repeat=draw.random() < 0.1, resumed=draw.random() < 0.05)
+        return i.Request(
+            number,
+            draw.choice(self.classes),
+            self.now + draw.randrange(300_000, 4_000_000),
+            draw.randrange(10, 8_000),
+            draw.choice([0, 500]),
+            draw.randrange(1, 400),
+            draw.choice(self.tenants),
+            draw.choice([None, "p", "q"]),
+            f"s{draw.randrange(40)}",
+            repeat=draw.random() < 0.1,
+            resumed=draw.random() < 0.05,
+        )
 
     def hear(self, actions: list[i.Action]) -> None:
         for action in actions:
@@ -138,8 +173,10 @@
     if isinstance(event, i.Request):
         return replace(event, cls=names[event.cls], tenant=names[event.tenant] if event.tenant else None)
     if isinstance(event, i.Members):
-        return replace(event, entries=tuple(
-            replace(entry, zone=names[entry.zone], kind=names[entry.kind]) for entry in event.entries))
+        return replace(
+            event,
+            entries=tuple(replace(entry, zone=names[entry.zone], kind=names[entry.kind]) for entry in event.entries),
+        )
     return event
 
 
@@ -149,8 +186,10 @@
     for name in ("ask", "Ü1", "niño 2", *(["čas", "任务"] if encoding == "utf-8" else [])):
         rules = configured(LEAST | {"services": [LEAST["services"][0] | {"name": name}]}).rules
         parser = http1.RequestParser()
-        parser.feed(b"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nreq-id: 1\r\nreq-deadline-ms: 9\r\nreq-kind: %s"
-                    b"\r\nreq-owner: %s\r\n\r\n" % ((name.encode(encoding),) * 2))
+        parser.feed(
+            b"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nreq-id: 1\r\nreq-deadline-ms: 9\r\nreq-kind: %s"
+            b"\r\nreq-owner: %s\r\n\r\n" % ((name.encode(encoding),) * 2)
+        )
         head = parser.next_event()
         assert isinstance(head, http1.RequestHead)
         asked = read_head(head, rules.effects)
@@ -190,9 +229,17 @@
 
 
 def test_configurations_that_take_turns_in_one_process_decide_as_each_alone() -> None:
-    documents = [raw(), renamed(raw(EFFECTS[::-1], {"instances": 50}), NAMES),
-                 raw(more={"family-info": {"duty-by-kind": ["read", "write"], "holds-allowed": False}, "prices": {},
-                           "allowed": {"most-tries": 3}})]
+    documents = [
+        raw(),
+        renamed(raw(EFFECTS[::-1], {"instances": 50}), NAMES),
+        raw(
+            more={
+                "family-info": {"duty-by-kind": ["read", "write"], "holds-allowed": False},
+                "prices": {},
+                "allowed": {"most-tries": 3},
+            }
+        ),
+    ]
     alone = [list(decisions(configured(document).settings, 7)) for document in documents]
     configs = [configured(document) for document in documents]  # all there before any decides
     by_turns = list(zip(*(decisions(config.settings, 7) for config in configs), strict=True))
@@ -207,8 +254,13 @@
     code = "import sys, yardspindle.node.__main__; print(*(m for m in sys.modules if m.split('.')[0] == 'yardspindle'))"
     said = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True).stdout
     assert {"yardspindle.node.app", "yardspindle.policy.life", "yardspindle.settings_map"} < set(said.split())
-    walked = (found.name for package in ("policy", "core", "node") for found in pkgutil.walk_packages(
-        importlib.import_module(f"yardspindle.{package}").__path__, f"yardspindle.{package}."))
+    walked = (
+        found.name
+        for package in ("policy", "core", "node")
+        for found in pkgutil.walk_packages(
+            importlib.import_module(f"yardspindle.{package}").__path__, f"yardspindle.{package}."
+        )
+    )
     return tuple(dict.fromkeys([*said.split(), *walked]))
 
 
@@ -222,8 +274,13 @@
 
 def test_nothing_is_left_in_a_module_or_class_by_a_configuration_and_its_decisions() -> None:
     def globals_now() -> dict[str, str]:
-        return {f"{name}.{key}": held(value) for name in modules() if not name.endswith("__main__")
-                for key, value in vars(importlib.import_module(name)).items() if not key.startswith("__")}
+        return {
+            f"{name}.{key}": held(value)
+            for name in modules()
+            if not name.endswith("__main__")
+            for key, value in vars(importlib.import_module(name)).items()
+            if not key.startswith("__")
+        }
 
     globals_now()  # a module is an attribute of its package once it is imported
     before = globals_now()
@@ -239,8 +296,10 @@
     names: Mapping[str, str] = {}
 
     def members(self) -> list[dict[str, Any]]:
-        return [row | {key: self.names.get(row[key], row[key]) for key in ("flavor", "locality")}
-                for row in super().members()]
+        return [
+            row | {key: self.names.get(row[key], row[key]) for key in ("flavor", "locality")}
+            for row in super().members()
+        ]
 
 
 def served(document: dict[str, Any], names: Mapping[str, str]) -> list[tuple[int, int, list[tuple[str, str]]]]:
@@ -257,8 +316,13 @@
         rows = []
         for at, cls in enumerate(["ask", "order", "third"] * 5):
             answer = platform.ask(b"id%d" % at, names.get(cls, cls).encode())
-            rows.append((answer.status, answer.took_us, [(what, host) for what, host, number in platform.seen
-                                                         if number == b"id%d" % at]))
+            rows.append(
+                (
+                    answer.status,
+                    answer.took_us,
+                    [(what, host) for what, host, number in platform.seen if number == b"id%d" % at],
+                )
+            )
         return rows
 
     rows = sim.run("main", main)
@@ -281,8 +345,11 @@
     """All of these modules, or those of some packages."""
     for name in modules():
         if not packages or name.startswith(tuple(f"yardspindle.{package}" for package in packages)):
-            file = Path(str(importlib.import_module(name).__file__)) if not name.endswith("__main__") else (
-                ROOT / "yardspindle" / "node" / "__main__.py")
+            file = (
+                Path(str(importlib.import_module(name).__file__))
+                if not name.endswith("__main__")
+                else (ROOT / "yardspindle" / "node" / "__main__.py")
+            )
             yield file, ast.parse(file.read_text())
 
 
@@ -316,8 +383,13 @@
         for node in ast.walk(tree):
             if isinstance(node, ast.Call):
                 given[ast.unparse(node.func)] = len(node.args) + len(node.keywords)
-    for name, wanted in (("i.Settings", i.Settings), ("i.RequestClass", i.RequestClass), ("i.Kind", i.Kind),
-                         ("i.Tenant", i.Tenant), ("EdgeRules", EdgeRules)):
+    for name, wanted in (
+        ("i.Settings", i.Settings),
+        ("i.RequestClass", i.RequestClass),
+        ("i.Kind", i.Kind),
+        ("i.Tenant", i.Tenant),
+        ("EdgeRules", EdgeRules),
+    ):
         assert given[name] == len(fields(wanted)), name
 
 
@@ -343,8 +415,11 @@
 
 def literals(tree: ast.Module) -> set[str]:
     documented = {id(node.value) for node in ast.walk(tree) if isinstance(node, ast.Expr)}
-    return {node.value for node in ast.walk(tree)
-            if isinstance(node, ast.Constant) and isinstance(node.value, str) and id(node) not in documented}
+    return {
+        node.value
+        for node in ast.walk(tree)
+        if isinstance(node, ast.Constant) and isinstance(node.value, str) and id(node) not in documented
+    }
 
 
 def test_no_name_of_a_deployment_stands_in_the_program_or_the_deploy_file() -> None:
@@ -356,17 +431,32 @@
     assert literals(ast.parse("'''ask'''\nx = {'t1': 'p'}['t1']")) & names == {"t1"}
 
 
-LEAST: dict[str, Any] = {"me": 0, "instances": 1, "shapes": ["reads", "writes"],
-                         "family-info": {"duty-by-kind": ["read", "write"]},
-                         "services": [{"name": "ask", "goal-time-us": 100_000, "give-up-us": 800_000}]}
+LEAST: dict[str, Any] = {
+    "me": 0,
+    "instances": 1,
+    "shapes": ["reads", "writes"],
+    "family-info": {"duty-by-kind": ["read", "write"]},
+    "services": [{"name": "ask", "goal-time-us": 100_000, "give-up-us": 800_000}],
+}
 
 
 def test_what_is_absent_is_not_allowed_not_granted_not_bounded_and_costs_nothing() -> None:
     config = configured(LEAST)
     found = config.settings
     assert found.classes[0] == i.RequestClass("ask", 100_000, 800_000, i.Effect.UNSAFE)
-    assert not any((found.ahead, found.writers_read, found.resume, found.second_copies, found.cancel, found.probes,
-                    found.peers, found.retry_after, found.max_retry_after_us))
+    assert not any(
+        (
+            found.ahead,
+            found.writers_read,
+            found.resume,
+            found.second_copies,
+            found.cancel,
+            found.probes,
+            found.peers,
+            found.retry_after,
+            found.max_retry_after_us,
+        )
+    )
     assert not any((found.drain_grace_us, found.answer_slack_us, found.ask_within_us, found.cold_us, found.fall_us))
     assert not any((found.late_fail_price, found.waste_price, found.cross_zone_price, found.far_price))
     assert found.start_capacity == found.fall_multiple == found.over_share_worth == 1 and found.list_pushed
@@ -386,7 +476,13 @@
 def test_the_least_settings_serve_a_request() -> None:
     """With 1 us to let go and one try in place of what is absent, every request was refused at once."""
     policy = Policy(configured(LEAST).settings, 1)
-    policy.handle(1, i.Members(i.ListKind.COMPLETE, 1, (
-        i.Entry(1, "", "reads", 0, i.State.SERVING, 1.0), i.Entry(2, "", "writes", 0, i.State.SERVING, 1.0))))
+    policy.handle(
+        1,
+        i.Members(
+            i.ListKind.COMPLETE,
+            1,
+            (i.Entry(1, "", "reads", 0, i.State.SERVING, 1.0), i.Entry(2, "", "writes", 0, i.State.SERVING, 1.0)),
+        ),
+    )
     assert i.Send(9, 1) in policy.handle(2, i.Request(9, "ask", 800_000, 100))
     assert i.Send(9, 2) in policy.handle(50_000, i.Outcome(9, 0, 1, i.Status.READ, 50_000, False))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -13,15 +13,37 @@
 from yardspindle import interface as i
 
 COLD_US = 5_000_000
-HOLDS = (("listed at once", 20), ("back before the list says so", 200), ("started before the processes did", 200),
-         ("half of all in an outage of discovery", 30), ("half of all", 20), ("half of all", 200), ("every host", 30),
-         ("every host", 200), ("every host, one after the other", 30), ("the reader's cell", 30),
-         ("started in the future", 30), ("repeats: all others full", 30), ("a hot text", 30), ("warm by work", 6),
-         ("warm by work", 200), ("no start at all", 6))
-IDLE = (("all writers, placed ahead", 20), ("all writers, placed ahead", 30), ("few carry most", 200),
-        ("survivors of a role", 6))  # the sum holds; at work for less than 0.8 of the cold time
-UNTOLD = (("back before the list says so", 30), ("repeats: all others die", 20), ("repeats: a zone dies", 30),
-          ("repeats: all others full", 200), ("survivors of a role", 200))
+HOLDS = (
+    ("listed at once", 20),
+    ("back before the list says so", 200),
+    ("started before the processes did", 200),
+    ("half of all in an outage of discovery", 30),
+    ("half of all", 20),
+    ("half of all", 200),
+    ("every host", 30),
+    ("every host", 200),
+    ("every host, one after the other", 30),
+    ("the reader's cell", 30),
+    ("started in the future", 30),
+    ("repeats: all others full", 30),
+    ("a hot text", 30),
+    ("warm by work", 6),
+    ("warm by work", 200),
+    ("no start at all", 6),
+)
+IDLE = (
+    ("all writers, placed ahead", 20),
+    ("all writers, placed ahead", 30),
+    ("few carry most", 200),
+    ("survivors of a role", 6),
+)  # the sum holds; at work for less than 0.8 of the cold time
+UNTOLD = (
+    ("back before the list says so", 30),
+    ("repeats: all others die", 20),
+    ("repeats: a zone dies", 30),
+    ("repeats: all others full", 200),
+    ("survivors of a role", 200),
+)
 LARGE = (("a hot text", 200), ("repeats: all others die", 200))
 
 
@@ -65,14 +87,23 @@
 @pytest.mark.parametrize("step_us", [-3_600_000_000, 3_600_000_000])
 def test_a_start_told_by_a_clock_that_was_stepped_counts_from_when_it_can_have_been(step_us: int) -> None:
     """Told as an hour ago it would be sent all at once; told as in an hour it would be cold for as long."""
-    settings = i.Settings(me=0, instances=1, zone="a", classes=(i.RequestClass("c", 1e6, 4e6),),
-                          kinds=(i.Kind("r", i.Role.READ), i.Kind("w", i.Role.WRITE)),
-                          cold_us=COLD_US, start_capacity=0.25, fall_multiple=2.5, fall_us=2_000_000)
+    settings = i.Settings(
+        me=0,
+        instances=1,
+        zone="a",
+        classes=(i.RequestClass("c", 1e6, 4e6),),
+        kinds=(i.Kind("r", i.Role.READ), i.Kind("w", i.Role.WRITE)),
+        cold_us=COLD_US,
+        start_capacity=0.25,
+        fall_multiple=2.5,
+        fall_us=2_000_000,
+    )
     policy, began, told = Policy(settings, seed=1), 10 * COLD_US, 12 * COLD_US
 
     def listed(at: int, start: int) -> None:
-        entries = tuple(i.Entry(n, "a", kind, 0, i.State.SERVING, 1.0, start if n == 2 else 0)
-                        for n, kind in ((1, "r"), (2, "w")))
+        entries = tuple(
+            i.Entry(n, "a", kind, 0, i.State.SERVING, 1.0, start if n == 2 else 0) for n, kind in ((1, "r"), (2, "w"))
+        )
         policy.handle(at, i.Members(i.ListKind.COMPLETE, 1, entries))
 
     def warmth(at: int) -> float:
--- a/tests/test_sse.py
+++ b/tests/test_sse.py
@@ -36,8 +36,27 @@
     return events
 
 
-pieces = st.sampled_from([b"data: {}", b"data:x", b"data", b"event: error", b"id: 4", b"id", b": note", b"\n",
-                          b"\r\n", b"\r", b"\n\n", b"\xef\xbb\xbf", b" ", b"data: a\n\n", b"retry: 10", b"x", b"\0"])
+pieces = st.sampled_from(
+    [
+        b"data: {}",
+        b"data:x",
+        b"data",
+        b"event: error",
+        b"id: 4",
+        b"id",
+        b": note",
+        b"\n",
+        b"\r\n",
+        b"\r",
+        b"\n\n",
+        b"\xef\xbb\xbf",
+        b" ",
+        b"data: a\n\n",
+        b"retry: 10",
+        b"x",
+        b"\0",
+    ]
+)
 
 
 @settings(max_examples=500, deadline=None)
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -41,22 +41,29 @@
     stages = script()
     lines = stages.table(stages.rows(LOG.splitlines()))
     assert lines == [
-        "requests 4", "  chat: served 2", "  order: overloaded 1, served 1",
+        "requests 4",
+        "  chat: served 2",
+        "  order: overloaded 1, served 1",
         "kept 0.375 of the prompt tokens read, best possible 0.450; new tokens a read 833 of 1333",
         "reads 4, writes 3, places asked 4, refused 1",
         "moved to another cell 1, to another zone 1, of 3",
-        "readers: 2 hosts, the fullest 1.3 times their mean", "writers: 2 hosts, the fullest 1.3 times their mean",
-        "ms p50/p99: wait 20/30, prefill 30/40, hold 0/0, transfer 5/7, decode 100/100"]
+        "readers: 2 hosts, the fullest 1.3 times their mean",
+        "writers: 2 hosts, the fullest 1.3 times their mean",
+        "ms p50/p99: wait 20/30, prefill 30/40, hold 0/0, transfer 5/7, decode 100/100",
+    ]
     assert stages.table([])[0] == "requests 0"
 
 
-COLD = LOG + """\
+COLD = (
+    LOG
+    + """\
 0.100 host started id=r1 kind=reads up=90
 0.100 host started id=r1 kind=reads up=90
 0.100 host started id=w1 kind=writes up=5000
 1.250 attempt failed id=b at=r1 stage=prefill status=error detail=status 500
 9.000 attempt failed id=b at=r1 stage=prefill status=error detail=status 500
 """
+)
 
 
 def test_what_cold_hosts_were_sent_by_all() -> None:
@@ -65,7 +72,8 @@
     # a and b were read at 110 and 220, a failed read ended at about 495; c never, d at another reader.
     assert stages.cold(lines, 1_000, 2_000) == [
         "cold reads: 1 started, sent in 2 s at most 3, median 3",
-        "cold writes: 1 started, sent in 2 s at most 0, median 0"]
+        "cold writes: 1 started, sent in 2 s at most 0, median 0",
+    ]
     assert stages.cold(lines, 1_000, 100)[0] == "cold reads: 1 started, sent in 0.1 s at most 1, median 1"
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -141,8 +141,11 @@
 
 def test_a_transaction_takes_one_branch_and_sees_its_own_writes(kind: str, tmp_path: Path) -> None:
     def test(world: RealWorld, store: Store) -> None:
-        free = Txn((Compare(b"d/1", "create", "equal", 0),), (Put(b"d/1", b"me"), Get(b"d/", prefix_end(b"d/"))),
-                   (Get(b"d/1"),))
+        free = Txn(
+            (Compare(b"d/1", "create", "equal", 0),),
+            (Put(b"d/1", b"me"), Get(b"d/", prefix_end(b"d/"))),
+            (Get(b"d/1"),),
+        )
         taken = store.txn(free)
         assert taken.succeeded and [row.value for row in taken.found[1]] == [b"me"]
         late = store.txn(free)
@@ -215,14 +218,26 @@
 
 KEYS = st.sampled_from([b"a", b"b", b"c", b"\xff", b"a\x00"])
 OPS: st.SearchStrategy[Op] = st.one_of(
-    st.builds(Put, KEYS, st.binary(max_size=3)), st.builds(Delete, KEYS, st.sampled_from([b"", b"c", b"\0"])),
-    st.builds(Get, KEYS, st.sampled_from([b"", b"c", b"\0"])))
+    st.builds(Put, KEYS, st.binary(max_size=3)),
+    st.builds(Delete, KEYS, st.sampled_from([b"", b"c", b"\0"])),
+    st.builds(Get, KEYS, st.sampled_from([b"", b"c", b"\0"])),
+)
 COMPARES = st.one_of(
-    st.builds(Compare, KEYS, st.sampled_from(["version", "create", "mod", "lease"]),
-              st.sampled_from(["equal", "greater", "less", "not_equal"]), st.integers(0, 12)),
-    st.builds(Compare, KEYS, st.just("value"), st.sampled_from(["equal", "not_equal"]), st.binary(max_size=3)))
-TXNS = st.builds(lambda c, t, o: Txn(tuple(c), tuple(t), tuple(o)), st.lists(COMPARES, max_size=2),
-                 st.lists(OPS, max_size=3), st.lists(OPS, max_size=3))
+    st.builds(
+        Compare,
+        KEYS,
+        st.sampled_from(["version", "create", "mod", "lease"]),
+        st.sampled_from(["equal", "greater", "less", "not_equal"]),
+        st.integers(0, 12),
+    ),
+    st.builds(Compare, KEYS, st.just("value"), st.sampled_from(["equal", "not_equal"]), st.binary(max_size=3)),
+)
+TXNS = st.builds(
+    lambda c, t, o: Txn(tuple(c), tuple(t), tuple(o)),
+    st.lists(COMPARES, max_size=2),
+    st.lists(OPS, max_size=3),
+    st.lists(OPS, max_size=3),
+)
 
 
 @given(st.lists(TXNS, max_size=12))
@@ -252,6 +267,7 @@
 
 # --- the gateway's client when things fail
 
+
 def with_stand_in(test: Callable[[RealWorld, EtcdStandIn, Gateway], None], endpoints: int = 1) -> None:
     world = RealWorld(seed=1)
 
--- a/tests/test_store_failures.py
+++ b/tests/test_store_failures.py
@@ -106,6 +106,7 @@
 
 def test_that_a_watch_stands_does_not_say_that_nothing_was_missed() -> None:
     """Found by a seeded world: a view that took it so passed over what had changed since it was read."""
+
     def test(world: RealWorld, stand_in: EtcdStandIn, store: Gateway) -> None:
         keys = Keys("f")
         view = View(keys)
@@ -123,6 +124,7 @@
 
 # --- the file
 
+
 def test_a_file_that_is_not_ours_is_left_as_it_is(tmp_path: Path) -> None:
     path = tmp_path / "store.db"
     path.write_bytes(b"not a database at all, but somebody's notes" * 100)
@@ -166,24 +168,28 @@
 
 def test_writers_that_are_killed_at_any_moment_leave_a_whole_store(tmp_path: Path) -> None:
     """Four processes count two keys up in one transaction each; whoever is killed, they agree and nothing is lost."""
-    code = ("import sys; from yardspindle.core.fleet.kv import *; from yardspindle.runtime.real import RealWorld\n"
-            "from yardspindle.fleet.store.embedded import EmbeddedStore\n"
-            "w = RealWorld()\n"
-            "def go():\n"
-            "    s = EmbeddedStore(w, sys.argv[1], 5_000_000)\n"
-            "    while True:\n"
-            "        rows = s.range(b'a').rows\n"
-            "        n = int(rows[0].value) if rows else 0\n"
-            "        mod = rows[0].mod if rows else 0\n"
-            "        done = s.txn(Txn((Compare(b'a', 'mod', 'equal', mod),),\n"
-            "                         (Put(b'a', b'%d' % (n + 1)), Put(b'b', b'%d' % (n + 1)))))\n"
-            "        if done.succeeded: print(n + 1, flush=True)\n"
-            "w.run('count', go)\n")
+    code = (
+        "import sys; from yardspindle.core.fleet.kv import *; from yardspindle.runtime.real import RealWorld\n"
+        "from yardspindle.fleet.store.embedded import EmbeddedStore\n"
+        "w = RealWorld()\n"
+        "def go():\n"
+        "    s = EmbeddedStore(w, sys.argv[1], 5_000_000)\n"
+        "    while True:\n"
+        "        rows = s.range(b'a').rows\n"
+        "        n = int(rows[0].value) if rows else 0\n"
+        "        mod = rows[0].mod if rows else 0\n"
+        "        done = s.txn(Txn((Compare(b'a', 'mod', 'equal', mod),),\n"
+        "                         (Put(b'a', b'%d' % (n + 1)), Put(b'b', b'%d' % (n + 1)))))\n"
+        "        if done.succeeded: print(n + 1, flush=True)\n"
+        "w.run('count', go)\n"
+    )
     path = tmp_path / "store.db"
     highest = 0
     for round_number in range(6):
-        children = [subprocess.Popen([sys.executable, "-c", code, str(path)], stdout=subprocess.PIPE, text=True)
-                    for _ in range(4)]
+        children = [
+            subprocess.Popen([sys.executable, "-c", code, str(path)], stdout=subprocess.PIPE, text=True)
+            for _ in range(4)
+        ]
         for at, child in enumerate(children):
             assert child.stdout is not None
             for _ in range(3 + round_number + at):
@@ -215,6 +221,7 @@
 
 def test_the_bound_of_a_caller_is_its_own(tmp_path: Path) -> None:
     """A deadline around a call that passes first is not taken for the store's."""
+
     def test(world: RealWorld, stand_in: EtcdStandIn, store: Gateway) -> None:
         stand_in.late_us = 150_000
         with pytest.raises(DeadlineExceeded), world.deadline(world.now_us() + 20_000):
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -206,10 +206,14 @@
     run(main)
 
 
-@pytest.mark.parametrize(("name", "check"), [
-    ("lost", lambda got: got == sorted(got) and 10 < len(got) < 90),
-    ("doubled", lambda got: len(got) > 110 and set(got) == set(range(100))),
-    ("reordered", lambda got: got != sorted(got) and sorted(got) == list(range(100)))])
+@pytest.mark.parametrize(
+    ("name", "check"),
+    [
+        ("lost", lambda got: got == sorted(got) and 10 < len(got) < 90),
+        ("doubled", lambda got: len(got) > 110 and set(got) == set(range(100))),
+        ("reordered", lambda got: got != sorted(got) and sorted(got) == list(range(100))),
+    ],
+)
 def test_messages_are_lost_doubled_and_out_of_order(name: str, check: Callable[[list[int]], bool]) -> None:
     def main(sim: Simulation, near: VirtualWorld, far: VirtualWorld) -> None:
         publisher = near.messages("pub", "127.0.0.1", 0)
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -33,8 +33,13 @@
 
 def settled(fleet: FleetThread) -> None:
     """Nothing is open, held or owed anywhere."""
-    fleet.until(lambda: not fleet.edge.core.life.open and not fleet.edge.core.releases.owed
-                and not any(engine.states or engine.places or engine.load.running for engine in fleet.engines))
+    fleet.until(
+        lambda: (
+            not fleet.edge.core.life.open
+            and not fleet.edge.core.releases.owed
+            and not any(engine.states or engine.places or engine.load.running for engine in fleet.engines)
+        )
+    )
     assert not fleet.crashes
     assert fleet.edge.core.watch.breaks == [] and not fleet.edge.core.watch.open
 
@@ -52,8 +57,17 @@
 
 
 def post(body: bytes, *headers: bytes, path: bytes = b"/v1/chat/completions") -> bytes:
-    return b"\r\n".join([b"POST " + path + b" HTTP/1.1", b"Host: x", b"Content-Type: application/json", *headers,
-                         b"Content-Length: %d" % len(body), b"", body])
+    return b"\r\n".join(
+        [
+            b"POST " + path + b" HTTP/1.1",
+            b"Host: x",
+            b"Content-Type: application/json",
+            *headers,
+            b"Content-Length: %d" % len(body),
+            b"",
+            body,
+        ]
+    )
 
 
 def body_of(**more: Any) -> bytes:
@@ -62,9 +76,13 @@
 
 # --- the official client
 
+
 def test_a_streamed_answer(fleet: FleetThread) -> None:
-    chunks = list(client(fleet).chat.completions.create(
-        model=MODEL, messages=HELLO, max_tokens=5, stream=True, stream_options={"include_usage": True}))
+    chunks = list(
+        client(fleet).chat.completions.create(
+            model=MODEL, messages=HELLO, max_tokens=5, stream=True, stream_options={"include_usage": True}
+        )
+    )
     text = "".join(chunk.choices[0].delta.content or "" for chunk in chunks if chunk.choices)
     assert text == "w0 w1 w2 w3 w4"
     assert chunks[-2].choices[0].finish_reason == "stop"
@@ -88,8 +106,13 @@
     engine.handle = noted  # type: ignore[method-assign]
     tools: Any = [{"type": "function", "function": {"name": "f", "parameters": {"type": "object"}}}]
     answer = client(fleet).chat.completions.create(
-        model=MODEL, messages=HELLO, max_completion_tokens=4, tools=tools, temperature=0.123456789012345678,
-        extra_body={"novel_field": {"deep": [1, None, "é"]}})
+        model=MODEL,
+        messages=HELLO,
+        max_completion_tokens=4,
+        tools=tools,
+        temperature=0.123456789012345678,
+        extra_body={"novel_field": {"deep": [1, None, "é"]}},
+    )
     assert answer.choices[0].message.content == "w0 w1 w2 w3" and answer.usage is not None
     assert answer.usage.total_tokens == answer.usage.prompt_tokens + 4
     sent = json.loads(next(body for body in seen if b"do_remote_prefill" in body))
@@ -122,8 +145,9 @@
     fleet.control("w0", "hang")
     with socket.create_connection(("127.0.0.1", fleet.port), timeout=10) as sock:
         sock.sendall(post(body_of()))
-        fleet.until(lambda: any(r.out is not None and r.out.server.name == "w0"
-                                for r in fleet.edge.core.life.open.values()))
+        fleet.until(
+            lambda: any(r.out is not None and r.out.server.name == "w0" for r in fleet.edge.core.life.open.values())
+        )
         assert any(engine.states for engine in fleet.engines)
     fleet.until(lambda: not fleet.edge.core.life.open)
     fleet.control("w0", "wake")
@@ -149,8 +173,11 @@
     assert caught.value.response.headers["retry-after-ms"] == "200"
     refused = fleet.edge.core.life.tally.refused
     done: list[Any] = []
-    call = threading.Thread(target=lambda: done.append(
-        client(fleet, max_retries=40).chat.completions.create(model=MODEL, messages=HELLO, max_tokens=2)))
+    call = threading.Thread(
+        target=lambda: done.append(
+            client(fleet, max_retries=40).chat.completions.create(model=MODEL, messages=HELLO, max_tokens=2)
+        )
+    )
     call.start()
     fleet.until(lambda: fleet.edge.core.life.tally.refused > refused)
     for engine in fleet.engines:
@@ -166,8 +193,9 @@
     # The package tells us its limit in this header, and we would answer before it: so here it tells another.
     hurried = client(fleet, timeout=0.4)
     with pytest.raises((openai.APITimeoutError, httpx.ReadTimeout)) as caught:
-        answer: Any = hurried.chat.completions.create(model=MODEL, messages=HELLO, max_tokens=400, stream=stream,
-                                                      extra_headers={"x-stainless-read-timeout": "60"})
+        answer: Any = hurried.chat.completions.create(
+            model=MODEL, messages=HELLO, max_tokens=400, stream=stream, extra_headers={"x-stainless-read-timeout": "60"}
+        )
         for number, _ in enumerate(answer):
             if number == 0:
                 fleet.control("w0", "hang")
@@ -187,7 +215,8 @@
     def order() -> None:
         try:
             answer: Any = client(fleet, max_retries=3).chat.completions.create(
-                model=MODEL, messages=HELLO, max_tokens=500, stream=stream, metadata={"class": "order"})
+                model=MODEL, messages=HELLO, max_tokens=500, stream=stream, metadata={"class": "order"}
+            )
             for _ in answer if stream else ():
                 pass
         except openai.OpenAIError as error:
@@ -195,8 +224,9 @@
 
     call = threading.Thread(target=order)
     call.start()
-    fleet.until(lambda: fleet.edge.core.life.open != {} and all(
-        r.streaming for r in fleet.edge.core.life.open.values()))
+    fleet.until(
+        lambda: fleet.edge.core.life.open != {} and all(r.streaming for r in fleet.edge.core.life.open.values())
+    )
     fleet.control("w0", "reset_streams")
     call.join(20)
     if stream:
@@ -211,20 +241,31 @@
 
 # --- bytes by hand
 
-@pytest.mark.parametrize(("data", "status", "code"), [
-    (post(b"{"), 400, "invalid_json"), (post(b"[]"), 400, "invalid_value"),
-    (post(body_of(messages=[])), 400, "invalid_value"), (post(body_of(max_tokens=0)), 400, "invalid_value"),
-    (post(body_of(messages=[{"role": "boss", "content": "x"}])), 400, "invalid_value"),
-    (post(body_of(metadata={"class": "none such"})), 400, "invalid_value"),
-    (post(body_of(stream_options={"include_usage": True})), 400, "invalid_value"),
-    (post(body_of(kv_transfer_params={})), 400, "invalid_value"),
-    (post(body_of(), b"X-Request-Timeout-Ms: soon"), 400, "invalid_value"),
-    (post(body_of(), path=b"/v1/else"), 404, "not_found"),
-    (b"GET /v1/chat/completions HTTP/1.1\r\nHost: x\r\n\r\n", 405, "method_not_allowed"),
-    (post(body_of()).replace(b"application/json", b"text/plain"), 415, "unsupported_media_type"),
-    (post(body_of(), b"Content-Encoding: gzip"), 415, "unsupported_media_type"),
-    (b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n", 413, "malformed_request"),
-    (b"GET / HTTP/1.1\n\n", 400, "malformed_request")])
+
+@pytest.mark.parametrize(
+    ("data", "status", "code"),
+    [
+        (post(b"{"), 400, "invalid_json"),
+        (post(b"[]"), 400, "invalid_value"),
+        (post(body_of(messages=[])), 400, "invalid_value"),
+        (post(body_of(max_tokens=0)), 400, "invalid_value"),
+        (post(body_of(messages=[{"role": "boss", "content": "x"}])), 400, "invalid_value"),
+        (post(body_of(metadata={"class": "none such"})), 400, "invalid_value"),
+        (post(body_of(stream_options={"include_usage": True})), 400, "invalid_value"),
+        (post(body_of(kv_transfer_params={})), 400, "invalid_value"),
+        (post(body_of(), b"X-Request-Timeout-Ms: soon"), 400, "invalid_value"),
+        (post(body_of(), path=b"/v1/else"), 404, "not_found"),
+        (b"GET /v1/chat/completions HTTP/1.1\r\nHost: x\r\n\r\n", 405, "method_not_allowed"),
+        (post(body_of()).replace(b"application/json", b"text/plain"), 415, "unsupported_media_type"),
+        (post(body_of(), b"Content-Encoding: gzip"), 415, "unsupported_media_type"),
+        (
+            b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n",
+            413,
+            "malformed_request",
+        ),
+        (b"GET / HTTP/1.1\n\n", 400, "malformed_request"),
+    ],
+)
 def test_what_is_not_taken_gets_an_error_object(fleet: FleetThread, data: bytes, status: int, code: str) -> None:
     head, _, body = raw(fleet, data, until=b"}}").partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 %d " % status), head
@@ -234,8 +275,11 @@
 
 
 def test_pipelined_requests_are_answered_in_order(fleet: FleetThread) -> None:
-    data = post(body_of(max_tokens=6)) + b"GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n" + post(
-        body_of(max_tokens=1), b"Connection: close")
+    data = (
+        post(body_of(max_tokens=6))
+        + b"GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n"
+        + post(body_of(max_tokens=1), b"Connection: close")
+    )
     got = raw(fleet, data)
     assert got.count(b"HTTP/1.1 200 OK") == 3
     assert got.index(b"w5") < got.index(b'"object":"list"') < got.index(b'"content":"w0"}')
@@ -267,9 +311,12 @@
 def test_keys_map_to_tenants(tmp_path: Path) -> None:
     config = {"tenants": [{"name": "one", "keys": ["key-number-1"]}, {"name": "two", "keys": ["key-number-2"]}]}
     with FleetThread(tmp_path, config) as fleet:
+
         def use(key: str) -> Any:
             return openai.OpenAI(base_url=fleet.url, api_key=key, max_retries=0).chat.completions.create(
-                model=MODEL, messages=HELLO, max_tokens=1)
+                model=MODEL, messages=HELLO, max_tokens=1
+            )
+
         assert use("key-number-1").choices and use("key-number-2").choices
         with pytest.raises(openai.AuthenticationError) as caught:
             use("key-number-3")
@@ -280,6 +327,7 @@
 
 # --- the halves and the list
 
+
 def test_without_a_planner_new_requests_are_refused_at_once_and_streams_go_on(fleet: FleetThread) -> None:
     fleet.control("w0", "slow", 5.0)
     stream = iter(client(fleet).chat.completions.create(model=MODEL, messages=HELLO, max_tokens=60, stream=True))
@@ -307,25 +355,31 @@
 
 
 def test_a_draining_server_gets_nothing_new_and_a_bad_list_changes_nothing(tmp_path: Path) -> None:
-    boxes = (EngineSettings(name="r0", role="read"), EngineSettings(name="r1", role="read"),
-             EngineSettings(name="w0", role="write"))
+    boxes = (
+        EngineSettings(name="r0", role="read"),
+        EngineSettings(name="r1", role="read"),
+        EngineSettings(name="w0", role="write"),
+    )
     with FleetThread(tmp_path, boxes=boxes) as fleet:
         fleet.call(lambda: fleet.write_list(r0="draining"))
         fleet.until(lambda: fleet.planner.roster.version == 2)
         good = (tmp_path / "servers.toml").read_text()
-        (tmp_path / "servers.toml").write_text(good[:len(good) // 2])
+        (tmp_path / "servers.toml").write_text(good[: len(good) // 2])
         fleet.until(lambda: fleet.planner.source.rejected == 1)
         for number in range(12):
             client(fleet).chat.completions.create(
-                model=MODEL, messages=[{"role": "user", "content": f"{number}"}], max_tokens=1)
+                model=MODEL, messages=[{"role": "user", "content": f"{number}"}], max_tokens=1
+            )
         assert {event["box"] for event in fleet.events("end") if event["stage"] == "read"} == {"r1"}
         assert fleet.planner.roster.version == 2
         settled(fleet)
 
 
 def test_engines_without_the_extension_serve_without_it(tmp_path: Path) -> None:
-    boxes = (EngineSettings(name="r0", role="read", places=False),
-             EngineSettings(name="w0", role="write", places=False))
+    boxes = (
+        EngineSettings(name="r0", role="read", places=False),
+        EngineSettings(name="w0", role="write", places=False),
+    )
     with FleetThread(tmp_path, boxes=boxes) as fleet:
         assert client(fleet).chat.completions.create(model=MODEL, messages=HELLO, max_tokens=2).choices
         assert not fleet.events("hold place")
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -57,21 +57,34 @@
 
 
 def test_the_same_seed_is_the_same_run_under_another_hash_seed() -> None:
-    code = ("from yardspindle.lab.script import draw_script; from yardspindle.lab.worlds import play; "
-            "print(play(draw_script(3)).trace)")
-    traces = {subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True,
-                             env={"PYTHONHASHSEED": seed, "PATH": ""}).stdout.splitlines()[-1] for seed in ("1", "77")}
+    code = (
+        "from yardspindle.lab.script import draw_script; from yardspindle.lab.worlds import play; "
+        "print(play(draw_script(3)).trace)"
+    )
+    traces = {
+        subprocess.run(
+            [sys.executable, "-c", code],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            check=True,
+            env={"PYTHONHASHSEED": seed, "PATH": ""},
+        ).stdout.splitlines()[-1]
+        for seed in ("1", "77")
+    }
     assert len(traces) == 1
 
 
-@pytest.mark.parametrize("script", msgspec.json.decode(FOUND.read_bytes(), type=list[Script]),
-                         ids=lambda script: f"seed {script.seed}")
+@pytest.mark.parametrize(
+    "script", msgspec.json.decode(FOUND.read_bytes(), type=list[Script]), ids=lambda script: f"seed {script.seed}"
+)
 def test_what_was_found_stays_mended(script: Script) -> None:
     assert play(script).breaks == ()
 
 
 def test_nothing_of_ours_reads_real_time_or_chance(monkeypatch: pytest.MonkeyPatch) -> None:
     """Libraries may (a metric notes when it was made); whatever of ours did would not be the same run again."""
+
     def watched(owner: Any, name: str) -> None:
         real = getattr(owner, name)
 
@@ -82,10 +95,13 @@
 
         monkeypatch.setattr(owner, name, call)
 
-    for owner, names in ((time, ("time", "time_ns", "monotonic", "monotonic_ns", "perf_counter", "sleep")),
-                         (os, ("urandom", "getpid", "getrandom")), (uuid, ("uuid1", "uuid4")),
-                         (random, ("random", "randrange", "choice", "getrandbits", "shuffle")),
-                         (socket, ("socket", "create_connection"))):
+    for owner, names in (
+        (time, ("time", "time_ns", "monotonic", "monotonic_ns", "perf_counter", "sleep")),
+        (os, ("urandom", "getpid", "getrandom")),
+        (uuid, ("uuid1", "uuid4")),
+        (random, ("random", "randrange", "choice", "getrandbits", "shuffle")),
+        (socket, ("socket", "create_connection")),
+    ):
         for name in names:
             watched(owner, name)
     assert play(draw_script(5)).breaks == ()
@@ -95,6 +111,7 @@
 
 # --- shrinking
 
+
 def test_shrinking_leaves_just_what_still_fails() -> None:
     script = draw_script(11)
     one, other = script.faults[1], script.faults[3]
@@ -123,21 +140,42 @@
     assert again == small
 
 
-@pytest.mark.parametrize("name", ["place_of_an_unheard_write_forgotten", "event_cut_between_reads_lost",
-                                  "unheard_releases_use_up_the_line", "place_release_forgotten",
-                                  "late_place_answer_forgotten", "bad_list_taken_in_part",
-                                  "deadline_later_than_the_client_said"])
+@pytest.mark.parametrize(
+    "name",
+    [
+        "place_of_an_unheard_write_forgotten",
+        "event_cut_between_reads_lost",
+        "unheard_releases_use_up_the_line",
+        "place_release_forgotten",
+        "late_place_answer_forgotten",
+        "bad_list_taken_in_part",
+        "deadline_later_than_the_client_said",
+    ],
+)
 def test_a_mistake_is_found(name: str) -> None:
-    done = subprocess.run([sys.executable, "-m", "tests.planted", "--seeds", "48", "--jobs", "1", name], cwd=ROOT,
-                          capture_output=True, text=True, timeout=100, check=True)
+    done = subprocess.run(
+        [sys.executable, "-m", "tests.planted", "--seeds", "48", "--jobs", "1", name],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=100,
+        check=True,
+    )
     assert name in done.stdout and "not found" not in done.stdout
 
 
 # --- the commands
 
+
 def command(*words: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "yardspindle", "lab", *words], cwd=ROOT, capture_output=True,
-                          text=True, timeout=100, check=False)
+    return subprocess.run(
+        [sys.executable, "-m", "yardspindle", "lab", *words],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=100,
+        check=False,
+    )
 
 
 def test_seeds_seed_and_shrink_as_commands(tmp_path: Path) -> None:
--- a/tests/world_ledger.py
+++ b/tests/world_ledger.py
@@ -99,8 +99,15 @@
 
     def rows(self) -> list[str]:
         """All of the book, for comparison."""
-        return [*(repr(row) for row in self.asked.values()), *map(repr, self.attempts), *map(repr, self.places),
-                *map(repr, self.holds), *map(repr, self.freed), repr(self.told), repr(self.unserved)]
+        return [
+            *(repr(row) for row in self.asked.values()),
+            *map(repr, self.attempts),
+            *map(repr, self.places),
+            *map(repr, self.holds),
+            *map(repr, self.freed),
+            repr(self.told),
+            repr(self.unserved),
+        ]
 
     def _off(self, host: str, from_us: int, to_us: int) -> bool:
         """Whether times at a host say nothing of the dispatcher: a cut held up what was sent then."""
@@ -144,8 +151,13 @@
     def _killed(self, request: Asked) -> bool:
         """SIGKILL found it unanswered, which loses only what came late."""
         killed_us, term_us, closed_us = self.killed_us, self.term_us, request.closed_us
-        return (killed_us is not None and term_us is not None and closed_us is not None and closed_us >= killed_us
-                and request.sent_us <= term_us + EARLY_US)
+        return (
+            killed_us is not None
+            and term_us is not None
+            and closed_us is not None
+            and closed_us >= killed_us
+            and request.sent_us <= term_us + EARLY_US
+        )
 
     def _final_us(self, request: Asked) -> int:
         """When its answer counts as given; 0: it has none."""
@@ -180,8 +192,10 @@
             left_us = request.sent_us + request.deadline_us - attempt.first_us
             gone = request.left_us is not None and request.left_us < attempt.first_us
             if attempt.told_ms * 1_000 > left_us + TOLD_MORE_US and not gone:
-                yield (f"told {attempt.host} {attempt.told_ms} ms, {attempt.told_ms * 1_000 - left_us} us more than "
-                       "is left")
+                yield (
+                    f"told {attempt.host} {attempt.told_ms} ms, {attempt.told_ms * 1_000 - left_us} us more than "
+                    "is left"
+                )
             if final_us and attempt.first_us > final_us + NETWORK_US:
                 yield f"sent to {attempt.host} {attempt.first_us - final_us} us after its answer"
 
@@ -222,7 +236,8 @@
             if source.finished_us is None or len(body) < len(source.body):
                 yield f"ended as whole after {len(body)} bytes, which the stream of {source.host} was not"
             elif request.whole_us > source.finished_us + EVENT_LATE_US and not self._off(
-                    source.host, source.finished_us, request.whole_us):
+                source.host, source.finished_us, request.whole_us
+            ):
                 yield f"its end was passed on {request.whole_us - source.finished_us} us late"
             over_us = request.whole_us
         elif request.left_us is None:
@@ -232,7 +247,8 @@
             if source.broken_us is not None and written_us > source.broken_us - CROSSED_US:
                 continue
             if (came_us or over_us) > written_us + EVENT_LATE_US and not self._off(
-                    source.host, written_us, came_us or over_us):
+                source.host, written_us, came_us or over_us
+            ):
                 yield f"an event of {source.host} was passed on {(came_us or over_us) - written_us} us late"
                 return
 
@@ -245,8 +261,11 @@
             if now_us > last_us + BROKEN_LATE_US:
                 yield f"left waiting {now_us - last_us} us after the last event of {source.host}"
             return
-        if finished_us is not None and finished_us + NETWORK_US < closed_us and (
-                broken_us is None or broken_us > finished_us + CROSSED_US):
+        if (
+            finished_us is not None
+            and finished_us + NETWORK_US < closed_us
+            and (broken_us is None or broken_us > finished_us + CROSSED_US)
+        ):
             yield f"cut {closed_us - finished_us} us after {source.host} had finished its stream"
         elif broken_us is not None and broken_us <= closed_us:
             if closed_us > broken_us + BROKEN_LATE_US:
@@ -265,9 +284,11 @@
         horizon_us = now_us if self.ended_us is None else self.ended_us
         for hold in self.holds:
             attempts = self.of(hold.id)
-            end_us = min([at for number, at in self.freed if number == hold.id and at >= hold.since_us]
-                         + [at for a in attempts for at in _uses(hold, a)]
-                         + [max(self.died.get(hold.host, horizon_us), hold.since_us), horizon_us])
+            end_us = min(
+                [at for number, at in self.freed if number == hold.id and at >= hold.since_us]
+                + [at for a in attempts for at in _uses(hold, a)]
+                + [max(self.died.get(hold.host, horizon_us), hold.since_us), horizon_us]
+            )
             start_us, longest_us = hold.since_us, 0
             for a in attempts:
                 if a.last_us is None or a.last_us >= end_us:
--- a/yardspindle/api/chat.py
+++ b/yardspindle/api/chat.py
@@ -79,8 +79,12 @@
             if hmac.compare_digest(key, given.strip()) and scheme.lower() == b"bearer":
                 found = tenant
         if found is None:
-            raise ApiError(401, "invalid_api_key", "No valid API key was given in the Authorization header.",
-                           headers=[(b"www-authenticate", b"Bearer")])
+            raise ApiError(
+                401,
+                "invalid_api_key",
+                "No valid API key was given in the Authorization header.",
+                headers=[(b"www-authenticate", b"Bearer")],
+            )
         return found
 
 
@@ -109,13 +113,15 @@
     if fields.model != model:
         raise ApiError(404, "model_not_found", f"The model `{fields.model[:100]}` does not exist.", "model")
     if fields.stream_options is not None and not fields.stream:
-        raise ApiError(400, "invalid_value", "stream_options: only allowed when stream is true",
-                       "stream_options")
+        raise ApiError(400, "invalid_value", "stream_options: only allowed when stream is true", "stream_options")
     if "kv_transfer_params" in raw:
         raise ApiError(400, "invalid_value", "kv_transfer_params: set by the router alone", "kv_transfer_params")
     return ChatRequest(
-        raw, bool(fields.stream), bool(fields.stream_options and fields.stream_options.include_usage),
-        _said(fields, raw, head, tenant))
+        raw,
+        bool(fields.stream),
+        bool(fields.stream_options and fields.stream_options.include_usage),
+        _said(fields, raw, head, tenant),
+    )
 
 
 def _said(fields: _Fields, raw: dict[str, msgspec.Raw], head: http1.RequestHead, tenant: str | None) -> Said:
@@ -130,16 +136,20 @@
         cls=metadata.get("class") or _header(head, b"x-request-class"),
         session=metadata.get("session") or _header(head, b"x-session-id"),
         shared_opening=metadata.get("shared_opening") or fields.prompt_cache_key,
-        timeout_ms=_milliseconds("timeout_ms", metadata.get("timeout_ms")
-                                 or _header(head, b"x-request-timeout-ms"), 1.0),
-        client_timeout_ms=_milliseconds("x-stainless-read-timeout",
-                                        _header(head, b"x-stainless-read-timeout"), 1_000.0),
+        timeout_ms=_milliseconds(
+            "timeout_ms", metadata.get("timeout_ms") or _header(head, b"x-request-timeout-ms"), 1.0
+        ),
+        client_timeout_ms=_milliseconds(
+            "x-stainless-read-timeout", _header(head, b"x-stainless-read-timeout"), 1_000.0
+        ),
         opening=tuple(part for part in (tools, *texts[:leading]) if part),
         first=texts[leading] if leading < len(texts) else b"",
         size=len(tools) + sum(len(text) for text in texts),
-        max_out=fields.max_completion_tokens or fields.max_tokens, whole=not fields.stream,
+        max_out=fields.max_completion_tokens or fields.max_tokens,
+        whole=not fields.stream,
         messages=tuple((message.role, text) for message, text in zip(fields.messages, texts, strict=True)),
-        tools=tools)
+        tools=tools,
+    )
 
 
 def _text(message: _Message) -> bytes:
--- a/yardspindle/api/errors.py
+++ b/yardspindle/api/errors.py
@@ -15,8 +15,9 @@
 class ApiError(Exception):
     """A request that is not taken, with what the client is told."""
 
-    def __init__(self, status: int, code: str, message: str, param: str | None = None,
-                 headers: http1.Headers | None = None) -> None:
+    def __init__(
+        self, status: int, code: str, message: str, param: str | None = None, headers: http1.Headers | None = None
+    ) -> None:
         """Keep all of it."""
         super().__init__(message)
         self.status = status
@@ -33,11 +34,13 @@
 
 def error_body(code: str, message: str, kind: str, param: str | None = None) -> bytes:
     """An error object."""
-    return msgspec.json.encode(
-        {"error": {"message": message, "type": kind, "param": param, "code": code}})
+    return msgspec.json.encode({"error": {"message": message, "type": kind, "param": param, "code": code}})
 
 
 def final_reply(final: HttpFinal, request_id: bytes) -> Reply:
     """A refusal or failure before the first token."""
-    return Reply(final.status, [JSON, (b"x-request-id", request_id), *final.headers],
-                 error_body(final.code, final.message, final.kind))
+    return Reply(
+        final.status,
+        [JSON, (b"x-request-id", request_id), *final.headers],
+        error_body(final.code, final.message, final.kind),
+    )
--- a/yardspindle/api/exchange.py
+++ b/yardspindle/api/exchange.py
@@ -67,8 +67,9 @@
             headers, self.keep = [*headers, (b"connection", b"close")], _never
         if self.head.minor == 0:  # no chunks in HTTP/1.0: the body ends with the connection
             self.keep = _never
-            return http1.write_head(b"HTTP/1.1 %d %s" % (status, http1.REASONS[status]),
-                                    [*headers, (b"connection", b"close")])
+            return http1.write_head(
+                b"HTTP/1.1 %d %s" % (status, http1.REASONS[status]), [*headers, (b"connection", b"close")]
+            )
         return http1.write_response(status, headers, None)
 
     def send(self, data: bytes, before: bytes = b"") -> None:
--- a/yardspindle/api/inbox.py
+++ b/yardspindle/api/inbox.py
@@ -125,8 +125,11 @@
             self._head, self._whole = event, True
         elif isinstance(event, http1.Data):
             ahead, all_kept = self.answering or bool(self.waiting), self.budget.kept + len(event.data)
-            if (0 < self.budget.bodies < all_kept
-                    or ahead and (self._kept + len(event.data) > AHEAD_BYTES_MOST or all_kept > self.budget.most)):
+            if (
+                0 < self.budget.bodies < all_kept
+                or ahead
+                and (self._kept + len(event.data) > AHEAD_BYTES_MOST or all_kept > self.budget.most)
+            ):
                 self._whole = False
             if self._whole:
                 self._body += event.data
@@ -141,8 +144,12 @@
             self._count_head(_size(self._head))
             self._head = None
             self._body.clear()
-            if (len(self.waiting) >= AHEAD_REQUESTS_MOST or self._heads > AHEAD_HEADS_MOST
-                    or self.budget.heads > AHEAD_ALL_HEADS_MOST and len(self.waiting) > 1):
+            if (
+                len(self.waiting) >= AHEAD_REQUESTS_MOST
+                or self._heads > AHEAD_HEADS_MOST
+                or self.budget.heads > AHEAD_ALL_HEADS_MOST
+                and len(self.waiting) > 1
+            ):
                 raise http1.ProtocolError("more requests at once than may wait", 429)
 
 
--- a/yardspindle/api/serving.py
+++ b/yardspindle/api/serving.py
@@ -56,8 +56,14 @@
 class Server:
     """Accepts and serves until `drain`."""
 
-    def __init__(self, world: World, listener: Listener, handler: Handler, limits: ServingLimits,
-                 on_fault: Callable[[BaseException], None]) -> None:
+    def __init__(
+        self,
+        world: World,
+        listener: Listener,
+        handler: Handler,
+        limits: ServingLimits,
+        on_fault: Callable[[BaseException], None],
+    ) -> None:
         """`on_fault` is told of errors in the handler: its one request is cut off, the server goes on."""
         self._world = world
         self.listener = listener
@@ -220,8 +226,12 @@
             head = self._await_head(stream, inbox, task, first)
             if head is None:
                 return False
-            exchange = Exchange(self._world, stream, head, lambda: http1.keeps_alive(head) and (
-                inbox.pending or not (self.draining or self.closing)))
+            exchange = Exchange(
+                self._world,
+                stream,
+                head,
+                lambda: http1.keeps_alive(head) and (inbox.pending or not (self.draining or self.closing)),
+            )
             reply = self._handler.early(head)
             if reply is None:
                 if http1.has_token(head.headers, b"expect", b"100-continue") and head.minor and not inbox.waiting:
@@ -233,8 +243,7 @@
                 reply.close = True  # its body is still to come, and would be read as a request
         except http1.ProtocolError as error:
             reply = self._handler.malformed(error)
-            stream.write(http1.write_response(
-                reply.status, [*reply.headers, (b"connection", b"close")], reply.body))
+            stream.write(http1.write_response(reply.status, [*reply.headers, (b"connection", b"close")], reply.body))
             return False
         if reply is not None:
             exchange.reply(reply)
--- a/yardspindle/cli/common.py
+++ b/yardspindle/cli/common.py
@@ -29,12 +29,19 @@
 def set_up_logs(config: LogConfig) -> None:
     """Structured logs on standard error."""
     renderer: structlog.typing.Processor = (
-        structlog.processors.JSONRenderer() if config.format == "json" else structlog.dev.ConsoleRenderer())
+        structlog.processors.JSONRenderer() if config.format == "json" else structlog.dev.ConsoleRenderer()
+    )
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"),
-                    structlog.processors.format_exc_info, renderer],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso"),
+            structlog.processors.format_exc_info,
+            renderer,
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[config.level]),
-        logger_factory=structlog.WriteLoggerFactory(file=sys.stderr), cache_logger_on_first_use=True)
+        logger_factory=structlog.WriteLoggerFactory(file=sys.stderr),
+        cache_logger_on_first_use=True,
+    )
 
 
 def load(path: str | None) -> Config:
@@ -52,8 +59,9 @@
         raise Failure(str(error)) from None
 
 
-def run_until_stopped(name: str, world: RealWorld, start: Callable[[], str], stop: Callable[[], None],
-                      where: str) -> None:
+def run_until_stopped(
+    name: str, world: RealWorld, start: Callable[[], str], stop: Callable[[], None], where: str
+) -> None:
     """Start, print the ready line, serve until a signal, stop. `where` names file and key in port errors."""
 
     def program() -> None:
@@ -70,8 +78,7 @@
         stop()
 
     def crashed(task: object, error: BaseException) -> None:
-        structlog.get_logger("yardspindle").error("task failed", task=getattr(task, "name", "?"),
-                                                  exc_info=error)
+        structlog.get_logger("yardspindle").error("task failed", task=getattr(task, "name", "?"), exc_info=error)
 
     world.scheduler.on_crash = crashed
     world.run(name, program)
--- a/yardspindle/cli/fleet.py
+++ b/yardspindle/cli/fleet.py
@@ -25,8 +25,9 @@
     """The processes of a fleet, by what they share."""
 
 
-def _shown(file: str, as_json: bool, watch: bool, columns: tuple[str, ...],
-           rows_of: Callable[[Store, Keys], list[Row]]) -> None:
+def _shown(
+    file: str, as_json: bool, watch: bool, columns: tuple[str, ...], rows_of: Callable[[Store, Keys], list[Row]]
+) -> None:
     config = load(file)
     if not config.fleet.store:
         raise Failure(f"{file}: fleet.store: missing")
@@ -55,8 +56,9 @@
 def _table(columns: tuple[str, ...], rows: list[Row]) -> str:
     lines = [columns, *(tuple(str(row[name]) for name in columns) for row in rows)]
     widths = [max(len(line[at]) for line in lines) for at in range(len(columns))]
-    return "\n".join("  ".join(cell.ljust(width) for cell, width in zip(line, widths, strict=True)).rstrip()
-                     for line in lines)
+    return "\n".join(
+        "  ".join(cell.ljust(width) for cell, width in zip(line, widths, strict=True)).rstrip() for line in lines
+    )
 
 
 def _left_s(store: Store, lease: int) -> float | None:
@@ -69,9 +71,18 @@
     for row in store.range(keys.members, prefix_end(keys.members)).rows:
         member = read(row.value, Member)
         if member is not None:
-            rows.append({"kind": member.kind, "name": member.name, "epoch": member.epoch, "zone": member.zone,
-                         "page": member.page, "version": member.version, "able": member.able,
-                         "left_s": _left_s(store, row.lease)})
+            rows.append(
+                {
+                    "kind": member.kind,
+                    "name": member.name,
+                    "epoch": member.epoch,
+                    "zone": member.zone,
+                    "page": member.page,
+                    "version": member.version,
+                    "able": member.able,
+                    "left_s": _left_s(store, row.lease),
+                }
+            )
     return rows
 
 
@@ -79,9 +90,16 @@
     rows = []
     for row in store.range(keys.duties, prefix_end(keys.duties)).rows:
         owner = read(row.value, Owner)
-        rows.append({"duty": row.key[len(keys.duties):].decode(), "owner": owner.name if owner else "?",
-                     "epoch": owner.epoch if owner else "?", "fence": row.create,
-                     "since_us": owner.since_us if owner else 0, "left_s": _left_s(store, row.lease)})
+        rows.append(
+            {
+                "duty": row.key[len(keys.duties) :].decode(),
+                "owner": owner.name if owner else "?",
+                "epoch": owner.epoch if owner else "?",
+                "fence": row.create,
+                "since_us": owner.since_us if owner else 0,
+                "left_s": _left_s(store, row.lease),
+            }
+        )
     return rows
 
 
--- a/yardspindle/cli/lab.py
+++ b/yardspindle/cli/lab.py
@@ -119,8 +119,12 @@
         fleet.config = {**fleet.config, **settings}
         try:
             fleet.start()
-            return run_load(world, traffic, [("127.0.0.1", d.port) for d in fleet.dispatchers],
-                            fleet.config.get("model", "yardspindle-demo"))
+            return run_load(
+                world,
+                traffic,
+                [("127.0.0.1", d.port) for d in fleet.dispatchers],
+                fleet.config.get("model", "yardspindle-demo"),
+            )
         except ChildError as error:
             raise Failure(str(error)) from None
         finally:
--- a/yardspindle/cli/main.py
+++ b/yardspindle/cli/main.py
@@ -22,6 +22,18 @@
     """A router for language models that read prompts and write answers on separate engines."""
 
 
-for command in (up_command, edge_command, plan_command, steward_command, unit_command, engine_command, fleet_group,
-                release_group, drain_command, undrain_command, config_group, lab_group):
+for command in (
+    up_command,
+    edge_command,
+    plan_command,
+    steward_command,
+    unit_command,
+    engine_command,
+    fleet_group,
+    release_group,
+    drain_command,
+    undrain_command,
+    config_group,
+    lab_group,
+):
     main.add_command(command)
--- a/yardspindle/cli/release.py
+++ b/yardspindle/cli/release.py
@@ -71,6 +71,7 @@
 @click.argument("plan", type=click.Path(dir_okay=False))
 def plan_command(config: str, plan: str) -> None:
     """Show the waves of a plan; nothing moves."""
+
     def show(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: Units) -> None:
         release = _plan(plan, units, loaded.release.limit, world.now_us())
         for number, wave in enumerate(release.waves, 1):
@@ -86,6 +87,7 @@
 @WHY
 def start_command(config: str, plan: str, by: str, why: str) -> None:
     """Begin a release; one at a time."""
+
     def begin(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: Units) -> None:
         if units.release is not None and units.release.phase in ("running", "halted", "going back"):
             raise Failure(f"release {units.release.id} is {units.release.phase}: abandon it or let it end first")
@@ -117,9 +119,12 @@
 
         _with_store(config, say)
 
-    command.help = {"halt": "Give no more permits.", "resume": "Go on after a halt; the comparison begins anew.",
-                    "back": "Go back to the version before, newest wave first.",
-                    "abandon": "End it where it is; what is out comes back by itself."}[word]
+    command.help = {
+        "halt": "Give no more permits.",
+        "resume": "Go on after a halt; the comparison begins anew.",
+        "back": "Go back to the version before, newest wave first.",
+        "abandon": "End it where it is; what is out comes back by itself.",
+    }[word]
     return command
 
 
@@ -132,12 +137,16 @@
 @click.option("--json", "as_json", is_flag=True)
 def status_command(config: str, as_json: bool) -> None:
     """The release, who is out and why, and limits that are exceeded."""
+
     def show(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: Units) -> None:
         fleet = units.fleet(loaded.release.limit, 0)
         release, gone, broken = units.release, p.out(fleet), p.broken(fleet)
         if as_json:
-            click.echo(msgspec.json.encode({"release": release, "out": gone, "exceeded": broken,
-                                            "units": units.statuses}).decode())
+            click.echo(
+                msgspec.json.encode(
+                    {"release": release, "out": gone, "exceeded": broken, "units": units.statuses}
+                ).decode()
+            )
             return
         if release is not None:
             click.echo(f"{release.id}: {release.phase}, wave {release.wave + 1} of {len(release.waves)} {release.why}")
@@ -155,6 +164,7 @@
 @CONFIG
 def log_command(config: str) -> None:
     """The audit trail: time (Unix seconds), who, what, why."""
+
     def show(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: Units) -> None:
         for _, entry in sorted(units.log.items()):
             click.echo(f"{entry.at_us / 1e6:.3f}  {entry.by}  {entry.what}  {entry.why}".rstrip())
--- a/yardspindle/cli/steward.py
+++ b/yardspindle/cli/steward.py
@@ -36,5 +36,6 @@
         host, port = running[0].start()
         return f"http://{host}:{port}"
 
-    run_until_stopped("steward", world, start, lambda: running[0].leave(), f"{file}: fleet.listen: "
-                      f"{config.fleet.listen}")
+    run_until_stopped(
+        "steward", world, start, lambda: running[0].leave(), f"{file}: fleet.listen: {config.fleet.listen}"
+    )
--- a/yardspindle/cli/unit.py
+++ b/yardspindle/cli/unit.py
@@ -37,8 +37,9 @@
     def start() -> str:
         try:
             store = open_store(world, config.fleet)
-            running.append(Unit(world, unit_file, config.fleet, store, version("yardspindle"),
-                                ProcessHands(world, unit_file)))
+            running.append(
+                Unit(world, unit_file, config.fleet, store, version("yardspindle"), ProcessHands(world, unit_file))
+            )
         except (StoreError, OSError) as error:
             raise ConfigError(f"{unit_file.fleet}: fleet.store: {error}") from None
         except ValueError as error:
--- a/yardspindle/cli/up.py
+++ b/yardspindle/cli/up.py
@@ -13,8 +13,9 @@
 
 @click.command("up")
 @click.option("--port", default=0, type=click.IntRange(0, 65_535), help="0: chosen by the system.")
-@click.option("--cells", default=2, show_default=True, type=click.IntRange(1, 16),
-              help="Cells, each of a reader and a writer.")
+@click.option(
+    "--cells", default=2, show_default=True, type=click.IntRange(1, 16), help="Cells, each of a reader and a writer."
+)
 def up_command(port: int, cells: int) -> None:
     """Start a whole router with stand-in engines; the first line says where it serves."""
     set_up_logs(LogConfig(format="console"))
--- a/yardspindle/cli/worlds.py
+++ b/yardspindle/cli/worlds.py
@@ -25,15 +25,22 @@
 @click.option("--count", default=1_000, type=click.IntRange(1), help="How many.")
 @click.option("--jobs", default=os.cpu_count() or 1, type=click.IntRange(1, 256), help="Processes.")
 @click.option("--transitions/--no-transitions", default=True, help="Count the life cycles' steps.")
-@click.option("--world", default="traffic", show_default=True, type=click.Choice(["traffic", "fleet"]),
-              help="Clients, dispatchers and engines; or stewards, store and what they act on.")
+@click.option(
+    "--world",
+    default="traffic",
+    show_default=True,
+    type=click.Choice(["traffic", "fleet"]),
+    help="Clients, dispatchers and engines; or stewards, store and what they act on.",
+)
 def seeds_command(first: int, count: int, jobs: int, transitions: bool, world: str) -> None:
     """Play many seeded worlds; exit 0 when none failed, 1 when one did. Ctrl-C stops with what there is."""
     tally = seeds.Tally()
     stopped = False
     try:
-        with (closing(seeds.play_seeds(first, count, jobs, transitions, world)) as outcomes,
-              click.progressbar(length=count, label="worlds", file=sys.stderr) as bar):
+        with (
+            closing(seeds.play_seeds(first, count, jobs, transitions, world)) as outcomes,
+            click.progressbar(length=count, label="worlds", file=sys.stderr) as bar,
+        ):
             for outcome in outcomes:
                 tally.add(outcome)
                 bar.update(1)
