--- a/yardspindle/core/config.py
+++ b/yardspindle/core/config.py
@@ -194,8 +194,9 @@
         if row.give_up_ms <= 2 * config.rules.answer_margin_ms:
             raise ConfigError(f"{file}: classes.{row.name}.give_up_ms: not over twice rules.answer_margin_ms")
     if config.rules.answer_slack_ms >= config.rules.answer_margin_ms:
-        raise ConfigError(f"{file}: rules.answer_slack_ms: not under answer_margin_ms "
-                          f"({config.rules.answer_margin_ms:g})")
+        raise ConfigError(
+            f"{file}: rules.answer_slack_ms: not under answer_margin_ms ({config.rules.answer_margin_ms:g})"
+        )
     if config.index.tokenizer != "bytes" and not config.index.chat_template:
         raise ConfigError(f"{file}: index.chat_template: missing; a model's tokenizer needs its template")
     roles = {row.role for row in config.kinds}
@@ -206,9 +207,14 @@
     if config.edge.default_class is not None and config.edge.default_class not in {r.name for r in config.classes}:
         raise ConfigError(f"{file}: edge.default_class: no such class: {config.edge.default_class}")
     _check_fleet(file, config.fleet)
-    for key, address in (("fleet.listen", config.fleet.listen), ("fleet.advertise", config.fleet.advertise),
-                         ("edge.listen", config.edge.listen), ("edge.planner", config.edge.planner),
-                         ("planner.listen", config.planner.listen), ("planner.metrics", config.planner.metrics)):
+    for key, address in (
+        ("fleet.listen", config.fleet.listen),
+        ("fleet.advertise", config.fleet.advertise),
+        ("edge.listen", config.edge.listen),
+        ("edge.planner", config.edge.planner),
+        ("planner.listen", config.planner.listen),
+        ("planner.metrics", config.planner.metrics),
+    ):
         if address is not None and not _is_address(address):
             raise ConfigError(f"{file}: {key}: not an address with a port up to 65535: {address}")
     return config
@@ -223,8 +229,9 @@
     if len(fleet.store) > 1 and any(place.startswith("file:") for place in fleet.store):
         raise ConfigError(f"{file}: fleet.store: a file is the only place there is, or none")
     if 4 * fleet.call_ms > fleet.ttl_ms:
-        raise ConfigError(f"{file}: fleet.call_ms: over a quarter of ttl_ms ({fleet.ttl_ms:g}): "
-                          "one slow call would cost the lease")
+        raise ConfigError(
+            f"{file}: fleet.call_ms: over a quarter of ttl_ms ({fleet.ttl_ms:g}): one slow call would cost the lease"
+        )
     if 3 * fleet.margin_ms > fleet.ttl_ms:
         raise ConfigError(f"{file}: fleet.margin_ms: over a third of ttl_ms ({fleet.ttl_ms:g})")
 
@@ -285,18 +292,36 @@
     us = microseconds
     rules = config.rules
     return i.Settings(
-        me=number, instances=dispatchers, zone=zone,
-        classes=tuple(i.RequestClass(
-            row.name, aim_us=us(row.aim_ms), give_up_us=us(row.give_up_ms), effect=i.Effect(row.effect),
-            worth=row.worth, late_worth=row.late_worth,
-            aim_us_per_1000_prompt_tokens=us(row.aim_ms_per_1000_prompt_tokens),
-            token_aim_us=us(row.token_aim_ms)) for row in config.classes),
+        me=number,
+        instances=dispatchers,
+        zone=zone,
+        classes=tuple(
+            i.RequestClass(
+                row.name,
+                aim_us=us(row.aim_ms),
+                give_up_us=us(row.give_up_ms),
+                effect=i.Effect(row.effect),
+                worth=row.worth,
+                late_worth=row.late_worth,
+                aim_us_per_1000_prompt_tokens=us(row.aim_ms_per_1000_prompt_tokens),
+                token_aim_us=us(row.token_aim_ms),
+            )
+            for row in config.classes
+        ),
         kinds=tuple(i.Kind(row.name, i.Role(row.role), row.memory_tokens) for row in config.kinds),
         tenants=tuple(i.Tenant(row.name, row.share, row.quota_per_s) for row in config.tenants),
-        release_us=us(rules.release_ms), drain_grace_us=us(rules.drain_grace_ms), cold_us=us(rules.cold_ms),
-        start_capacity=rules.start_capacity, fall_multiple=rules.fall_multiple, fall_us=us(rules.fall_ms),
-        answer_slack_us=us(rules.answer_slack_ms), max_attempts=rules.max_attempts, cancel=True,
-        retry_after=True, max_retry_after_us=us(rules.max_retry_after_ms))
+        release_us=us(rules.release_ms),
+        drain_grace_us=us(rules.drain_grace_ms),
+        cold_us=us(rules.cold_ms),
+        start_capacity=rules.start_capacity,
+        fall_multiple=rules.fall_multiple,
+        fall_us=us(rules.fall_ms),
+        answer_slack_us=us(rules.answer_slack_ms),
+        max_attempts=rules.max_attempts,
+        cancel=True,
+        retry_after=True,
+        max_retry_after_us=us(rules.max_retry_after_ms),
+    )
 
 
 def edge_rules(config: Config) -> EdgeRules:
@@ -304,10 +329,13 @@
     rules = config.rules
     return EdgeRules(
         effects={row.name: i.Effect(row.effect) for row in config.classes},
-        release_us=microseconds(rules.release_ms), drain_grace_us=microseconds(rules.drain_grace_ms),
+        release_us=microseconds(rules.release_ms),
+        drain_grace_us=microseconds(rules.drain_grace_ms),
         answer_slack_us=microseconds(rules.answer_slack_ms),
-        retry_after_us=microseconds(rules.max_retry_after_ms), max_attempts=rules.max_attempts,
-        most_open=config.edge.max_open_requests)
+        retry_after_us=microseconds(rules.max_retry_after_ms),
+        max_attempts=rules.max_attempts,
+        most_open=config.edge.max_open_requests,
+    )
 
 
 def settings_hash(config: Config) -> str:
--- a/yardspindle/core/fleet/clocks.py
+++ b/yardspindle/core/fleet/clocks.py
@@ -35,7 +35,8 @@
     if not samples:
         return ClockWord()
     middle = median_low(row.middle_us for row in samples.values())
-    out = [name for name, row in samples.items()
-           if row.least_us - middle > bound_us or row.most_us - middle < -bound_us]
+    out = [
+        name for name, row in samples.items() if row.least_us - middle > bound_us or row.most_us - middle < -bound_us
+    ]
     offsets = {name: row.middle_us - middle for name, row in sorted(samples.items())}
     return ClockWord(offsets, tuple(sorted(epochs[name] for name in out)))
--- a/yardspindle/core/fleet/kv.py
+++ b/yardspindle/core/fleet/kv.py
@@ -197,8 +197,14 @@
                 if lease and not reader.has_lease(lease):
                     raise BadRequest(5, "etcdserver: requested lease not found")
                 old = next(iter(reader.rows(key, b"")), None)
-                row = KeyValue(key, value, old.create if old else next_revision, next_revision,
-                               (old.version if old else 0) + 1, lease)
+                row = KeyValue(
+                    key,
+                    value,
+                    old.create if old else next_revision,
+                    next_revision,
+                    (old.version if old else 0) + 1,
+                    lease,
+                )
                 written[key] = Change(row)
                 found.append(())
             case Delete(key, end):
--- a/yardspindle/core/fleet/kv_model.py
+++ b/yardspindle/core/fleet/kv_model.py
@@ -58,7 +58,7 @@
             row = self._rows.get(key)
             return [] if row is None else [row]
         last = len(self._keys) if end == b"\0" else bisect_left(self._keys, end)
-        return [self._rows[one] for one in self._keys[bisect_left(self._keys, key):last]]
+        return [self._rows[one] for one in self._keys[bisect_left(self._keys, key) : last]]
 
     def has_lease(self, lease: int) -> bool:
         """See kv.Reader."""
@@ -81,8 +81,9 @@
                     then.pop(change.row.key, None)
                 else:
                     then[change.row.key] = change.row
-        return Rows(self.revision, tuple(
-            then[one] for one in sorted(then) if (covers(key, end, one) if end else one == key)))
+        return Rows(
+            self.revision, tuple(then[one] for one in sorted(then) if (covers(key, end, one) if end else one == key))
+        )
 
     def txn(self, txn: Txn) -> TxnAnswer:
         """Carry out a transaction. Raises BadRequest, with nothing done."""
@@ -112,8 +113,13 @@
         """What a watch from a revision on has missed by now. Raises Compacted."""
         if revision <= self.compacted and revision:
             raise Compacted(self.compacted)
-        found = [change for changes in self._history if changes.revision >= revision for change in changes.changes
-                 if (covers(key, end, change.row.key) if end else change.row.key == key)]
+        found = [
+            change
+            for changes in self._history
+            if changes.revision >= revision
+            for change in changes.changes
+            if (covers(key, end, change.row.key) if end else change.row.key == key)
+        ]
         return Changes(self.revision, tuple(found))
 
     def compact(self, revision: int) -> None:
--- a/yardspindle/core/fleet/members.py
+++ b/yardspindle/core/fleet/members.py
@@ -106,14 +106,18 @@
     def register(self, member: Member, lease: int, known: KeyValue | None) -> Txn:
         """Register, where `known` is what stands there now: nothing, or what this very process wrote."""
         key, value = self.member(member), msgspec.json.encode(member)
-        return Txn((Compare(key, "mod", "equal", known.mod if known is not None else 0),),
-                   (Put(key, value, lease), Put(self.epoch(member.epoch), value)), (Get(key),))
+        return Txn(
+            (Compare(key, "mod", "equal", known.mod if known is not None else 0),),
+            (Put(key, value, lease), Put(self.epoch(member.epoch), value)),
+            (Get(key),),
+        )
 
     def take(self, duty: str, owner: Owner, lease: int) -> Txn:
         """Take a duty that nobody holds; else see who does."""
         key = self.duty(duty)
-        return Txn((Compare(key, "create", "equal", 0),), (Put(key, msgspec.json.encode(owner), lease), Get(key)),
-                   (Get(key),))
+        return Txn(
+            (Compare(key, "create", "equal", 0),), (Put(key, msgspec.json.encode(owner), lease), Get(key)), (Get(key),)
+        )
 
     def hand_over(self, duty: str, fence: int) -> Txn:
         """Let go of a duty that is still held with this fence."""
@@ -180,13 +184,13 @@
         keys = self.keys
         if row.key.startswith(keys.members):
             if (member := read(row.value, Member)) is not None:
-                self.members[row.key[len(keys.members):].decode()] = member
+                self.members[row.key[len(keys.members) :].decode()] = member
         elif row.key.startswith(keys.epochs):
             if (member := read(row.value, Member)) is not None:
-                self.epochs[row.key[len(keys.epochs):].decode()] = member
+                self.epochs[row.key[len(keys.epochs) :].decode()] = member
         elif row.key.startswith(keys.duties):
             if (held := holder(row)) is not None:
-                self.duties[row.key[len(keys.duties):].decode()] = held
+                self.duties[row.key[len(keys.duties) :].decode()] = held
         elif row.key == keys.clocks:
             self.clocks = read(row.value, ClockWord) or ClockWord()
         else:
@@ -196,7 +200,7 @@
         keys = self.keys
         for start, rows in ((keys.members, self.members), (keys.epochs, self.epochs), (keys.duties, self.duties)):
             if key.startswith(start):
-                rows.pop(key[len(start):].decode(), None)
+                rows.pop(key[len(start) :].decode(), None)
         if key == keys.clocks:
             self.clocks = ClockWord()
         self.rows.pop(key, None)
--- a/yardspindle/core/fleet/ownership.py
+++ b/yardspindle/core/fleet/ownership.py
@@ -74,6 +74,7 @@
 
 # --- what happens
 
+
 @dataclass(frozen=True, slots=True)
 class Granted:
     """A lease was granted; `sent_us`: the own clock before the call was sent."""
@@ -145,6 +146,7 @@
 
 # --- what is to be done
 
+
 @dataclass(frozen=True, slots=True)
 class AskLease:
     """Ask for a lease, and register under it."""
@@ -193,8 +195,13 @@
 
 def able(state: State, now_us: int) -> bool:
     """Whether it may take a duty now; said in its registration, so that others need not wait for it."""
-    return (now_us >= state.able_us and not state.sick and not state.barred and not state.leaving
-            and now_us < state.until_us)
+    return (
+        now_us >= state.able_us
+        and not state.sick
+        and not state.barred
+        and not state.leaving
+        and now_us < state.until_us
+    )
 
 
 def step(state: State, now_us: int, event: Event) -> tuple[State, tuple[Command, ...]]:
@@ -228,8 +235,11 @@
                 state = _drop(state, now_us, state.held, commands, True, "its clock is out")
             state = replace(state, barred=yes)
         case Restarted(times) if times:
-            state = replace(state, losses=state.losses + times, able_us=max(
-                state.able_us, now_us + (state.figures.ttl_us << min(times - 1, LOSSES_MOST))))
+            state = replace(
+                state,
+                losses=state.losses + times,
+                able_us=max(state.able_us, now_us + (state.figures.ttl_us << min(times - 1, LOSSES_MOST))),
+            )
         case Leave():
             state = _drop(replace(state, leaving=True), now_us, state.held, commands, True, "it ends")
         case _:
@@ -252,8 +262,9 @@
     return replace(state, lease=0, until_us=0, asking=True, open=(), losses=losses, able_us=now_us + pause_us)
 
 
-def _drop(state: State, now_us: int, duties: tuple[tuple[str, int], ...], commands: list[Command], hand_over: bool,
-          why: str) -> State:
+def _drop(
+    state: State, now_us: int, duties: tuple[tuple[str, int], ...], commands: list[Command], hand_over: bool, why: str
+) -> State:
     for duty, fence in duties:
         commands.append(End(duty, fence, hand_over, why))
     return replace(state, held=tuple(row for row in state.held if row not in duties), changed_us=now_us)
@@ -266,19 +277,27 @@
 
 def _told(state: State, now_us: int, seen: Seen, commands: list[Command]) -> State:
     """What is ours by our books and not by the store's is lost; a duty is free from when it is seen to be."""
-    lost = tuple((duty, fence) for duty, fence in state.held if fence <= seen.revision
-                 and seen.duties.get(duty) != Holder(state.name, state.lease, fence))
+    lost = tuple(
+        (duty, fence)
+        for duty, fence in state.held
+        if fence <= seen.revision and seen.duties.get(duty) != Holder(state.name, state.lease, fence)
+    )
     state = _drop(state, now_us, lost, commands, False, "the store has given it away") if lost else state
     since = dict(state.free_us)
     free = sorted(duty for duty in seen.wanted if duty not in seen.duties)
-    state = replace(state, seen=seen, free_us=tuple((duty, since.get(duty, now_us)) for duty in free),
-                    changed_us=now_us if dict(seen.duties) != dict(state.seen.duties) else state.changed_us)
+    state = replace(
+        state,
+        seen=seen,
+        free_us=tuple((duty, since.get(duty, now_us)) for duty in free),
+        changed_us=now_us if dict(seen.duties) != dict(state.seen.duties) else state.changed_us,
+    )
     unwanted = tuple(row for row in state.held if row[0] not in seen.wanted)
     return _drop(state, now_us, unwanted, commands, True, "there is no such duty any more") if unwanted else state
 
 
-def _looked(state: State, now_us: int, duty: str, lease: int, holder: Holder | None, revision: int,
-            commands: list[Command]) -> State:
+def _looked(
+    state: State, now_us: int, duty: str, lease: int, holder: Holder | None, revision: int, commands: list[Command]
+) -> State:
     if lease != state.lease or duty not in state.open:
         return state  # taken under a lease that is over: the key goes with it
     state = replace(state, open=tuple(name for name in state.open if name != duty))
@@ -288,8 +307,12 @@
         commands.append(End(duty, holder.fence, True, "it came too late"))
         return state
     commands.append(Begin(duty, holder.fence))
-    return replace(state, held=(*state.held, (duty, holder.fence)), changed_us=now_us,
-                   free_us=tuple(row for row in state.free_us if row[0] != duty))
+    return replace(
+        state,
+        held=(*state.held, (duty, holder.fence)),
+        changed_us=now_us,
+        free_us=tuple(row for row in state.free_us if row[0] != duty),
+    )
 
 
 def _holders(state: State) -> dict[str, str]:
--- a/yardspindle/core/fleet/permits.py
+++ b/yardspindle/core/fleet/permits.py
@@ -163,8 +163,14 @@
 def _room(fleet: Fleet, place: Place, gone: Mapping[str, str]) -> NotNow | None:
     """What is left must carry the present load of its role, with room."""
     role = place.groups.get("role", place.kind)
-    peers = [status for unit, other in fleet.places.items() if unit not in gone and unit != place.unit
-             and other.groups.get("role", other.kind) == role and (status := fleet.statuses.get(unit)) is not None]
+    peers = [
+        status
+        for unit, other in fleet.places.items()
+        if unit not in gone
+        and unit != place.unit
+        and other.groups.get("role", other.kind) == role
+        and (status := fleet.statuses.get(unit)) is not None
+    ]
     own = fleet.statuses.get(place.unit)
     load = sum(peer.load for peer in peers) + (own.load if own is not None else 0.0)
     room = sum(peer.room for peer in peers) * (1 - fleet.reserve)
--- a/yardspindle/core/fleet/release_keys.py
+++ b/yardspindle/core/fleet/release_keys.py
@@ -75,9 +75,12 @@
         units = Units()
         kinds: tuple[tuple[bytes, dict[str, object], type], ...] = (
             (self.of("places", ""), units.places, p.Place),  # type: ignore[assignment]
-            (self.of("statuses", ""), units.statuses, p.Status), (self.of("permits", ""), units.permits, p.Permit),
-            (self.of("orders", ""), units.orders, r.Order), (self.of("wishes", ""), units.wishes, Wish),
-            (self.of("log", ""), units.log, Entry))
+            (self.of("statuses", ""), units.statuses, p.Status),
+            (self.of("permits", ""), units.permits, p.Permit),
+            (self.of("orders", ""), units.orders, r.Order),
+            (self.of("wishes", ""), units.wishes, Wish),
+            (self.of("log", ""), units.log, Entry),
+        )
         for key, row in rows.items():
             if key == self.head:
                 units.head_mod = row.mod
@@ -85,7 +88,7 @@
                 units.release, units.release_mod = read(row.value, r.Release), row.mod
             for start, found, kind in kinds:
                 if key.startswith(start) and (value := read(row.value, kind)) is not None:
-                    name = key[len(start):].decode()
+                    name = key[len(start) :].decode()
                     found[name] = value
                     if found is units.orders:
                         units.order_mods[name] = row.mod
@@ -99,10 +102,18 @@
     def grant(self, fence: int, units: Units, step: r.Grant) -> Txn:
         """Permit and order at once, if nobody else was let go since the decision was made."""
         order = self.of("orders", step.unit)
-        return Txn(self._under(fence, Compare(self.head, "mod", "equal", units.head_mod),
-                               Compare(order, "mod", "equal", units.order_mods.get(step.unit, 0))),
-                   (Put(self.of("permits", step.unit), msgspec.json.encode(step.permit)),
-                    Put(order, msgspec.json.encode(step.order)), Put(self.head, step.unit.encode())))
+        return Txn(
+            self._under(
+                fence,
+                Compare(self.head, "mod", "equal", units.head_mod),
+                Compare(order, "mod", "equal", units.order_mods.get(step.unit, 0)),
+            ),
+            (
+                Put(self.of("permits", step.unit), msgspec.json.encode(step.permit)),
+                Put(order, msgspec.json.encode(step.order)),
+                Put(self.head, step.unit.encode()),
+            ),
+        )
 
     def close(self, fence: int, units: Units, unit: str) -> Txn:
         """A permit's end; the unit's wish to be back is done with."""
@@ -120,10 +131,13 @@
 
     def leave(self, units: Units, permit: p.Permit) -> Txn:
         """A unit's own permit, asked for because it was told to end; if nobody was let go since it looked."""
-        return Txn((Compare(self.head, "mod", "equal", units.head_mod),
-                    Compare(self.of("permits", permit.unit), "create", "equal", 0)),
-                   (Put(self.of("permits", permit.unit), msgspec.json.encode(permit)),
-                    Put(self.head, permit.unit.encode())))
+        return Txn(
+            (
+                Compare(self.head, "mod", "equal", units.head_mod),
+                Compare(self.of("permits", permit.unit), "create", "equal", 0),
+            ),
+            (Put(self.of("permits", permit.unit), msgspec.json.encode(permit)), Put(self.head, permit.unit.encode())),
+        )
 
     # --- transactions of an operator
 
@@ -133,8 +147,10 @@
 
     def say(self, units: Units, release: r.Release, entry: Entry) -> Txn:
         """An operator's word on the release, if it stands as it was seen."""
-        return Txn((Compare(self.release, "mod", "equal", units.release_mod),),
-                   (Put(self.release, msgspec.json.encode(release)), self.entry(entry)))
+        return Txn(
+            (Compare(self.release, "mod", "equal", units.release_mod),),
+            (Put(self.release, msgspec.json.encode(release)), self.entry(entry)),
+        )
 
     def wish(self, unit: str, wish: Wish, entry: Entry) -> Txn:
         """A unit is to be drained, or back."""
@@ -143,9 +159,11 @@
 
 def wish_steps(units: Units, fleet: p.Fleet, now_us: int, fence: int, by: str) -> list[r.Step]:
     """What operators' wishes ask for next: one unit at a time, by the same permits as releases."""
-    found: list[r.Step] = [r.Close(unit) for unit, permit in sorted(units.permits.items())
-                           if not permit.release and unit not in units.wishes
-                           and p.is_back(permit, units.statuses.get(unit))]
+    found: list[r.Step] = [
+        r.Close(unit)
+        for unit, permit in sorted(units.permits.items())
+        if not permit.release and unit not in units.wishes and p.is_back(permit, units.statuses.get(unit))
+    ]
     for unit, wish in sorted(units.wishes.items()):
         permit, last = units.permits.get(unit), units.orders.get(unit)
         number = (last.number if last is not None else 0) + 1
@@ -157,9 +175,19 @@
             if permit is None or p.is_back(permit, status) and last is not None and last.do == "undrain":
                 found.append(r.Close(unit))
             elif last is None or last.do != "undrain":
-                found.append(r.Grant(unit, r.Order(number, "undrain", "", DUTY, fence, wish.by),
-                                     p.Permit(unit, permit.epoch, wish.by, wish.why, "", permit.since_us, number)))
+                found.append(
+                    r.Grant(
+                        unit,
+                        r.Order(number, "undrain", "", DUTY, fence, wish.by),
+                        p.Permit(unit, permit.epoch, wish.by, wish.why, "", permit.since_us, number),
+                    )
+                )
         elif permit is None and p.ask(fleet, unit) is None:
-            found.append(r.Grant(unit, r.Order(number, "drain", "", DUTY, fence, wish.by),
-                                 p.Permit(unit, epoch, wish.by, wish.why, "", now_us, 0)))
+            found.append(
+                r.Grant(
+                    unit,
+                    r.Order(number, "drain", "", DUTY, fence, wish.by),
+                    p.Permit(unit, epoch, wish.by, wish.why, "", now_us, 0),
+                )
+            )
     return found[:1]
--- a/yardspindle/core/fleet/release_plan.py
+++ b/yardspindle/core/fleet/release_plan.py
@@ -80,7 +80,7 @@
         order.append((ranks[at], at, unit))
     spread = [unit for *_, unit in sorted(order)]
     size = max(math.ceil(LAST_WAVES_SHARE * len(units)), 1)
-    rest = [tuple(spread[at:at + size]) for at in range(0, len(spread), size)]
+    rest = [tuple(spread[at : at + size]) for at in range(0, len(spread), size)]
     return tuple(wave for wave in (tuple(first), tuple(near), *rest) if wave)
 
 
@@ -122,11 +122,15 @@
     return list(release.waves)
 
 
-def steps(release: Release, fleet: p.Fleet, orders: Mapping[str, Order], now_us: int, fence: int,
-          by: str) -> list[Step]:
+def steps(
+    release: Release, fleet: p.Fleet, orders: Mapping[str, Order], now_us: int, fence: int, by: str
+) -> list[Step]:
     """What is to be done next. At most one unit is let go at a time: the next grant sees the one before."""
-    found: list[Step] = [Close(unit) for unit, permit in fleet.permits.items()
-                         if permit.release == release.id and p.is_back(permit, fleet.statuses.get(unit))]
+    found: list[Step] = [
+        Close(unit)
+        for unit, permit in fleet.permits.items()
+        if permit.release == release.id and p.is_back(permit, fleet.statuses.get(unit))
+    ]
     if release.phase not in ("running", "going back"):
         return found
     if release.phase == "running" and (why := _harm(release, fleet, now_us)):
@@ -151,9 +155,22 @@
         number = (last.number if last is not None else 0) + 1
         epoch = permit.epoch if permit is not None else status.epoch if status is not None else ""
         order = Order(number, "go", version, "release", fence, by)
-        return [*found, Grant(unit, order, p.Permit(
-            unit, epoch, by, f"release {release.id}", release.id,
-            permit.since_us if permit is not None else now_us, number))]
+        return [
+            *found,
+            Grant(
+                unit,
+                order,
+                p.Permit(
+                    unit,
+                    epoch,
+                    by,
+                    f"release {release.id}",
+                    release.id,
+                    permit.since_us if permit is not None else now_us,
+                    number,
+                ),
+            ),
+        ]
     whole = all(unit not in fleet.permits and _runs(fleet, unit, version) for unit in wave)
     if not whole:
         return [*found, Keep(replace(release, settled_us=0))] if release.settled_us else found
@@ -196,8 +213,9 @@
 def begin(id: str, plan: PlanFile, places: Mapping[str, p.Place]) -> Release:
     """A plan as a release, not started."""
     units = list(plan.units) or [unit for unit, place in places.items() if place.kind == plan.kind]
-    return Release(id, plan.version, plan.before, waves(places, units), round(plan.settle_s * 1e6),
-                   round(plan.start_s * 1e6))
+    return Release(
+        id, plan.version, plan.before, waves(places, units), round(plan.settle_s * 1e6), round(plan.start_s * 1e6)
+    )
 
 
 def told(release: Release, word: str, why: str) -> Release | str:
--- a/yardspindle/core/fleet/unit.py
+++ b/yardspindle/core/fleet/unit.py
@@ -74,6 +74,7 @@
 
 # --- what happens
 
+
 @dataclass(frozen=True, slots=True)
 class Ordered:
     """The order as the store has it."""
@@ -104,6 +105,7 @@
 
 # --- what is to be done
 
+
 @dataclass(frozen=True, slots=True)
 class Remember:
     """Write the memory down before what follows."""
@@ -142,8 +144,14 @@
         case Died():
             pause_us = min(PAUSE_FIRST_US << min(state.crashes, 10), PAUSE_MOST_US)
             memory = replace(memory, crashed=memory.crashed + 1)
-            down = _with(state, memory=memory, alive=False, standing="stopped", crashes=state.crashes + 1,
-                         again_us=now_us + pause_us)
+            down = _with(
+                state,
+                memory=memory,
+                alive=False,
+                standing="stopped",
+                crashes=state.crashes + 1,
+                again_us=now_us + pause_us,
+            )
             if memory.stage == "checking":
                 return _failed(down, now_us, f"version {memory.version} ended by itself")
             return down, (Remember(memory),)
@@ -228,6 +236,7 @@
 def _failed(state: State, now_us: int, why: str) -> tuple[State, tuple[Command, ...]]:
     """A start ended badly. That of an order is told, for whoever decides; after a crash it is one more crash."""
     ordered = state.memory.done < state.memory.number
-    memory = replace(state.memory, stage="idle", done=state.memory.number,
-                     refused=why if ordered else state.memory.refused)
+    memory = replace(
+        state.memory, stage="idle", done=state.memory.number, refused=why if ordered else state.memory.refused
+    )
     return _with(state, memory=memory, since_us=now_us), (Remember(memory),)
--- a/yardspindle/core/hosts/host_list.py
+++ b/yardspindle/core/hosts/host_list.py
@@ -129,14 +129,18 @@
             known = before.get(member.id)
             if member.phase == "Gone":
                 after.pop(member.id, None)
-            elif (told_anew and known is not None and known.phase != "Ready"
-                  and member.up_since_ms <= known.up_since_ms):  # it may lag: its next list, or a start, ends the drain
+            elif (
+                told_anew and known is not None and known.phase != "Ready" and member.up_since_ms <= known.up_since_ms
+            ):  # it may lag: its next list, or a start, ends the drain
                 after[member.id] = replace(member, phase=known.phase)
             else:
                 after[member.id] = member
         first, self.stale, self.revision = self.stale, False, answer.revision
-        self.started = [m for m in after.values() if m.up_since_ms and (
-            m.id not in before or m.up_since_ms > before[m.id].up_since_ms)]
+        self.started = [
+            m
+            for m in after.values()
+            if m.up_since_ms and (m.id not in before or m.up_since_ms > before[m.id].up_since_ms)
+        ]
         ending, self._ending, self._members = self._ending, set(), after
         for host in before.keys() - after.keys():
             if host in self._numbers:
@@ -180,8 +184,11 @@
         drained = set()
         for host in self._members.values():
             there = told.get(host.id)
-            ends = (there.phase != "Ready" and there.up_since_ms >= host.up_since_ms if there is not None
-                    else host.up_since_ms <= newest)
+            ends = (
+                there.phase != "Ready" and there.up_since_ms >= host.up_since_ms
+                if there is not None
+                else host.up_since_ms <= newest
+            )
             if ends and host.phase == "Ready":
                 drained.add(host.id)
         before, self._ending, self.started = self._ending, drained, []
@@ -193,14 +200,33 @@
     def members(self, offset_us: int = 0) -> i.Members:
         """The list as an event for the policy."""
         entries = tuple(
-            i.Entry(self.number(m.id), m.locality, m.flavor, m.cell, self._state(m), m.size,
-                    round(m.up_since_ms * 1_000) + offset_us if m.up_since_ms else 0)
-            for m in self._members.values())
+            i.Entry(
+                self.number(m.id),
+                m.locality,
+                m.flavor,
+                m.cell,
+                self._state(m),
+                m.size,
+                round(m.up_since_ms * 1_000) + offset_us if m.up_since_ms else 0,
+            )
+            for m in self._members.values()
+        )
         return i.Members(i.ListKind.STALE if self.stale else i.ListKind.COMPLETE, self.revision, entries)
 
     def servers(self) -> list[Server]:
         """The list as the edge's core needs it."""
-        return [Server(self.number(m.id), m.id, *ipv4_address(m.host_port), self._roles[m.flavor],
-                       self._state(m), True, up_since_ms=m.up_since_ms, zone=m.locality,
-                       cell=m.cell)
-                for m in self._members.values() if m.flavor in self._roles]
+        return [
+            Server(
+                self.number(m.id),
+                m.id,
+                *ipv4_address(m.host_port),
+                self._roles[m.flavor],
+                self._state(m),
+                True,
+                up_since_ms=m.up_since_ms,
+                zone=m.locality,
+                cell=m.cell,
+            )
+            for m in self._members.values()
+            if m.flavor in self._roles
+        ]
--- a/yardspindle/core/hosts/roster.py
+++ b/yardspindle/core/hosts/roster.py
@@ -96,13 +96,32 @@
     def members(self, offset_us: int) -> i.Members:
         """The list as an event; `offset_us` turns this planner's clock into the edge's."""
         entries = tuple(
-            i.Entry(self._numbers[s.name], s.zone, s.kind, s.cell, i.State(s.state), s.units,
-                    round(s.up_since_ms * 1_000) + offset_us if s.up_since_ms else 0)
-            for s in self.servers)
+            i.Entry(
+                self._numbers[s.name],
+                s.zone,
+                s.kind,
+                s.cell,
+                i.State(s.state),
+                s.units,
+                round(s.up_since_ms * 1_000) + offset_us if s.up_since_ms else 0,
+            )
+            for s in self.servers
+        )
         return i.Members(i.ListKind.COMPLETE, self.version, entries)
 
     def addresses(self) -> list[Server]:
         """The list as an edge needs it."""
-        return [Server(self._numbers[s.name], s.name, *split_address(s.address), self._kinds[s.kind],
-                       i.State(s.state), s.places, s.events, s.replay,
-                       s.up_since_ms) for s in self.servers]
+        return [
+            Server(
+                self._numbers[s.name],
+                s.name,
+                *split_address(s.address),
+                self._kinds[s.kind],
+                i.State(s.state),
+                s.places,
+                s.events,
+                s.replay,
+                s.up_since_ms,
+            )
+            for s in self.servers
+        ]
--- a/yardspindle/core/request/answer.py
+++ b/yardspindle/core/request/answer.py
@@ -78,8 +78,10 @@
             return True
         details = usage.get("prompt_tokens_details")
         self.counts = TokenCounts(
-            _count(usage.get("prompt_tokens")), _count(usage.get("completion_tokens")),
-            _count(details.get("cached_tokens")) if isinstance(details, dict) else 0)
+            _count(usage.get("prompt_tokens")),
+            _count(usage.get("completion_tokens")),
+            _count(details.get("cached_tokens")) if isinstance(details, dict) else 0,
+        )
         return self._usage_wanted or bool(event.get("choices"))
 
 
@@ -182,9 +184,17 @@
     message = MESSAGES.get(answer.code, answer.code)
     if answer.final is Final.REFUSED:
         wait_ms = max(answer.retry_after_us // 1_000, 1)
-        return HttpFinal(503, answer.code, message, "overloaded_error", (
-            (b"retry-after", str(-(-wait_ms // 1_000)).encode()), (b"retry-after-ms", str(wait_ms).encode()),
-            (b"x-should-retry", b"true")))
+        return HttpFinal(
+            503,
+            answer.code,
+            message,
+            "overloaded_error",
+            (
+                (b"retry-after", str(-(-wait_ms // 1_000)).encode()),
+                (b"retry-after-ms", str(wait_ms).encode()),
+                (b"x-should-retry", b"true"),
+            ),
+        )
     if answer.final is Final.SERVED:
         raise ValueError("a served answer is no error")
     status = 504 if answer.code in ("deadline", "gave_up") else 502
--- a/yardspindle/core/request/commands.py
+++ b/yardspindle/core/request/commands.py
@@ -186,5 +186,22 @@
     text: str
 
 
-Command = (Read | Write | AskPlace | AbortPlace | CallUnread | ReleaseState | ReleasePlace | ReleaseAll | Abort
-           | LastWords | Answer | CloseIdle | TellPlanner | Warn | Release | Free | Broken)
+Command = (
+    Read
+    | Write
+    | AskPlace
+    | AbortPlace
+    | CallUnread
+    | ReleaseState
+    | ReleasePlace
+    | ReleaseAll
+    | Abort
+    | LastWords
+    | Answer
+    | CloseIdle
+    | TellPlanner
+    | Warn
+    | Release
+    | Free
+    | Broken
+)
--- a/yardspindle/core/request/edge_core.py
+++ b/yardspindle/core/request/edge_core.py
@@ -71,8 +71,9 @@
         """The planner's list of servers."""
         commands = self.life.servers(now_us, listed)
         self.rooms.keep(self.life.directory.servers)
-        self.unread.keep([number for number, server in self.life.directory.servers.items()
-                          if server.state is not i.State.GONE])
+        self.unread.keep(
+            [number for number, server in self.life.directory.servers.items() if server.state is not i.State.GONE]
+        )
         return self._out(now_us, commands)
 
     def arrive(self, now_us: int, ask: i.Request, whole: bool = False) -> list[c.Command]:
@@ -89,8 +90,9 @@
         """An action of a planner's start."""
         return self._out(now_us, self.life.act(now_us, epoch, action))
 
-    def place_answered(self, now_us: int, request: int, number: int, server: Server,
-                       held: bool | None) -> list[c.Command]:
+    def place_answered(
+        self, now_us: int, request: int, number: int, server: Server, held: bool | None
+    ) -> list[c.Command]:
         """A writer said yes or no to a place, or (None) was not heard."""
         self.watch.place(now_us, request, number, server.name, held)
         return self._out(now_us, self.life.place_answered(now_us, request, number, server, held))
@@ -102,8 +104,16 @@
             self.watch.began(request)
         return begun, self._out(now_us, self.life.told())
 
-    def attempt_ended(self, now_us: int, request: int, number: int, status: i.Status, note: int = 0,
-                      state: Any = None, stale: bool = False) -> list[c.Command]:
+    def attempt_ended(
+        self,
+        now_us: int,
+        request: int,
+        number: int,
+        status: i.Status,
+        note: int = 0,
+        state: Any = None,
+        stale: bool = False,
+    ) -> list[c.Command]:
         """An attempt ended by itself or by its time-out."""
         if status is i.Status.TIMEOUT and self.life.unwritten(request, number):
             status = i.Status.MOOT  # its time was up before its last byte was written: nothing of it has run
@@ -178,8 +188,9 @@
         self.releases.settled(now_us, owed, heard)
         return self._due(now_us)
 
-    def room_settled(self, now_us: int, room: Room, server: int, heard: bool | None,
-                     late: bool = False) -> list[c.Command]:
+    def room_settled(
+        self, now_us: int, room: Room, server: int, heard: bool | None, late: bool = False
+    ) -> list[c.Command]:
         """An engine let go of all that was held for a request, or was not heard, or (None) not asked; `late`: it had
         been overdue.
         """
@@ -228,8 +239,7 @@
         if self.releases.owed:
             due += [c.Release(owed) for owed in self.releases.take_due(now_us)]
         if self.rooms.owed:
-            due += [c.Free(room, server)
-                    for room, server in self.rooms.take_due(now_us, self.life.directory.servers)]
+            due += [c.Free(room, server) for room, server in self.rooms.take_due(now_us, self.life.directory.servers)]
         return due
 
     def _broken(self) -> list[c.Command]:
--- a/yardspindle/core/request/ends.py
+++ b/yardspindle/core/request/ends.py
@@ -24,8 +24,9 @@
     def _give_up(self, r: Open, code: str, retry_after_us: int | None = None) -> None:
         """Answer without a planner, at once: refuse where trying again is harmless."""
         if harmless_to_repeat(r.effect, r.ran):
-            self._final(r, c.Final.REFUSED, code,
-                        self.rules.retry_after_us if retry_after_us is None else retry_after_us)
+            self._final(
+                r, c.Final.REFUSED, code, self.rules.retry_after_us if retry_after_us is None else retry_after_us
+            )
         else:
             self._final(r, c.Final.FAILED, "may_have_run")
         self._release(r)
@@ -77,8 +78,17 @@
             self._release(r)
         elif out.server.role is i.Role.READ:
             self._commands.append(c.ReleaseState(r.ask.request, out.number, out.server))
-        self._tell(r, i.Outcome(r.ask.request, out.number, out.server.number, i.Status.CANCELLED,
-                                now_us - out.sent_us, r.final is not None))
+        self._tell(
+            r,
+            i.Outcome(
+                r.ask.request,
+                out.number,
+                out.server.number,
+                i.Status.CANCELLED,
+                now_us - out.sent_us,
+                r.final is not None,
+            ),
+        )
 
     def _may_lie_unread(self, r: Open, out: Attempt, silent: bool = False) -> None:
         """An attempt is over without its server's answer: it may be read there later, and leave a state."""
--- a/yardspindle/core/request/holds.py
+++ b/yardspindle/core/request/holds.py
@@ -44,8 +44,9 @@
             return  # asked nowhere: as at a writer that cannot be heard, no note comes
         r.places += 1
         r.place = Place(r.places, server)
-        self._commands.append(c.AskPlace(
-            ahead.request, r.places, server, r.ask.prompt_tokens, r.out.server, r.out.number))
+        self._commands.append(
+            c.AskPlace(ahead.request, r.places, server, r.ask.prompt_tokens, r.out.server, r.out.number)
+        )
 
     def may_ask(self, request: int, number: int, read_attempt: int) -> bool:
         """Whether a place whose asking is about to be written is still wanted there: the read for it is out."""
@@ -64,8 +65,9 @@
             r.asking[number] = AskedPlace(server, now_us)
             self._hold(now_us, r)
 
-    def place_answered(self, now_us: int, request: int, number: int, server: Server,
-                       held: bool | None) -> list[c.Command]:
+    def place_answered(
+        self, now_us: int, request: int, number: int, server: Server, held: bool | None
+    ) -> list[c.Command]:
         """A writer said yes or no to a place, or (None) was not heard; a place nobody wants is let go."""
         r = self.open.get(request)
         if held is None and self.rules.release_whole:
@@ -92,8 +94,9 @@
             self._tell(r, i.Note(request, r.out.number, r.out.server.number, held))
         return self._take()
 
-    def _place_too_late(self, now_us: int, r: Open | None, request: int, number: int, server: Server,
-                        held: bool | None) -> None:
+    def _place_too_late(
+        self, now_us: int, r: Open | None, request: int, number: int, server: Server, held: bool | None
+    ) -> None:
         if held is False:
             return
         if not self.rules.release_whole:
@@ -146,7 +149,9 @@
         self._untaken(now_us, r, out)
         self._stop_asking(r)
         self._release(r)
-        self._tell(r, i.Outcome(r.ask.request, out.number, out.server.number, status, now_us - out.sent_us, False,
-                                NOTHING_HELD))
+        self._tell(
+            r,
+            i.Outcome(r.ask.request, out.number, out.server.number, status, now_us - out.sent_us, False, NOTHING_HELD),
+        )
         if not r.epoch:
             self._give_up(r, "planner_lost")
--- a/yardspindle/core/request/intake.py
+++ b/yardspindle/core/request/intake.py
@@ -103,11 +103,21 @@
             if not math.isfinite(value) or value < TIMEOUT_MS_LEAST:
                 raise IntakeError(param, f"not a time of at least {TIMEOUT_MS_LEAST:g} ms")
             give_up_us = min(give_up_us, microseconds(min(value, limit_ms)))
-        return Taken(i.Request(
-            request=number, cls=cls.name, expires_us=now_us + max(give_up_us - self._margin_us, 1),
-            prompt_tokens=tokens, prefix_tokens=opening_tokens if prefix is not None else 0.0,
-            max_out=float(said.max_out or self._max_out), tenant=said.tenant, prefix=prefix,
-            session=self._session(said)), kind, said.size)
+        return Taken(
+            i.Request(
+                request=number,
+                cls=cls.name,
+                expires_us=now_us + max(give_up_us - self._margin_us, 1),
+                prompt_tokens=tokens,
+                prefix_tokens=opening_tokens if prefix is not None else 0.0,
+                max_out=float(said.max_out or self._max_out),
+                tenant=said.tenant,
+                prefix=prefix,
+                session=self._session(said),
+            ),
+            kind,
+            said.size,
+        )
 
     def learn(self, taken: Taken, prompt_tokens: int) -> None:
         """An engine counted the prompt."""
--- a/yardspindle/core/request/lifecycle.py
+++ b/yardspindle/core/request/lifecycle.py
@@ -229,8 +229,16 @@
         """The commands that `first_token` left."""
         return self._take()
 
-    def attempt_ended(self, now_us: int, request: int, number: int, status: i.Status, note: int = 0,
-                      state: Any = None, stale: bool = False) -> list[c.Command]:
+    def attempt_ended(
+        self,
+        now_us: int,
+        request: int,
+        number: int,
+        status: i.Status,
+        note: int = 0,
+        state: Any = None,
+        stale: bool = False,
+    ) -> list[c.Command]:
         """An attempt ended by itself or by its time-out; `state` comes with a read, `stale` of a kept connection."""
         r = self.open.get(request)
         if r is None or r.out is None or r.out.number != number:
@@ -257,8 +265,12 @@
         if r.streaming or status is i.Status.SERVED:
             served = status is i.Status.SERVED
             self._final(r, c.Final.SERVED if served else c.Final.FAILED, "served" if served else "stream_broken")
-        self._tell(r, i.Outcome(request, number, out.server.number, status, now_us - out.sent_us,
-                                r.final is not None, note, stale=stale))
+        self._tell(
+            r,
+            i.Outcome(
+                request, number, out.server.number, status, now_us - out.sent_us, r.final is not None, note, stale=stale
+            ),
+        )
         if r.final is None and not r.epoch:
             self._give_up(r, "planner_lost")
         self._settle(now_us, r)
@@ -273,8 +285,9 @@
         r = self.open.get(request)
         if r is None or r.final is not None or r.out is None or r.out.number != number:
             return 0
-        if not self._as_connected(self.directory.open_for(
-                r.out.server.number, now_us, self.rules.drain_grace_us), r.out.server):
+        if not self._as_connected(
+            self.directory.open_for(r.out.server.number, now_us, self.rules.drain_grace_us), r.out.server
+        ):
             self._interlock(r, "drain while connecting")
             return 0
         return max((r.out.until_us - now_us) // 1_000, 0)
--- a/yardspindle/core/request/rooms.py
+++ b/yardspindle/core/request/rooms.py
@@ -94,8 +94,11 @@
 
     def take_overdue(self, now_us: int, limit_us: int) -> list[Room]:
         """Those that no engine has heard for so long, each once."""
-        late = [room for room in self.owed.values()
-                if not room.heard and not room.overdue and not room.precaution and now_us - room.since_us > limit_us]
+        late = [
+            room
+            for room in self.owed.values()
+            if not room.heard and not room.overdue and not room.precaution and now_us - room.since_us > limit_us
+        ]
         for room in late:
             room.overdue = True
         return late
@@ -143,9 +146,13 @@
 
     def _order(self, room: Room, alike: Counter[object], server: Server) -> tuple[object, ...]:
         """In which order servers are asked: first those that did not fail us, of parts that did not."""
-        return (room.tried.count(server.number), self._silent.get(server.number, 0),
-                sum(alike[part] for part in _parts(server)), -self._heard.get(server.number, 0),
-                blake2b(b"%d %d" % (self._seed, server.number), digest_size=8).digest())
+        return (
+            room.tried.count(server.number),
+            self._silent.get(server.number, 0),
+            sum(alike[part] for part in _parts(server)),
+            -self._heard.get(server.number, 0),
+            blake2b(b"%d %d" % (self._seed, server.number), digest_size=8).digest(),
+        )
 
     def settled(self, now_us: int, room: Room, server: int, heard: bool | None) -> None:
         """An engine let go, or was not heard; None: it was not asked, for want of a descriptor."""
--- a/yardspindle/core/request/rules.py
+++ b/yardspindle/core/request/rules.py
@@ -231,8 +231,7 @@
         known = self.open.get(answer.request)
         if known is None or known.over:
             return self._broken("one final answer", answer.request, f"a second one: {answer.code}")
-        harmless = known.effect is i.Effect.SAFE or not (
-            known.ran or any(write for write, _ in known.out.values()))
+        harmless = known.effect is i.Effect.SAFE or not (known.ran or any(write for write, _ in known.out.values()))
         if answer.final is c.Final.REFUSED and not harmless:
             self._broken("no effect twice", answer.request, "a refusal though it may have run")
         late_us = now_us - known.expires_us - self._rules.answer_slack_us - LATE_TICK_US
@@ -311,6 +310,8 @@
     """What is held, and the attempts that are out, with how far each is known to have come."""
     held = [f"a state at {known.state[1]}"] if known.state else []
     held += [f"a place at {server}" for server in known.places.values()]
-    out = [f"{'write' if write else 'read'} {'unwritten' if attempt in known.unwritten else 'written'} at {server}"
-           for attempt, (write, server) in known.out.items()]
+    out = [
+        f"{'write' if write else 'read'} {'unwritten' if attempt in known.unwritten else 'written'} at {server}"
+        for attempt, (write, server) in known.out.items()
+    ]
     return ", ".join(held) + (f" ({', '.join(out)})" if out else "")
--- a/yardspindle/core/texts/blocks.py
+++ b/yardspindle/core/texts/blocks.py
@@ -31,6 +31,6 @@
     step = block_size * TOKEN_BYTES
     hashes: list[int] = []
     for at in range(0, len(packed) - step + 1, step):
-        parent = xxhash.xxh3_64_intdigest(packed[at:at + step], parent)
+        parent = xxhash.xxh3_64_intdigest(packed[at : at + step], parent)
         hashes.append(parent)
     return hashes
--- a/yardspindle/core/texts/cache_feed.py
+++ b/yardspindle/core/texts/cache_feed.py
@@ -116,8 +116,14 @@
 
     def replayed(self, now_us: int, batches: Sequence[tuple[int, Batch]]) -> None:
         """What the publisher still had; what is missing after it is lost."""
-        if self.last is not None and batches and not self._early and self.unsure_us is not None \
-                and batches[0][0] == 0 and batches[-1][0] >= self.last:
+        if (
+            self.last is not None
+            and batches
+            and not self._early
+            and self.unsure_us is not None
+            and batches[0][0] == 0
+            and batches[-1][0] >= self.last
+        ):
             last, self.unsure_us = self.last, None  # the whole story from the start: nothing is left to doubt
             self._forget_all()
             self.last = None
--- a/yardspindle/core/texts/prefix_knowledge.py
+++ b/yardspindle/core/texts/prefix_knowledge.py
@@ -115,8 +115,9 @@
                 claims[box] = found.get(box, 0) * of_block * trust
         return claims
 
-    def told(self, claims: dict[str, float], blocks: Blocks, boxes: Iterable[str],
-             prompt_tokens: float) -> dict[str, float]:
+    def told(
+        self, claims: dict[str, float], blocks: Blocks, boxes: Iterable[str], prompt_tokens: float
+    ) -> dict[str, float]:
         """What the policy is told: claims of boxes that are believed, else our guess; unknown boxes are left out."""
         told: dict[str, float] = {}
         for box in boxes:
@@ -131,8 +132,15 @@
         """Claims and what is told of them in one."""
         return self.told(self.claimed(now_us, blocks, prompt_tokens), blocks, boxes, prompt_tokens)
 
-    def read(self, box: str, blocks: Blocks, prompt_tokens: int, cached_tokens: int | None,
-             told: float | None, claimed: float | None = None) -> None:
+    def read(
+        self,
+        box: str,
+        blocks: Blocks,
+        prompt_tokens: int,
+        cached_tokens: int | None,
+        told: float | None,
+        claimed: float | None = None,
+    ) -> None:
         """A read ended at a box, as the engine counted it; `told` to the policy and `claimed` by the box before it."""
         if claimed is not None and cached_tokens is not None:
             self.claims.judge(box, claimed, cached_tokens)
--- a/yardspindle/core/texts/tokens.py
+++ b/yardspindle/core/texts/tokens.py
@@ -52,5 +52,7 @@
         """See Tokenizer."""
         text = self._template.render(
             messages=[{"role": role, "content": text.decode(errors="replace")} for role, text in messages],
-            tools=tools.decode(errors="replace") or None, add_generation_prompt=True)
+            tools=tools.decode(errors="replace") or None,
+            add_generation_prompt=True,
+        )
         return pack(self._tokenizer.encode(text, add_special_tokens=False).ids)
--- a/yardspindle/drill.py
+++ b/yardspindle/drill.py
@@ -11,16 +11,42 @@
 from yardspindle.policy import Policy
 from yardspindle.settings_map import settings
 
-STATUS = {"S": i.Status.SERVED, "E": i.Status.ERROR, "F": i.Status.FULL, "T": i.Status.TIMEOUT,
-          "C": i.Status.CONNECT_FAILED, "R": i.Status.RESET, "X": i.Status.CANCELLED, "N": i.Status.MOOT,
-          "prefilled": i.Status.READ}
+STATUS = {
+    "S": i.Status.SERVED,
+    "E": i.Status.ERROR,
+    "F": i.Status.FULL,
+    "T": i.Status.TIMEOUT,
+    "C": i.Status.CONNECT_FAILED,
+    "R": i.Status.RESET,
+    "X": i.Status.CANCELLED,
+    "N": i.Status.MOOT,
+    "prefilled": i.Status.READ,
+}
 STATE = {"SERVING": i.State.SERVING, "DRAINING": i.State.DRAINING, "DELETED": i.State.GONE}
 LISTS = {"D": i.ListKind.CHANGES, "F": i.ListKind.COMPLETE, "C": i.ListKind.STALE, "X": i.ListKind.FAILED}
-LOAD = {"rif": "inflight", "q": "queue", "busy": "util", "lat_ms": "latency_ms", "rate": "qps",
-        "fail_rate": "eps", "x0": "x0", "x1": "x1"}
+LOAD = {
+    "rif": "inflight",
+    "q": "queue",
+    "busy": "util",
+    "lat_ms": "latency_ms",
+    "rate": "qps",
+    "fail_rate": "eps",
+    "x0": "x0",
+    "x1": "x1",
+}
 # Fields of each message after its name; a line with another number of fields is malformed.
-FIELDS = {"view": 4, "submit": 12, "flowing": 5, "resolved": 9, "hangup": 2, "due": 2, "probe_result": 5,
-          "memo": 3, "crash_now": 1, "reserved": 6}
+FIELDS = {
+    "view": 4,
+    "submit": 12,
+    "flowing": 5,
+    "resolved": 9,
+    "hangup": 2,
+    "due": 2,
+    "probe_result": 5,
+    "memo": 3,
+    "crash_now": 1,
+    "reserved": 6,
+}
 
 
 class Malformed(Exception):
@@ -58,12 +84,12 @@
         self.policies: dict[int, Policy] = {}
         self.lists: dict[int, tuple[i.Entry, ...]] = {}
         self.read: dict[str, Callable[[list[str]], i.Event]] = {
-            "view": lambda f: i.Members(LISTS[f[1]], whole(f[2]),
-                                        () if f[1] == "X" else self.lists[int(f[3])]),
+            "view": lambda f: i.Members(LISTS[f[1]], whole(f[2]), () if f[1] == "X" else self.lists[int(f[3])]),
             "submit": self.submit,
             "flowing": lambda f: i.First(int(f[1]), int(f[2]), int(f[3]), whole(f[4])),
-            "resolved": lambda f: i.Outcome(int(f[1]), int(f[2]), int(f[3]), STATUS[f[4]], whole(f[5]),
-                                            f[6] == "1", int(number(f[7])), load(f[8])),
+            "resolved": lambda f: i.Outcome(
+                int(f[1]), int(f[2]), int(f[3]), STATUS[f[4]], whole(f[5]), f[6] == "1", int(number(f[7])), load(f[8])
+            ),
             "hangup": lambda f: i.Hangup(int(f[1])),
             "due": lambda f: i.Timer(int(f[1])),
             "probe_result": lambda f: i.Probed(int(f[3]), STATUS[f[1]], whole(f[2]), load(f[4])),
@@ -76,10 +102,19 @@
         """Read a request."""
         flags = whole(f[4])
         return i.Request(
-            request=int(f[1]), cls=f[6], expires_us=int(f[8]), prompt_tokens=number(f[5]),
-            prefix_tokens=number(f[3]), max_out=number(f[2]), tenant=None if f[9] in ("-", "0") else f[9],
-            prefix=None if f[10] in ("-", "0") else f[10], session=absent(f[11]),
-            hint_us=number(f[7]) if flags & 1 else None, repeat=bool(flags & 2), resumed=bool(flags & 16))
+            request=int(f[1]),
+            cls=f[6],
+            expires_us=int(f[8]),
+            prompt_tokens=number(f[5]),
+            prefix_tokens=number(f[3]),
+            max_out=number(f[2]),
+            tenant=None if f[9] in ("-", "0") else f[9],
+            prefix=None if f[10] in ("-", "0") else f[10],
+            session=absent(f[11]),
+            hint_us=number(f[7]) if flags & 1 else None,
+            repeat=bool(flags & 2),
+            resumed=bool(flags & 16),
+        )
 
     def event(self, now: int, name: str, rest: str) -> list[str]:
         """Hand one event to its instance and give back the reply's lines."""
--- a/yardspindle/edge/app.py
+++ b/yardspindle/edge/app.py
@@ -39,7 +39,9 @@
 CLOSE_OLD_US = 1_000_000
 FIRST_PLANNER_US = 2_000_000  # how long "ready" waits for a planner; an edge without one only refuses
 STREAM_HEADERS: http1.Headers = [
-    (b"content-type", b"text/event-stream; charset=utf-8"), (b"cache-control", b"no-cache")]
+    (b"content-type", b"text/event-stream; charset=utf-8"),
+    (b"cache-control", b"no-cache"),
+]
 
 log = structlog.get_logger("yardspindle.edge")
 
@@ -62,13 +64,31 @@
         self.knowledge = _knowledge(world, config)
         self.events = CacheEvents(world, self.knowledge) if self.knowledge is not None else None
         self.link = PlannerLink(
-            world, split_address(edge.planner), self._hello, self._planner_up, self._planner_down,
-            self._servers, self._actions, microseconds(edge.planner_silent_ms))
-        self.executor = Executor(world, self.core, EngineClient(self.http, self.unique), self.metrics,
-                                 self.intake, microseconds(edge.stalled_stream_ms), self.link.tell,
-                                 self.knowledge)
-        self.limits = ServingLimits(http1.Limits(body=edge.max_body_bytes), microseconds(edge.idle_ms),
-                                    microseconds(edge.header_ms), microseconds(edge.stalled_client_ms))
+            world,
+            split_address(edge.planner),
+            self._hello,
+            self._planner_up,
+            self._planner_down,
+            self._servers,
+            self._actions,
+            microseconds(edge.planner_silent_ms),
+        )
+        self.executor = Executor(
+            world,
+            self.core,
+            EngineClient(self.http, self.unique),
+            self.metrics,
+            self.intake,
+            microseconds(edge.stalled_stream_ms),
+            self.link.tell,
+            self.knowledge,
+        )
+        self.limits = ServingLimits(
+            http1.Limits(body=edge.max_body_bytes),
+            microseconds(edge.idle_ms),
+            microseconds(edge.header_ms),
+            microseconds(edge.stalled_client_ms),
+        )
         self._numbers = 0
         self._server: Server | None = None
 
@@ -82,8 +102,17 @@
         self.world.spawn("planner link", self.link.run)
         self.world.spawn("tick", self._tick)
         if self.config.fleet.store:
-            self.world.spawn("join", join, self.world, self.config.fleet, "edge", f"edge{self.config.edge.number}",
-                             self.unique, self.config.edge.zone, VERSION)
+            self.world.spawn(
+                "join",
+                join,
+                self.world,
+                self.config.fleet,
+                "edge",
+                f"edge{self.config.edge.number}",
+                self.unique,
+                self.config.edge.zone,
+                VERSION,
+            )
         try:
             with self.world.deadline(self.world.now_us() + FIRST_PLANNER_US):
                 self.link.came_up.wait()
@@ -116,8 +145,9 @@
 
     def _hello(self) -> frames.Hello:
         edge = self.config.edge
-        return frames.Hello(frames.VERSION, edge.number, edge.dispatchers, edge.zone, self.world.now_us(),
-                            settings_hash(self.config))
+        return frames.Hello(
+            frames.VERSION, edge.number, edge.dispatchers, edge.zone, self.world.now_us(), settings_hash(self.config)
+        )
 
     def _planner_up(self, epoch: int) -> None:
         self.metrics.planner_up.set(1)
@@ -146,8 +176,11 @@
                 self._keys.tenant(head)
                 chat.check_head(head)
                 return None
-            if path != chat.MODELS and not path.startswith(chat.MODELS + b"/") and path not in (
-                    b"/metrics", b"/healthz"):
+            if (
+                path != chat.MODELS
+                and not path.startswith(chat.MODELS + b"/")
+                and path not in (b"/metrics", b"/healthz")
+            ):
                 raise ApiError(404, "not_found", "There is nothing at this path.")
             if head.method not in (b"GET", b"HEAD"):
                 raise ApiError(405, "method_not_allowed", "Use GET here.", headers=[(b"allow", b"GET, HEAD")])
@@ -161,16 +194,16 @@
             self.metrics.connections.set(self._server.connections if self._server else 0)
             if self.knowledge is not None:
                 self._index_metrics(self.knowledge)
-            return Reply(200, [(b"content-type", b"text/plain; version=0.0.4; charset=utf-8")],
-                         self.metrics.text())
+            return Reply(200, [(b"content-type", b"text/plain; version=0.0.4; charset=utf-8")], self.metrics.text())
         if path == b"/healthz":
-            return Reply(200 if self.core.epoch else 503, [JSON],
-                         msgspec.json.encode({"planner": bool(self.core.epoch)}))
+            return Reply(
+                200 if self.core.epoch else 503, [JSON], msgspec.json.encode({"planner": bool(self.core.epoch)})
+            )
         self._keys.tenant(head)
         model = chat.model_object(self.config.model)
         if path == chat.MODELS:
             return Reply(200, [JSON], msgspec.json.encode({"object": "list", "data": [model]}))
-        if path[len(chat.MODELS) + 1:] != self.config.model.encode():
+        if path[len(chat.MODELS) + 1 :] != self.config.model.encode():
             raise ApiError(404, "model_not_found", "There is no such model.", "model")
         return Reply(200, [JSON], msgspec.json.encode(model))
 
@@ -228,16 +261,31 @@
         head = b""
         if asked.stream:
             head = exchange.start(200, [*STREAM_HEADERS, (b"x-request-id", request_id.encode())])
-        return Running(taken, request_id, asked.fields, exchange, head, asked.stream,
-                       AnswerState(asked.usage_wanted or not asked.stream),
-                       None if asked.stream else Collected(), now, self.world.signal(), blocks=blocks, claims=claims)
-
-    def _know(self, now: int, knowledge: PrefixKnowledge, taken: Taken,
-              said: Said) -> tuple[Taken, Blocks, dict[str, float]]:
+        return Running(
+            taken,
+            request_id,
+            asked.fields,
+            exchange,
+            head,
+            asked.stream,
+            AnswerState(asked.usage_wanted or not asked.stream),
+            None if asked.stream else Collected(),
+            now,
+            self.world.signal(),
+            blocks=blocks,
+            claims=claims,
+        )
+
+    def _know(
+        self, now: int, knowledge: PrefixKnowledge, taken: Taken, said: Said
+    ) -> tuple[Taken, Blocks, dict[str, float]]:
         """The request with what readers are known to keep of its prompt, and what they claim."""
         blocks = knowledge.blocks(said.messages, said.tools)
-        readers = {s.name: s.number for s in self.core.life.directory.servers.values()
-                   if s.role is not i.Role.WRITE and s.closed_us is None}
+        readers = {
+            s.name: s.number
+            for s in self.core.life.directory.servers.values()
+            if s.role is not i.Role.WRITE and s.closed_us is None
+        }
         tokens = taken.request.prompt_tokens
         claims = knowledge.claimed(now, blocks, tokens)
         kept = knowledge.told(claims, blocks, readers, tokens)
@@ -276,12 +324,20 @@
     def _log(self, run: Running) -> None:
         now, request, answer = self.world.now_us(), run.taken.request, run.answer
         counts = run.state.counts
-        log.info("request", request_id=run.request_id, cls=request.cls, tenant=request.tenant,
-                 final=answer.final.value if answer else "left", code=answer.code if answer else "client_left",
-                 stream=run.stream, events=run.state.events, total_ms=(now - run.came_us) // 1_000,
-                 first_ms=(run.first_us - run.came_us) // 1_000 if run.first_us else None,
-                 prompt_tokens=counts.prompt if counts else None,
-                 completion_tokens=counts.completion if counts else None)
+        log.info(
+            "request",
+            request_id=run.request_id,
+            cls=request.cls,
+            tenant=request.tenant,
+            final=answer.final.value if answer else "left",
+            code=answer.code if answer else "client_left",
+            stream=run.stream,
+            events=run.state.events,
+            total_ms=(now - run.came_us) // 1_000,
+            first_ms=(run.first_us - run.came_us) // 1_000 if run.first_us else None,
+            prompt_tokens=counts.prompt if counts else None,
+            completion_tokens=counts.completion if counts else None,
+        )
 
 
 def _knowledge(world: World, config: Config) -> PrefixKnowledge | None:
@@ -291,14 +347,14 @@
     tokenizer: Tokenizer = ByteTokenizer()
     if index.tokenizer != "bytes":
         try:
-            tokenizer = ModelTokenizer(world.read_file(index.tokenizer),
-                                       world.read_file(index.chat_template).decode())
+            tokenizer = ModelTokenizer(world.read_file(index.tokenizer), world.read_file(index.chat_template).decode())
         except OSError as error:
             raise ConfigError(f"index.tokenizer: {error.filename}: {error.strerror}") from None
         except ValueError as error:
             raise ConfigError(f"index.tokenizer: {index.tokenizer}: {error}") from None
-    return PrefixKnowledge(tokenizer, index.block_size, index.max_blocks, guessing=index.mode != "events",
-                           following=index.mode != "guess")
+    return PrefixKnowledge(
+        tokenizer, index.block_size, index.max_blocks, guessing=index.mode != "events", following=index.mode != "guess"
+    )
 
 
 def _fault(error: BaseException) -> None:
--- a/yardspindle/edge/executor.py
+++ b/yardspindle/edge/executor.py
@@ -70,9 +70,17 @@
 class Executor:
     """The hands of the core."""
 
-    def __init__(self, world: World, core: EdgeCore, engines: vllm.EngineClient, metrics: EdgeMetrics,
-                 intake: Intake, stalled_us: int, tell: Callable[[i.Event], None],
-                 knowledge: PrefixKnowledge | None) -> None:
+    def __init__(
+        self,
+        world: World,
+        core: EdgeCore,
+        engines: vllm.EngineClient,
+        metrics: EdgeMetrics,
+        intake: Intake,
+        stalled_us: int,
+        tell: Callable[[i.Event], None],
+        knowledge: PrefixKnowledge | None,
+    ) -> None:
         """`stalled_us`: how long a running stream may bring nothing."""
         self._world = world
         self._core = core
@@ -120,8 +128,9 @@
                 case c.ReleaseState() | c.ReleasePlace():
                     raise AssertionError("a release that the core did not take in hand")
 
-    def _start(self, request: int, attempt: int, run_attempt: Callable[[Any, Running], None],
-               command: c.Read | c.Write) -> None:
+    def _start(
+        self, request: int, attempt: int, run_attempt: Callable[[Any, Running], None], command: c.Read | c.Write
+    ) -> None:
         run = self.running[request]
         run.attempts[attempt] = self._world.spawn("attempt", run_attempt, command, run)
 
@@ -130,8 +139,14 @@
         stage = "read" if isinstance(command, c.Read) else "write"
         self._metrics.attempts.labels(stage, ended.status.value).inc()
         if ended.status not in (i.Status.READ, i.Status.SERVED):
-            log.info("attempt failed", request_id=run.request_id, stage=stage, server=command.server.name,
-                     status=ended.status.value, detail=ended.detail)
+            log.info(
+                "attempt failed",
+                request_id=run.request_id,
+                stage=stage,
+                server=command.server.name,
+                status=ended.status.value,
+                detail=ended.detail,
+            )
         if ended.client_error is not None:
             run.client_error = ended.client_status, ended.client_error
         if ended.usage is not None:
@@ -140,10 +155,19 @@
             self._metrics.cached_tokens.inc(ended.usage.cached or 0)
             if ended.status is i.Status.READ and self._knowledge is not None:
                 told = (run.taken.request.kept or {}).get(command.server.number)
-                self._knowledge.read(command.server.name, run.blocks, ended.usage.prompt_tokens,
-                                     ended.usage.cached, told, run.claims.get(command.server.name))
-        self.perform(self._core.attempt_ended(
-            self._world.now_us(), command.request, command.attempt, ended.status, ended.note, ended.state))
+                self._knowledge.read(
+                    command.server.name,
+                    run.blocks,
+                    ended.usage.prompt_tokens,
+                    ended.usage.cached,
+                    told,
+                    run.claims.get(command.server.name),
+                )
+        self.perform(
+            self._core.attempt_ended(
+                self._world.now_us(), command.request, command.attempt, ended.status, ended.note, ended.state
+            )
+        )
 
     # --- attempts
 
@@ -151,8 +175,9 @@
         run.written = False
         try:
             with self._world.deadline(command.until_us):
-                ended = self._engines.read(command.server, command.request, command.attempt,
-                                           vllm.read_body(run.fields), run.now_written)
+                ended = self._engines.read(
+                    command.server, command.request, command.attempt, vllm.read_body(run.fields), run.now_written
+                )
         except DeadlineExceeded:
             ended = run.timed_out()
         self._ended(run, command, ended)
@@ -162,8 +187,9 @@
         try:
             with self._world.deadline(command.until_us):
                 body = vllm.write_body(run.fields, command.state)
-                answer = self._engines.write(command.server, command.request, command.attempt, body, command.place,
-                                             run.now_written)
+                answer = self._engines.write(
+                    command.server, command.request, command.attempt, body, command.place, run.now_written
+                )
                 first = None
                 if isinstance(answer, vllm.AnswerStream):
                     batches = answer.batches()
@@ -185,8 +211,9 @@
         if ended is not None:
             self._ended(run, command, ended)
 
-    def _relay(self, command: c.Write, run: Running, answer: vllm.AnswerStream, first: list[bytes] | None,
-               batches: Any) -> vllm.Ended | None:
+    def _relay(
+        self, command: c.Write, run: Running, answer: vllm.AnswerStream, first: list[bytes] | None, batches: Any
+    ) -> vllm.Ended | None:
         """From the first event to the last; None when the request was over before it."""
         if first is None:
             return vllm.Ended(i.Status.RESET, detail="the answer ended before it began")
@@ -263,19 +290,20 @@
         held: bool | None = None
         try:
             with self._world.deadline(self._world.now_us() + PLACE_US):
-                held = self._engines.ask_place(command.server, command.request, command.place, command.tokens,
-                                               command.reader, command.read_attempt)
+                held = self._engines.ask_place(
+                    command.server, command.request, command.place, command.tokens, command.reader, command.read_attempt
+                )
         except (DeadlineExceeded, Cancelled):
             held = None
-        self.perform(self._core.place_answered(
-            self._world.now_us(), command.request, command.place, command.server, held))
+        self.perform(
+            self._core.place_answered(self._world.now_us(), command.request, command.place, command.server, held)
+        )
 
     def _release(self, owed: Owed) -> None:
         heard = False
         try:
             with self._world.deadline(self._world.now_us() + RELEASE_US):
-                release = (self._engines.release_state if owed.thing is Thing.STATE
-                           else self._engines.release_place)
+                release = self._engines.release_state if owed.thing is Thing.STATE else self._engines.release_place
                 heard = release(owed.server, owed.request, owed.part)
         except DeadlineExceeded:
             pass
--- a/yardspindle/edge/metrics.py
+++ b/yardspindle/edge/metrics.py
@@ -13,35 +13,48 @@
     def __init__(self) -> None:
         """All at zero."""
         self.registry = CollectorRegistry()
-        self.finals = Counter("yardspindle_final_answers", "Final answers", ("cls", "final", "code"),
-                              registry=self.registry)
-        self.left = Counter("yardspindle_clients_left", "Clients that left before their final answer", ("cls",),
-                            registry=self.registry)
-        self.attempts = Counter("yardspindle_attempts", "Ended attempts", ("stage", "status"),
-                                registry=self.registry)
-        self.first_token = Histogram("yardspindle_first_token_seconds", "Time to the first token", ("cls",),
-                                     buckets=SECONDS, registry=self.registry)
+        self.finals = Counter(
+            "yardspindle_final_answers", "Final answers", ("cls", "final", "code"), registry=self.registry
+        )
+        self.left = Counter(
+            "yardspindle_clients_left", "Clients that left before their final answer", ("cls",), registry=self.registry
+        )
+        self.attempts = Counter("yardspindle_attempts", "Ended attempts", ("stage", "status"), registry=self.registry)
+        self.first_token = Histogram(
+            "yardspindle_first_token_seconds",
+            "Time to the first token",
+            ("cls",),
+            buckets=SECONDS,
+            registry=self.registry,
+        )
         self.events = Counter("yardspindle_streamed_events", "Events streamed to clients", registry=self.registry)
-        self.prompt_tokens = Counter("yardspindle_prompt_tokens", "Prompt tokens that engines counted",
-                                     registry=self.registry)
-        self.cached_tokens = Counter("yardspindle_cached_tokens", "Prompt tokens that readers had kept",
-                                     registry=self.registry)
-        self.interlocks = Counter("yardspindle_interlocks", "Actions the edge refused or took by itself", ("rule",),
-                                  registry=self.registry)
-        self.broken = Counter("yardspindle_broken_rules", "Rules that the watch found broken", ("rule",),
-                              registry=self.registry)
+        self.prompt_tokens = Counter(
+            "yardspindle_prompt_tokens", "Prompt tokens that engines counted", registry=self.registry
+        )
+        self.cached_tokens = Counter(
+            "yardspindle_cached_tokens", "Prompt tokens that readers had kept", registry=self.registry
+        )
+        self.interlocks = Counter(
+            "yardspindle_interlocks", "Actions the edge refused or took by itself", ("rule",), registry=self.registry
+        )
+        self.broken = Counter(
+            "yardspindle_broken_rules", "Rules that the watch found broken", ("rule",), registry=self.registry
+        )
         self.index_blocks = Gauge("yardspindle_index_blocks", "Blocks in the prefix index", registry=self.registry)
-        self.index_told = Gauge("yardspindle_index_told_tokens", "Kept tokens that reads had been told of, in all",
-                                registry=self.registry)
-        self.index_found = Gauge("yardspindle_index_found_tokens", "Of those, found by the reads",
-                                 registry=self.registry)
-        self.index_trust = Gauge("yardspindle_index_trust", "Trust in a reader's cache events, 0 to 1", ("server",),
-                                 registry=self.registry)
+        self.index_told = Gauge(
+            "yardspindle_index_told_tokens", "Kept tokens that reads had been told of, in all", registry=self.registry
+        )
+        self.index_found = Gauge(
+            "yardspindle_index_found_tokens", "Of those, found by the reads", registry=self.registry
+        )
+        self.index_trust = Gauge(
+            "yardspindle_index_trust", "Trust in a reader's cache events, 0 to 1", ("server",), registry=self.registry
+        )
         self.planner_up = Gauge("yardspindle_planner_up", "Whether a planner decides", registry=self.registry)
-        self.open_requests = Gauge("yardspindle_open_requests", "Requests taken and not done with",
-                                   registry=self.registry)
-        self.connections = Gauge("yardspindle_client_connections", "Open client connections",
-                                 registry=self.registry)
+        self.open_requests = Gauge(
+            "yardspindle_open_requests", "Requests taken and not done with", registry=self.registry
+        )
+        self.connections = Gauge("yardspindle_client_connections", "Open client connections", registry=self.registry)
 
     def text(self) -> bytes:
         """The exposition format."""
--- a/yardspindle/edge/planner_link.py
+++ b/yardspindle/edge/planner_link.py
@@ -29,10 +29,17 @@
 class PlannerLink:
     """Keeps one link to the planner."""
 
-    def __init__(self, world: World, address: tuple[str, int], hello: Callable[[], frames.Hello],
-                 on_up: Callable[[int], None], on_down: Callable[[], None],
-                 on_servers: Callable[[list[Server]], None],
-                 on_actions: Callable[[int, list[i.Action]], None], silent_us: int) -> None:
+    def __init__(
+        self,
+        world: World,
+        address: tuple[str, int],
+        hello: Callable[[], frames.Hello],
+        on_up: Callable[[int], None],
+        on_down: Callable[[], None],
+        on_servers: Callable[[list[Server]], None],
+        on_actions: Callable[[int, list[i.Action]], None],
+        silent_us: int,
+    ) -> None:
         """`silent_us`: how long a planner may take to answer a batch of events before it is taken for lost.
 
         `on_up` and `on_actions` are told the planner's epoch; `on_down` comes once after each `on_up`."""
@@ -157,7 +164,12 @@
                     events, self._pending = self._pending, []
                     self._number += 1
                     self._pulse.sent(self._world.now_us(), self._number)
-                    stream.write(frames.encode(frames.Events(
-                        self._number, self._world.now_us(), [frames.mirror(event) for event in events])))
+                    stream.write(
+                        frames.encode(
+                            frames.Events(
+                                self._number, self._world.now_us(), [frames.mirror(event) for event in events]
+                            )
+                        )
+                    )
         except (StreamError, frames.LinkError):
             stream.abort()  # the reading side sees it and settles everything
--- a/yardspindle/engine/http_client.py
+++ b/yardspindle/engine/http_client.py
@@ -106,11 +106,21 @@
     counts: Counts = field(default_factory=Counts)
     _idle: dict[tuple[str, int], deque[Connection]] = field(default_factory=dict)
 
-    def request(self, host: str, port: int, method: bytes, target: bytes, headers: http1.Headers,
-                body: bytes = b"", written: Callable[[], None] | None = None,
-                ready: Callable[[], http1.Headers] | None = None, connect_us: int | None = None,
-                rest_us: int = 0, descriptor_us: int | None = None,
-                heard: Callable[[], None] | None = None) -> Response:
+    def request(
+        self,
+        host: str,
+        port: int,
+        method: bytes,
+        target: bytes,
+        headers: http1.Headers,
+        body: bytes = b"",
+        written: Callable[[], None] | None = None,
+        ready: Callable[[], http1.Headers] | None = None,
+        connect_us: int | None = None,
+        rest_us: int = 0,
+        descriptor_us: int | None = None,
+        heard: Callable[[], None] | None = None,
+    ) -> Response:
         """Send a request and wait for the response's head.
 
         `ready` is called, and may wait, when the connection is there and nothing is written: it gives the headers
--- a/yardspindle/engine/vllm.py
+++ b/yardspindle/engine/vllm.py
@@ -30,11 +30,25 @@
 DUTY_HEADER, FENCE_HEADER = b"x-yardspindle-duty", b"x-yardspindle-fence"  # of who acts for the whole fleet
 JSON_HEADERS: http1.Headers = [(b"content-type", b"application/json")]
 ERROR_BYTES_MOST = 65_536
-READ_PARAMS = {"do_remote_decode": True, "do_remote_prefill": False, "remote_engine_id": None,
-               "remote_block_ids": None, "remote_host": None, "remote_port": None}
+READ_PARAMS = {
+    "do_remote_decode": True,
+    "do_remote_prefill": False,
+    "remote_engine_id": None,
+    "remote_block_ids": None,
+    "remote_host": None,
+    "remote_port": None,
+}
 # Fields of the client's request that make no sense for a read of one token.
-NOT_FOR_READS = ("stream_options", "min_tokens", "max_completion_tokens", "n", "best_of", "logprobs",
-                 "top_logprobs", "response_format")
+NOT_FOR_READS = (
+    "stream_options",
+    "min_tokens",
+    "max_completion_tokens",
+    "n",
+    "best_of",
+    "logprobs",
+    "top_logprobs",
+    "response_format",
+)
 
 Fields = dict[str, msgspec.Raw]
 
@@ -165,8 +179,9 @@
         """The id of a place."""
         return f"{self._unique}-{request}.p{place}"
 
-    def read(self, server: Server, request: int, attempt: int, body: bytes,
-             written: Callable[[], None] | None = None) -> Ended:
+    def read(
+        self, server: Server, request: int, attempt: int, body: bytes, written: Callable[[], None] | None = None
+    ) -> Ended:
         """First stage. Never raises but for deadlines and cancellation. `written`: see HttpClient.request."""
         headers = [*JSON_HEADERS, (b"x-request-id", self.state_id(request, attempt).encode())]
         try:
@@ -192,8 +207,15 @@
         state = {**answer.kv_transfer_params, "do_remote_prefill": True, "do_remote_decode": False}
         return Ended(Status.READ, answer.usage.cached or 0, state, answer.usage)
 
-    def write(self, server: Server, request: int, attempt: int, body: bytes,
-              place: int | None, written: Callable[[], None] | None = None) -> AnswerStream | Ended:
+    def write(
+        self,
+        server: Server,
+        request: int,
+        attempt: int,
+        body: bytes,
+        place: int | None,
+        written: Callable[[], None] | None = None,
+    ) -> AnswerStream | Ended:
         """Second stage: the answer's stream, or how it ended before one began."""
         headers = [*JSON_HEADERS, (b"x-request-id", self.state_id(request, attempt).encode())]
         if place is not None:
@@ -213,12 +235,17 @@
         finally:
             response.close()
 
-    def ask_place(self, server: Server, request: int, place: int, tokens: float, reader: Server,
-                  read_attempt: int) -> bool | None:
+    def ask_place(
+        self, server: Server, request: int, place: int, tokens: float, reader: Server, read_attempt: int
+    ) -> bool | None:
         """Whether the writer holds a place; None when it was not heard."""
-        body = msgspec.json.encode({
-            "place": self.place_id(request, place), "tokens": round(tokens),
-            "read": {"id": self.state_id(request, read_attempt), "host": reader.host, "port": reader.port}})
+        body = msgspec.json.encode(
+            {
+                "place": self.place_id(request, place),
+                "tokens": round(tokens),
+                "read": {"id": self.state_id(request, read_attempt), "host": reader.host, "port": reader.port},
+            }
+        )
         status = self._call(server, b"POST", PLACES, body)
         return True if status == 200 else False if status == 409 else None
 
@@ -234,8 +261,7 @@
 
     def _call(self, server: Server, method: bytes, target: bytes, body: bytes = b"") -> int | None:
         try:
-            response = self.http.request(server.host, server.port, method, target,
-                                         JSON_HEADERS if body else [], body)
+            response = self.http.request(server.host, server.port, method, target, JSON_HEADERS if body else [], body)
         except (ConnectError, ExchangeBroken):
             return None
         try:
--- a/yardspindle/fleet/file.py
+++ b/yardspindle/fleet/file.py
@@ -20,8 +20,7 @@
 class FileSource:
     """Feeds a roster from a file."""
 
-    def __init__(self, world: World, path: str, config: Config, roster: Roster,
-                 on_news: Callable[[], None]) -> None:
+    def __init__(self, world: World, path: str, config: Config, roster: Roster, on_news: Callable[[], None]) -> None:
         """`on_news` is called when a changed list is in force."""
         self._world = world
         self._path = path
--- a/yardspindle/fleet/leave.py
+++ b/yardspindle/fleet/leave.py
@@ -34,8 +34,9 @@
                 return True
             if no is None:
                 status = units.statuses.get(unit)
-                permit = p.Permit(unit, status.epoch if status is not None else "", unit, "asked to end",
-                                  since_us=world.now_us())
+                permit = p.Permit(
+                    unit, status.epoch if status is not None else "", unit, "asked to end", since_us=world.now_us()
+                )
                 store.txn(keys.leave(units, permit))
                 continue  # read back: it was given, or somebody else was let go meanwhile
             reason = no.reason
--- a/yardspindle/fleet/membership.py
+++ b/yardspindle/fleet/membership.py
@@ -39,15 +39,26 @@
 
 
 def _no_turns() -> Turns:
-    return Turns(lambda lease, sent_us, ttl_us: None, lambda lease, sent_us, ttl_us, revision: None,
-                 lambda granting: None)
+    return Turns(
+        lambda lease, sent_us, ttl_us: None, lambda lease, sent_us, ttl_us, revision: None, lambda granting: None
+    )
 
 
 class Membership:
     """One process's place in its fleet."""
 
-    def __init__(self, world: World, config: FleetConfig, store: Store, kind: Kind, name: str, epoch: str, zone: str,
-                 version: str, turns: Turns | None = None) -> None:
+    def __init__(
+        self,
+        world: World,
+        config: FleetConfig,
+        store: Store,
+        kind: Kind,
+        name: str,
+        epoch: str,
+        zone: str,
+        version: str,
+        turns: Turns | None = None,
+    ) -> None:
         """Nothing is opened before `start`."""
         self._world, self._store = world, store
         self._ttl_us = microseconds(config.ttl_ms)
@@ -181,7 +192,8 @@
         return
     host, port = split_address(config.listen)
     try:
-        Membership(world, config, open_store(world, config), kind, config.member or name, epoch, zone,
-                   version).start(host, port)
+        Membership(world, config, open_store(world, config), kind, config.member or name, epoch, zone, version).start(
+            host, port
+        )
     except (StoreError, OSError) as error:
         log.error("not a member of its fleet", kind=kind, store=list(config.store), reason=str(error))
--- a/yardspindle/fleet/store/embedded.py
+++ b/yardspindle/fleet/store/embedded.py
@@ -82,19 +82,22 @@
         def grant() -> Granted:
             lease = int(self._about("last lease")) + 1
             self._db.run("UPDATE about SET value = ? WHERE name = 'last lease'", (lease,))
-            self._db.run("INSERT INTO leases VALUES (?, ?, ?, ?)",
-                         (lease, ttl_us, self._world.machine_us() + ttl_us, self._boot))
+            self._db.run(
+                "INSERT INTO leases VALUES (?, ?, ?, ?)", (lease, ttl_us, self._world.machine_us() + ttl_us, self._boot)
+            )
             return Granted(lease, ttl_us)
 
         return self._write(grant)
 
     def keep_alive(self, lease: int) -> Kept:
         """See Store."""
+
         def keep() -> Kept:
             rows = self._db.run("SELECT ttl_us FROM leases WHERE lease = ?", (lease,))
             if rows:
-                self._db.run("UPDATE leases SET ends_us = ? WHERE lease = ?",
-                             (self._world.machine_us() + rows[0][0], lease))
+                self._db.run(
+                    "UPDATE leases SET ends_us = ? WHERE lease = ?", (self._world.machine_us() + rows[0][0], lease)
+                )
             return Kept(rows[0][0] if rows else 0, self._revision())
 
         return self._write(keep)
@@ -105,6 +108,7 @@
 
     def time_left_us(self, lease: int) -> int:
         """See Store."""
+
         def left() -> int:
             rows = self._db.run("SELECT ends_us FROM leases WHERE lease = ? AND boot = ?", (lease, self._boot))
             left_us = int(rows[0][0]) - self._world.machine_us() if rows else -1
@@ -185,8 +189,10 @@
             if not tables:
                 for statement in TABLES:
                     self._db.run(statement)
-                self._db.run("INSERT INTO about VALUES ('form', ?), ('revision', ?), ('compacted', 0),"
-                             " ('last lease', 0)", (FORM, FIRST_REVISION))
+                self._db.run(
+                    "INSERT INTO about VALUES ('form', ?), ('revision', ?), ('compacted', 0), ('last lease', 0)",
+                    (FORM, FIRST_REVISION),
+                )
         except BaseException:
             self._db.roll_back()
             raise
@@ -207,8 +213,7 @@
     def rows(self, key: bytes, end: bytes) -> list[KeyValue]:
         """See kv.Reader."""
         where, arguments = _range(key, end)
-        return [_row(row) for row in self._db.run(
-            f"SELECT {COLUMNS} FROM now WHERE {where} ORDER BY key", arguments)]
+        return [_row(row) for row in self._db.run(f"SELECT {COLUMNS} FROM now WHERE {where} ORDER BY key", arguments)]
 
     def has_lease(self, lease: int) -> bool:
         """See kv.Reader."""
@@ -223,10 +228,17 @@
         if revision < int(self._about("compacted")):
             raise Compacted(int(self._about("compacted")))
         where, arguments = _range(key, end)
-        return Rows(now, tuple(_row(row) for row in self._db.run(
-            f"SELECT {COLUMNS} FROM versions AS v WHERE {where} AND removed = 0 AND mod ="
-            " (SELECT max(mod) FROM versions WHERE key = v.key AND mod <= ?) ORDER BY key",
-            (*arguments, revision))))
+        return Rows(
+            now,
+            tuple(
+                _row(row)
+                for row in self._db.run(
+                    f"SELECT {COLUMNS} FROM versions AS v WHERE {where} AND removed = 0 AND mod ="
+                    " (SELECT max(mod) FROM versions WHERE key = v.key AND mod <= ?) ORDER BY key",
+                    (*arguments, revision),
+                )
+            ),
+        )
 
     def _txn(self, txn: Txn) -> TxnAnswer:
         answer, changes = evaluate(txn, self, self._revision())
@@ -238,13 +250,17 @@
             return
         for change in changes:
             row = change.row
-            self._db.run("INSERT INTO versions VALUES (?, ?, ?, ?, ?, ?, ?)",
-                         (row.key, row.mod, row.create, row.version, row.value, row.lease, int(change.removed)))
+            self._db.run(
+                "INSERT INTO versions VALUES (?, ?, ?, ?, ?, ?, ?)",
+                (row.key, row.mod, row.create, row.version, row.value, row.lease, int(change.removed)),
+            )
             if change.removed:
                 self._db.run("DELETE FROM now WHERE key = ?", (row.key,))
             else:
-                self._db.run(f"INSERT OR REPLACE INTO now ({COLUMNS}) VALUES (?, ?, ?, ?, ?, ?)",
-                             (row.key, row.value, row.create, row.mod, row.version, row.lease))
+                self._db.run(
+                    f"INSERT OR REPLACE INTO now ({COLUMNS}) VALUES (?, ?, ?, ?, ?, ?)",
+                    (row.key, row.value, row.create, row.mod, row.version, row.lease),
+                )
         revision = changes[0].row.mod
         self._db.run("UPDATE about SET value = ? WHERE name = 'revision'", (revision,))
         if revision - int(self._about("compacted")) > 2 * KEPT_REVISIONS:
@@ -252,9 +268,11 @@
 
     def _compact(self, revision: int) -> None:
         """Keep of each key's history what is needed to read from that revision on."""
-        self._db.run("DELETE FROM versions WHERE mod < ? AND (removed OR mod <"
-                     " (SELECT max(mod) FROM versions AS v WHERE v.key = versions.key AND v.mod <= ?))",
-                     (revision, revision))
+        self._db.run(
+            "DELETE FROM versions WHERE mod < ? AND (removed OR mod <"
+            " (SELECT max(mod) FROM versions AS v WHERE v.key = versions.key AND v.mod <= ?))",
+            (revision, revision),
+        )
         self._db.run("UPDATE about SET value = ? WHERE name = 'compacted'", (revision,))
 
     def compact(self, revision: int) -> None:
@@ -262,12 +280,17 @@
         self._write(lambda: self._compact(revision))
 
     def _ended(self) -> bool:
-        return bool(self._db.run("SELECT 1 FROM leases WHERE ends_us <= ? OR boot <> ? LIMIT 1",
-                                 (self._world.machine_us(), self._boot)))
+        return bool(
+            self._db.run(
+                "SELECT 1 FROM leases WHERE ends_us <= ? OR boot <> ? LIMIT 1", (self._world.machine_us(), self._boot)
+            )
+        )
 
     def _expire(self) -> None:
-        for (lease,) in self._db.run("SELECT lease FROM leases WHERE ends_us <= ? OR boot <> ? ORDER BY lease",
-                                     (self._world.machine_us(), self._boot)):
+        for (lease,) in self._db.run(
+            "SELECT lease FROM leases WHERE ends_us <= ? OR boot <> ? ORDER BY lease",
+            (self._world.machine_us(), self._boot),
+        ):
             self._revoke(lease)
 
     def _revoke(self, lease: int) -> None:
@@ -278,6 +301,7 @@
 
     def since(self, key: bytes, end: bytes, revision: int) -> Changes:
         """The changes of a range from a revision on. Raises Compacted."""
+
         def read() -> Changes:
             now = self._revision()
             if now < revision:
@@ -285,8 +309,10 @@
             if revision <= int(self._about("compacted")):
                 raise Compacted(int(self._about("compacted")))
             where, arguments = _range(key, end)
-            rows = self._db.run(f"SELECT {COLUMNS}, removed FROM versions WHERE {where} AND mod >= ? AND mod <= ?"
-                                " ORDER BY mod, key", (*arguments, revision, now))
+            rows = self._db.run(
+                f"SELECT {COLUMNS}, removed FROM versions WHERE {where} AND mod >= ? AND mod <= ? ORDER BY mod, key",
+                (*arguments, revision, now),
+            )
             return Changes(now, tuple(Change(_row(row[:6]), bool(row[6])) for row in rows))
 
         return self._patiently(read, reads=True)
--- a/yardspindle/fleet/store/gateway.py
+++ b/yardspindle/fleet/store/gateway.py
@@ -236,5 +236,3 @@
     def close(self) -> None:
         """See Watch."""
         self._response.close()
-
-
--- a/yardspindle/fleet/store/gateway_json.py
+++ b/yardspindle/fleet/store/gateway_json.py
@@ -36,10 +36,13 @@
 T = TypeVar("T")
 Int = int | str  # as the gateway reads both and writes strings
 TARGETS: dict[Target, tuple[str, str]] = {
-    "version": ("VERSION", "version"), "create": ("CREATE", "create_revision"), "mod": ("MOD", "mod_revision"),
-    "value": ("VALUE", "value"), "lease": ("LEASE", "lease")}
-RELATIONS: dict[Relation, str] = {
-    "equal": "EQUAL", "greater": "GREATER", "less": "LESS", "not_equal": "NOT_EQUAL"}
+    "version": ("VERSION", "version"),
+    "create": ("CREATE", "create_revision"),
+    "mod": ("MOD", "mod_revision"),
+    "value": ("VALUE", "value"),
+    "lease": ("LEASE", "lease"),
+}
+RELATIONS: dict[Relation, str] = {"equal": "EQUAL", "greater": "GREATER", "less": "LESS", "not_equal": "NOT_EQUAL"}
 
 
 class Malformed(Exception):
@@ -234,8 +237,14 @@
 
 def row_in(row: Row) -> KeyValue:
     """A row from JSON."""
-    return KeyValue(unb64(row.key), unb64(row.value), int(row.create_revision), int(row.mod_revision),
-                    int(row.version), int(row.lease))
+    return KeyValue(
+        unb64(row.key),
+        unb64(row.value),
+        int(row.create_revision),
+        int(row.mod_revision),
+        int(row.version),
+        int(row.lease),
+    )
 
 
 def op_out(op: Op) -> OpCall:
@@ -282,8 +291,9 @@
         if target is None or relation is None:
             raise Malformed("a condition of no known kind")
         want = getattr(c, TARGETS[target][1])
-        compare.append(Compare(unb64(c.key), target, relation,
-                               unb64(want or "") if target == "value" else int(want or 0)))
+        compare.append(
+            Compare(unb64(c.key), target, relation, unb64(want or "") if target == "value" else int(want or 0))
+        )
     return Txn(tuple(compare), tuple(op_in(op) for op in call.success), tuple(op_in(op) for op in call.failure))
 
 
@@ -293,8 +303,9 @@
     for op, found in zip(txn.then if answer.succeeded else txn.otherwise, answer.found, strict=True):
         match op:
             case Get():
-                replies.append(OpReply(response_range=RangeReply(header, [row_out(row) for row in found],
-                                                                 count=str(len(found)))))
+                replies.append(
+                    OpReply(response_range=RangeReply(header, [row_out(row) for row in found], count=str(len(found))))
+                )
             case Put():
                 replies.append(OpReply(response_put={}))
             case Delete():
@@ -305,8 +316,9 @@
 def answer_in(data: bytes) -> TxnAnswer:
     """A transaction's answer from JSON. Raises Malformed."""
     reply = decode(data, TxnReply)
-    found = tuple(tuple(row_in(row) for row in r.response_range.kvs) if r.response_range else ()
-                  for r in reply.responses)
+    found = tuple(
+        tuple(row_in(row) for row in r.response_range.kvs) if r.response_range else () for r in reply.responses
+    )
     return TxnAnswer(int(reply.header.revision), reply.succeeded, found)
 
 
@@ -318,8 +330,9 @@
 
 def changes_in(reply: WatchReply) -> Changes:
     """Changes from a watch's answer."""
-    return Changes(int(reply.header.revision), tuple(
-        Change(row_in(event.kv), event.type == "DELETE") for event in reply.events))
+    return Changes(
+        int(reply.header.revision), tuple(Change(row_in(event.kv), event.type == "DELETE") for event in reply.events)
+    )
 
 
 def decode(data: bytes, kind: type[T]) -> T:
--- a/yardspindle/interface.py
+++ b/yardspindle/interface.py
@@ -126,8 +126,18 @@
 
     def __post_init__(self) -> None:
         """Refuse settings that cannot hold, naming the field."""
-        least = {"me": 0, "instances": 1, "max_attempts": 1, "release_us": 1, "drain_grace_us": 0,
-                 "cold_us": 0, "fall_us": 0, "fall_multiple": 0, "max_retry_after_us": 0, "tick_us": 1}
+        least = {
+            "me": 0,
+            "instances": 1,
+            "max_attempts": 1,
+            "release_us": 1,
+            "drain_grace_us": 0,
+            "cold_us": 0,
+            "fall_us": 0,
+            "fall_multiple": 0,
+            "max_retry_after_us": 0,
+            "tick_us": 1,
+        }
         for field, low in least.items():
             if getattr(self, field) < low:
                 raise ValueError(f"{field}: {getattr(self, field)} is under {low}")
@@ -358,5 +368,19 @@
     text: str
 
 
-Action = (Send | Ahead | Discard | Refuse | Fail | Cancel | Move | SetTimer | Probe | CloseIdle | Tell
-          | Watch | FetchList | Log)
+Action = (
+    Send
+    | Ahead
+    | Discard
+    | Refuse
+    | Fail
+    | Cancel
+    | Move
+    | SetTimer
+    | Probe
+    | CloseIdle
+    | Tell
+    | Watch
+    | FetchList
+    | Log
+)
--- a/yardspindle/lab/audit.py
+++ b/yardspindle/lab/audit.py
@@ -80,7 +80,6 @@
     since: int
 
 
-
 class Audit:
     """The checks, fed line by line."""
 
@@ -136,8 +135,11 @@
                 self.report.broke("one final answer", f"{name}: {self._finals[name]} final answers")
         for name, rows in self._runs.items():
             self._broken_off(name, rows)
-        waiting = [line for line in self._ends.values() if line["stage"] == "write"
-                   and line["how"] == "client gone" and line["id"] not in self._lab_of]
+        waiting = [
+            line
+            for line in self._ends.values()
+            if line["stage"] == "write" and line["how"] == "client gone" and line["id"] not in self._lab_of
+        ]
         self.report.named["requests given up while they waited for their state"] += len(waiting)
         return self.report
 
@@ -216,8 +218,7 @@
         known = self._tries.get(name)
         if known is None or known["cls"] not in self._figures.unsafe:
             return
-        cut = [row for row in rows
-               if (end := self._ends.get((row["box"], row["id"]))) is None or end["how"] == "reset"]
+        cut = [row for row in rows if (end := self._ends.get((row["box"], row["id"]))) is None or end["how"] == "reset"]
         if cut and known["outcome"] not in ("left", "lost", "late"):
             self.report.named["orders whose writer broke off"] += 1
             if known["outcome"] != "failed":
--- a/yardspindle/lab/block_cache.py
+++ b/yardspindle/lab/block_cache.py
@@ -20,8 +20,9 @@
 class BlockCache:
     """Room for so many blocks."""
 
-    def __init__(self, room: int, block_size: int, salt: int, publish: Callable[[int, bytes], None],
-                 now_s: Callable[[], float]) -> None:
+    def __init__(
+        self, room: int, block_size: int, salt: int, publish: Callable[[int, bytes], None], now_s: Callable[[], float]
+    ) -> None:
         """`publish` gets each batch's number and bytes."""
         self.room, self.block_size = room, block_size
         self._salt = salt
@@ -72,7 +73,7 @@
 
     def _tokens(self, packed: bytes, at: int) -> list[int]:
         step = 4 * self.block_size
-        return list(memoryview(packed[at * step:(at + 1) * step]).cast("I"))
+        return list(memoryview(packed[at * step : (at + 1) * step]).cast("I"))
 
     def _tell(self, events: list[CacheEvent]) -> None:
         if events:
--- a/yardspindle/lab/clients.py
+++ b/yardspindle/lab/clients.py
@@ -21,8 +21,27 @@
 from yardspindle.runtime.world import World
 
 GRACE_US = 1_000_000  # beyond its deadline a client still listens for so long, to see what comes late
-WORDS = ("price", "of", "heating", "oil", "today", "please", "confirm", "my", "order", "for", "the", "tank", "at",
-         "the", "depot", "and", "tell", "me", "when")
+WORDS = (
+    "price",
+    "of",
+    "heating",
+    "oil",
+    "today",
+    "please",
+    "confirm",
+    "my",
+    "order",
+    "for",
+    "the",
+    "tank",
+    "at",
+    "the",
+    "depot",
+    "and",
+    "tell",
+    "me",
+    "when",
+)
 
 
 class ClientClass(Struct, forbid_unknown_fields=True, frozen=True):
@@ -66,10 +85,16 @@
     cls = rng.choices(classes, [row.share for row in classes])[0]
     leaves = rng.random() < habits.hang_up
     return Plan(
-        number, cls, rng.randrange(max(habits.openings, 1)), rng.randint(1, 2 * habits.words),
-        rng.random() >= habits.whole, int(rng.uniform(0, 0.4e6)) if leaves else 0,
-        rng.random() < habits.stop_reading, int(rng.uniform(0.5, 1.0) * cls.give_up_ms * 1_000),
-        int(rng.uniform(0.5, 1.5) * 200_000))
+        number,
+        cls,
+        rng.randrange(max(habits.openings, 1)),
+        rng.randint(1, 2 * habits.words),
+        rng.random() >= habits.whole,
+        int(rng.uniform(0, 0.4e6)) if leaves else 0,
+        rng.random() < habits.stop_reading,
+        int(rng.uniform(0.5, 1.0) * cls.give_up_ms * 1_000),
+        int(rng.uniform(0.5, 1.5) * 200_000),
+    )
 
 
 @dataclass(slots=True)
@@ -115,8 +140,17 @@
         name = f"q{plan.number}.{attempt}"
         started = self._world.now_us()
         seen = _Seen()
-        self._note({"t": started, "ev": "send", "try": name, "order": f"q{plan.number}", "cls": plan.cls.name,
-                    "edge": edge[1], "deadline_us": plan.deadline_us})
+        self._note(
+            {
+                "t": started,
+                "ev": "send",
+                "try": name,
+                "order": f"q{plan.number}",
+                "cls": plan.cls.name,
+                "edge": edge[1],
+                "deadline_us": plan.deadline_us,
+            }
+        )
         until = started + (plan.hang_up_us or plan.deadline_us + GRACE_US)
         try:
             with self._world.deadline(until) as deadline:
@@ -140,19 +174,36 @@
         except ExchangeBroken as error:
             seen.outcome, seen.code = "lost", str(error)
         now = self._world.now_us()
-        self._note({"t": now, "ev": "final", "try": name, "outcome": seen.outcome, "code": seen.code,
-                    "status": seen.status, "events": seen.events, "extra": seen.extra,
-                    "first_t": seen.first_us or now})
+        self._note(
+            {
+                "t": now,
+                "ev": "final",
+                "try": name,
+                "outcome": seen.outcome,
+                "code": seen.code,
+                "status": seen.status,
+                "events": seen.events,
+                "extra": seen.extra,
+                "first_t": seen.first_us or now,
+            }
+        )
         return seen
 
     def _send(self, plan: Plan, name: str, edge: tuple[str, int]) -> Response:
         opening = " ".join(WORDS[(plan.opening + at) % len(WORDS)] for at in range(self._habits.opening_words))
         text = " ".join(WORDS[(plan.number + at) % len(WORDS)] for at in range(plan.words))
-        body = msgspec.json.encode({
-            "model": self._model, "stream": plan.stream, "max_tokens": plan.cls.answer_tokens,
-            "messages": [{"role": "system", "content": f"opening {plan.opening}: {opening}"},
-                         {"role": "user", "content": f"{plan.number}: {text}"}],
-            "metadata": {"class": plan.cls.name, "lab_id": name, "timeout_ms": f"{plan.deadline_us / 1_000:.1f}"}})
+        body = msgspec.json.encode(
+            {
+                "model": self._model,
+                "stream": plan.stream,
+                "max_tokens": plan.cls.answer_tokens,
+                "messages": [
+                    {"role": "system", "content": f"opening {plan.opening}: {opening}"},
+                    {"role": "user", "content": f"{plan.number}: {text}"},
+                ],
+                "metadata": {"class": plan.cls.name, "lab_id": name, "timeout_ms": f"{plan.deadline_us / 1_000:.1f}"},
+            }
+        )
         headers: http1.Headers = [(b"content-type", b"application/json")]
         return self._http.request(*edge, b"POST", b"/v1/chat/completions", headers, body)
 
--- a/yardspindle/lab/day.py
+++ b/yardspindle/lab/day.py
@@ -45,8 +45,23 @@
     """What goes wrong, when, and where: a box by name, or one drawn of a role or a rack (cell)."""
 
     at_s: Annotated[float, Meta(ge=0)]
-    do: Literal["kill", "restart", "hang", "wake", "slow", "normal", "forget", "reset_streams", "full", "drain",
-                "remove", "restart_rack", "kill_planner", "stall_planner", "wake_planner"]
+    do: Literal[
+        "kill",
+        "restart",
+        "hang",
+        "wake",
+        "slow",
+        "normal",
+        "forget",
+        "reset_streams",
+        "full",
+        "drain",
+        "remove",
+        "restart_rack",
+        "kill_planner",
+        "stall_planner",
+        "wake_planner",
+    ]
     box: str = ""
     role: Literal["reader", "writer", ""] = ""
     rack: int = 0
@@ -92,8 +107,12 @@
 
 
 def _box_names(day: Day) -> list[str]:
-    return [f"{kind}{rack}-{n}" for rack in range(day.racks)
-            for kind, count in (("reader", day.readers), ("writer", day.writers)) for n in range(count)]
+    return [
+        f"{kind}{rack}-{n}"
+        for rack in range(day.racks)
+        for kind, count in (("reader", day.readers), ("writer", day.writers))
+        for n in range(count)
+    ]
 
 
 class DayRun:
@@ -106,12 +125,27 @@
         self.say = say
         self.rng = world.random("day")
         rules = {"cold_ms": day.cold_ms, "start_capacity": 0.3, **day.rules}
-        self.fleet = Fleet(world, {
-            "classes": [{"name": c.name, "effect": c.effect, "aim_ms": c.aim_ms, "give_up_ms": c.give_up_ms,
-                         "worth": c.worth} for c in day.classes],
-            "rules": rules, "edge": {"stalled_client_ms": 2_000.0}, "log": {"level": "info"},
-            "index": {"block_size": EngineSettings().block_size}}, [],
-            [Dispatcher(number) for number in range(day.dispatchers)])
+        self.fleet = Fleet(
+            world,
+            {
+                "classes": [
+                    {
+                        "name": c.name,
+                        "effect": c.effect,
+                        "aim_ms": c.aim_ms,
+                        "give_up_ms": c.give_up_ms,
+                        "worth": c.worth,
+                    }
+                    for c in day.classes
+                ],
+                "rules": rules,
+                "edge": {"stalled_client_ms": 2_000.0},
+                "log": {"level": "info"},
+                "index": {"block_size": EngineSettings().block_size},
+            },
+            [],
+            [Dispatcher(number) for number in range(day.dispatchers)],
+        )
         folder = keep or self.fleet.folder.name
         self.box_journal = os.path.join(folder, "boxes.jsonl")
         self.client_journal = os.path.join(folder, "clients.jsonl")
@@ -119,12 +153,20 @@
             open(path, "wb").close()
         for name in _box_names(day):
             kind, rack = name[:6], int(name[6:].split("-")[0])
-            settings = msgspec.convert({
-                "name": name, "role": "read" if kind == "reader" else "write", "events": kind == "reader",
-                "journal": self.box_journal,
-                "cold_ms": day.cold_ms, "start_capacity": rules["start_capacity"],
-                "fall_multiple": rules.get("fall_multiple", 2.5), "fall_ms": rules.get("fall_ms", 2_000.0),
-                **day.box}, EngineSettings)
+            settings = msgspec.convert(
+                {
+                    "name": name,
+                    "role": "read" if kind == "reader" else "write",
+                    "events": kind == "reader",
+                    "journal": self.box_journal,
+                    "cold_ms": day.cold_ms,
+                    "start_capacity": rules["start_capacity"],
+                    "fall_multiple": rules.get("fall_multiple", 2.5),
+                    "fall_ms": rules.get("fall_ms", 2_000.0),
+                    **day.box,
+                },
+                EngineSettings,
+            )
             settings = msgspec.structs.replace(settings, cold_ms=0.0)  # all are warm when the day begins
             self.fleet.boxes.append(Box(settings, rack, kind))
         self.http = HttpClient(world, 1_000_000, 1_000_000)
@@ -158,16 +200,22 @@
     def audited(self) -> Report:
         """Audit the journals as they are."""
         rules = self.day.rules
-        figures = Figures(release_ms=rules.get("release_ms", 300.0),
-                          drain_grace_ms=rules.get("drain_grace_ms", 500.0),
-                          unsafe=tuple(c.name for c in self.day.classes if c.effect == "unsafe"))
+        figures = Figures(
+            release_ms=rules.get("release_ms", 300.0),
+            drain_grace_ms=rules.get("drain_grace_ms", 500.0),
+            unsafe=tuple(c.name for c in self.day.classes if c.effect == "unsafe"),
+        )
         return audit(read_lines(self.client_journal), read_lines(self.box_journal), figures)
 
     def _load(self, started: int) -> list[Any]:
         day, world = self.day, self.world
         classes = tuple(ClientClass(c.name, c.share, c.give_up_ms, c.answer_tokens) for c in day.classes)
-        clients = Clients(world, "yardspindle-demo", lambda line: world.append_file(
-            self.client_journal, msgspec.json.encode(line) + b"\n"), day.habits)
+        clients = Clients(
+            world,
+            "yardspindle-demo",
+            lambda line: world.append_file(self.client_journal, msgspec.json.encode(line) + b"\n"),
+            day.habits,
+        )
         edges = [("127.0.0.1", dispatcher.port) for dispatcher in self.fleet.dispatchers]
         tasks: list[Any] = []
         at, number = 0.0, 0
@@ -190,8 +238,14 @@
         if trouble.do == "restart_rack":
             boxes = [box for box in self.fleet.boxes if box.cell == trouble.rack and box.listed]
         else:
-            able = [box for box in self.fleet.boxes if box.child is not None and box.child.running()
-                    and box.state == "serving" and box.kind.startswith(trouble.role)]
+            able = [
+                box
+                for box in self.fleet.boxes
+                if box.child is not None
+                and box.child.running()
+                and box.state == "serving"
+                and box.kind.startswith(trouble.role)
+            ]
             named = [box for box in self.fleet.boxes if box.settings.name == trouble.box]
             boxes = named or ([self._caught(trouble.when, able)] if trouble.when else self.rng.sample(able, 1))
         self.say(f"{trouble.at_s:6.1f} s  {trouble.do} {', '.join(box.settings.name for box in boxes)}")
@@ -217,7 +271,8 @@
             at += whole
             for line in map(msgspec.json.decode, data[:whole].splitlines()):
                 seen = {"run": "stream"}.get(line["ev"]) or (
-                    {"read": "read", "write": "move"}[line["stage"]] if line["ev"] == "arrive" else "")
+                    {"read": "read", "write": "move"}[line["stage"]] if line["ev"] == "arrive" else ""
+                )
                 if seen == when and line["box"] in boxes:
                     return boxes[line["box"]]
             self.world.sleep_until(self.world.now_us() + 2_000)
@@ -256,8 +311,9 @@
         """Tell a box to misbehave."""
         try:
             with self.world.deadline(self.world.now_us() + 2_000_000):
-                response = self.http.request("127.0.0.1", box.port, b"POST", CONTROL, [],
-                                             msgspec.json.encode({"do": do, "factor": factor}))
+                response = self.http.request(
+                    "127.0.0.1", box.port, b"POST", CONTROL, [], msgspec.json.encode({"do": do, "factor": factor})
+                )
                 response.read_all()
                 response.close()
         except (ConnectError, ExchangeBroken, DeadlineExceeded) as error:
--- a/yardspindle/lab/engine.py
+++ b/yardspindle/lab/engine.py
@@ -42,8 +42,13 @@
         super().__init__(world, settings)
         self.tokenizer = ByteTokenizer()
         salt = world.random(f"salt {settings.name} {world.now_us()}").getrandbits(63)
-        self.cache = BlockCache(settings.cache_tokens // settings.block_size, settings.block_size, salt,
-                                self._publish, lambda: world.now_us() / 1e6)
+        self.cache = BlockCache(
+            settings.cache_tokens // settings.block_size,
+            settings.block_size,
+            salt,
+            self._publish,
+            lambda: world.now_us() / 1e6,
+        )
         self._events: MessageSocket | None = None
         self.events_port = self.replay_port = 0
         self.started_us = world.now_us()
@@ -114,7 +119,7 @@
             self.hung.wait()
         if target == PLACES:
             return self._place(exchange)
-        return self._fetched(exchange, target[len(FETCH):].decode())
+        return self._fetched(exchange, target[len(FETCH) :].decode())
 
     def _completion(self, exchange: Exchange) -> None:
         request = (exchange.head.get(b"x-request-id") or b"").decode()
@@ -236,8 +241,7 @@
 
     def _prompt(self, call: Call) -> tuple[int, int, list[int], bytes]:
         """Prompt tokens, those kept, its blocks, and the tokens themselves."""
-        packed = self.tokenizer.packed([(m.role, text_of(m.content)) for m in call.messages],
-                                       bytes(call.tools))
+        packed = self.tokenizer.packed([(m.role, text_of(m.content)) for m in call.messages], bytes(call.tools))
         hashes = self.cache.hashes(packed)
         return len(packed) // 4, self.cache.found(hashes) * self.set.block_size, hashes, packed
 
@@ -248,8 +252,9 @@
         self.cache.keep(hashes, packed)
         return total, kept, there
 
-    def _read(self, exchange: Exchange, request: str, call: Call, params: dict[str, Any], lab_id: str,
-              gone: Signal) -> str:
+    def _read(
+        self, exchange: Exchange, request: str, call: Call, params: dict[str, Any], lab_id: str, gone: Signal
+    ) -> str:
         total, kept, *_ = self._prompt(call)
         if not self._enter(exchange, request, total, (total - kept) / self.set.read_tokens_per_s * 1e6, gone):
             return "turned away"
@@ -264,17 +269,27 @@
         else:
             self.states[request] = Held(total, self.world.now_us() + int(self.set.hold_ms * 1_000))
             self.note("hold state", request, tokens=total, kept=kept, lab=lab_id)
-        answer = {"id": request, "object": "chat.completion", "choices": [], "usage": {
-            "prompt_tokens": total, "completion_tokens": 1, "prompt_tokens_details": {"cached_tokens": kept}},
-            "kv_transfer_params": {"remote_engine_id": self.set.name, "remote_block_ids": [1], "remote_host":
-                                   self.host, "remote_port": self.port, "remote_request_id": request}}
+        answer = {
+            "id": request,
+            "object": "chat.completion",
+            "choices": [],
+            "usage": {"prompt_tokens": total, "completion_tokens": 1, "prompt_tokens_details": {"cached_tokens": kept}},
+            "kv_transfer_params": {
+                "remote_engine_id": self.set.name,
+                "remote_block_ids": [1],
+                "remote_host": self.host,
+                "remote_port": self.port,
+                "remote_request_id": request,
+            },
+        }
         exchange.reply(Reply(200, [JSON], msgspec.json.encode(answer)))
         return "read"
 
     # --- writing
 
-    def _write(self, exchange: Exchange, request: str, call: Call, params: dict[str, Any], lab_id: str,
-               gone: Signal) -> str:
+    def _write(
+        self, exchange: Exchange, request: str, call: Call, params: dict[str, Any], lab_id: str, gone: Signal
+    ) -> str:
         total, kept, *_ = self._prompt(call)
         place = (exchange.head.get(PLACE_HEADER) or b"").decode()
         had_place = self.places.pop(place, None)
@@ -310,8 +325,13 @@
         try:
             with self.world.deadline(self.world.now_us() + FETCH_US):
                 response = self.http.request(
-                    params["remote_host"], params["remote_port"], b"POST",
-                    FETCH + str(params.get("remote_request_id", "-")).encode(), [JSON], b"{}")
+                    params["remote_host"],
+                    params["remote_port"],
+                    b"POST",
+                    FETCH + str(params.get("remote_request_id", "-")).encode(),
+                    [JSON],
+                    b"{}",
+                )
                 response.read_all()
                 response.close()
         except (ConnectError, ExchangeBroken, DeadlineExceeded, KeyError):
@@ -329,8 +349,9 @@
         self.note("fetched", request)
         exchange.reply(Reply(200, [JSON], b"{}"))
 
-    def _answer(self, exchange: Exchange, request: str, call: Call, total: int, kept: int, steps: int,
-                gone: Signal) -> str:
+    def _answer(
+        self, exchange: Exchange, request: str, call: Call, total: int, kept: int, steps: int, gone: Signal
+    ) -> str:
         sent = 0
         head = exchange.start(200, [(b"content-type", b"text/event-stream")]) if call.stream else b""
         base = {"id": f"chatcmpl-{request}", "object": "chat.completion.chunk", "created": 0, "model": "stand-in"}
@@ -344,19 +365,40 @@
             if call.stream:
                 last = step == steps - 1
                 delta = {"content": f" w{step}"} if step else {"role": "assistant", "content": f"w{step}"}
-                chunk = {**base, "choices": [{"index": 0, "delta": delta, "logprobs": None,
-                                              "finish_reason": "stop" if last else None}]}
+                chunk = {
+                    **base,
+                    "choices": [
+                        {"index": 0, "delta": delta, "logprobs": None, "finish_reason": "stop" if last else None}
+                    ],
+                }
                 exchange.send(write_event(msgspec.json.encode(chunk)), head)
                 head = b""
             sent += 1
-        usage = {"prompt_tokens": total, "completion_tokens": sent, "total_tokens": total + sent,
-                 "prompt_tokens_details": {"cached_tokens": kept}}
+        usage = {
+            "prompt_tokens": total,
+            "completion_tokens": sent,
+            "total_tokens": total + sent,
+            "prompt_tokens_details": {"cached_tokens": kept},
+        }
         self.note("sent", request, tokens=sent, whole=True)
         if not call.stream:
             text = " ".join(f"w{step}" for step in range(steps))
-            exchange.reply(Reply(200, [JSON], msgspec.json.encode({
-                **base, "object": "chat.completion", "usage": usage, "choices": [
-                    {"index": 0, "message": {"role": "assistant", "content": text}, "finish_reason": "stop"}]})))
+            exchange.reply(
+                Reply(
+                    200,
+                    [JSON],
+                    msgspec.json.encode(
+                        {
+                            **base,
+                            "object": "chat.completion",
+                            "usage": usage,
+                            "choices": [
+                                {"index": 0, "message": {"role": "assistant", "content": text}, "finish_reason": "stop"}
+                            ],
+                        }
+                    ),
+                )
+            )
             return "served"
         tail = b""
         if (call.stream_options or {}).get("include_usage"):
--- a/yardspindle/lab/engine_holds.py
+++ b/yardspindle/lab/engine_holds.py
@@ -89,14 +89,19 @@
             return refused
         for root, held in ((STATES, self.states), (PLACES, self.places)):
             if head.target.startswith(root + b"/"):
-                self._release(held, head.target[len(root) + 1:].decode())
+                self._release(held, head.target[len(root) + 1 :].decode())
                 return Reply(204, [], b"")
         return ApiError(404, "not_found", "No such path.").reply()
 
     def _place(self, exchange: Exchange) -> None:
         call = msgspec.json.decode(exchange.body, type=PlaceCall)
-        room = (self.load.running < self.set.slots and not self.load.waiting and not self.draining
-                and self.load.memory + call.tokens <= self.set.memory_tokens and not self.full)
+        room = (
+            self.load.running < self.set.slots
+            and not self.load.waiting
+            and not self.draining
+            and self.load.memory + call.tokens <= self.set.memory_tokens
+            and not self.full
+        )
         if not room or call.place in self.released:
             exchange.reply(Reply(409, [JSON], b'{"held":false}'))
             return
--- a/yardspindle/lab/engine_settings.py
+++ b/yardspindle/lab/engine_settings.py
@@ -40,8 +40,18 @@
 class Control(Struct, forbid_unknown_fields=True):
     """A command to misbehave."""
 
-    do: Literal["hang", "wake", "slow", "forget", "reset_streams", "drain", "full", "normal", "listed_draining",
-                "listed_serving"]
+    do: Literal[
+        "hang",
+        "wake",
+        "slow",
+        "forget",
+        "reset_streams",
+        "drain",
+        "full",
+        "normal",
+        "listed_draining",
+        "listed_serving",
+    ]
     factor: float = 1.0
 
 
--- a/yardspindle/lab/etcd.py
+++ b/yardspindle/lab/etcd.py
@@ -31,8 +31,9 @@
 class Control(Struct, forbid_unknown_fields=True):
     """A command."""
 
-    do: Literal["no_leader", "leader", "late", "lose", "break_watches", "expire", "compact", "mark", "restore",
-                "stale_reads"]
+    do: Literal[
+        "no_leader", "leader", "late", "lose", "break_watches", "expire", "compact", "mark", "restore", "stale_reads"
+    ]
     ms: float = 0.0
     count: int = 0
     on: bool = True
@@ -122,8 +123,9 @@
         except BadRequest as error:
             return self._error(exchange, target, body, error)
         except Compacted:
-            return self._error(exchange, target, body, BadRequest(
-                11, "etcdserver: mvcc: required revision has been compacted"))
+            return self._error(
+                exchange, target, body, BadRequest(11, "etcdserver: mvcc: required revision has been compacted")
+            )
         except j.Malformed as error:
             return self._error(exchange, target, body, BadRequest(3, str(error)))
         self._tell()
@@ -219,8 +221,11 @@
         news = self.model.since(b"\0", b"\0", self._told + 1)
         self._told = self.model.revision
         for follower in self.followers:
-            mine: tuple[Change, ...] = tuple(c for c in news.changes if (
-                covers(follower.key, follower.end, c.row.key) if follower.end else c.row.key == follower.key))
+            mine: tuple[Change, ...] = tuple(
+                c
+                for c in news.changes
+                if (covers(follower.key, follower.end, c.row.key) if follower.end else c.row.key == follower.key)
+            )
             if mine:
                 follower.waiting.append(j.changes_out(Changes(news.revision, mine), self._header()))
                 if follower.turn is not None:
--- a/yardspindle/lab/fleet.py
+++ b/yardspindle/lab/fleet.py
@@ -62,7 +62,8 @@
     shared: bool = False  # they share a store, a file of the fleet's folder, and have a steward
     steward: Child | None = None
     folder: tempfile.TemporaryDirectory[str] = field(
-        default_factory=lambda: tempfile.TemporaryDirectory(prefix="yardspindle-"))
+        default_factory=lambda: tempfile.TemporaryDirectory(prefix="yardspindle-")
+    )
 
     def path(self, name: str) -> str:
         """A file of the fleet's folder."""
@@ -93,8 +94,18 @@
         with open(file, "wb") as out:
             out.write(msgspec.json.encode(box.settings))
         box.up_since_ms = self.world.now_us() / 1_000 if box.child is not None else 0.0
-        box.child = self._child(name, "engine", "--settings", file, "--port", str(box.port),
-                                "--events-port", str(box.events_port), "--replay-port", str(box.replay_port))
+        box.child = self._child(
+            name,
+            "engine",
+            "--settings",
+            file,
+            "--port",
+            str(box.port),
+            "--events-port",
+            str(box.events_port),
+            "--replay-port",
+            str(box.replay_port),
+        )
 
     def ready_box(self, box: Box) -> None:
         """Wait until an engine serves."""
@@ -154,10 +165,18 @@
 
     def _config_file(self, dispatcher: Dispatcher) -> str:
         file = self.path(f"dispatcher{dispatcher.number}.toml")
-        edge = {"listen": f"127.0.0.1:{dispatcher.port}", "planner": f"127.0.0.1:{dispatcher.planner_port}",
-                "number": dispatcher.number, "dispatchers": len(self.dispatchers), **self.config.get("edge", {})}
-        planner = {"listen": f"127.0.0.1:{dispatcher.planner_port}", "servers": self.path("servers.toml"),
-                   **self.config.get("planner", {})}
+        edge = {
+            "listen": f"127.0.0.1:{dispatcher.port}",
+            "planner": f"127.0.0.1:{dispatcher.planner_port}",
+            "number": dispatcher.number,
+            "dispatchers": len(self.dispatchers),
+            **self.config.get("edge", {}),
+        }
+        planner = {
+            "listen": f"127.0.0.1:{dispatcher.planner_port}",
+            "servers": self.path("servers.toml"),
+            **self.config.get("planner", {}),
+        }
         document = {**self.config, "edge": edge, "planner": planner}
         if self.shared:
             document["fleet"] = {"store": [f"file:{self.path('fleet.db')}"], **self.config.get("fleet", {})}
@@ -178,10 +197,18 @@
     lines = [f"count = {sum(box.listed for box in boxes)}"]
     for box in boxes:
         if box.listed:
-            lines += ["", "[[servers]]", f'name = "{box.settings.name}"', f'address = "127.0.0.1:{box.port}"',
-                      f'kind = "{box.kind}"', f'zone = "{box.zone}"', f"cell = {box.cell}",
-                      f'state = "{box.state}"', f"up_since_ms = {box.up_since_ms:.3f}",
-                      f"places = {str(box.settings.places).lower()}"]
+            lines += [
+                "",
+                "[[servers]]",
+                f'name = "{box.settings.name}"',
+                f'address = "127.0.0.1:{box.port}"',
+                f'kind = "{box.kind}"',
+                f'zone = "{box.zone}"',
+                f"cell = {box.cell}",
+                f'state = "{box.state}"',
+                f"up_since_ms = {box.up_since_ms:.3f}",
+                f"places = {str(box.settings.places).lower()}",
+            ]
             if box.settings.events:
                 lines += [f'events = "127.0.0.1:{box.events_port}"', f'replay = "127.0.0.1:{box.replay_port}"']
     return "\n".join(lines) + "\n"
@@ -192,15 +219,19 @@
     return msgspec.toml.encode(document)
 
 
-def small_fleet(world: RealWorld, cells: int = 2, dispatchers: int = 1, journal: str = "",
-                shared: bool = False) -> Fleet:
+def small_fleet(
+    world: RealWorld, cells: int = 2, dispatchers: int = 1, journal: str = "", shared: bool = False
+) -> Fleet:
     """A reader and a writer in each cell; `yardspindle up` starts it with a store that its processes share."""
     boxes = []
     for cell in range(cells):
         for role, kind in (("read", "reader"), ("write", "writer")):
-            settings = EngineSettings(name=f"{kind}{cell}", role=role, journal=journal,  # type: ignore[arg-type]
-                                      events=role == "read")
+            settings = EngineSettings(
+                name=f"{kind}{cell}",
+                role=role,  # type: ignore[arg-type]
+                journal=journal,
+                events=role == "read",
+            )
             boxes.append(Box(settings, cell, kind))
     index = {"block_size": EngineSettings().block_size}
-    return Fleet(world, {"index": index}, boxes, [Dispatcher(number) for number in range(dispatchers)],
-                 shared)
+    return Fleet(world, {"index": index}, boxes, [Dispatcher(number) for number in range(dispatchers)], shared)
--- a/yardspindle/lab/fleet_worlds.py
+++ b/yardspindle/lab/fleet_worlds.py
@@ -41,13 +41,22 @@
 HABITS = Habits(hang_up=0.1, stop_reading=0.0, retries=0, openings=2, opening_words=10, words=10)
 # kind: (on, other, shortest ms, longest ms)
 KINDS: dict[str, tuple[tuple[str, ...], tuple[str, ...], int, int]] = {
-    "dies": (STEWARDS + EDGES, (), 50, 5_000), "dies holding": (EDGES, (), 50, 6_000),
+    "dies": (STEWARDS + EDGES, (), 50, 5_000),
+    "dies holding": (EDGES, (), 50, 6_000),
     "stalls": (STEWARDS + EDGES, (), 50, 7_000),
-    "steps": (STEWARDS, (), 0, 0), "cut": (STEWARDS + EDGES, (STORE, *BOXES), 50, 6_000),
-    "deaf": (STEWARDS + EDGES, (STORE,), 50, 6_000), "engine dies": (BOXES, (), 50, 3_000),
-    "engine hangs": (BOXES, (), 500, 6_000), "no leader": ((STORE,), (), 50, 6_000), "late": ((STORE,), (), 50, 4_000),
-    "lost answers": ((STORE,), (), 0, 0), "leases end": ((STORE,), (), 0, 0), "watches break": ((STORE,), (), 0, 0),
-    "compaction": ((STORE,), (), 0, 0), "leaves": (STEWARDS, (), 200, 3_000)}
+    "steps": (STEWARDS, (), 0, 0),
+    "cut": (STEWARDS + EDGES, (STORE, *BOXES), 50, 6_000),
+    "deaf": (STEWARDS + EDGES, (STORE,), 50, 6_000),
+    "engine dies": (BOXES, (), 50, 3_000),
+    "engine hangs": (BOXES, (), 500, 6_000),
+    "no leader": ((STORE,), (), 50, 6_000),
+    "late": ((STORE,), (), 50, 4_000),
+    "lost answers": ((STORE,), (), 0, 0),
+    "leases end": ((STORE,), (), 0, 0),
+    "watches break": ((STORE,), (), 0, 0),
+    "compaction": ((STORE,), (), 0, 0),
+    "leaves": (STEWARDS, (), 200, 3_000),
+}
 
 
 class FleetFault(Struct, frozen=True):
@@ -75,10 +84,20 @@
     for _ in range(rng.randint(2, 7)):
         kind = rng.choice(sorted(KINDS))
         on, other, least, most = KINDS[kind]
-        faults.append(FleetFault(kind, rng.choice(on), rng.choice(other) if other else "",
-                                 rng.randrange(SPAN_MS), rng.randint(least, most)))
-    return FleetScript(seed, tuple(sorted(faults, key=lambda row: row.at_ms)),
-                       tuple(sorted(rng.randrange(SPAN_MS) for _ in range(rng.randint(8, 24)))))
+        faults.append(
+            FleetFault(
+                kind,
+                rng.choice(on),
+                rng.choice(other) if other else "",
+                rng.randrange(SPAN_MS),
+                rng.randint(least, most),
+            )
+        )
+    return FleetScript(
+        seed,
+        tuple(sorted(faults, key=lambda row: row.at_ms)),
+        tuple(sorted(rng.randrange(SPAN_MS) for _ in range(rng.randint(8, 24)))),
+    )
 
 
 class NotingEngine(Engine):
@@ -126,8 +145,16 @@
         _, self.ports[STORE] = self.etcd.start(HOST, sim.next_port())
         for name in BOXES:
             role, kind = ("read", "reader") if name[0] == "r" else ("write", "writer")
-            settings = msgspec.convert({"name": name, "role": role, "hold_ms": 600_000.0, "fences": f"{name}.fences",
-                                        "read_tokens_per_s": 300.0}, EngineSettings)
+            settings = msgspec.convert(
+                {
+                    "name": name,
+                    "role": role,
+                    "hold_ms": 600_000.0,
+                    "fences": f"{name}.fences",
+                    "read_tokens_per_s": 300.0,
+                },
+                EngineSettings,
+            )
             self.boxes[name] = Box(settings, int(name[1]), kind)
             self.start(name)
         sim.files[SERVERS] = server_list(list(self.boxes.values())).encode()
@@ -154,12 +181,25 @@
         clients.request(plan, [(HOST, self.ports[name]) for name in EDGES])
 
     def _config(self, name: str, sections: dict[str, Any]) -> Config:
-        fleet = {"store": [f"http://{HOST}:{self.ports[STORE]}"], "ttl_ms": TTL_MS, "margin_ms": 200.0,
-                 "call_ms": 400.0, "member": name}
-        return parse("world", to_toml({
-            "classes": [{"name": "chat", "aim_ms": 1_000, "give_up_ms": 4_000}], "fleet": fleet,
-            "index": {"mode": "off"},
-            "planner": {"servers": SERVERS, "listen": f"{HOST}:{self.ports.get('planner', 0)}"}, **sections}))
+        fleet = {
+            "store": [f"http://{HOST}:{self.ports[STORE]}"],
+            "ttl_ms": TTL_MS,
+            "margin_ms": 200.0,
+            "call_ms": 400.0,
+            "member": name,
+        }
+        return parse(
+            "world",
+            to_toml(
+                {
+                    "classes": [{"name": "chat", "aim_ms": 1_000, "give_up_ms": 4_000}],
+                    "fleet": fleet,
+                    "index": {"mode": "off"},
+                    "planner": {"servers": SERVERS, "listen": f"{HOST}:{self.ports.get('planner', 0)}"},
+                    **sections,
+                }
+            ),
+        )
 
     def start(self, name: str) -> None:
         """Start a program where it was."""
@@ -170,8 +210,12 @@
             _, self.boxes[name].port = engine.start(HOST, self.boxes[name].port)
         elif name in EDGES:
             self.ports.setdefault(name, self.sim.next_port())
-            edge = {"planner": f"{HOST}:{self.ports['planner']}", "listen": f"{HOST}:{self.ports[name]}",
-                    "number": EDGES.index(name), "dispatchers": len(EDGES)}
+            edge = {
+                "planner": f"{HOST}:{self.ports['planner']}",
+                "listen": f"{HOST}:{self.ports[name]}",
+                "number": EDGES.index(name),
+                "dispatchers": len(EDGES),
+            }
             self.edges[name] = Edge(world, self._config(name, {"edge": edge}))
             world.spawn("program", self.edges[name].start)
         else:
@@ -293,11 +337,14 @@
     def _rules(self) -> None:
         while True:
             self.sim.scheduler.sleep_until(self.sim.now_us() + LOOK_US)
-            self._told.update(row.key.rpartition(b"/")[2].decode() for row in self.etcd.model.rows(
-                b"/yardspindle/main/epochs/", b"/yardspindle/main/epochs0"))
+            self._told.update(
+                row.key.rpartition(b"/")[2].decode()
+                for row in self.etcd.model.rows(b"/yardspindle/main/epochs/", b"/yardspindle/main/epochs0")
+            )
             if not self._unsure:
-                self.found += [f"owners: {duty} has {', '.join(names)}" for duty, names in self.owners().items()
-                               if len(names) > 1]
+                self.found += [
+                    f"owners: {duty} has {', '.join(names)}" for duty, names in self.owners().items() if len(names) > 1
+                ]
 
     def _settled(self) -> None:
         """Every duty has one owner who works, and nothing is held for an edge that is gone."""
@@ -308,8 +355,11 @@
             # One that died before the store had heard of it has a fate that nobody knows.
             left = [hold for hold in self.holds() if epoch_of(hold) not in living and epoch_of(hold) in self._told]
             owners = self.owners()
-            idle = [duty for duty in wanted if len(owners.get(duty, [])) != 1
-                    or duty not in self.stewards[owners[duty][0]].workers]
+            idle = [
+                duty
+                for duty in wanted
+                if len(owners.get(duty, [])) != 1 or duty not in self.stewards[owners[duty][0]].workers
+            ]
             barred = all(steward.state.barred for steward in self.stewards.values())  # then nobody may own anything
             if not left and not idle or barred:
                 return
--- a/yardspindle/lab/load.py
+++ b/yardspindle/lab/load.py
@@ -24,8 +24,20 @@
 
 Positive = Annotated[float, Meta(gt=0)]
 MOST_US = 120_000_000
-WORDS = ("oil", "price", "tank", "order", "depot", "driver", "morning", "litre", "invoice", "street", "confirm",
-         "today")
+WORDS = (
+    "oil",
+    "price",
+    "tank",
+    "order",
+    "depot",
+    "driver",
+    "morning",
+    "litre",
+    "invoice",
+    "street",
+    "confirm",
+    "today",
+)
 BOOTSTRAPS = 500
 
 
@@ -69,11 +81,14 @@
 
     def text(self) -> str:
         """For people, in milliseconds."""
-        rows = [", ".join(f"{name} {count}" for name, count in sorted(self.outcomes.items()))
-                + f"; prompt tokens {self.prompt_tokens}"]
+        rows = [
+            ", ".join(f"{name} {count}" for name, count in sorted(self.outcomes.items()))
+            + f"; prompt tokens {self.prompt_tokens}"
+        ]
         for name, histogram in (("first token", self.first), ("whole answer", self.whole)):
-            values = ", ".join(f"p{at:g} {histogram.get_value_at_percentile(at) / 1_000:.1f}"
-                               for at in (50, 90, 99, 99.9))
+            values = ", ".join(
+                f"p{at:g} {histogram.get_value_at_percentile(at) / 1_000:.1f}" for at in (50, 90, 99, 99.9)
+            )
             rows.append(f"{name}, ms: {values}")
         return "\n".join(rows)
 
@@ -150,12 +165,27 @@
     return report
 
 
-def _ask(world: World, http: HttpClient, traffic: Traffic, edge: tuple[str, int], model: str, planned: Planned,
-         number: int, intended: int, report: LoadReport) -> str:
-    body = msgspec.json.encode({
-        "model": model, "stream": True, "stream_options": {"include_usage": True}, "max_tokens": traffic.answer_tokens,
-        "messages": [{"role": role, "content": text} for role, text in planned.messages],
-        "metadata": {"class": traffic.cls}})
+def _ask(
+    world: World,
+    http: HttpClient,
+    traffic: Traffic,
+    edge: tuple[str, int],
+    model: str,
+    planned: Planned,
+    number: int,
+    intended: int,
+    report: LoadReport,
+) -> str:
+    body = msgspec.json.encode(
+        {
+            "model": model,
+            "stream": True,
+            "stream_options": {"include_usage": True},
+            "max_tokens": traffic.answer_tokens,
+            "messages": [{"role": role, "content": text} for role, text in planned.messages],
+            "metadata": {"class": traffic.cls},
+        }
+    )
     response = http.request(*edge, b"POST", b"/v1/chat/completions", [(b"content-type", b"application/json")], body)
     parser, outcome = SseParser(), "broken"
     try:
@@ -187,6 +217,8 @@
     rng = random.Random(seed)
     medians = sorted(statistics.median(rng.choices(differences, k=len(differences))) for _ in range(BOOTSTRAPS))
     low, high = medians[int(0.025 * BOOTSTRAPS)], medians[int(0.975 * BOOTSTRAPS)]
-    return (f"first token, B - A: median {statistics.median(differences):+.2f} ms (95 % of resamples {low:+.2f} to "
-            f"{high:+.2f}), {len(both)} pairs; answered only by A {len(first.first_us) - len(both)}, "
-            f"only by B {len(second.first_us) - len(both)}")
+    return (
+        f"first token, B - A: median {statistics.median(differences):+.2f} ms (95 % of resamples {low:+.2f} to "
+        f"{high:+.2f}), {len(both)} pairs; answered only by A {len(first.first_us) - len(both)}, "
+        f"only by B {len(second.first_us) - len(both)}"
+    )
--- a/yardspindle/lab/release_worlds.py
+++ b/yardspindle/lab/release_worlds.py
@@ -73,8 +73,10 @@
         return self._m.running and self._known == (self._m.number, 1)
 
     def _takes(self, most_us: int) -> None:
-        self._world.sleep_until(self._world.now_us() + self._m.sim.random(
-            f"takes {self._m.name} {self._m.sim.drawn('takes')}").randrange(most_us))
+        self._world.sleep_until(
+            self._world.now_us()
+            + self._m.sim.random(f"takes {self._m.name} {self._m.sim.drawn('takes')}").randrange(most_us)
+        )
 
     def start(self, version: str, mark: str) -> int:
         """See Hands."""
@@ -128,9 +130,22 @@
 
     def _config(self, name: str) -> Config:
         limits = [{"group": row.group, "most_out": row.most_out} for row in LIMITS]
-        return parse("world", to_toml({"release": {"limit": limits}, "planner": {"servers": "servers.toml"}, "fleet": {
-            "store": [f"http://{HOST}:{self.port}"], "ttl_ms": 2_000.0, "margin_ms": 200.0, "call_ms": 400.0,
-            "member": name}}))
+        return parse(
+            "world",
+            to_toml(
+                {
+                    "release": {"limit": limits},
+                    "planner": {"servers": "servers.toml"},
+                    "fleet": {
+                        "store": [f"http://{HOST}:{self.port}"],
+                        "ttl_ms": 2_000.0,
+                        "margin_ms": 200.0,
+                        "call_ms": 400.0,
+                        "member": name,
+                    },
+                }
+            ),
+        )
 
     def start(self, name: str) -> None:
         """Start a program."""
@@ -141,8 +156,9 @@
             Steward(world, self._config(name), store, "world").start()
             return
         groups: dict[Any, str] = {"zone": "abc"[int(name[1:]) % 3]}
-        file = UnitFile(name, "dispatcher", "f", ("old", GOOD, NEVER, FRAIL), ("run",), f"{name}.state", groups,
-                        start_s=6.0)
+        file = UnitFile(
+            name, "dispatcher", "f", ("old", GOOD, NEVER, FRAIL), ("run",), f"{name}.state", groups, start_s=6.0
+        )
         Unit(world, file, fleet, store, "world", VirtualHands(world, self.machines[name])).start()
 
     def units(self) -> Units:
@@ -193,8 +209,9 @@
         self._until(f"all run {target}", lambda: self._runs({target}) and not self.units().permits)
         self.counts[f"{self.version} {self._phase()}"] += 1
         for name, machine in self.machines.items():
-            self.found += [f"once: {name} started {times} times for {mark}" for mark, times in machine.starts.items()
-                           if times > 1]
+            self.found += [
+                f"once: {name} started {times} times for {mark}" for mark, times in machine.starts.items() if times > 1
+            ]
 
     def _phase(self) -> str:
         release = self.units().release
@@ -203,7 +220,8 @@
     def _runs(self, versions: set[str]) -> bool:
         statuses = self.units().statuses
         return len(statuses) == len(UNITS) and all(
-            row.standing == "well" and row.version in versions for row in statuses.values())
+            row.standing == "well" and row.version in versions for row in statuses.values()
+        )
 
     def _say(self, release: r.Release, what: str) -> None:
         txn = self.keys.say(self.units(), release, Entry(self.sim.now_us(), "ana", what))
@@ -222,8 +240,9 @@
     def _fault(self) -> None:
         sim, rng = self.sim, self.rng
         at, lasts = rng.randrange(30_000_000), rng.randrange(50_000, 6_000_000)
-        kind = rng.choice(["dies", "dies", "stalls", "cut", "crash", "crash", "crash", "no leader", "late", "lost",
-                           "expire"])
+        kind = rng.choice(
+            ["dies", "dies", "stalls", "cut", "crash", "crash", "crash", "no leader", "late", "lost", "expire"]
+        )
         name = rng.choice(STEWARDS + UNITS)
         sim.scheduler.sleep_until(sim.now_us() + at)
         world = sim.programs[name]
@@ -287,5 +306,3 @@
     """What broke in a world, and what it met."""
     world = ReleaseWorld(seed)
     return world.play(), world.counts
-
-
--- a/yardspindle/lab/script.py
+++ b/yardspindle/lab/script.py
@@ -12,8 +12,12 @@
 from msgspec import Struct
 
 EDGES, RACKS, READERS, WRITERS = 2, 2, 2, 2  # of each rack, the last two
-BOXES = tuple(f"{kind}{rack}-{number}" for rack in range(RACKS)
-              for kind, count in (("r", READERS), ("w", WRITERS)) for number in range(count))
+BOXES = tuple(
+    f"{kind}{rack}-{number}"
+    for rack in range(RACKS)
+    for kind, count in (("r", READERS), ("w", WRITERS))
+    for number in range(count)
+)
 EDGE_NAMES = tuple(f"edge{number}" for number in range(EDGES))
 PLANNER = "planner"
 SEEN_LINK_US = 2_500_000  # until an edge whose link was down has it again, at the longest
@@ -130,7 +134,7 @@
     """Pairs of kinds whose times (and a while after) overlap, each pair in order of its names."""
     pairs = []
     for at, first in enumerate(script.faults):
-        for second in script.faults[at + 1:]:
+        for second in script.faults[at + 1 :]:
             if second.at_ms <= first.at_ms + first.for_ms + after_ms:
                 pairs.append((min(first.kind, second.kind), max(first.kind, second.kind)))
     return pairs
--- a/yardspindle/lab/seeds.py
+++ b/yardspindle/lab/seeds.py
@@ -54,8 +54,10 @@
         if self.pairs:
             rows.append(f"pairs of faults that overlapped: {len(self.pairs)} of {FAULT_PAIRS}")
         if self.transitions:
-            rows.append(f"life cycle: {len(states)} states, {len(self.transitions)} transitions; the rarest: "
-                        + "; ".join(f"{step} ({count})" for step, count in self.transitions.most_common()[:-6:-1]))
+            rows.append(
+                f"life cycle: {len(states)} states, {len(self.transitions)} transitions; the rarest: "
+                + "; ".join(f"{step} ({count})" for step, count in self.transitions.most_common()[:-6:-1])
+            )
         rows += [f"{name}: {count}" for name, count in sorted(self.answers.items())]
         rows += [f"FAILED seed {seed}: {what}" for seed, what in sorted(self.failed.items())[:50]]
         rows.append(f"seeds that failed: {len(self.failed)}")
@@ -91,8 +93,9 @@
     return Outcome(seed, "", breaks, dict(counts), {}, 0, 0)
 
 
-def play_seeds(first: int, count: int, jobs: int, transitions: bool,
-               world: str = "traffic") -> Generator[Outcome, None, None]:
+def play_seeds(
+    first: int, count: int, jobs: int, transitions: bool, world: str = "traffic"
+) -> Generator[Outcome, None, None]:
     """Outcomes as they come, in any order. Closing the iterator ends the workers.
 
     `world`: `traffic` (edges, planner, engines, clients) or `fleet` (stewards, store, dispatchers, engines).
@@ -144,7 +147,7 @@
     while True:
         at = 0
         while at < len(script.requests):
-            fewer = msgspec.structs.replace(script, requests=script.requests[:at] + script.requests[at + size:])
+            fewer = msgspec.structs.replace(script, requests=script.requests[:at] + script.requests[at + size :])
             if still(fewer):
                 script = fewer
             else:
@@ -158,7 +161,7 @@
     for at, fault in enumerate(script.faults):
         while fault.for_ms > 1:
             half: Fault = msgspec.structs.replace(fault, for_ms=fault.for_ms // 2)
-            shorter = msgspec.structs.replace(script, faults=script.faults[:at] + (half,) + script.faults[at + 1:])
+            shorter = msgspec.structs.replace(script, faults=script.faults[:at] + (half,) + script.faults[at + 1 :])
             if not still(shorter):
                 break
             script, fault = shorter, half
--- a/yardspindle/lab/troubles.py
+++ b/yardspindle/lab/troubles.py
@@ -207,8 +207,9 @@
     def undo() -> None:
         network.join(near, far)
         if blind:
-            fleet.sim.scheduler.timers.set(fleet.sim.now_us() + RETOLD_US,
-                                           lambda: fleet.line(ev="seen", box=blind, id=""))
+            fleet.sim.scheduler.timers.set(
+                fleet.sim.now_us() + RETOLD_US, lambda: fleet.line(ev="seen", box=blind, id="")
+            )
         else:
             fleet.deaf(False)
 
@@ -223,8 +224,9 @@
 
     def undo() -> None:
         setattr(way, name, getattr(way, name) - 1)
-        fleet.sim.scheduler.timers.set(fleet.sim.now_us() + RETOLD_US,
-                                       lambda: fleet.line(ev="seen", box=fault.on, id=""))
+        fleet.sim.scheduler.timers.set(
+            fleet.sim.now_us() + RETOLD_US, lambda: fleet.line(ev="seen", box=fault.on, id="")
+        )
 
     return undo
 
@@ -283,24 +285,51 @@
 def _flood(fleet: VirtualFleet, fault: Fault) -> Undo:
     rng = random.Random(f"flood {fleet.script.seed} {fault.at_ms}")
     for _ in range(FLOOD):
-        fleet.extra(int(rng.random() * 400_000), leaves=fault.kind == "flood of hang-ups",
-                    half=fault.kind == "half-closing clients")
+        fleet.extra(
+            int(rng.random() * 400_000),
+            leaves=fault.kind == "flood of hang-ups",
+            half=fault.kind == "half-closing clients",
+        )
     return None
 
 
 _MAKERS: dict[str, Maker] = {
-    "box hangs": _hang, "box stalls": _stall_box, "box dies": _die, "box slow": _slow, "box full": _full,
-    "box forgets": _forget, "box resets": _resets, "box draining": _drain, "box gone": _drain, "rack dies": _die,
-    "rack hangs": _hang, "all slow": _slow, "all forget": _forget, "edge dies": _kill_edge,
-    "edge stalls": _stall_edge, "edge clock": _step_edge, "planner dies": _kill_planner,
-    "planner stalls": _stall_planner, "planner clock": _step_planner, "link reset": _reset_link,
+    "box hangs": _hang,
+    "box stalls": _stall_box,
+    "box dies": _die,
+    "box slow": _slow,
+    "box full": _full,
+    "box forgets": _forget,
+    "box resets": _resets,
+    "box draining": _drain,
+    "box gone": _drain,
+    "rack dies": _die,
+    "rack hangs": _hang,
+    "all slow": _slow,
+    "all forget": _forget,
+    "edge dies": _kill_edge,
+    "edge stalls": _stall_edge,
+    "edge clock": _step_edge,
+    "planner dies": _kill_planner,
+    "planner stalls": _stall_planner,
+    "planner clock": _step_planner,
+    "link reset": _reset_link,
     "link cut up": lambda fleet, fault: _cut(fault.on, PLANNER, fleet, ""),
     "link cut down": lambda fleet, fault: _cut(PLANNER, fault.on, fleet, ""),
     "link slow": _far_link,
     "box cut there": lambda fleet, fault: _cut(fault.other, fault.on, fleet, fault.on),
     "box cut back": lambda fleet, fault: _cut(fault.on, fault.other, fleet, fault.on),
     "move cut": lambda fleet, fault: _cut(fault.on, fault.other, fleet, fault.on),
-    "box connects refused": _connects, "box connects hang": _connects, "box connections reset": _reset_box,
-    "box far": _far, "box narrow": _far, "events bad": _events, "list bad": _bad_list, "list half": _bad_list,
-    "list missing": _bad_list, "flood": _flood, "flood of hang-ups": _flood, "half-closing clients": _flood,
+    "box connects refused": _connects,
+    "box connects hang": _connects,
+    "box connections reset": _reset_box,
+    "box far": _far,
+    "box narrow": _far,
+    "events bad": _events,
+    "list bad": _bad_list,
+    "list half": _bad_list,
+    "list missing": _bad_list,
+    "flood": _flood,
+    "flood of hang-ups": _flood,
+    "half-closing clients": _flood,
 }
--- a/yardspindle/lab/virtual_fleet.py
+++ b/yardspindle/lab/virtual_fleet.py
@@ -42,10 +42,15 @@
 LOOK_US = 50_000
 READ_LIST_US = 250_000  # until every edge has heard of a list that was written
 DOCUMENT: dict[str, Any] = {
-    "classes": [{"name": c.name, "effect": effect, "aim_ms": 1_000, "give_up_ms": c.give_up_ms}
-                for c, effect in zip(CLASSES, ("safe", "unsafe"), strict=True)],
-    "rules": RULES, "index": {"block_size": 64}, "planner": {"reread_ms": 100.0},
-    "edge": {"dispatchers": len(EDGE_NAMES), "stalled_client_ms": 2_000.0, "stalled_stream_ms": 2_000.0}}
+    "classes": [
+        {"name": c.name, "effect": effect, "aim_ms": 1_000, "give_up_ms": c.give_up_ms}
+        for c, effect in zip(CLASSES, ("safe", "unsafe"), strict=True)
+    ],
+    "rules": RULES,
+    "index": {"block_size": 64},
+    "planner": {"reread_ms": 100.0},
+    "edge": {"dispatchers": len(EDGE_NAMES), "stalled_client_ms": 2_000.0, "stalled_stream_ms": 2_000.0},
+}
 
 
 class BrokenRule(Exception):
@@ -189,8 +194,12 @@
     def _config(self, edge: str, port: int) -> Config:
         document = {**DOCUMENT, "planner": {**DOCUMENT["planner"], "listen": f"{HOST}:{self._planner_port}"}}
         if edge:
-            document["edge"] = {**DOCUMENT["edge"], "planner": f"{HOST}:{self._planner_port}",
-                                "listen": f"{HOST}:{port}", "number": EDGE_NAMES.index(edge)}
+            document["edge"] = {
+                **DOCUMENT["edge"],
+                "planner": f"{HOST}:{self._planner_port}",
+                "listen": f"{HOST}:{port}",
+                "number": EDGE_NAMES.index(edge),
+            }
         return parse("world", to_toml(document))
 
     def _watch(self, edge: Edge) -> None:
@@ -230,7 +239,7 @@
             case "list bad":
                 self.sim.files[SERVERS] = whole.replace(b"count = ", b"count = 9")
             case "list half":
-                self.sim.files[SERVERS] = whole[:len(whole) // 2]
+                self.sim.files[SERVERS] = whole[: len(whole) // 2]
             case "list missing":
                 self.sim.files.pop(SERVERS, None)
             case _:
@@ -243,6 +252,7 @@
 
     def told_draining(self, name: str) -> None:
         """From when on a box that drains must get nothing new: once its state can be heard of."""
+
         def tell() -> None:
             if self.boxes[name].state != "draining":
                 return
@@ -256,8 +266,11 @@
 
     def reset_between(self, one: str, other: str) -> None:
         """Break every connection between two programs, both ends."""
-        for stream in [row for row in self.sim.network.streams if row.world.name == one
-                       and row.far is not None and row.far.world.name == other]:
+        for stream in [
+            row
+            for row in self.sim.network.streams
+            if row.world.name == one and row.far is not None and row.far.world.name == other
+        ]:
             assert stream.far is not None
             stream._break()
             stream.far._break()
@@ -268,8 +281,11 @@
         number, rng = self._numbers, self.sim.random(f"client {self._numbers}")
         habits = msgspec.structs.replace(HABITS, hang_up=1.0 if leaves else 0.0)
         plan = draw(rng, number, CLASSES, habits)
-        self._extra.append(self._clients_world.spawn(
-            "client", self._half_close if half else self._request, plan, self.sim.now_us() + after_us))
+        self._extra.append(
+            self._clients_world.spawn(
+                "client", self._half_close if half else self._request, plan, self.sim.now_us() + after_us
+            )
+        )
 
     # --- clients
 
@@ -285,20 +301,36 @@
         self.sim.scheduler.sleep_until(at_us)
         host, port = self._ports()[plan.number % len(self._edges)]
         name, world = f"q{plan.number}.0", self._clients_world
-        body = msgspec.json.encode({
-            "model": "yardspindle-demo", "stream": plan.stream, "max_tokens": 5,
-            "messages": [{"role": "user", "content": "half"}],
-            "metadata": {"class": plan.cls.name, "lab_id": name, "timeout_ms": f"{plan.deadline_us / 1_000:.1f}"}})
-        self.line(ev="send", edge=port, deadline_us=plan.deadline_us, cls=plan.cls.name, order=f"q{plan.number}",
-                  **{"try": name})
+        body = msgspec.json.encode(
+            {
+                "model": "yardspindle-demo",
+                "stream": plan.stream,
+                "max_tokens": 5,
+                "messages": [{"role": "user", "content": "half"}],
+                "metadata": {"class": plan.cls.name, "lab_id": name, "timeout_ms": f"{plan.deadline_us / 1_000:.1f}"},
+            }
+        )
+        self.line(
+            ev="send",
+            edge=port,
+            deadline_us=plan.deadline_us,
+            cls=plan.cls.name,
+            order=f"q{plan.number}",
+            **{"try": name},
+        )
         try:
             stream = world.connect(host, port, world.now_us() + 1_000_000)
             assert isinstance(stream, VirtualStream)
             try:
                 with world.deadline(world.now_us() + plan.deadline_us + 1_000_000):
-                    stream.write(http1.write_request(
-                        b"POST", b"/v1/chat/completions",
-                        [(b"host", b"x"), (b"content-type", b"application/json")], body))
+                    stream.write(
+                        http1.write_request(
+                            b"POST",
+                            b"/v1/chat/completions",
+                            [(b"host", b"x"), (b"content-type", b"application/json")],
+                            body,
+                        )
+                    )
                     stream.finish()
                     while stream.read():
                         pass
@@ -306,5 +338,6 @@
                 stream.close()
         except (ConnectError, StreamError, DeadlineExceeded):
             pass
-        self.line(ev="final", outcome="left", code="", status=0, events=0, extra=0, first_t=self.sim.now_us(),
-                  **{"try": name})
+        self.line(
+            ev="final", outcome="left", code="", status=0, events=0, extra=0, first_t=self.sim.now_us(), **{"try": name}
+        )
--- a/yardspindle/lab/worlds.py
+++ b/yardspindle/lab/worlds.py
@@ -60,14 +60,24 @@
         except RuntimeError as error:  # a deadlock: nothing can wake any more
             self._found.append(f"liveness: {error}")
         report = self.audit.report if self._stopped else self.audit.end()
-        found = [*(f"{rule}: {text}" for rule, text in report.breaks), *self._found,
-                 *(f"crash: {text}" for text in self.sim.crashes)]
+        found = [
+            *(f"{rule}: {text}" for rule, text in report.breaks),
+            *self._found,
+            *(f"crash: {text}" for text in self.sim.crashes),
+        ]
         tally: Counter[str] = Counter()
         for row in report.tally.values():
             tally.update(row)
         tally.update({name: count for name, count in report.named.items() if count})
-        return Outcome(self.script.seed, self._hash.hexdigest(), tuple(dict.fromkeys(found)), dict(tally),
-                       dict(self.transitions), self.sim.network.pieces, (self.sim.now_us() - started) // 1_000)
+        return Outcome(
+            self.script.seed,
+            self._hash.hexdigest(),
+            tuple(dict.fromkeys(found)),
+            dict(tally),
+            dict(self.transitions),
+            self.sim.network.pieces,
+            (self.sim.now_us() - started) // 1_000,
+        )
 
     def _program(self) -> None:
         sim = self.sim
@@ -75,10 +85,21 @@
         for name in BOXES:
             role, kind = ("read", "reader") if name[0] == "r" else ("write", "writer")
             settings = msgspec.convert(
-                {"name": name, "role": role, "events": role == "read", "slots": 3, "queue": 6,
-                 "start_capacity": RULES["start_capacity"], "fall_ms": RULES["fall_ms"],
-                 "fall_multiple": RULES["fall_multiple"], "read_tokens_per_s": 20_000.0,
-                 "memory_tokens": 40_000, "cache_tokens": 20_000}, EngineSettings)
+                {
+                    "name": name,
+                    "role": role,
+                    "events": role == "read",
+                    "slots": 3,
+                    "queue": 6,
+                    "start_capacity": RULES["start_capacity"],
+                    "fall_ms": RULES["fall_ms"],
+                    "fall_multiple": RULES["fall_multiple"],
+                    "read_tokens_per_s": 20_000.0,
+                    "memory_tokens": 40_000,
+                    "cache_tokens": 20_000,
+                },
+                EngineSettings,
+            )
             self.boxes[name] = Box(settings, int(name[1]), kind)
         self.start_boxes(list(BOXES), 0.0)
         self.start_planner()
@@ -93,8 +114,7 @@
         tasks = [sim.scheduler.spawn("trouble", troubles.run, self, fault) for fault in self.script.faults]
         for number, at_ms in self.script.requests:
             plan = draw(sim.random(f"client {number}"), number, CLASSES, HABITS)
-            tasks.append(self._clients_world.spawn("client", self._request, plan,
-                                                   self.started_us + at_ms * 1_000))
+            tasks.append(self._clients_world.spawn("client", self._request, plan, self.started_us + at_ms * 1_000))
         for task in tasks:
             task.join()
         for task in self._extra:
@@ -114,15 +134,26 @@
             for name, seat in self._edges.items():
                 if seat.edge is not None and seat.edge.core.watch.last is not None:
                     self._found.append(f"{name}'s own watch: {seat.edge.core.watch.last}")
-                if seat.edge is not None and not self._hushed and (
-                        late := INTERLOCKS & seat.edge.core.life.tally.interlocks.keys()):
+                if (
+                    seat.edge is not None
+                    and not self._hushed
+                    and (late := INTERLOCKS & seat.edge.core.life.tally.interlocks.keys())
+                ):
                     self._found.append(f"at once: {name} had to keep the rule itself: {', '.join(sorted(late))}")
             listed = frozenset(server.name for server in self._planner.roster.servers) if self._planner else frozenset()
             if listed not in self._lists:
                 self._found.append("list: one is in force that was never written whole: " + " ".join(sorted(listed)))
             if self.sim.now_us() > self.started_us + LONGEST_US:
-                self._found.append("liveness: not ended: " + ", ".join(sorted(
-                    task.name for task in self.sim.scheduler.tasks if task.gate in (None, self._clients_world.gate))))
+                self._found.append(
+                    "liveness: not ended: "
+                    + ", ".join(
+                        sorted(
+                            task.name
+                            for task in self.sim.scheduler.tasks
+                            if task.gate in (None, self._clients_world.gate)
+                        )
+                    )
+                )
             if self.audit.report.breaks or self._found or self.sim.crashes:
                 return self._stop()
 
@@ -152,13 +183,20 @@
         for name, seat in self._edges.items():
             edge = seat.edge
             assert edge is not None
-            left = {"open": len(edge.core.life.open), "owed": edge.core.releases.owed,
-                    "running": len(edge.executor.running), "watched": len(edge.core.watch.open),
-                    "tasks": len(self._tasks(name) - seat.idle),
-                    "connections": max(self._streams(name) - seat.idle_streams, 0)}
+            left = {
+                "open": len(edge.core.life.open),
+                "owed": edge.core.releases.owed,
+                "running": len(edge.executor.running),
+                "watched": len(edge.core.watch.open),
+                "tasks": len(self._tasks(name) - seat.idle),
+                "connections": max(self._streams(name) - seat.idle_streams, 0),
+            }
             if any(left.values()):
-                self._found.append(f"liveness: {name} is left with " + ", ".join(
-                    f"{count} {what}" for what, count in left.items() if count) + f" {self._tasks(name) - seat.idle}")
+                self._found.append(
+                    f"liveness: {name} is left with "
+                    + ", ".join(f"{count} {what}" for what, count in left.items() if count)
+                    + f" {self._tasks(name) - seat.idle}"
+                )
         timers = len(self.sim.scheduler.timers)
         if timers > IDLE_TIMERS:
             self._found.append(f"liveness: {timers} timers are left; a fleet at rest has at most {IDLE_TIMERS}")
--- a/yardspindle/link/frames.py
+++ b/yardspindle/link/frames.py
@@ -47,7 +47,8 @@
 _MIRRORS: dict[type[Any], type[Struct]] = {kind: _mirror(kind) for kind in (*EVENTS, *ACTIONS)}
 _ORIGINALS: dict[type[Struct], type[Any]] = {mirror: kind for kind, mirror in _MIRRORS.items()}
 _FIELDS: dict[type[Any], tuple[str, ...]] = {
-    kind: tuple(known.name for known in dataclasses.fields(kind)) for kind in _MIRRORS}
+    kind: tuple(known.name for known in dataclasses.fields(kind)) for kind in _MIRRORS
+}
 AnyEvent: Any = reduce(or_, (_MIRRORS[kind] for kind in EVENTS))
 AnyAction: Any = reduce(or_, (_MIRRORS[kind] for kind in ACTIONS))
 
--- a/yardspindle/node/__main__.py
+++ b/yardspindle/node/__main__.py
@@ -36,6 +36,7 @@
     Signals are heard before the file is read: what SIGHUP announces is then in what is read, or is read anew. Until
     then the command that the deploy file gives has SIGHUP ignored.
     """
+
     def reload() -> None:
         try:
             node.reload(read(world.read_file, told))
--- a/yardspindle/node/app.py
+++ b/yardspindle/node/app.py
@@ -50,8 +50,15 @@
         self.hosts = HostList(config.roles)
         self.shares = Shares(min(config.limits.sockets, world.descriptors()), config.limits.memory_mb)
         idle_us = round(config.idle_us * timeouts.IDLE_PART)
-        self.http = HttpClient(world, config.connect_us, idle_us, self.shares.kept, LIMITS,
-                               trust=PoolTrust(idle_us), head_us=timeouts.HEAD_US)
+        self.http = HttpClient(
+            world,
+            config.connect_us,
+            idle_us,
+            self.shares.kept,
+            LIMITS,
+            trust=PoolTrust(idle_us),
+            head_us=timeouts.HEAD_US,
+        )
         world.relieve = self.http.close_oldest
         self.executor = Executor(world, self.core, session, Hosts(self.http))
         self._settled = world.signal()  # discovery was heard, or the process is told to end: no more is waited for
@@ -70,9 +77,15 @@
         config = self.config
         listener = self.world.listen(*config.listen)
         limits = ServingLimits(
-            CLIENT_LIMITS, idle_us=timeouts.IDLE_CLIENT_US, header_us=timeouts.SILENT_CLIENT_US,
-            stalled_us=timeouts.STALLED_CLIENT_US, fresh_us=timeouts.SILENT_CLIENT_US,
-            body_us=timeouts.SILENT_CLIENT_US, most=self.shares.clients, bodies=self.shares.bodies)
+            CLIENT_LIMITS,
+            idle_us=timeouts.IDLE_CLIENT_US,
+            header_us=timeouts.SILENT_CLIENT_US,
+            stalled_us=timeouts.STALLED_CLIENT_US,
+            fresh_us=timeouts.SILENT_CLIENT_US,
+            body_us=timeouts.SILENT_CLIENT_US,
+            most=self.shares.clients,
+            bodies=self.shares.bodies,
+        )
         self._server = Server(self.world, listener, self, limits, _fault)
         self.executor.perform(self.core.planner_up(self.world.now_us(), EPOCH))
         self.hosts.known(config.known)
@@ -139,8 +152,13 @@
     def _news(self) -> None:
         now = self.world.now_us()
         for member in self.hosts.started:
-            log.line("host started", id=member.id, number=self.hosts.number(member.id), kind=member.flavor,
-                     up=f"{member.up_since_ms:.0f}")
+            log.line(
+                "host started",
+                id=member.id,
+                number=self.hosts.number(member.id),
+                kind=member.flavor,
+                up=f"{member.up_since_ms:.0f}",
+            )
         self.executor.perform(self.core.servers(now, self.hosts.servers()))
         self.executor.members(self.hosts.members())
 
--- a/yardspindle/node/config.py
+++ b/yardspindle/node/config.py
@@ -102,15 +102,25 @@
         name=read.name or told["ROUTER_NAME"],
         listen=_address(file, "listen", read.listen, told["ROUTER_LISTEN"]),
         discovery=_address(file, "discovery", read.discovery, told["ROUTER_DISCOVERY"]),
-        seed=int(read.seed, 16), limits=read.limits, known=read.known, settings=mapped,
+        seed=int(read.seed, 16),
+        limits=read.limits,
+        known=read.known,
+        settings=mapped,
         rules=EdgeRules(
-            effects={row.name: row.effect for row in mapped.classes}, release_us=mapped.release_us,
-            drain_grace_us=mapped.drain_grace_us, answer_slack_us=mapped.answer_slack_us,
+            effects={row.name: row.effect for row in mapped.classes},
+            release_us=mapped.release_us,
+            drain_grace_us=mapped.drain_grace_us,
+            answer_slack_us=mapped.answer_slack_us,
             retry_after_us=mapped.max_retry_after_us if mapped.retry_after else 0,
-            max_attempts=mapped.max_attempts, most_open=unstated.most_open(allowed.get("max-open")),
-            writers_read=mapped.writers_read, resume=mapped.resume, release_whole=True),
+            max_attempts=mapped.max_attempts,
+            most_open=unstated.most_open(allowed.get("max-open")),
+            writers_read=mapped.writers_read,
+            resume=mapped.resume,
+            release_whole=True,
+        ),
         connect_us=unstated.connect_us(mapped, allowed.get("connect-timeout-us")),
-        idle_us=unstated.idle_us(mapped, allowed.get("conn-idle-us")))
+        idle_us=unstated.idle_us(mapped, allowed.get("conn-idle-us")),
+    )
 
 
 def _wrong(file: str, error: msgspec.ValidationError, part: str = "") -> ConfigError:
--- a/yardspindle/node/discovery.py
+++ b/yardspindle/node/discovery.py
@@ -25,8 +25,9 @@
 class Discovery:
     """One dispatcher's subscription."""
 
-    def __init__(self, world: World, address: tuple[str, int], hosts: HostList, news: Callable[[], None],
-                 answered: Signal) -> None:
+    def __init__(
+        self, world: World, address: tuple[str, int], hosts: HostList, news: Callable[[], None], answered: Signal
+    ) -> None:
         """`news` is called when the list has changed; `answered` is set at each answer that can be read."""
         self._world = world
         self._address = address
--- a/yardspindle/node/executor.py
+++ b/yardspindle/node/executor.py
@@ -110,8 +110,14 @@
                 known = self.running.get(request)
                 if known is not None and attempt in known.attempts:
                     known.attempts.pop(attempt).cancel()
-                    log.line("attempt called off", id=self._name(request), at=command.server.name,
-                             stage=_stage(command.server), written=attempt in known.written, why=command.reason.value)
+                    log.line(
+                        "attempt called off",
+                        id=self._name(request),
+                        at=command.server.name,
+                        stage=_stage(command.server),
+                        written=attempt in known.written,
+                        why=command.reason.value,
+                    )
             case c.LastWords(request):
                 known = self.running.get(request)
                 if known is not None:
@@ -162,10 +168,19 @@
         if ended.status is i.Status.READ:
             run.trace.read(self._world.now_us(), ended.note)
         if ended.status not in (i.Status.READ, i.Status.SERVED):
-            log.line("attempt failed", id=run.id.decode(), at=command.server.name, stage=_stage(command.server),
-                     status=ended.status.value, detail=ended.detail)
-        self.perform(self._core.attempt_ended(
-            self._world.now_us(), command.request, command.attempt, ended.status, ended.note, stale=ended.stale))
+            log.line(
+                "attempt failed",
+                id=run.id.decode(),
+                at=command.server.name,
+                stage=_stage(command.server),
+                status=ended.status.value,
+                detail=ended.detail,
+            )
+        self.perform(
+            self._core.attempt_ended(
+                self._world.now_us(), command.request, command.attempt, ended.status, ended.note, stale=ended.stale
+            )
+        )
 
     def _tried(self, command: c.Read | c.Write, run: Running) -> Ended | None:
         """How it ended; None when its request was over before its stream began."""
@@ -174,9 +189,16 @@
                 headers = [(b"req-id", run.id), (b"content-type", b"application/json")]
                 connect_us = None if isinstance(command, c.Read) else self._core.life.held_connect_us
                 said = self._hosts.send(
-                    command.server, run.exchange.head.target, headers, run.exchange.body,
-                    lambda: self._written(command, run), lambda: self._heard(command),
-                    lambda: self._ready(command, run), connect_us, timeouts.REST_US)
+                    command.server,
+                    run.exchange.head.target,
+                    headers,
+                    run.exchange.body,
+                    lambda: self._written(command, run),
+                    lambda: self._heard(command),
+                    lambda: self._ready(command, run),
+                    connect_us,
+                    timeouts.REST_US,
+                )
                 if isinstance(said, Ended):
                     return said
                 try:
@@ -247,7 +269,7 @@
             if data is None:
                 raise http1.ProtocolError("a stream without an event")
             opening += data
-            if not opening.startswith(EVENT[:len(opening)]) or len(opening) > OPENING_MOST:
+            if not opening.startswith(EVENT[: len(opening)]) or len(opening) > OPENING_MOST:
                 raise http1.ProtocolError("a stream that does not open with an event")
         return opening
 
@@ -336,12 +358,14 @@
         except DeadlineExceeded:
             held = None if asked else False
         if asked and held is None:
-            log.line("place unknown", id=run.id.decode(), at=command.server.name,
-                     ms=(self._world.now_us() - began) // 1_000)
+            log.line(
+                "place unknown", id=run.id.decode(), at=command.server.name, ms=(self._world.now_us() - began) // 1_000
+            )
         run.places.pop(command.place, None)
         self.ids.setdefault(command.request, run.id)  # its release may be all that is left of it
-        self.perform(self._core.place_answered(
-            self._world.now_us(), command.request, command.place, command.server, held))
+        self.perform(
+            self._core.place_answered(self._world.now_us(), command.request, command.place, command.server, held)
+        )
         self.forget(command.request)
 
     def forget(self, request: int) -> None:
--- a/yardspindle/node/hosts.py
+++ b/yardspindle/node/hosts.py
@@ -120,17 +120,40 @@
         """Connections are kept by `http`."""
         self.http = http
 
-    def send(self, server: Server, target: bytes, headers: http1.Headers, body: bytes,
-             written: Callable[[], None], heard: Callable[[], None], ready: Ready, connect_us: int | None,
-             rest_us: int) -> Ended | Stream:
+    def send(
+        self,
+        server: Server,
+        target: bytes,
+        headers: http1.Headers,
+        body: bytes,
+        written: Callable[[], None],
+        heard: Callable[[], None],
+        ready: Ready,
+        connect_us: int | None,
+        rest_us: int,
+    ) -> Ended | Stream:
         """Send the request to a reader or writer and wait for what it says, or for the head of its stream."""
         try:
             response = self.http.request(
-                server.host, server.port, b"POST", target, headers, body, written, ready, connect_us, rest_us,
-                heard=heard)
+                server.host,
+                server.port,
+                b"POST",
+                target,
+                headers,
+                body,
+                written,
+                ready,
+                connect_us,
+                rest_us,
+                heard=heard,
+            )
         except ConnectError as error:
-            return Ended(Status.CONNECT_FAILED, detail=str(error), stale=isinstance(error, ConnectReset),
-                         ours=isinstance(error, NoDescriptor))
+            return Ended(
+                Status.CONNECT_FAILED,
+                detail=str(error),
+                stale=isinstance(error, ConnectReset),
+                ours=isinstance(error, NoDescriptor),
+            )
         except NotSent as error:
             return Ended(Status.CONNECT_FAILED, detail=str(error), stale=error.stale)
         except ExchangeBroken as error:
@@ -173,11 +196,11 @@
         except NoDescriptor:
             return None
 
-    def _call(self, server: Server, method: bytes, request_id: bytes, ready: Ready,
-              descriptor_us: int | None) -> int:
+    def _call(self, server: Server, method: bytes, request_id: bytes, ready: Ready, descriptor_us: int | None) -> int:
         try:
-            response = self.http.request(server.host, server.port, method, ROOMS + request_id, [], ready=ready,
-                                         descriptor_us=descriptor_us)
+            response = self.http.request(
+                server.host, server.port, method, ROOMS + request_id, [], ready=ready, descriptor_us=descriptor_us
+            )
         except NoDescriptor:
             raise
         except (ConnectError, ExchangeBroken):
--- a/yardspindle/node/release_tasks.py
+++ b/yardspindle/node/release_tasks.py
@@ -28,8 +28,15 @@
 class ReleaseTasks:
     """The calls that are out, by request."""
 
-    def __init__(self, world: World, core: EdgeCore, hosts: Hosts, ids: dict[int, bytes],
-                 perform: Callable[[list[c.Command]], None], forget: Callable[[int], None]) -> None:
+    def __init__(
+        self,
+        world: World,
+        core: EdgeCore,
+        hosts: Hosts,
+        ids: dict[int, bytes],
+        perform: Callable[[list[c.Command]], None],
+        forget: Callable[[int], None],
+    ) -> None:
         """`ids`: of all requests for which something may be held; `forget` is told when one is done with."""
         self._world = world
         self._core = core
@@ -95,5 +102,12 @@
     def _log_release(self, room: Room, server: Server, heard: bool | None) -> None:
         """Tell of a release that did not get through at once."""
         if not heard or room.tried:
-            log.line("release", id=self._ids.get(room.request, b"?").decode(), at=server.name, heard=heard,
-                     tries=len(room.tried), ms=(self._world.now_us() - room.since_us) // 1_000, said=room.said)
+            log.line(
+                "release",
+                id=self._ids.get(room.request, b"?").decode(),
+                at=server.name,
+                heard=heard,
+                tries=len(room.tried),
+                ms=(self._world.now_us() - room.since_us) // 1_000,
+                said=room.said,
+            )
--- a/yardspindle/node/request.py
+++ b/yardspindle/node/request.py
@@ -61,9 +61,16 @@
     if MILLISECONDS.fullmatch(deadline) is None or float(deadline) <= 0:
         raise Refused(400, "Req-Deadline-Ms: not a time")
     retry = _one(head, b"req-retry")
-    return Asked(number, cls, round(float(deadline) * 1_000), _text(head, b"req-owner") or None,
-                 _text(head, b"req-key") or None,
-                 _extra(_one(head, b"req-extra")), retry == b"1", retry == b"again")
+    return Asked(
+        number,
+        cls,
+        round(float(deadline) * 1_000),
+        _text(head, b"req-owner") or None,
+        _text(head, b"req-key") or None,
+        _extra(_one(head, b"req-extra")),
+        retry == b"1",
+        retry == b"again",
+    )
 
 
 def check_body(body: bytes) -> None:
@@ -80,11 +87,18 @@
     """The request as the policy is asked it."""
     prefix = asked.extra.get("prefix") or None
     return i.Request(
-        request=number, cls=asked.cls, expires_us=came_us + asked.deadline_us,
+        request=number,
+        cls=asked.cls,
+        expires_us=came_us + asked.deadline_us,
         prompt_tokens=float(asked.extra.get("prompt_len") or body_size // CHARS_PER_TOKEN),
         prefix_tokens=float(asked.extra.get("prefix_len") or 0.0) if prefix else 0.0,
-        max_out=float(asked.extra.get("max_out") or 0.0), tenant=asked.tenant, prefix=prefix,
-        session=asked.session, repeat=asked.repeat, resumed=asked.resumed)
+        max_out=float(asked.extra.get("max_out") or 0.0),
+        tenant=asked.tenant,
+        prefix=prefix,
+        session=asked.session,
+        repeat=asked.repeat,
+        resumed=asked.resumed,
+    )
 
 
 def _one(head: RequestHead, name: bytes) -> bytes:
--- a/yardspindle/node/trace.py
+++ b/yardspindle/node/trace.py
@@ -38,14 +38,27 @@
 
     def fields(self, now_us: int, ask: i.Request, end: str) -> dict[str, object]:
         """The line's fields; stages in milliseconds, of the last attempts alone."""
-        times = {"wait": (self.came_us, self.read_us), "prefill": (self.read_us, self.state_us),
-                 "hold": (self.state_us, self.write_us), "transfer": (self.write_us, self.first_us),
-                 "decode": (self.first_us, now_us)}
+        times = {
+            "wait": (self.came_us, self.read_us),
+            "prefill": (self.read_us, self.state_us),
+            "hold": (self.state_us, self.write_us),
+            "transfer": (self.write_us, self.first_us),
+            "decode": (self.first_us, now_us),
+        }
         stages = ",".join(f"{name}:{(to - since) / 1_000:.0f}" for name, (since, to) in times.items() if since and to)
-        return {"cls": ask.cls, "tenant": ask.tenant, "end": end, "prompt": f"{ask.prompt_tokens:.0f}",
-                "prefix": f"{ask.prefix or '-'}:{ask.prefix_tokens:.0f}", "session": ask.session, "kept": self.kept,
-                "tries": f"{self.reads},{self.writes},{self.asked},{self.refused}",
-                "at": f"{_where(self.reader)},{_where(self.writer)}", "came": self.came_us // 1_000, "ms": stages}
+        return {
+            "cls": ask.cls,
+            "tenant": ask.tenant,
+            "end": end,
+            "prompt": f"{ask.prompt_tokens:.0f}",
+            "prefix": f"{ask.prefix or '-'}:{ask.prefix_tokens:.0f}",
+            "session": ask.session,
+            "kept": self.kept,
+            "tries": f"{self.reads},{self.writes},{self.asked},{self.refused}",
+            "at": f"{_where(self.reader)},{_where(self.writer)}",
+            "came": self.came_us // 1_000,
+            "ms": stages,
+        }
 
 
 def _where(server: Server | None) -> str:
--- a/yardspindle/planner/app.py
+++ b/yardspindle/planner/app.py
@@ -61,8 +61,17 @@
             self.world.spawn("metrics", pages.serve)
         if self.config.fleet.store:
             name = f"planner-{self._listener.host}:{self._listener.port}"
-            self.world.spawn("join", join, self.world, self.config.fleet, "planner", name, str(self.epoch),
-                             self.config.edge.zone, VERSION)
+            self.world.spawn(
+                "join",
+                join,
+                self.world,
+                self.config.fleet,
+                "planner",
+                name,
+                str(self.epoch),
+                self.config.edge.zone,
+                VERSION,
+            )
         return self._listener.host, self._listener.port
 
     def _accept(self, listener: Listener) -> None:
@@ -109,8 +118,9 @@
         settings = policy_settings(self.config, hello.number, hello.dispatchers, hello.zone)
         seed = self.world.random(f"policy {hello.number}").getrandbits(63)
         policy = Policy(settings, seed)
-        planning = PlanningSession(lambda event, now_us: policy.handle(now_us, event),
-                                   hello.now_us, self.world.now_us())
+        planning = PlanningSession(
+            lambda event, now_us: policy.handle(now_us, event), hello.now_us, self.world.now_us()
+        )
         session = EdgeSession(self, stream, reader, planning, hello.number)
         self.metrics.edges.set(len(self.sessions) + 1)
         log.info("edge up", edge=hello.number, zone=hello.zone)
@@ -128,8 +138,9 @@
 class EdgeSession:
     """One edge's link and policy."""
 
-    def __init__(self, planner: Planner, stream: Stream, reader: frames.FrameReader, planning: PlanningSession,
-                 number: int) -> None:
+    def __init__(
+        self, planner: Planner, stream: Stream, reader: frames.FrameReader, planning: PlanningSession, number: int
+    ) -> None:
         """Made by the planner once the edge has greeted."""
         self._planner = planner
         self._world = planner.world
@@ -227,8 +238,7 @@
         self.edges = Gauge("yardspindle_edges", "Edges that are linked", registry=self.registry)
         self.events = Counter("yardspindle_events", "Events heard", registry=self.registry)
         self.sends = Counter("yardspindle_sends", "Attempts decided", ("server",), registry=self.registry)
-        self.faults = Counter("yardspindle_policy_faults", "Events on which the policy failed",
-                              registry=self.registry)
+        self.faults = Counter("yardspindle_policy_faults", "Events on which the policy failed", registry=self.registry)
 
 
 class _Pages:
@@ -240,8 +250,11 @@
     def early(self, head: http1.RequestHead) -> Reply | None:
         if head.target != b"/metrics" or head.method not in (b"GET", b"HEAD"):
             return ApiError(404, "not_found", "There is nothing at this path.").reply()
-        return Reply(200, [(b"content-type", b"text/plain; version=0.0.4; charset=utf-8")],
-                     generate_latest(self._planner.metrics.registry))
+        return Reply(
+            200,
+            [(b"content-type", b"text/plain; version=0.0.4; charset=utf-8")],
+            generate_latest(self._planner.metrics.registry),
+        )
 
     def handle(self, exchange: Exchange) -> None:
         raise AssertionError("every page is answered early")
--- a/yardspindle/policy/hosts.py
+++ b/yardspindle/policy/hosts.py
@@ -25,8 +25,9 @@
         named = {entry.server for entry in event.entries}
         for entry, kind in ((e, self.kinds[e.kind]) for e in event.entries if e.kind in self.kinds):
             known = self.servers.setdefault(
-                entry.server, Server(entry, kind.role, kind.memory_tokens, self._since(entry),
-                                     lot=self.lots.random()))
+                entry.server,
+                Server(entry, kind.role, kind.memory_tokens, self._since(entry), lot=self.lots.random()),
+            )
             moved_us = abs(entry.up_since_us - known.entry.up_since_us)
             if entry.up_since_us and moved_us > START_MOVED_US:  # restarted: what we held against it is void
                 known.failures, known.ejected_until, known.since_us = 0, 0, self._since(entry)
@@ -41,8 +42,11 @@
             for server in [s for n, s in self.servers.items() if n not in named and not s.gone]:
                 server.gone, server.gone_us = True, self.now
         # Where servers are replaced by new ones all day, what is known of the old must not pile up.
-        self.servers = {n: s for n, s in self.servers.items() if not s.gone or s.out or s.streams
-                        or n in named or self.now - s.gone_us < KEY_SPAN_US}
+        self.servers = {
+            n: s
+            for n, s in self.servers.items()
+            if not s.gone or s.out or s.streams or n in named or self.now - s.gone_us < KEY_SPAN_US
+        }
         self.listed = Counter(s.role for s in self.servers.values() if not s.gone)
         self._weigh([s for s in self.servers.values() if not s.gone])
 
@@ -95,6 +99,9 @@
 
     def _usable(self, server: Server, r: Open) -> bool:  # not shut (for the tenant), no trial out
         shut = max(server.ejected_until, server.full.get(r.ask.tenant, (0, 0))[0])
-        return (not server.gone and self.now >= shut
-                and not (server.failures and server.out and self.now - max(server.out.values()) < TRIAL_US)
-                and server.entry.server not in r.avoid)
+        return (
+            not server.gone
+            and self.now >= shut
+            and not (server.failures and server.out and self.now - max(server.out.values()) < TRIAL_US)
+            and server.entry.server not in r.avoid
+        )
--- a/yardspindle/policy/readers.py
+++ b/yardspindle/policy/readers.py
@@ -20,8 +20,10 @@
 
     def _late(self, server: Server) -> float:  # what a read waits there, by what we saw
         # Where many routers fill a reader, reads came late, were repeated, and the jam outlived its cause.
-        late = max(server.late_us - (self.now - server.late_at),
-                   0.0 if self.cells.get(server.entry.cell, (0.0, 0.0))[1] else self._slow(server.entry.cell))
+        late = max(
+            server.late_us - (self.now - server.late_at),
+            0.0 if self.cells.get(server.entry.cell, (0.0, 0.0))[1] else self._slow(server.entry.cell),
+        )
         out = [(number, sent) for (number, _), sent in server.out.items() if sent >= server.answered_us]
         # The oldest that is out may be later still. One request lost on its way looks like a reader that
         # jams, as long as nothing else is sent there: so trials go, each after twice the time of the last;
@@ -108,8 +110,8 @@
         # there, however short its shared text. What shares none may go anywhere, out of the others' way.
         bound = AIM_PART_READER * r.aim_us * self.read_tokens / max(self.usual, 1.0)
         if r.ask.prefix_tokens:
-            far = order[wide + SPILL:wide + len(order) // self.set.instances]  # few routers know who idles
-            order = order[:wide + SPILL] + [s for s in far if not s.out]
+            far = order[wide + SPILL : wide + len(order) // self.set.instances]  # few routers know who idles
+            order = order[: wide + SPILL] + [s for s in far if not s.out]
         timely = [s for s in order if self._late(s) <= LATE_AIM_PART * r.aim_us]
         order = [s for s in timely if self._admits(r, s, r.home_reader)]
         if not order:
--- a/yardspindle/policy/slow_start.py
+++ b/yardspindle/policy/slow_start.py
@@ -72,8 +72,11 @@
         if warmth >= 1:
             return True
         part = SLOW_START_PART * warmth
-        admitted = (r.draw < part and server.entry.server not in r.cold_tried
-                    and (server is home or self._bears_another(server, part)))
+        admitted = (
+            r.draw < part
+            and server.entry.server not in r.cold_tried
+            and (server is home or self._bears_another(server, part))
+        )
         self.slow_start_withheld += not admitted
         return admitted
 
@@ -94,8 +97,12 @@
             server.other_sends.append(self.now)
         self.slow_start_sent += 1
         age = "unknown" if server.refused else f"{(self.now - server.since_us) // 1_000} ms"
-        self.acts.append(i.Log(f"slow start: request {r.ask.request}, attempt {r.attempts}, to "
-                               f"{server.entry.server}, age {age}, warmth {warmth:.2f}"))
+        self.acts.append(
+            i.Log(
+                f"slow start: request {r.ask.request}, attempt {r.attempts}, to "
+                f"{server.entry.server}, age {age}, warmth {warmth:.2f}"
+            )
+        )
 
     def counts(self) -> dict[str, int]:
         """Counts since the start, by name, for a line of a log."""
--- a/yardspindle/protocol/chunks.py
+++ b/yardspindle/protocol/chunks.py
@@ -61,11 +61,11 @@
                 self._trailers, at = 1, line_end + 2
                 continue
             start, end = line_end + 2, line_end + 2 + length
-            if buffer[end:end + 2] != b"\r\n":
+            if buffer[end : end + 2] != b"\r\n":
                 if len(buffer) > end + 1 or (len(buffer) == end + 1 and buffer[end] != 13):
                     raise ProtocolError("a chunk does not end where its size says")
                 break
-            contents.append(buffer[start + self._given:end])
+            contents.append(buffer[start + self._given : end])
             at, self._given = end + 2, 0
         self._buffer = buffer[at:]
         whole = contents[0] if len(contents) == 1 else b"".join(contents)
@@ -80,9 +80,9 @@
         if size is None or self._trailers or self.ended:
             return b""
         start, end = line_end + 2, line_end + 2 + int(size[1], 16)
-        came = self._tail + buffer[start + self._given:end]
+        came = self._tail + buffer[start + self._given : end]
         ends = [at + len(mark) for mark in marks if (at := came.rfind(mark)) >= 0]
-        part = came[len(self._tail):max(ends, default=0)]
+        part = came[len(self._tail) : max(ends, default=0)]
         self._tail = (self._tail + part)[-TAIL:]
         self._given += len(part)
         return part
--- a/yardspindle/protocol/http1.py
+++ b/yardspindle/protocol/http1.py
@@ -206,8 +206,8 @@
             return None
         if at == 0 or self.buffer[at - 1] != 13:
             raise ProtocolError("a line ends without a carriage return")
-        line = bytes(self.buffer[:at - 1])
-        del self.buffer[:at + 1]
+        line = bytes(self.buffer[: at - 1])
+        del self.buffer[: at + 1]
         return line
 
     def _chunk_lines(self) -> Event | None:
@@ -257,7 +257,7 @@
             self.head_searched = len(self.buffer)
             return None
         head = bytes(self.buffer[:end])
-        del self.buffer[:end + 4]
+        del self.buffer[: end + 4]
         self.head_searched = 0
         if head.count(b"\n") != head.count(b"\r\n") or head.count(b"\r") != head.count(b"\r\n"):
             raise ProtocolError("a line ends without CRLF")
