--- a/yardspindle/protocol/http1_headers.py
+++ b/yardspindle/protocol/http1_headers.py
@@ -40,8 +40,7 @@
 
 def has_token(headers: Headers, name: bytes, token: bytes) -> bool:
     """Whether a comma-separated header lists a token."""
-    return any(token == part.strip().lower() for known, value in headers if known == name
-               for part in value.split(b","))
+    return any(token == part.strip().lower() for known, value in headers if known == name for part in value.split(b","))
 
 
 def parse_headers(lines: list[bytes], limits: Limits) -> Headers:
--- a/yardspindle/protocol/http1_write.py
+++ b/yardspindle/protocol/http1_write.py
@@ -11,13 +11,32 @@
 Headers = list[tuple[bytes, bytes]]
 
 REASONS = {
-    100: b"Continue", 200: b"OK", 202: b"Accepted", 204: b"No Content", 400: b"Bad Request",
-    401: b"Unauthorized", 403: b"Forbidden", 404: b"Not Found", 405: b"Method Not Allowed",
-    408: b"Request Timeout", 409: b"Conflict", 411: b"Length Required", 413: b"Content Too Large",
-    414: b"URI Too Long", 415: b"Unsupported Media Type", 422: b"Unprocessable Content",
-    429: b"Too Many Requests", 431: b"Request Header Fields Too Large", 499: b"Client Closed Request",
-    500: b"Internal Server Error", 501: b"Not Implemented", 502: b"Bad Gateway", 503: b"Service Unavailable",
-    504: b"Gateway Timeout", 505: b"HTTP Version Not Supported"}
+    100: b"Continue",
+    200: b"OK",
+    202: b"Accepted",
+    204: b"No Content",
+    400: b"Bad Request",
+    401: b"Unauthorized",
+    403: b"Forbidden",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    411: b"Length Required",
+    413: b"Content Too Large",
+    414: b"URI Too Long",
+    415: b"Unsupported Media Type",
+    422: b"Unprocessable Content",
+    429: b"Too Many Requests",
+    431: b"Request Header Fields Too Large",
+    499: b"Client Closed Request",
+    500: b"Internal Server Error",
+    501: b"Not Implemented",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+    505: b"HTTP Version Not Supported",
+}
 
 
 def write_head(first_line: bytes, headers: Headers) -> bytes:
@@ -32,8 +51,7 @@
 
 def write_response(status: int, headers: Headers, body: bytes | None) -> bytes:
     """A response's head, with its whole body, or (None) the head of a body in chunks."""
-    framing = ((b"transfer-encoding", b"chunked") if body is None
-               else (b"content-length", str(len(body)).encode()))
+    framing = (b"transfer-encoding", b"chunked") if body is None else (b"content-length", str(len(body)).encode())
     return write_head(b"HTTP/1.1 %d %s" % (status, REASONS.get(status, b"-")), [*headers, framing]) + (body or b"")
 
 
--- a/yardspindle/protocol/sse.py
+++ b/yardspindle/protocol/sse.py
@@ -39,8 +39,15 @@
     def feed(self, data: bytes) -> list[ServerEvent]:
         """Take bytes, give the events that they complete. Raises EventTooLarge."""
         # Nearly every event of an engine is one whole `data:` line in one piece: taken without the state below.
-        if (not self._buffer and not self._data and not self._first and data.startswith(b"data: ")
-                and data.endswith(b"\n\n") and data.count(b"\n") == 2 and b"\r" not in data):
+        if (
+            not self._buffer
+            and not self._data
+            and not self._first
+            and data.startswith(b"data: ")
+            and data.endswith(b"\n\n")
+            and data.count(b"\n") == 2
+            and b"\r" not in data
+        ):
             event = ServerEvent(data[6:-2], self._kind, self._last_id)
             self._kind = b""
             return [event]
@@ -58,7 +65,7 @@
                 continue
             if end.group() == b"\r" and end.end() == len(text):
                 break  # a line feed may follow and belong to it
-            self._line(text[at:end.start()], events)
+            self._line(text[at : end.start()], events)
             at = end.end()
         self._buffer = text[at:]
         if len(self._buffer) + self._held > self._most:
--- a/yardspindle/runtime/process.py
+++ b/yardspindle/runtime/process.py
@@ -24,8 +24,9 @@
         self.name = name
         self._world = world
         with open(log_path, "ab") as log:
-            self._process = subprocess.Popen(argv, stdin=subprocess.DEVNULL, stdout=subprocess.PIPE, stderr=log,
-                                             start_new_session=True)
+            self._process = subprocess.Popen(
+                argv, stdin=subprocess.DEVNULL, stdout=subprocess.PIPE, stderr=log, start_new_session=True
+            )
         assert self._process.stdout is not None
         self._out = self._process.stdout.fileno()
         os.set_blocking(self._out, False)
--- a/yardspindle/runtime/real.py
+++ b/yardspindle/runtime/real.py
@@ -44,9 +44,20 @@
 WOULD_BLOCK = (errno.EAGAIN, errno.EWOULDBLOCK)
 # Of the connection that would have been accepted, not of the listener (accept(2) names them): the next may be had.
 LOST_IN_ACCEPT = (
-    errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.ENOPROTOOPT, errno.EHOSTDOWN, errno.ENONET,
-    errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH,
-    errno.ETIMEDOUT, errno.ECONNRESET, errno.EPERM, errno.EINTR)
+    errno.ECONNABORTED,
+    errno.EPROTO,
+    errno.ENETDOWN,
+    errno.ENOPROTOOPT,
+    errno.EHOSTDOWN,
+    errno.ENONET,
+    errno.EHOSTUNREACH,
+    errno.EOPNOTSUPP,
+    errno.ENETUNREACH,
+    errno.ETIMEDOUT,
+    errno.ECONNRESET,
+    errno.EPERM,
+    errno.EINTR,
+)
 OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 ACCEPT_PAUSE_US = 50_000  # after the descriptors ran out: time for some connection to close
 
@@ -105,7 +116,7 @@
             if self._descriptor < 0:
                 raise StreamError("closed here")
             try:
-                rest = rest[self._sock.send(rest):]
+                rest = rest[self._sock.send(rest) :]
             except OSError as error:
                 if error.errno not in WOULD_BLOCK:
                     raise StreamError(os.strerror(error.errno or 0)) from None
@@ -276,7 +287,8 @@
             if error.errno in OUT_OF_DESCRIPTORS and self.relieve():
                 return self.connect(host, port, deadline_us)
             raise (NoDescriptor if error.errno in OUT_OF_DESCRIPTORS else ConnectReset)(
-                os.strerror(error.errno or 0)) from None
+                os.strerror(error.errno or 0)
+            ) from None
         limit = self.deadline(deadline_us)
         try:
             sock.setblocking(False)
@@ -300,8 +312,9 @@
             sock.close()
             raise
 
-    def messages(self, kind: Literal["sub", "pub", "dealer", "router"], host: str, port: int,
-                 topic: bytes = b"") -> MessageSocket:
+    def messages(
+        self, kind: Literal["sub", "pub", "dealer", "router"], host: str, port: int, topic: bytes = b""
+    ) -> MessageSocket:
         """See World."""
         import zmq  # only here: a program that sends no messages does not pay for the library's memory
 
@@ -355,6 +368,7 @@
 
     def stop_on_signals(self) -> None:
         """Set `stop` at SIGINT or SIGTERM; called from the main thread, inside `run`."""
+
         def stop() -> None:
             if self.stop.is_set:
                 os._exit(130)  # a second signal: the drain is not waited for
--- a/yardspindle/runtime/scheduler.py
+++ b/yardspindle/runtime/scheduler.py
@@ -58,8 +58,19 @@
 class Task:
     """A function that runs in a greenlet of its own."""
 
-    __slots__ = ("name", "_scheduler", "_greenlet", "parked", "interrupts", "done", "result", "error",
-                 "_joiners", "_observed", "gate")
+    __slots__ = (
+        "name",
+        "_scheduler",
+        "_greenlet",
+        "parked",
+        "interrupts",
+        "done",
+        "result",
+        "error",
+        "_joiners",
+        "_observed",
+        "gate",
+    )
 
     def __init__(self, scheduler: Scheduler, name: str, run: Callable[[], Any]) -> None:
         """Made by `Scheduler.spawn`."""
@@ -132,8 +143,9 @@
         """Whether this deadline is what raised."""
         return self._error.__traceback__ is not None
 
-    def __exit__(self, kind: type[BaseException] | None, error: BaseException | None,
-                 trace: TracebackType | None) -> None:
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
         """Stop watching; a deadline that fired but was not raised yet is forgotten."""
         if self._timer is not None:
             self._timer.cancel()
--- a/yardspindle/runtime/service.py
+++ b/yardspindle/runtime/service.py
@@ -32,8 +32,9 @@
 class Service:
     """A process, ours or one that an earlier start of this program left running."""
 
-    def __init__(self, world: RealWorld, pid: int, started: int,
-                 process: subprocess.Popen[bytes] | None = None) -> None:
+    def __init__(
+        self, world: RealWorld, pid: int, started: int, process: subprocess.Popen[bytes] | None = None
+    ) -> None:
         """`started`: as `born` told it."""
         self._world, self.pid, self.started, self._process = world, pid, started, process
 
@@ -41,8 +42,14 @@
     def start(cls, world: RealWorld, argv: Sequence[str], log_path: str, mark: str) -> Service:
         """Start it in a session of its own, output appended to a file, its mark in its environment. Raises OSError."""
         with open(log_path, "ab") as log:
-            process = subprocess.Popen(argv, stdin=subprocess.DEVNULL, stdout=log, stderr=log, start_new_session=True,
-                                       env={**os.environ, MARK: mark})
+            process = subprocess.Popen(
+                argv,
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                start_new_session=True,
+                env={**os.environ, MARK: mark},
+            )
         return cls(world, process.pid, born(process.pid), process)
 
     @classmethod
--- a/yardspindle/runtime/virtual.py
+++ b/yardspindle/runtime/virtual.py
@@ -185,6 +185,7 @@
 
     def call_at(self, at_us: int, callback: Callable[[], None]) -> Callable[[], None]:
         """See World."""
+
         def due() -> None:
             if self.gate.shut:
                 self._late.append(due)
@@ -242,8 +243,9 @@
             raise ConnectError("Connection refused")
         return near
 
-    def messages(self, kind: Literal["sub", "pub", "dealer", "router"], host: str, port: int,
-                 topic: bytes = b"") -> MessageSocket:
+    def messages(
+        self, kind: Literal["sub", "pub", "dealer", "router"], host: str, port: int, topic: bytes = b""
+    ) -> MessageSocket:
         """See World."""
         self._lives()
         return VirtualMessages(self, kind, (host, port or self.sim.next_port()), topic)
@@ -256,7 +258,7 @@
         """See World."""
         if path not in self.sim.files:
             raise FileNotFoundError(2, "No such file or directory", path)
-        return self.sim.files[path][:None if most < 0 else most]
+        return self.sim.files[path][: None if most < 0 else most]
 
     def append_file(self, path: str, data: bytes) -> None:
         """See World."""
--- a/yardspindle/runtime/world.py
+++ b/yardspindle/runtime/world.py
@@ -154,8 +154,9 @@
     def connect(self, host: str, port: int, deadline_us: int) -> Stream:
         """Connect. Raises ConnectError, also at the deadline, and NoDescriptor at once."""
 
-    def messages(self, kind: Literal["sub", "pub", "dealer", "router"], host: str, port: int,
-                 topic: bytes = b"") -> MessageSocket:
+    def messages(
+        self, kind: Literal["sub", "pub", "dealer", "router"], host: str, port: int, topic: bytes = b""
+    ) -> MessageSocket:
         """A ZeroMQ socket: `sub` (of a topic) and `dealer` connect, `pub` and `router` bind. Raises OSError."""
 
     def random(self, name: str) -> random.Random:
--- a/yardspindle/runtime/zeromq.py
+++ b/yardspindle/runtime/zeromq.py
@@ -21,8 +21,16 @@
 class ZmqSocket:
     """See MessageSocket."""
 
-    def __init__(self, scheduler: Scheduler, poller: PollPoller, context: zmq.Context[zmq.Socket[bytes]],
-                 kind: Literal["sub", "pub", "dealer", "router"], host: str, port: int, topic: bytes) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        poller: PollPoller,
+        context: zmq.Context[zmq.Socket[bytes]],
+        kind: Literal["sub", "pub", "dealer", "router"],
+        host: str,
+        port: int,
+        topic: bytes,
+    ) -> None:
         """Connect or bind. Raises OSError."""
         self._scheduler, self._poller = scheduler, poller
         self._socket = context.socket(KINDS[kind])
--- a/yardspindle/settings_map.py
+++ b/yardspindle/settings_map.py
@@ -30,8 +30,7 @@
 
 def settings(raw: dict[str, Any]) -> i.Settings:
     """Map the wire's settings to the interface's; keys that are not known are passed over."""
-    info, allowed, rules, prices = (
-        raw.get(key) or {} for key in ("family-info", "allowed", "obligations", "prices"))
+    info, allowed, rules, prices = (raw.get(key) or {} for key in ("family-info", "allowed", "obligations", "prices"))
 
     def nth(key: str, at: int) -> float:
         values = info.get(key) or []
@@ -40,31 +39,56 @@
     roles = info.get("duty-by-kind") or []
     classes = tuple(
         i.RequestClass(
-            name=row["name"], aim_us=row["goal-time-us"], give_up_us=row["give-up-us"],
-            effect=EFFECT[row.get("idempotency", "single_shot")], group=row.get("group", "all"),
-            window_us=row.get("window-us", 0), worth=row.get("worth", 1.0),
+            name=row["name"],
+            aim_us=row["goal-time-us"],
+            give_up_us=row["give-up-us"],
+            effect=EFFECT[row.get("idempotency", "single_shot")],
+            group=row.get("group", "all"),
+            window_us=row.get("window-us", 0),
+            worth=row.get("worth", 1.0),
             late_worth=row.get("late-worth", 0.0),
             aim_us_per_1000_prompt_tokens=nth("aim-us-per-1000-prompt-tokens", at),
-            token_aim_us=nth("token-aim-us", at))
-        for at, row in enumerate(raw["services"]))
-    kinds = tuple(i.Kind(name, ROLE[roles[at]] if at < len(roles) else i.Role.BOTH, nth("memory-tokens", at))
-                  for at, name in enumerate(raw["shapes"]))
-    tenants = tuple(i.Tenant(row["name"], row.get("fraction", 0.0), row.get("quota-per-s", 0.0))
-                    for row in raw.get("realms") or [])
+            token_aim_us=nth("token-aim-us", at),
+        )
+        for at, row in enumerate(raw["services"])
+    )
+    kinds = tuple(
+        i.Kind(name, ROLE[roles[at]] if at < len(roles) else i.Role.BOTH, nth("memory-tokens", at))
+        for at, name in enumerate(raw["shapes"])
+    )
+    tenants = tuple(
+        i.Tenant(row["name"], row.get("fraction", 0.0), row.get("quota-per-s", 0.0)) for row in raw.get("realms") or []
+    )
     return i.Settings(
-        me=raw["me"], instances=raw["instances"], zone=raw.get("zone", ""), classes=classes,
-        kinds=kinds, tenants=tenants, ahead=info.get("holds-allowed", False),
-        writers_read=info.get("read-in-place", False), resume=info.get("resume", False),
+        me=raw["me"],
+        instances=raw["instances"],
+        zone=raw.get("zone", ""),
+        classes=classes,
+        kinds=kinds,
+        tenants=tenants,
+        ahead=info.get("holds-allowed", False),
+        writers_read=info.get("read-in-place", False),
+        resume=info.get("resume", False),
         release_us=info.get("let-go-by-us", NO_BOUND_US),
-        drain_grace_us=rules.get("drain-grace-us", 0), cold_us=rules.get("cold-us", 0),
-        start_capacity=rules.get("start-capacity", 1.0), fall_multiple=rules.get("fall-multiple", 1.0),
-        fall_us=rules.get("fall-us", 0), answer_slack_us=rules.get("answer-slack-us", 0),
-        ask_within_us=rules.get("ask-within-us", 0), max_attempts=allowed.get("most-tries", NO_BOUND),
-        second_copies=allowed.get("second-copies", False), cancel=allowed.get("cancel", False),
-        probes=allowed.get("probes", False), peers=allowed.get("peers", False),
+        drain_grace_us=rules.get("drain-grace-us", 0),
+        cold_us=rules.get("cold-us", 0),
+        start_capacity=rules.get("start-capacity", 1.0),
+        fall_multiple=rules.get("fall-multiple", 1.0),
+        fall_us=rules.get("fall-us", 0),
+        answer_slack_us=rules.get("answer-slack-us", 0),
+        ask_within_us=rules.get("ask-within-us", 0),
+        max_attempts=allowed.get("most-tries", NO_BOUND),
+        second_copies=allowed.get("second-copies", False),
+        cancel=allowed.get("cancel", False),
+        probes=allowed.get("probes", False),
+        peers=allowed.get("peers", False),
         retry_after=allowed.get("retry-after", False),
         max_retry_after_us=allowed.get("max-retry-after-us", 0),
         list_pushed=raw.get("membership-mode", "push") == "push",
-        over_share_worth=raw.get("over-share-worth", 1.0), late_fail_price=prices.get("late-fail", 0.0),
-        waste_price=prices.get("waste", 0.0), cross_zone_price=prices.get("cross-zone", 0.0),
-        far_price=info.get("transfer-price", 0.0), tick_us=raw.get("tick-us", 1))
+        over_share_worth=raw.get("over-share-worth", 1.0),
+        late_fail_price=prices.get("late-fail", 0.0),
+        waste_price=prices.get("waste", 0.0),
+        cross_zone_price=prices.get("cross-zone", 0.0),
+        far_price=info.get("transfer-price", 0.0),
+        tick_us=raw.get("tick-us", 1),
+    )
--- a/yardspindle/steward/app.py
+++ b/yardspindle/steward/app.py
@@ -55,8 +55,17 @@
         self.keys = Keys(fleet.name)
         self.roster = Roster(config)
         self.follower = Follower(world, store, self.keys, self._news)
-        self.membership = Membership(world, fleet, store, "steward", self.name, self.epoch, config.edge.zone, version,
-                                     Turns(self._granted, self._kept, self._failed))
+        self.membership = Membership(
+            world,
+            fleet,
+            store,
+            "steward",
+            self.name,
+            self.epoch,
+            config.edge.zone,
+            version,
+            Turns(self._granted, self._kept, self._failed),
+        )
         self.figures = own.Figures(microseconds(fleet.ttl_ms), microseconds(fleet.margin_ms))
         self.state = own.State(self.name, self.figures)
         self.workers: dict[str, Task] = {}
@@ -151,11 +160,19 @@
             return self.act(duty)
 
         if duty == "clock":
-            return Clock(self.world, self.store, self.keys, self.follower, self.membership,
-                         microseconds(self.config.fleet.clock_bound_ms), act)
+            return Clock(
+                self.world,
+                self.store,
+                self.keys,
+                self.follower,
+                self.membership,
+                microseconds(self.config.fleet.clock_bound_ms),
+                act,
+            )
         if duty == "release":
-            return Releasing(self.world, self.store, self.keys, self.follower, self.config.release.limit, self.name,
-                             act)
+            return Releasing(
+                self.world, self.store, self.keys, self.follower, self.config.release.limit, self.name, act
+            )
         return Sweep(self.world, self.store, self.keys, self.follower, self.roster, duty, act)
 
     def _take(self, duty: str, lease: int) -> None:
@@ -178,8 +195,7 @@
             if worker is not None:
                 worker.join()  # its last order is answered or given up before another may own the duty
             lease = self.state.lease
-            self._patiently(lambda: self.store.txn(self.keys.hand_over(duty, fence)),
-                            lambda: self.state.lease == lease)
+            self._patiently(lambda: self.store.txn(self.keys.hand_over(duty, fence)), lambda: self.state.lease == lease)
 
         self._handing_over = [task for task in self._handing_over if not task.done]
         self._handing_over.append(self.world.spawn(f"hand over {duty}", hand_over))
--- a/yardspindle/steward/clock.py
+++ b/yardspindle/steward/clock.py
@@ -28,8 +28,16 @@
 class Clock:
     """See Duty."""
 
-    def __init__(self, world: World, store: Store, keys: Keys, follower: Follower, membership: Membership,
-                 bound_us: int, act: Callable[[], int | None]) -> None:
+    def __init__(
+        self,
+        world: World,
+        store: Store,
+        keys: Keys,
+        follower: Follower,
+        membership: Membership,
+        bound_us: int,
+        act: Callable[[], int | None],
+    ) -> None:
         """`bound_us`: how far a clock may be off; `act`: the fence to act with now, or None."""
         self._world, self._store, self._keys, self._follower = world, store, keys, follower
         self._membership, self._bound_us, self._act = membership, bound_us, act
@@ -51,8 +59,7 @@
 
     def _ask_all(self) -> dict[str, Sample]:
         samples = {self._membership.member.id: Sample(0, 0)}
-        waiting = [m for name, m in sorted(self._follower.view.members.items())
-                   if name not in samples and m.page]
+        waiting = [m for name, m in sorted(self._follower.view.members.items()) if name not in samples and m.page]
 
         def some() -> None:
             while waiting:
@@ -73,8 +80,9 @@
         if fence is None:
             return
         try:
-            if self._store.txn(self._keys.under("clock", fence, Put(self._keys.clocks, msgspec.json.encode(word)))
-                               ).succeeded:
+            if self._store.txn(
+                self._keys.under("clock", fence, Put(self._keys.clocks, msgspec.json.encode(word)))
+            ).succeeded:
                 self._said, self._said_us = word, now
                 if word.out:
                     log.warning("clocks are out", epochs=list(word.out), offsets=word.offsets)
--- a/yardspindle/steward/release.py
+++ b/yardspindle/steward/release.py
@@ -27,8 +27,16 @@
 class Releasing:
     """See Duty."""
 
-    def __init__(self, world: World, store: Store, keys: Keys, follower: Follower, limits: tuple[Limit, ...],
-                 name: str, act: Callable[[], int | None]) -> None:
+    def __init__(
+        self,
+        world: World,
+        store: Store,
+        keys: Keys,
+        follower: Follower,
+        limits: tuple[Limit, ...],
+        name: str,
+        act: Callable[[], int | None],
+    ) -> None:
         """`limits`: the fleet's; `act`: the fence to act with now, or None."""
         self._world, self._store, self._follower = world, store, follower
         self._keys, self._limits, self._name, self._act = UnitKeys(keys), limits, name, act
@@ -81,8 +89,14 @@
         match step:
             case r.Grant():
                 txn = self._keys.grant(fence, units, step)
-                log.info("unit let go", unit=step.unit, order=step.order.do, number=step.order.number,
-                         version=step.order.version, fence=fence)
+                log.info(
+                    "unit let go",
+                    unit=step.unit,
+                    order=step.order.do,
+                    number=step.order.number,
+                    version=step.order.version,
+                    fence=fence,
+                )
             case r.Close(unit):
                 txn = self._keys.close(fence, units, unit)
                 log.info("unit is back", unit=unit, fence=fence)
--- a/yardspindle/steward/sweep.py
+++ b/yardspindle/steward/sweep.py
@@ -33,8 +33,16 @@
 class Sweep:
     """See Duty."""
 
-    def __init__(self, world: World, store: Store, keys: Keys, follower: Follower, roster: Roster, duty: str,
-                 act: Callable[[], int | None]) -> None:
+    def __init__(
+        self,
+        world: World,
+        store: Store,
+        keys: Keys,
+        follower: Follower,
+        roster: Roster,
+        duty: str,
+        act: Callable[[], int | None],
+    ) -> None:
         """`act`: the fence to act with now, or None."""
         self._world, self._store, self._keys, self._follower = world, store, keys, follower
         self._roster, self._duty, self._act = roster, duty, act
--- a/yardspindle/unit/app.py
+++ b/yardspindle/unit/app.py
@@ -68,8 +68,9 @@
 class Unit:
     """One unit's program."""
 
-    def __init__(self, world: World, file: u.UnitFile, fleet: FleetConfig, store: Store, version: str,
-                 hands: Hands) -> None:
+    def __init__(
+        self, world: World, file: u.UnitFile, fleet: FleetConfig, store: Store, version: str, hands: Hands
+    ) -> None:
         """Nothing is started. Raises ValueError: the state file cannot be read."""
         self.world, self.file, self.store, self.hands = world, file, store, hands
         self.keys = UnitKeys(Keys(fleet.name))
@@ -81,10 +82,17 @@
             raise ValueError(f"{file.state}: {error}") from None
         self.state = u.State(file, memory)
         hands.adopt(memory.pid, memory.born)
-        self.membership = Membership(world, fleet, store, "unit", file.name,
-                                     f"{world.random('unit').getrandbits(48):012x}", file.groups.get("zone", ""),
-                                     version, Turns(lambda lease, sent, ttl: None, lambda *kept: None,
-                                                    lambda granting: None))
+        self.membership = Membership(
+            world,
+            fleet,
+            store,
+            "unit",
+            file.name,
+            f"{world.random('unit').getrandbits(48):012x}",
+            file.groups.get("zone", ""),
+            version,
+            Turns(lambda lease, sent, ttl: None, lambda *kept: None, lambda granting: None),
+        )
         self._listen = split_address(file.page or fleet.listen)
         self._call_us = microseconds(fleet.call_ms)
         self._figures = Figures()
@@ -184,8 +192,19 @@
     def status(self) -> Status:
         """The unit as it is."""
         memory, figures = self.state.memory, self._figures
-        return Status(self.file.name, f"{memory.pid}-{memory.born}", self.state.standing, memory.version, memory.done,
-                      memory.refused, figures.load, figures.room, figures.served, figures.bad, memory.crashed)
+        return Status(
+            self.file.name,
+            f"{memory.pid}-{memory.born}",
+            self.state.standing,
+            memory.version,
+            memory.done,
+            memory.refused,
+            figures.load,
+            figures.room,
+            figures.served,
+            figures.bad,
+            memory.crashed,
+        )
 
     def _tell(self) -> None:
         """Under the lease, so that silence shows by itself; what matters at once, figures now and then."""
@@ -202,12 +221,14 @@
             puts = [Put(self.keys.of("statuses", self.file.name), msgspec.json.encode(status), lease)]
             if not self._placed:
                 groups = {str(name): value for name, value in self.file.groups.items()}
-                puts.append(Put(self.keys.of("places", self.file.name),
-                                msgspec.json.encode(Place(self.file.name, self.file.kind, groups))))
+                puts.append(
+                    Put(
+                        self.keys.of("places", self.file.name),
+                        msgspec.json.encode(Place(self.file.name, self.file.kind, groups)),
+                    )
+                )
             try:
                 self.store.txn(Txn(then=tuple(puts)))
                 self._told, self._told_us, self._placed = (status, lease), now, True
             except StoreError as error:
                 log.debug("the unit's status could not be told", reason=str(error))
-
-
