--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -77,7 +77,12 @@
     def owner(self, duty: str) -> str | None:
         for name, steward in self.stewards.items():
             world = self.sim.programs[name]
-            if world.alive and not world.gate.shut and steward.act(duty) is not None and duty in steward.workers:
+            if (
+                world.alive
+                and not world.gate.shut
+                and steward.fence_to_act(duty) is not None
+                and duty in steward.duty_tasks
+            ):
                 return name
         return None
 
@@ -112,7 +117,7 @@
                 sim.network.cut("store", name)
                 bench.until(lambda: bench.owner("sweep/0") is None)
             case "leaves":
-                world.spawn("leave", bench.stewards[name].leave)
+                world.spawn("leave", bench.stewards[name].shut_down)
                 bench.until(lambda: bench.owner("sweep/0") is None, 200)
             case "lease ended":
                 bench.etcd.command("expire")
@@ -175,7 +180,7 @@
     world.play()
     counts: Counter[str] = Counter()
     for edge in world.edges.values():
-        tally = edge.core.life.tally
+        tally = edge.core.lifecycle.counts
         counts.update(served=tally.served, refused=tally.refused, failed=tally.failed, left=tally.left)
     return counts
 
--- a/benchmarks/prefix_hits.py
+++ b/benchmarks/prefix_hits.py
@@ -19,10 +19,10 @@
 
 from yardspindle import Policy
 from yardspindle import interface as i
-from yardspindle.core.texts.blocks import pack
-from yardspindle.core.texts.cache_feed import Batch
-from yardspindle.core.texts.prefix_knowledge import Blocks, PrefixKnowledge
-from yardspindle.core.texts.tokens import ByteTokenizer
+from yardspindle.core.prefix.blocks import pack_tokens
+from yardspindle.core.prefix.cache_feed import Batch
+from yardspindle.core.prefix.prefix_tracker import PrefixTracker, PromptBlocks
+from yardspindle.core.prefix.tokenizer import ByteTokenizer
 from yardspindle.lab.block_cache import BlockCache
 
 SIZE = 16
@@ -107,12 +107,12 @@
     for policy in policies:
         policy.handle(0, i.Members(i.ListKind.COMPLETE, 1, entries))
     known = [
-        PrefixKnowledge(ByteTokenizer(), SIZE, 1_000_000, guessing=mode == "guess", following=mode == "events")
+        PrefixTracker(ByteTokenizer(), SIZE, 1_000_000, use_estimates=mode == "guess", use_events=mode == "events")
         for _ in range(ROUTERS)
     ]
     names = [str(n + 1) for n in range(readers)]
     for knowledge in known:
-        knowledge.listed(names)
+        knowledge.set_publishers(names)
     due: list[tuple[int, int, str, Any]] = []
     order = 0
 
@@ -123,7 +123,7 @@
 
     tally, number = Tally(), 0
     sessions: dict[int, list[int]] = {}
-    asks: dict[int, tuple[int, list[int], Blocks, dict[str, float]]] = {}
+    asks: dict[int, tuple[int, list[int], PromptBlocks, dict[str, float]]] = {}
     heard = [[0] * readers for _ in range(ROUTERS)]
     at = 0.0
     while (at := at + rng.expovariate(RATE_PER_READER * readers)) < seconds:
@@ -141,7 +141,7 @@
                     later(now_us + 1_000, "written", (router, action.request))
                     continue
                 reader = boxes[action.server - 1]
-                packed = pack(tokens)
+                packed = pack_tokens(tokens)
                 cached = reader.cache.found(list(blocks.hashes)) * SIZE
                 reader.cache.keep(list(blocks.hashes), packed)
                 started = max(now_us, reader.free_us)
@@ -157,12 +157,12 @@
             number += 1
             router = rng.randrange(ROUTERS)
             text, session, tokens, shared = prompt(rng, kind, now_us / 1e6, sessions, seconds)
-            blocks = Blocks(boxes[0].cache.hashes(pack(tokens)), len(tokens))
+            blocks = PromptBlocks(boxes[0].cache.hashes(pack_tokens(tokens)), len(tokens))
             knowledge = known[router]
             if mode == "events":
                 for n, reader in enumerate(boxes):
                     for seq, data in reader.sent[heard[router][n] :]:
-                        knowledge.batch(now_us, names[n], seq, msgspec.msgpack.decode(data, type=Batch))
+                        knowledge.receive_batch(now_us, names[n], seq, msgspec.msgpack.decode(data, type=Batch))
                     heard[router][n] = len(reader.sent)
             if mode == "oracle":
                 told = {
@@ -172,7 +172,7 @@
             elif mode == "neither":
                 told = {}
             else:
-                told = knowledge.kept(now_us, blocks, names, float(len(tokens)))
+                told = knowledge.predict_from_index(now_us, blocks, names, float(len(tokens)))
             asks[number] = (router, list(tokens), blocks, told)
             kept = {int(name): value for name, value in told.items()} if mode != "neither" else None
             act(
--- a/benchmarks/prefix_index.py
+++ b/benchmarks/prefix_index.py
@@ -15,7 +15,7 @@
 
 import click
 
-from yardspindle.core.texts.prefix_index import PrefixIndex
+from yardspindle.core.prefix.prefix_index import PrefixIndex
 
 TEXT = 64  # blocks of a text
 HOLDERS = 6.0  # mean number of boxes that hold a text
--- a/benchmarks/releases.py
+++ b/benchmarks/releases.py
@@ -13,7 +13,7 @@
 from yardspindle.core.config import Limit
 from yardspindle.core.fleet import permits as p
 from yardspindle.core.fleet import release_plan as r
-from yardspindle.core.fleet.verdict import Counts, Trial, window
+from yardspindle.core.fleet.canary_analysis import OutcomeCounts, SequentialTest, add_window
 
 S = 1_000_000
 MIXES = ((100, 400), (400, 100), (30, 30))  # requests of released and other units in a window
@@ -22,13 +22,13 @@
 
 def until_halt(seed: int, base: float, more: float, mix: tuple[int, int], windows: int) -> int | None:
     """Requests of released units until the halt. A quarter of the windows is five times as bad for both."""
-    rng, trial = random.Random(seed), Trial()
+    rng, trial = random.Random(seed), SequentialTest()
     for number in range(windows):
         rate = base * (5 if number % 20 > 14 else 1)
         bad = sum(rng.random() < min(rate + more, 1) for _ in range(mix[0]))
         others = sum(rng.random() < rate for _ in range(mix[1]))
-        trial = window(trial, Counts(mix[0], bad), Counts(mix[1], others))
-        if trial.halts:
+        trial = add_window(trial, OutcomeCounts(mix[0], bad), OutcomeCounts(mix[1], others))
+        if trial.shows_harm:
             return trial.seen
     return None
 
@@ -37,14 +37,16 @@
     """Virtual seconds and store transactions of a whole release."""
     rng = random.Random(seed)
     names = [f"u{n:04}" for n in range(size)]
-    places = {n: p.Place(n, "dispatcher", {"zone": "abc"[at % 3], "cell": str(at % 20)}) for at, n in enumerate(names)}
-    fleet = p.Fleet(
+    places = {
+        n: p.UnitPlacement(n, "dispatcher", {"zone": "abc"[at % 3], "cell": str(at % 20)}) for at, n in enumerate(names)
+    }
+    fleet = p.FleetSnapshot(
         places,
-        {n: p.Status(n, "0", "well", "v1") for n in names},
+        {n: p.UnitStatus(n, "0", "well", "v1") for n in names},
         {},
         (Limit("all", most_out_share=most_out), Limit("zone", most_out_share=4 * most_out)),
     )
-    release = r.begin("r", r.PlanFile("v2", "v1", tuple(names), settle_s=10, start_s=120), places)
+    release = r.create_release("r", r.PlanFile("v2", "v1", tuple(names), settle_s=10, start_s=120), places)
     orders: dict[str, r.Order] = {}
     due: dict[str, int] = {}
     now = began = S
@@ -53,22 +55,22 @@
         now += LOOK_US
         for name in [name for name, at in due.items() if at <= now]:
             del due[name]
-            fleet = replace(fleet, statuses={**fleet.statuses, name: p.Status(name, "1", "well", "v2")})
-        for step in r.steps(release, fleet, orders, now, 1, "s"):
+            fleet = replace(fleet, statuses={**fleet.statuses, name: p.UnitStatus(name, "1", "well", "v2")})
+        for step in r.next_steps(release, fleet, orders, now, 1, "s"):
             steps += 1
             match step:
-                case r.Keep(kept):
+                case r.UpdateRelease(kept):
                     release = kept
-                case r.Close(name):
+                case r.ClosePermit(name):
                     fleet = replace(fleet, permits={n: row for n, row in fleet.permits.items() if n != name})
-                case r.Grant(name, order, permit):
+                case r.GrantPermit(name, order, permit):
                     orders[name], due[name] = order, now + rng.randint(8 * S, 25 * S)
                     fleet = replace(
                         fleet,
                         permits={**fleet.permits, name: permit},
-                        statuses={**fleet.statuses, name: p.Status(name, "0", "draining", "v1")},
+                        statuses={**fleet.statuses, name: p.UnitStatus(name, "0", "draining", "v1")},
                     )
-                    assert not p.broken(fleet)
+                    assert not p.violated_limits(fleet)
     return (now - began) / S, steps
 
 
--- a/benchmarks/slow_start_fleet.py
+++ b/benchmarks/slow_start_fleet.py
@@ -312,10 +312,10 @@
     def home(self) -> str:
         """A text whose home, at every dispatcher, is the first cold reader."""
         reader = next((h.entry.server for h in self.cold if h.reads), None)
-        policy = Policy(self.policies[0].set, 1)
+        policy = Policy(self.policies[0].settings, 1)
         policy.handle(0, i.Members(i.ListKind.COMPLETE, 1, tuple(h.entry for h in self.hosts.values())))
         return next(
-            t for t in map("h{}".format, count()) if reader is None or policy._order(t)[0].entry.server == reader
+            t for t in map("h{}".format, count()) if reader is None or policy._reader_order(t)[0].entry.server == reader
         )
 
     # --- what came of it
--- a/tests/crossing_clients.py
+++ b/tests/crossing_clients.py
@@ -94,7 +94,7 @@
         self.platform.sleep(5_000)
         connection = self.connect() if fresh else self.ask(ask, None)
         if connection is not None:
-            rest_us = timeouts.SILENT_CLIENT_US if fresh else timeouts.IDLE_CLIENT_US
+            rest_us = timeouts.CLIENT_REQUEST_US if fresh else timeouts.IDLE_CLIENT_US
             self.platform.sleep(rest_us + self.rng.randrange(-6_000, 4_000))
             self.ask(Ask(b"r.1", 0, ask.cls, ask.effect, ask.deadline_ms, b"r", False), connection)
 
--- a/tests/crossing_planted.py
+++ b/tests/crossing_planted.py
@@ -18,14 +18,14 @@
 from yardspindle.api.exchange import Exchange
 from yardspindle.api.serving import Server
 from yardspindle.core.hosts.host_list import HostList
-from yardspindle.core.request.ends import Ends
+from yardspindle.core.request.completion import RequestCompletion
 from yardspindle.core.request.lifecycle import Lifecycle
-from yardspindle.core.request.rooms import Rooms
+from yardspindle.core.request.request_releases import RequestReleases
 from yardspindle.core.request.unread_calls import UnreadCalls
 from yardspindle.engine.http_client import HttpClient, Response
-from yardspindle.node.discovery import Discovery
+from yardspindle.node.discovery import DiscoveryClient
 from yardspindle.node.executor import Executor
-from yardspindle.node.hosts import Hosts, Stream
+from yardspindle.node.host_client import HostClient, ResponseStream
 from yardspindle.node.release_tasks import ReleaseTasks
 
 SEEDS_MOST = 300
@@ -48,15 +48,22 @@
 NOT_SAID_AGAIN = (UnreadCalls, "take_due", "due.append(request)", "pass")
 
 PLANTED: dict[str, Planted] = {
-    "a client's leaving is not told": one(Server, "_watch", "exchange.left()", "return", "after its client left", 5),
+    "a client's leaving is not told": one(
+        Server, "_watch", "exchange.client_disconnected()", "return", "after its client left", 5
+    ),
     "500 is taken for turned away": one(
-        Hosts, "send", "head.status in (503, 504) and declined", "head.status in (500, 503, 504)", "sent again", 147
+        HostClient,
+        "send",
+        "head.status in (503, 504) and declined",
+        "head.status in (500, 503, 504)",
+        "sent again",
+        147,
     ),
     "a drain on the list is passed over": one(
         HostList, "_state", "PHASES.get(m.phase, i.State.DRAINING)", "i.State.SERVING", "after its drain was told", 7
     ),
     "drains on a list that may lag are passed over": one(
-        HostList, "take", "self.doubt == LAGS and self._drain(answer)", "False", "after its drain was told", 933
+        HostList, "apply", "self.rejection == MAY_LAG and self._drain(answer)", "False", "after its drain was told", 933
     ),
     "what is missing on a list that may lag is passed over": one(
         HostList, "_drain", "else host.up_since_ms <= newest", "else False", "after its drain was told", 3_888
@@ -72,21 +79,27 @@
     "a word that may have come too early is not said again": Planted(
         (
             NOT_SAID_AGAIN,
-            (Ends, "_release_all", "c.ReleaseAll(r.ask.request, r.unsure)", "c.ReleaseAll(r.ask.request, False)"),
+            (
+                RequestCompletion,
+                "_release_all",
+                "c.ReleaseAll(r.request.request, r.may_hold_later)",
+                "c.ReleaseAll(r.request.request, False)",
+            ),
         ),
         "was held",
         53_680,
     ),
     "a word that was not heard counts as heard": one(
-        Rooms, "settled", "if not heard:", "if heard and not heard:", "was held", 4_052
+        RequestReleases, "settled", "if not heard:", "if heard and not heard:", "was held", 4_052
     ),
     "a read that was called off left nothing": Planted(
         (
             NOT_SAID_AGAIN,
             (
-                Ends,
+                RequestCompletion,
                 "_abort",
-                "r.unsure = True  # it may end well just as it is called off\n                self._hold(now_us, r)",
+                "r.may_hold_later = True  # it may end well just as it is called off\n"
+                "                self._hold(now_us, r)",
                 "pass",
             ),
         ),
@@ -97,7 +110,12 @@
         Response, "close", " and not self.connection.parser.buffered", "", "no host made", 644
     ),
     "a silent agent is waited for": one(
-        Discovery, "_ask", "wait_us + timeouts.SILENT_AGENT_US", "wait_us + 60_000_000", "after its drain was told", 210
+        DiscoveryClient,
+        "_ask",
+        "wait_us + timeouts.AGENT_RESPONSE_US",
+        "wait_us + 60_000_000",
+        "after its drain was told",
+        210,
     ),
     "a kept connection is not looked at": Planted(
         (
@@ -110,27 +128,27 @@
     "a kept connection does not rest": one(
         HttpClient,
         "_rested",
-        "connection.used_us + rest_us <=",
-        "connection.used_us <=",
+        "connection.idle_since_us + rest_us <=",
+        "connection.idle_since_us <=",
         "two attempts out at once",
         43,
     ),
     "a cut stream is taken for whole": one(
         Executor,
         "_relay",
-        'return Ended(i.Status.RESET, detail=f"stream broken: {error}")',
-        "return Ended(i.Status.SERVED)",
+        'return AttemptResult(i.Status.RESET, detail=f"stream broken: {error}")',
+        "return AttemptResult(i.Status.SERVED)",
         "ended as whole",
         26,
     ),
     "an end of file ends a stream": one(
-        Stream, "next", 'raise ExchangeBroken("closed inside the stream")', "return None", "ended as whole", 26
+        ResponseStream, "read", 'raise ExchangeBroken("closed inside the stream")', "return None", "ended as whole", 26
     ),
     "a spoilt stream is taken for whole": one(
         Executor,
         "_relay",
-        'return Ended(i.Status.ERROR, detail=f"stream spoilt: {error}")',
-        "return Ended(i.Status.SERVED)",
+        'return AttemptResult(i.Status.ERROR, detail=f"stream spoilt: {error}")',
+        "return AttemptResult(i.Status.SERVED)",
         "ended as whole",
         42,
     ),
@@ -146,7 +164,12 @@
         Executor, "_ready", "self._left_ms(command))]", "(self._left_ms(command) + 200))]", "more than is left"
     ),
     "the time left is not looked at when an attempt goes out": one(
-        Lifecycle, "left_ms", "(r.out.until_us - now_us)", "(r.out.until_us - r.out.sent_us)", "more than is left", 40
+        Lifecycle,
+        "remaining_ms",
+        "(r.attempt.deadline_us - now_us)",
+        "(r.attempt.deadline_us - r.attempt.sent_us)",
+        "more than is left",
+        40,
     ),
     "an attempt is called off by name only": one(
         Executor,
@@ -159,8 +182,8 @@
     "a client's pieces are kept back": one(
         Exchange,
         "send",
-        "self._write(before +",
-        "self._world.sleep_until(self._world.now_us() + 400_000) or self._write(before +",
+        "self._write(head +",
+        "self._world.sleep_until(self._world.now_us() + 400_000) or self._write(head +",
         "us late",
     ),
     "an attempt waits when all has been looked at": one(
@@ -172,9 +195,9 @@
         "more than is left",
     ),
     "an attempt that was written has not run": one(
-        Hosts,
+        HostClient,
         "send",
-        "Status.ERROR if error.spoilt else Status.RESET, detail=str(error), stale=error.stale",
+        "Status.ERROR if error.malformed else Status.RESET, detail=str(error), stale=error.stale",
         "Status.CONNECT_FAILED, detail=str(error), stale=error.stale",
         "though it may have run",
         59,
--- a/tests/crossing_worlds.py
+++ b/tests/crossing_worlds.py
@@ -22,7 +22,7 @@
 from tests.world_ledger import Ledger
 from yardspindle.core.request.graceful_shutdown import shutdown_times
 from yardspindle.node.app import Node
-from yardspindle.node.config import parse
+from yardspindle.node.config import parse_config
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.virtual import EPOCH_US, Simulation, VirtualWorld
 
@@ -105,7 +105,7 @@
     def start(self) -> None:
         world = self.sim.program("node")
         data = json.dumps({"limits": {"sockets": 256}, "settings": self.plan.settings, "seed": f"{self.plan.seed:x}"})
-        self.node = Node(world, parse(TOLD, data.encode()))
+        self.node = Node(world, parse_config(TOLD, data.encode()))
         world.spawn("start", self.node.start).join()
 
     def reload(self) -> None:
@@ -116,7 +116,7 @@
             self.platform.discovery("10.2.0.9:8500", below)
             self.platform.moved_us = self.sim.now_us()
         data = {"discovery": "10.2.0.9:8500", "settings": self.plan.settings}
-        self.node.reload(parse(TOLD, json.dumps(data).encode()))
+        self.node.reload(parse_config(TOLD, json.dumps(data).encode()))
 
     def terminate(self) -> None:
         """SIGTERM, the program's own way to its end, and SIGKILL."""
@@ -126,7 +126,7 @@
         self.leaving_us = self.ledger.term_us = self.sim.now_us()
         longest_us = max(int(row["give-up-us"]) for row in self.plan.settings["services"])
         kill_us = self.leaving_us + min(longest_us, KILL_AFTER_MOST_US) + KILL_MORE_US
-        self.clients.crossing_us = shutdown_times(self.leaving_us, longest_us, self.ledger.resume).close_us
+        self.clients.crossing_us = shutdown_times(self.leaving_us, longest_us, self.ledger.resume).close_idle_us
         self.clients.terminated.set()
         world = node.world
         assert isinstance(world, VirtualWorld)
--- a/tests/ownership_model.py
+++ b/tests/ownership_model.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass, replace
 
 from yardspindle.core.fleet import ownership as own
-from yardspindle.core.fleet.fences import Fences
+from yardspindle.core.fleet.fences import FenceRegistry
 from yardspindle.core.fleet.kv import Put
-from yardspindle.core.fleet.kv_model import Model
-from yardspindle.core.fleet.members import Keys, Owner, holder
+from yardspindle.core.fleet.kv_model import StoreModel
+from yardspindle.core.fleet.members import FleetKeys, Owner, decode_holder
 
-KEYS, DUTY = Keys("m"), "d"
+KEYS, DUTY = FleetKeys("m"), "d"
 UNIT = 1_000_000  # one step of time; leases have whole seconds
 NAMES = ("a", "b")
 
@@ -40,14 +40,14 @@
     """Everything, as plain data; the store as the calls that made it."""
 
     now: int
-    states: tuple[own.State, ...]
+    states: tuple[own.OwnershipState, ...]
     calls: tuple[Call, ...]
     stopped: tuple[bool, ...]
     orders: tuple[tuple[int, int], ...]  # who, fence: written into a socket
     accepted: tuple[int, ...]  # fences of the orders obeyed, in order
     highest: int
     written: tuple[int, ...]  # fences of writes that the store took
-    store: Model
+    store: StoreModel
     early: bool  # a lease was ended early
     ever_stopped: bool
     lost: int  # answers lost so far
@@ -56,7 +56,7 @@
     def key(self) -> str:
         store = (
             self.store.revision,
-            sorted((n, k.ends_us) for n, k in self.store.leases.items()),
+            sorted((n, k.expires_us) for n, k in self.store.leases.items()),
             self.store.rows(b"\0", b"\0"),
         )
         return repr(
@@ -103,10 +103,10 @@
     def first(self) -> World:
         states, calls = [], []
         for who, name in enumerate(NAMES):
-            state, commands = own.start(name, own.Figures(self.rules.ttl * UNIT, self.rules.margin * UNIT), 0)
+            state, commands = own.start(name, own.LeaseTiming(self.rules.ttl * UNIT, self.rules.margin * UNIT), 0)
             states.append(state)
             calls += self._calls(who, 0, commands)
-        world = World(0, tuple(states), (), (False, False), (), (), 0, (), Model(), False, False, 0)
+        world = World(0, tuple(states), (), (False, False), (), (), 0, (), StoreModel(), False, False, 0)
         for call in calls:
             world = self._commit(world, world.calls, call)
             world = self._answered(world, world.calls[:-1], world.calls[-1])
@@ -116,11 +116,11 @@
         calls = []
         for command in commands:
             match command:
-                case own.AskLease():
+                case own.RequestLease():
                     calls.append(Call(who, "grant", now))
-                case own.Take(_, lease):
+                case own.AcquireDuty(_, lease):
                     calls.append(Call(who, "take", now, lease))
-                case own.End(_, fence, True, _):
+                case own.StopDuty(_, fence, True, _):
                     calls.append(Call(who, "over", now, fence=fence))
                 case _:
                     pass
@@ -184,11 +184,11 @@
             if world.stopped[who]:
                 continue
             row = next(iter(world.store.rows(KEYS.duty(DUTY), b"")), None)
-            held = {} if row is None else {DUTY: holder(row)}
+            held = {} if row is None else {DUTY: decode_holder(row)}
             world = self.feed(
                 world,
                 who,
-                own.Told(own.Seen(world.store.revision, held, frozenset(NAMES), frozenset([DUTY]))),  # type: ignore[arg-type]
+                own.ViewUpdated(own.DutyView(world.store.revision, held, frozenset(NAMES), frozenset([DUTY]))),  # type: ignore[arg-type]
             )
             if world.states[who].lease and not any(c.who == who and c.kind == "keep" for c in world.calls):
                 world = self._commit(world, world.calls, Call(who, "keep", now, world.states[who].lease))
@@ -208,7 +208,7 @@
             case "keep":
                 answer = store.keep_alive(world.now, call.lease)
             case "take" if call.lease in store.leases:
-                answer = store.txn(KEYS.take(DUTY, Owner(NAMES[call.who], ""), call.lease))
+                answer = store.txn(KEYS.acquire(DUTY, Owner(NAMES[call.who], ""), call.lease))
             case "over":
                 store.txn(KEYS.hand_over(DUTY, call.fence))
         return replace(world, store=store, calls=(*rest, replace(call, answer=answer, done=True)))
@@ -220,26 +220,26 @@
         match call.kind:
             case "grant":
                 assert isinstance(call.answer, int)
-                return self.feed(world, call.who, own.Granted(call.answer, sent, self.rules.ttl * UNIT))
+                return self.feed(world, call.who, own.LeaseGranted(call.answer, sent, self.rules.ttl * UNIT))
             case "keep":
                 assert isinstance(call.answer, int)
-                return self.feed(world, call.who, own.Kept(call.lease, sent, call.answer * UNIT))
+                return self.feed(world, call.who, own.LeaseRenewed(call.lease, sent, call.answer * UNIT))
             case "take" if call.answer is not None:
-                row = call.answer.found[-1][0]  # type: ignore[attr-defined]
+                row = call.answer.results[-1][0]  # type: ignore[attr-defined]
             case "over":
                 return world
             case _:
                 pass
-        held = holder(row) if row is not None else None
-        return self.feed(world, call.who, own.Looked(DUTY, call.lease, held, world.store.revision))
+        held = decode_holder(row) if row is not None else None
+        return self.feed(world, call.who, own.AcquireResult(DUTY, call.lease, held, world.store.revision))
 
     def _arrive(self, world: World, fence: int) -> World:
         """The receiver obeys or not; it also writes for the duty in the store, under the fence."""
-        receiver = Fences({DUTY: world.highest} if world.highest else {})
+        receiver = FenceRegistry({DUTY: world.highest} if world.highest else {})
         if receiver.admits(DUTY, fence) or not self.rules.receiver_compares:
             world = replace(world, accepted=(*world.accepted, fence), highest=max(world.highest, fence))
         store = world.store.copy()
-        txn = KEYS.under(DUTY, fence, Put(KEYS.clocks, b""))
+        txn = KEYS.with_fence(DUTY, fence, Put(KEYS.clocks, b""))
         done = store.txn(txn if self.rules.store_compares else replace(txn, compare=()))
         return replace(world, store=store, written=(*world.written, fence) if done.succeeded else world.written)
 
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -19,17 +19,17 @@
 
 from yardspindle import interface as i
 from yardspindle.api import exchange
-from yardspindle.core.hosts import roster
+from yardspindle.core.hosts import server_list
 from yardspindle.core.hosts.directory import Directory
-from yardspindle.core.hosts.roster import Roster
+from yardspindle.core.hosts.server_list import ServerList
 from yardspindle.core.request import commands as c
 from yardspindle.core.request import lifecycle
 from yardspindle.core.request.edge_core import EdgeCore
+from yardspindle.core.request.engine_releases import ReleaseQueues
 from yardspindle.core.request.intake import Intake
 from yardspindle.core.request.lifecycle import Lifecycle
-from yardspindle.core.request.open import Open
 from yardspindle.core.request.planning import PlanningSession
-from yardspindle.core.request.releases import Releases
+from yardspindle.core.request.records import RequestRecord
 from yardspindle.edge.app import Edge
 from yardspindle.edge.executor import Executor
 from yardspindle.edge.planner_link import PlannerLink
@@ -56,15 +56,15 @@
 
 @plant
 def state_release_forgotten() -> None:
-    def forget(self: Lifecycle, r: Open) -> None:
-        r.state, r.state_at = None, None
+    def forget(self: Lifecycle, r: RequestRecord) -> None:
+        r.state, r.state_server = None, None
 
     swap(Lifecycle, "_release_state", lambda _: forget)
 
 
 @plant
 def place_release_forgotten() -> None:
-    def forget(self: Lifecycle, r: Open) -> None:
+    def forget(self: Lifecycle, r: RequestRecord) -> None:
         r.place = None
 
     swap(Lifecycle, "_release_place", lambda _: forget)
@@ -72,7 +72,7 @@
 
 @plant
 def place_of_an_unheard_write_forgotten() -> None:
-    swap(Lifecycle, "_untaken", lambda _: lambda self, r, out: None)
+    swap(Lifecycle, "_unconfirmed_write", lambda _: lambda self, r, out: None)
 
 
 @plant
@@ -92,7 +92,7 @@
 @plant
 def state_of_an_aborted_read_forgotten() -> None:
     def make(real: Any) -> Any:
-        def abort(self: Lifecycle, now: int, r: Open) -> None:
+        def abort(self: Lifecycle, now: int, r: RequestRecord) -> None:
             real(self, now, r)
             self._commands = [row for row in self._commands if not isinstance(row, c.ReleaseState)]
 
@@ -116,7 +116,7 @@
 def late_place_answer_forgotten() -> None:
     def make(real: Any) -> Any:
         def answered(self: EdgeCore, now: int, request: int, number: int, server: Any, held: bool | None) -> Any:
-            if request not in self.life.open:
+            if request not in self.lifecycle.requests:
                 return []
             return real(self, now, request, number, server, held)
 
@@ -127,7 +127,7 @@
 
 @plant
 def refusal_crosses_with_the_stream() -> None:
-    def answer(self: Lifecycle, now: int, r: Open, final: c.Final, code: str, retry: int = 0) -> None:
+    def answer(self: Lifecycle, now: int, r: RequestRecord, final: c.Final, code: str, retry: int = 0) -> None:
         if r.final is None:
             self._final(r, final, code, retry)
             self._settle(now, r)
@@ -135,10 +135,10 @@
     swap(Lifecycle, "_answer", lambda _: answer)
 
     def tick(self: Lifecycle, now: int) -> list[c.Command]:
-        for r in list(self.open.values()):
-            if r.final is None and now >= r.ask.expires_us + self.rules.answer_slack_us:
+        for r in list(self.requests.values()):
+            if r.final is None and now >= r.request.expires_us + self.rules.answer_slack_us:
                 answer(self, now, r, c.Final.FAILED, "deadline")
-        return self._take()
+        return self._take_commands()
 
     swap(Lifecycle, "tick", lambda _: tick)
 
@@ -178,38 +178,38 @@
 @plant
 def draining_lost_from_the_list() -> None:
     def make(real: Any) -> Any:
-        def take(self: Roster, document: roster.ListDocument) -> Any:
+        def take(self: ServerList, document: server_list.ListDocument) -> Any:
             rows = tuple(msgspec.structs.replace(row, state="serving") for row in document.servers)
             return real(self, msgspec.structs.replace(document, servers=rows))
 
         return take
 
-    swap(Roster, "take", make)
+    swap(ServerList, "take", make)
 
 
 @plant
 def gone_servers_kept_open() -> None:
     def make(real: Any) -> Any:
-        def take(self: Roster, document: roster.ListDocument) -> Any:
+        def take(self: ServerList, document: server_list.ListDocument) -> Any:
             listed = {row.name for row in document.servers}
             kept = tuple(row for row in self.servers if row.name not in listed)
             return real(self, msgspec.structs.replace(document, servers=(*document.servers, *kept)))
 
         return take
 
-    swap(Roster, "take", make)
+    swap(ServerList, "take", make)
 
 
 @plant
 def start_times_lost_from_the_list() -> None:
     def make(real: Any) -> Any:
-        def take(self: Roster, document: roster.ListDocument) -> Any:
+        def take(self: ServerList, document: server_list.ListDocument) -> Any:
             rows = tuple(msgspec.structs.replace(row, up_since_ms=0.0) for row in document.servers)
             return real(self, msgspec.structs.replace(document, servers=rows))
 
         return take
 
-    swap(Roster, "take", make)
+    swap(ServerList, "take", make)
 
 
 @plant
@@ -225,20 +225,20 @@
 
 @plant
 def unheard_release_given_up() -> None:
-    swap(Releases, "settled", lambda real: lambda self, now, owed, heard: real(self, now, owed, True))
+    swap(ReleaseQueues, "settled", lambda real: lambda self, now, owed, heard: real(self, now, owed, True))
 
 
 @plant
 def unheard_releases_use_up_the_line() -> None:
     def make(real: Any) -> Any:
-        def settled(self: Releases, now: int, owed: Any, heard: bool) -> None:
+        def settled(self: ReleaseQueues, now: int, owed: Any, heard: bool) -> None:
             real(self, now, owed, heard)
             if not heard:
                 self._lines[(owed.server.host, owed.server.port)].out += 1
 
         return settled
 
-    swap(Releases, "settled", make)
+    swap(ReleaseQueues, "settled", make)
 
 
 @plant
@@ -275,7 +275,7 @@
 
         return take
 
-    swap(Intake, "take", make)
+    swap(Intake, "accept", make)
 
 
 @plant
@@ -287,7 +287,7 @@
 def lost_planner_settles_nothing() -> None:
     def down(self: Lifecycle, now: int) -> list[c.Command]:
         self.epoch = 0
-        return self._take()
+        return self._take_commands()
 
     swap(Lifecycle, "planner_down", lambda _: down)
 
@@ -299,15 +299,15 @@
     def up(self: Lifecycle, now: int, epoch: int) -> list[c.Command]:
         self.epoch = epoch
         self.directory = Directory()
-        for r in self.open.values():
+        for r in self.requests.values():
             r.epoch = epoch
-        return self._take()
+        return self._take_commands()
 
     swap(Lifecycle, "planner_up", lambda _: up)
 
     def down(self: Lifecycle, now: int) -> list[c.Command]:
         self.epoch = 0
-        return self._take()
+        return self._take_commands()
 
     swap(Lifecycle, "planner_down", lambda _: down)
 
@@ -335,7 +335,7 @@
 
 @plant
 def connection_not_closed_after_its_client() -> None:
-    swap(exchange.Exchange, "left", lambda _: lambda self: setattr(self, "gone", True))
+    swap(exchange.Exchange, "client_disconnected", lambda _: lambda self: setattr(self, "disconnected", True))
 
 
 @plant
--- a/tests/planted_crossings.py
+++ b/tests/planted_crossings.py
@@ -44,7 +44,7 @@
 PLANTS = {
     "nobody_hears_that_a_client_has_gone": Plant(
         "node/app.py",
-        "exchange.on_gone = self._gone(run)",
+        "exchange.on_disconnect = self._gone(run)",
         "pass",
         lambda stage: clients.flood(stage, "close", 0),
         "after its client left",
@@ -71,8 +71,8 @@
         "written before it was read",
     ),
     "nothing_is_let_go_of": Plant(
-        "core/request/ends.py",
-        "self._commands.append(c.ReleaseAll(r.ask.request, r.unsure))",
+        "core/request/completion.py",
+        "self._commands.append(c.ReleaseAll(r.request.request, r.may_hold_later))",
         "pass",
         lambda stage: clients.leaving_between(stage, "close"),
         "with no attempt out",
@@ -85,16 +85,16 @@
         "with no attempt out",
     ),
     "a_reset_counts_as_never_sent": Plant(
-        "node/hosts.py",
-        "return Ended(Status.ERROR if error.spoilt else Status.RESET, detail=str(error), stale=error.stale)",
-        "return Ended(Status.CONNECT_FAILED, detail=str(error))",
+        "node/host_client.py",
+        "Status.ERROR if error.malformed else Status.RESET, detail=str(error), stale=error.stale",
+        "Status.CONNECT_FAILED, detail=str(error)",
         lambda stage: hosts.cut_after_head(stage, "write", "order", True, b""),
         "though it may have run",
     ),
     "an_answer_that_breaks_counts_as_a_no": Plant(
-        "node/hosts.py",
-        "return Ended(Status.ERROR if error.spoilt else Status.RESET, detail=str(error))",
-        "return Ended(Status.FULL)",
+        "node/host_client.py",
+        "return AttemptResult(Status.ERROR if error.malformed else Status.RESET, detail=str(error))",
+        "return AttemptResult(Status.FULL)",
         lambda stage: hosts.cut_after_head(stage, "write", "order", False, hosts.CUTS["word"]),
         "though it may have run",
     ),
@@ -109,7 +109,7 @@
         "node/executor.py", "exchange.send(data)", "pass", clients.plainly, "a part passed on as whole"
     ),
     "a_broken_stream_counts_as_ended": Plant(
-        "node/hosts.py",
+        "node/host_client.py",
         'raise ExchangeBroken("closed inside the stream")',
         "return None",
         lambda stage: hosts.broken_stream(stage, False),
@@ -118,7 +118,7 @@
     "a_stream_is_never_ended": Plant(
         "node/app.py",
         "exchange.finish()",
-        "exchange.break_off()",
+        "exchange.abort()",
         lambda stage: hosts.cut_after_head(stage, "read", "ask", False, b"HTTP/1.1 202 x\r\n"),
         "cut though its host had ended it",
     ),
--- a/tests/planted_fleet.py
+++ b/tests/planted_fleet.py
@@ -7,11 +7,11 @@
 from dataclasses import replace
 from typing import Any
 
-from yardspindle.core.fleet import ownership, spread
-from yardspindle.core.fleet.fences import Fences
+from yardspindle.core.fleet import duty_assignment, ownership
+from yardspindle.core.fleet.fences import FenceRegistry
 from yardspindle.core.fleet.kv import Txn
-from yardspindle.core.fleet.members import Keys
-from yardspindle.core.fleet.sweep import Answer, Fates
+from yardspindle.core.fleet.members import FleetKeys
+from yardspindle.core.fleet.sweep import EndedEpochs, ProbeResult
 from yardspindle.fleet.store.gateway import Gateway
 from yardspindle.lab.engine_holds import Holds
 from yardspindle.steward import app, sweep
@@ -34,10 +34,10 @@
 
 @plant
 def a_duty_is_taken_without_looking() -> None:
-    _swap(Keys, "take", _no_compare)
+    _swap(FleetKeys, "acquire", _no_compare)
     _swap(
-        spread,
-        "shares",
+        duty_assignment,
+        "candidate_orders",
         lambda real: (
             lambda free, holders, names: {
                 duty: sorted(order, key=lambda name: name != _me[0])
@@ -61,17 +61,17 @@
 
 @plant
 def a_duty_is_handed_over_without_the_fence() -> None:
-    _swap(Keys, "hand_over", _no_compare)
+    _swap(FleetKeys, "hand_over", _no_compare)
 
 
 @plant
 def the_fleet_is_written_to_without_the_fence() -> None:
-    _swap(Keys, "under", _no_compare)
+    _swap(FleetKeys, "with_fence", _no_compare)
 
 
 @plant
 def an_engine_obeys_any_fence() -> None:
-    _swap(Fences, "admits", lambda real: lambda self, duty, fence: real(self, duty, fence) or True)
+    _swap(FenceRegistry, "admits", lambda real: lambda self, duty, fence: real(self, duty, fence) or True)
 
 
 @plant
@@ -82,18 +82,20 @@
 @plant
 def an_ended_lease_is_taken_for_a_death() -> None:
     _swap(
-        Fates, "asked", lambda real: lambda self, now, epoch, answer, found: real(self, now, epoch, Answer.REFUSED, "")
+        EndedEpochs,
+        "record_probe",
+        lambda real: lambda self, now, epoch, answer, found: real(self, now, epoch, ProbeResult.REFUSED, ""),
     )
 
 
 @plant
 def silence_is_taken_for_a_death() -> None:
     _swap(
-        Fates,
-        "asked",
+        EndedEpochs,
+        "record_probe",
         lambda real: (
             lambda self, now, epoch, answer, found: real(
-                self, now, epoch, Answer.REFUSED if answer is Answer.SILENT else answer, found
+                self, now, epoch, ProbeResult.REFUSED if answer is ProbeResult.NO_ANSWER else answer, found
             )
         ),
     )
@@ -101,13 +103,13 @@
 
 @plant
 def everybodys_holds_are_let_go_of() -> None:
-    _swap(sweep, "to_release", lambda real: lambda holds, gone: list(holds))
+    _swap(sweep, "holds_to_release", lambda real: lambda holds, gone: list(holds))
 
 
 @plant
 def a_fence_is_guessed() -> None:
     """The revision of the answer, not the one that made the key; a take after a lost answer is believed in."""
-    _swap(app, "holder", lambda real: lambda row: replace(real(row), fence=row.create + 1))
+    _swap(app, "decode_holder", lambda real: lambda row: replace(real(row), fence=row.create + 1))
 
 
 @plant
@@ -118,7 +120,9 @@
         "step",
         lambda real: (
             lambda state, now, event: real(
-                replace(state, seen=ownership.Seen()) if isinstance(event, ownership.Told) else state, now, event
+                replace(state, view=ownership.DutyView()) if isinstance(event, ownership.ViewUpdated) else state,
+                now,
+                event,
             )
         ),
     )
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from yardspindle.node.app import Node
-from yardspindle.node.config import parse
+from yardspindle.node.config import parse_config
 from yardspindle.protocol import http1
 from yardspindle.runtime.scheduler import Closed
 from yardspindle.runtime.virtual import Simulation, VirtualWorld
@@ -233,7 +233,7 @@
 
     def node(self, sockets: int = 256) -> tuple[VirtualWorld, Node]:
         world = self.sim.program("node")
-        config = parse(TOLD, json.dumps({"limits": {"sockets": sockets}, "settings": SETTINGS}).encode())
+        config = parse_config(TOLD, json.dumps({"limits": {"sockets": sockets}, "settings": SETTINGS}).encode())
         node = Node(world, config)
         world.spawn("start", node.start).join()
         return world, node
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -13,9 +13,9 @@
 from tests.platform_standin import SETTINGS, TOLD, Platform, plain
 from tests.test_node_discovery import Follower, play
 from yardspindle.core.config import ConfigError
-from yardspindle.core.hosts.host_list import read_answer
+from yardspindle.core.hosts.host_list import parse_answer
 from yardspindle.node.app import Node
-from yardspindle.node.config import BYTES_MOST, parse
+from yardspindle.node.config import MAX_CONFIG_BYTES, parse_config
 from yardspindle.protocol import http1
 from yardspindle.runtime.virtual import Simulation
 from yardspindle.runtime.world import Stream
@@ -139,7 +139,7 @@
 ) -> None:
     began = time.perf_counter()
     with pytest.raises(ValueError):
-        read_answer(BAD_LISTS[name])
+        parse_answer(BAD_LISTS[name])
     assert time.perf_counter() - began < 0.5
 
     def main(follower: Follower, agent: Agent) -> None:
@@ -181,9 +181,9 @@
 
 def test_what_a_list_may_hold_is_read() -> None:
     odd = GOOD | {"id": "é😀", "host_port": "255.255.255.255:65535", "cell": -1, "phase": "Odd", "size": 0, "more": [1]}
-    answer = read_answer(listed(odd, {"id": "gone", "phase": "Gone"}, more={"x": None}))
+    answer = parse_answer(listed(odd, {"id": "gone", "phase": "Gone"}, more={"x": None}))
     assert [found.id for found in answer.members] == ["é😀", "gone"]
-    assert len(read_answer(listed(GOOD, GOOD | {"phase": "Terminating"}, complete=False)).members) == 2
+    assert len(parse_answer(listed(GOOD, GOOD | {"phase": "Terminating"}, complete=False)).members) == 2
 
 
 def told(**changes: Any) -> bytes:
@@ -210,7 +210,7 @@
     "nested": b'{"settings":' + MANY,
     "nested, unknown": b'{"x":' + MANY,
     "nested, closed": b'{"settings":{"x":' + MANY + b"]" * 200_000 + b"}}",
-    "oversized": told() + b" " * BYTES_MOST,
+    "oversized": told() + b" " * MAX_CONFIG_BYTES,
     "no settings": b"{}",
     "settings null": told(settings=None),
     "settings a list": told(settings=[]),
@@ -290,7 +290,7 @@
 def test_a_bad_configuration_is_one_line_in_bounded_time(name: str) -> None:
     began = time.perf_counter()
     with pytest.raises(ConfigError) as caught:
-        parse(TOLD, BAD_CONFIGURATIONS[name])
+        parse_config(TOLD, BAD_CONFIGURATIONS[name])
     assert time.perf_counter() - began < 0.5
     text = str(caught.value)
     assert text.startswith("/config.json: ") and len(text.splitlines()) == 1 and 16 < len(text) < 700
@@ -298,7 +298,7 @@
 
 def test_the_configuration_that_the_bad_ones_are_made_of_is_good() -> None:
     for good in (told(), rows(), changed(), told(listen="10.1.0.1:9000", known=SOME | {"members": [GOOD]})):
-        parse(TOLD, good)
+        parse_config(TOLD, good)
 
 
 COLD = {"cold-us": 3_000_000, "fall-us": 500_000, "fall-multiple": 1.2}
@@ -330,7 +330,7 @@
         if hosts == "one of each":
             platform.hosts = {name: platform.hosts[name] for name in ("reads-0", "writes-2")}
         world = sim.program("node")
-        node = Node(world, parse(TOLD, told(settings=SETTINGS | ODD[name])))
+        node = Node(world, parse_config(TOLD, told(settings=SETTINGS | ODD[name])))
         world.spawn("start", node.start).join()
         assert [platform.ask(b"id%d" % at).status for at in range(9)] == [200] * 9
 
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -137,16 +137,16 @@
     writer = sends(router.end(number, 0, reader, i.Status.READ))[0]
     router.now += 2_000 * MS
     router.feed(i.First(number, 1, writer, 2_000 * MS))
-    for open_ in list(router.policy.open):
+    for open_ in list(router.policy.open_requests):
         router.feed(i.Hangup(open_))
     later = [sends(router.ask(prefix=f"p{n}")) for n in range(40)]
     assert not {s for sent in later for s in sent} & slow and any(later)
-    for open_ in list(router.policy.open):
+    for open_ in list(router.policy.open_requests):
         router.feed(i.Hangup(open_))
     router.now += 1_950 * MS
     homes = {router.home(prefix=f"p{n}") for n in range(200)}
     assert homes >= slow if instances == 1 else not homes & slow or instances == 2  # many keep off for longer
-    router.now += 50 * MS + int((instances - 1) * router.policy.own_us)
+    router.now += 50 * MS + int((instances - 1) * router.policy.mean_service_us)
     assert {router.home(prefix=f"p{n}") for n in range(200)} >= slow
 
 
@@ -213,10 +213,10 @@
     """At size own tokens say nothing: reads went on to readers that other routers had filled, and jammed."""
     router = Router("rrrw", instances=80)
     home = sends(router.ask())[0]
-    router.policy.best_rate = 0.02
+    router.policy.max_read_rate = 0.02
     router.feed(i.Outcome(1, 0, home, i.Status.READ, 900 * MS, False))
     router.feed(i.Hangup(1))
-    router.policy.keys.clear()
+    router.policy.key_counts.clear()
     assert router.home() != home
     router.now += 2_000 * MS
     assert router.home() == home
@@ -230,7 +230,7 @@
     router.now += 100 * MS
     router.end(1, 0, 1, i.Status.READ)
     router.feed(i.Hangup(1))
-    own = router.policy.own_us
+    own = router.policy.mean_service_us
     router.ask()
     router.now += 2_000 * MS
     router.feed(i.Outcome(2, 0, 1, i.Status.TIMEOUT, 2_000 * MS, False))
@@ -241,7 +241,7 @@
         if sends(router.ask()):
             break
         router.feed(i.Hangup(router.next))
-    aim = router.policy.least_aim
+    aim = router.policy.min_aim_us
     assert own > 0 and waited - aim < router.now - since <= waited
 
 
@@ -249,7 +249,7 @@
     """Hung readers took work and answered none; each request there was lost."""
     router = Router("rrw")
     reader = sends(router.ask())[0]
-    router.policy.best_rate = 0.02
+    router.policy.max_read_rate = 0.02
     router.now += 600 * MS
     assert sends(router.ask()) == [3 - reader]
 
@@ -258,7 +258,7 @@
 def test_shared_text_is_not_read_ever_farther_from_its_home(shared: float) -> None:
     """In a jam every reader read every text, or turns of a session; nothing stayed kept, the jam went on."""
     router = Router("rrrrrrw", instances=80)
-    router.policy.best_rate, router.policy.keys_sum = 0.02, 1_000.0  # the text is one of many
+    router.policy.max_read_rate, router.policy.key_count_total = 0.02, 1_000.0  # the text is one of many
     seen = set()
     for _ in range(6):
         router.next += 1
@@ -277,7 +277,7 @@
     for at in range(60):
         router.home(prefix="hot" if at % 2 else f"p{at}", session=f"s{at}")
     assert len({router.home(prefix="hot", session=f"t{at}") for at in range(30)}) >= 4
-    assert router.policy._width("p2") == 1
+    assert router.policy._spread_width("p2") == 1
 
 
 def test_a_router_that_has_seen_few_requests_spreads_no_text() -> None:
@@ -322,7 +322,7 @@
 
 def test_reader_full_for_one_tenant_is_not_late_for_the_others() -> None:
     router = Router("rw", instances=100)
-    router.policy.own_us = 100_000.0
+    router.policy.mean_service_us = 100_000.0
     assert sends(router.feed(i.Request(1, "safe", router.now + LIFE, 500.0, tenant="x"))) == [1]
     router.now += 50 * MS
     router.end(1, 0, 1, i.Status.FULL)
--- a/tests/test_choices_failures.py
+++ b/tests/test_choices_failures.py
@@ -43,7 +43,7 @@
         while sends(acts):
             server = sends(acts)[0]
             knocks += server != 1
-            attempt = router.policy.open[router.next].attempts - 1
+            attempt = router.policy.open_requests[router.next].attempts - 1
             status = i.Status.READ if server == 1 else i.Status.CONNECT_FAILED
             acts = router.end(router.next, attempt, server, status)
     assert knocks == 2
@@ -60,7 +60,7 @@
     while 2 not in sends(router.end(router.next, 0, 1, i.Status.READ) if sends(router.ask()) else []):
         router.feed(i.Hangup(router.next))
     router.feed(i.First(router.next, 1, 2, 10 * MS))
-    assert writer.since_us == router.now and router.policy._warmth(writer) < 1
+    assert writer.started_us == router.now and router.policy._warmth(writer) < 1
 
 
 def test_what_waits_is_tried_in_order_of_worth() -> None:
@@ -69,7 +69,7 @@
     for cls in ("safe", "safe", "dear"):  # the first is read, the others wait
         router.ask(cls)
     router.end(1, 0, 1, i.Status.RESET)
-    router.policy.servers[1].failures, router.policy.servers[1].ejected_until = 0, 0
+    router.policy.servers[1].failures, router.policy.servers[1].ejected_until_us = 0, 0
     assert [a.request for a in router.sweep(20) if isinstance(a, i.Send)][:1] == [3]
 
 
@@ -110,12 +110,12 @@
 def test_memory_bounds_the_work_of_a_router(instances: int) -> None:
     """Without a bound routers took on more than the writers could hold, and all answers came late."""
     router = Router("r" * 8 + "w" * 8, instances=instances)
-    router.policy.refused_us = router.now
+    router.policy.last_place_refused_us = router.now
     held = 0
     for at in range(400):
         held += len(places(router.ask(prompt=3_000.0, prefix=f"p{at}")))
         for server in router.policy.servers.values():
-            server.tokens = 0.0
+            server.pending_tokens = 0.0
     assert 1 <= held <= max(1, 0.9 * 8 * 50_000 / instances / 3_000)
 
 
@@ -168,9 +168,9 @@
     router.end(1, 0, 1, i.Status.READ)
     router.feed(i.Hangup(1))
     router.ask(prompt=5_000.0, session="lost")
-    assert router.policy.servers[1].tokens > 0
+    assert router.policy.servers[1].pending_tokens > 0
     router.sweep(2_000)
-    assert router.policy.servers[1].tokens == 0
+    assert router.policy.servers[1].pending_tokens == 0
 
 
 def test_an_unsafe_write_that_got_lost_is_not_made_again() -> None:
@@ -215,7 +215,7 @@
             )
         )
         homes = [router.home(prefix=f"p{n}") for n in range(200)]
-        return sum(router.policy.servers[home].entry.zone == router.policy.set.zone for home in homes) / 200
+        return sum(router.policy.servers[home].entry.zone == router.policy.settings.zone for home in homes) / 200
 
     assert abs(near(0.0) - 0.5) < 0.1 and abs(near(0.02) - 0.8) < 0.1
 
@@ -230,7 +230,7 @@
     assert bool(refused) is not resumed
     if resumed:
         assert 1 in sends(router.end(1, 0, 1, i.Status.READ)) + sends(router.sweep(40))
-        assert 2 in router.policy.open
+        assert 2 in router.policy.open_requests
 
 
 @pytest.mark.parametrize("breaks", [False, True])
@@ -238,7 +238,7 @@
     """Trials find lost reads; where none got lost they fed readers that hung or were jammed by a long prompt."""
     router = Router("rrw")
     reader = sends(router.ask())[0]
-    router.policy.best_rate = 0.02
+    router.policy.max_read_rate = 0.02
     if breaks:
         router.feed(i.Outcome(98, 0, 3, i.Status.CONNECT_FAILED, MS, False, stale=True))
     router.sweep(1_500)
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from yardspindle.core.fleet.clocks import judge, sample
+from yardspindle.core.fleet.clock_skew import estimate_offset, find_skewed_clocks
 
 MS = 1_000
 EPOCHS = {name: f"epoch of {name}" for name in "abcde"}
@@ -13,9 +13,9 @@
 
 
 def test_one_that_is_off_is_out_and_the_others_are_not() -> None:
-    word = judge(
+    word = find_skewed_clocks(
         {
-            name: sample(*at(offset))
+            name: estimate_offset(*at(offset))
             for name, offset in zip("abcde", (0, 3 * MS, -3 * MS, MS, 60_000 * MS), strict=True)
         },
         EPOCHS,
@@ -25,16 +25,22 @@
 
 
 def test_the_asker_itself_is_out_when_all_others_agree() -> None:
-    word = judge({"a": sample(0, 0, 0)} | {name: sample(*at(-60_000 * MS)) for name in "bcd"}, EPOCHS, 5_000 * MS)
+    word = find_skewed_clocks(
+        {"a": estimate_offset(0, 0, 0)} | {name: estimate_offset(*at(-60_000 * MS)) for name in "bcd"},
+        EPOCHS,
+        5_000 * MS,
+    )
     assert word.out == ("epoch of a",)
 
 
 def test_a_slow_answer_proves_nothing() -> None:
-    word = judge(
-        {"a": sample(0, 0, 0), "b": sample(*at(0)), "c": sample(0, 8_000 * MS, 20_000 * MS)}, EPOCHS, 5_000 * MS
+    word = find_skewed_clocks(
+        {"a": estimate_offset(0, 0, 0), "b": estimate_offset(*at(0)), "c": estimate_offset(0, 8_000 * MS, 20_000 * MS)},
+        EPOCHS,
+        5_000 * MS,
     )
     assert word.out == ()
 
 
 def test_nobody_answers() -> None:
-    assert judge({}, {}, MS).out == ()
+    assert find_skewed_clocks({}, {}, MS).out == ()
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -12,14 +12,20 @@
 from yardspindle import interface as i
 from yardspindle.core import config as cfg
 from yardspindle.core.hosts.directory import Server
-from yardspindle.core.hosts.roster import Roster, parse_list
-from yardspindle.core.request.answer import AnswerState, Collected, http_of
+from yardspindle.core.hosts.server_list import ServerList, parse_server_list
+from yardspindle.core.request.answer import AnswerTracker, CollectedAnswer, http_error
 from yardspindle.core.request.commands import Answer, Final
+from yardspindle.core.request.engine_releases import (
+    EXPIRY_US,
+    MAX_IN_FLIGHT_PER_SERVER,
+    MAX_PENDING,
+    ReleaseQueues,
+    ResourceKind,
+)
 from yardspindle.core.request.estimate import TokenEstimate
-from yardspindle.core.request.intake import Intake, IntakeError, Said
+from yardspindle.core.request.intake import Intake, IntakeError, RequestFields
 from yardspindle.core.request.planning import PlanningSession
-from yardspindle.core.request.proof import status_of_refusal
-from yardspindle.core.request.releases import AT_ONCE_MOST, LAPSE_US, OWED_MOST, Releases, Thing
+from yardspindle.core.request.retry_safety import classify_error
 from yardspindle.link import frames
 
 DEFAULT = cfg.parse("f", b"")
@@ -98,28 +104,28 @@
 )
 def test_a_list_is_refused_whole(data: bytes, says: str) -> None:
     with pytest.raises(cfg.ConfigError) as caught:
-        parse_list("s.toml", data, DEFAULT)
+        parse_server_list("s.toml", data, DEFAULT)
     assert str(caught.value).startswith(says)
 
 
 def test_no_cut_of_a_list_is_taken_for_the_list() -> None:
     whole = listed(A, B, A.replace("'a'", "'c'").replace(":1'", ":3'"))
-    full = parse_list("s", whole, DEFAULT)
+    full = parse_server_list("s", whole, DEFAULT)
     for end in range(len(whole)):
         try:
-            document = parse_list("s", whole[:end], DEFAULT)
+            document = parse_server_list("s", whole[:end], DEFAULT)
         except cfg.ConfigError:
             continue
         assert len(document.servers) == document.count == len(full.servers)
 
 
 def test_numbers_stay_with_their_names() -> None:
-    roster = Roster(DEFAULT)
-    assert roster.take(parse_list("s", listed(A, B), DEFAULT))
-    assert not roster.take(parse_list("s", listed(A, B), DEFAULT))
+    roster = ServerList(DEFAULT)
+    assert roster.apply(parse_server_list("s", listed(A, B), DEFAULT))
+    assert not roster.apply(parse_server_list("s", listed(A, B), DEFAULT))
     first = {server.name: server.number for server in roster.addresses()}
-    roster.take(parse_list("s", listed(B), DEFAULT))
-    roster.take(parse_list("s", listed(B, A + "\nup_since_ms = 5.0"), DEFAULT))
+    roster.apply(parse_server_list("s", listed(B), DEFAULT))
+    roster.apply(parse_server_list("s", listed(B, A + "\nup_since_ms = 5.0"), DEFAULT))
     assert {server.name: server.number for server in roster.addresses()} == first
     entries = {entry.server: entry for entry in roster.members(100).entries}
     assert (entries[first["a"]].up_since_us, entries[first["b"]].up_since_us) == (5_100, 0)
@@ -153,41 +159,43 @@
     assert len(estimate._kinds) <= 4_096
 
 
-def said(**more: Any) -> Said:
-    return Said(**{"tenant": "t", "opening": (b"x" * 2_000,), "first": b"hi", "size": 2_002, **more})
+def said(**more: Any) -> RequestFields:
+    return RequestFields(
+        **{"tenant": "t", "prefix_parts": (b"x" * 2_000,), "first_message": b"hi", "size": 2_002, **more}
+    )
 
 
 def test_what_clients_name_wins_and_is_kept_apart_by_tenant() -> None:
     intake = Intake(DEFAULT)
-    plain = intake.take(0, 1, said()).request
+    plain = intake.accept(0, 1, said()).request
     assert (plain.cls, plain.tenant, plain.prefix is not None) == ("chat", "t", True)
-    assert intake.take(0, 2, said(first=b"other")).request.prefix == plain.prefix
-    assert intake.take(0, 2, said(first=b"other")).request.session != plain.session
-    assert intake.take(0, 3, said(tenant="u")).request.prefix == plain.prefix, "the same text is the same state"
-    mine = intake.take(0, 4, said(shared_opening="k", session="s", cls="order", max_out=7)).request
-    theirs = intake.take(0, 5, said(tenant="u", shared_opening="k", session="s")).request
+    assert intake.accept(0, 2, said(first_message=b"other")).request.prefix == plain.prefix
+    assert intake.accept(0, 2, said(first_message=b"other")).request.session != plain.session
+    assert intake.accept(0, 3, said(tenant="u")).request.prefix == plain.prefix, "the same text is the same state"
+    mine = intake.accept(0, 4, said(shared_prefix="k", session="s", cls="order", max_out=7)).request
+    theirs = intake.accept(0, 5, said(tenant="u", shared_prefix="k", session="s")).request
     assert (mine.cls, mine.max_out) == ("order", 7.0)
     assert mine.prefix != theirs.prefix and mine.session != theirs.session
-    assert intake.take(0, 6, said(opening=(b"short",), size=7)).request.prefix is None
-    split = said(opening=(b"x" * 1_000, b"x" * 1_000))
-    assert intake.take(0, 7, split).request.prefix != plain.prefix
+    assert intake.accept(0, 6, said(prefix_parts=(b"short",), size=7)).request.prefix is None
+    split = said(prefix_parts=(b"x" * 1_000, b"x" * 1_000))
+    assert intake.accept(0, 7, split).request.prefix != plain.prefix
 
 
 def test_sizes_are_whole_tokens_so_that_sums_leave_nothing_over() -> None:
     intake = Intake(DEFAULT)
     intake.estimate.learn("t chat", 30_000, 10_007)
     for size in range(2_001, 2_040):
-        request = intake.take(0, 1, said(size=size)).request
+        request = intake.accept(0, 1, said(size=size)).request
         assert request.prompt_tokens.is_integer() and request.prefix_tokens.is_integer()
 
 
 def test_deadlines_only_ever_get_earlier() -> None:
     intake = Intake(DEFAULT)
     margin = 80_000
-    assert intake.take(5, 1, said()).request.expires_us == 5 + 7_500_000 - margin
-    assert intake.take(0, 2, said(timeout_ms=1_000.0)).request.expires_us == 1_000_000 - margin
-    assert intake.take(0, 3, said(client_timeout_ms=600_000.0)).request.expires_us == 7_500_000 - margin
-    assert intake.take(0, 4, said(timeout_ms=2.0)).request.expires_us == 1
+    assert intake.accept(5, 1, said()).request.expires_us == 5 + 7_500_000 - margin
+    assert intake.accept(0, 2, said(timeout_ms=1_000.0)).request.expires_us == 1_000_000 - margin
+    assert intake.accept(0, 3, said(client_timeout_ms=600_000.0)).request.expires_us == 7_500_000 - margin
+    assert intake.accept(0, 4, said(timeout_ms=2.0)).request.expires_us == 1
 
 
 @pytest.mark.parametrize(
@@ -202,7 +210,7 @@
 )
 def test_bad_fields_are_named(more: dict[str, Any], param: str) -> None:
     with pytest.raises(IntakeError) as caught:
-        Intake(DEFAULT).take(0, 1, said(**more))
+        Intake(DEFAULT).accept(0, 1, said(**more))
     assert caught.value.param == param
 
 
@@ -219,25 +227,25 @@
 
 
 def test_an_answer_is_whole_with_a_finish_and_done_alone() -> None:
-    state = AnswerState(usage_wanted=False)
+    state = AnswerTracker(usage_wanted=False)
     assert state.forward(chunk({"content": "a"})) and state.forward(chunk({}, "stop"))
     assert not state.forward(chunk(usage=USAGE)), "the client did not ask for it"
-    assert not state.whole and not state.forward(b"[DONE]") and state.whole
+    assert not state.complete and not state.forward(b"[DONE]") and state.complete
     assert state.counts is not None and (state.counts.prompt, state.counts.completion, state.counts.cached) == (9, 2, 4)
     assert not state.forward(chunk({"content": "after"}))
-    wanted = AnswerState(usage_wanted=True)
+    wanted = AnswerTracker(usage_wanted=True)
     assert wanted.forward(chunk(usage=USAGE))
-    cut = AnswerState(False)
+    cut = AnswerTracker(False)
     cut.forward(chunk({"content": "a"}))
     cut.forward(b"[DONE]")
-    assert cut.done and not cut.whole, "no finish reason came"
-    error = AnswerState(False)
+    assert cut.done and not cut.complete, "no finish reason came"
+    error = AnswerTracker(False)
     error.forward(chunk({}, "stop"))
-    assert not error.forward(b'{"error": {"message": "x"}}') and error.error and not error.whole
+    assert not error.forward(b'{"error": {"message": "x"}}') and error.error and not error.complete
 
 
 def test_text_that_talks_of_usage_passes_unchanged() -> None:
-    state = AnswerState(False)
+    state = AnswerTracker(False)
     assert state.forward(chunk({"content": '"usage": {"prompt_tokens": 5}'}))
     assert state.counts is None
 
@@ -245,7 +253,7 @@
 @settings(max_examples=150, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 2), st.text(max_size=8)), min_size=1, max_size=20))
 def test_collected_text_is_the_streamed_text(drawn: list[tuple[int, str]]) -> None:
-    whole = Collected()
+    whole = CollectedAnswer()
     for index, text in drawn:
         whole.add(chunk({"role": "assistant", "content": text}, index=index))
     for index in {index for index, _ in drawn}:
@@ -258,7 +266,7 @@
 
 
 def test_tool_calls_and_unknown_fields_are_put_together() -> None:
-    whole = Collected()
+    whole = CollectedAnswer()
     for part in (
         {"index": 0, "id": "t1", "type": "function", "function": {"name": "f", "arguments": ""}},
         {"index": 0, "function": {"arguments": '{"a"'}},
@@ -279,12 +287,12 @@
 
 
 def test_finals_have_their_status_and_say_whether_to_retry() -> None:
-    refused = http_of(Answer(1, Final.REFUSED, "overloaded", 1_500_000), unsafe=True)
+    refused = http_error(Answer(1, Final.REFUSED, "overloaded", 1_500_000), unsafe=True)
     assert refused.status == 503
     assert dict(refused.headers) == {b"retry-after": b"2", b"retry-after-ms": b"1500", b"x-should-retry": b"true"}
-    failed = http_of(Answer(1, Final.FAILED, "may_have_run"), unsafe=True)
+    failed = http_error(Answer(1, Final.FAILED, "may_have_run"), unsafe=True)
     assert failed.status == 502 and dict(failed.headers) == {b"x-should-retry": b"false"}
-    assert http_of(Answer(1, Final.FAILED, "deadline"), unsafe=False).headers == ()
+    assert http_error(Answer(1, Final.FAILED, "deadline"), unsafe=False).headers == ()
 
 
 @pytest.mark.parametrize(
@@ -299,7 +307,7 @@
     ],
 )
 def test_only_known_words_of_an_engine_prove_that_nothing_ran(status: int, code: str | None, expected: object) -> None:
-    assert status_of_refusal(status, code) == expected
+    assert classify_error(status, code) == expected
 
 
 # --- releases
@@ -310,34 +318,34 @@
 
 
 def test_releases_are_said_until_heard_a_few_at_a_time() -> None:
-    releases = Releases()
+    releases = ReleaseQueues()
     for part in range(10):
-        releases.owe(0, server(), Thing.STATE, part, 0)
-    releases.owe(0, server(2, places=False), Thing.STATE, 1, 0)
+        releases.add(0, server(), ResourceKind.STATE, part, 0)
+    releases.add(0, server(2, places=False), ResourceKind.STATE, 1, 0)
     first = releases.take_due(0)
-    assert len(first) == AT_ONCE_MOST and not releases.take_due(0)
+    assert len(first) == MAX_IN_FLIGHT_PER_SERVER and not releases.take_due(0)
     for owed in first:
-        releases.settled(10, owed, heard=False)
+        releases.settled(10, owed, confirmed=False)
     due = {owed.request for owed in releases.take_due(20)}
     assert due == {4, 5, 6, 7}, "those not yet said come before those said in vain"
-    assert releases.owed == 10
+    assert releases.pending == 10
 
 
 def test_what_lapsed_is_no_longer_said_and_the_whole_is_bounded() -> None:
-    releases = Releases()
-    releases.owe(0, server(), Thing.PLACE, 1, 1)
-    assert not releases.take_due(LAPSE_US) and (releases.lapsed, releases.owed) == (1, 0)
-    for number in range(OWED_MOST + 50):
-        releases.owe(0, server(number % 3), Thing.PLACE, number, 1)
-    assert releases.owed == OWED_MOST and releases.dropped == 50
+    releases = ReleaseQueues()
+    releases.add(0, server(), ResourceKind.PLACE, 1, 1)
+    assert not releases.take_due(EXPIRY_US) and (releases.expired, releases.pending) == (1, 0)
+    for number in range(MAX_PENDING + 50):
+        releases.add(0, server(number % 3), ResourceKind.PLACE, number, 1)
+    assert releases.pending == MAX_PENDING and releases.dropped == 50
 
 
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.tuples(st.integers(1, 3), st.booleans(), st.integers(0, 400_000)), max_size=60))
 def test_every_release_is_in_the_end_heard_or_lapsed(drawn: list[tuple[int, bool, int]]) -> None:
-    releases, now, heard_of = Releases(), 0, set()
+    releases, now, heard_of = ReleaseQueues(), 0, set()
     for part, (at, heard, wait) in enumerate(drawn):
-        releases.owe(now, server(at), Thing.STATE, part, 0)
+        releases.add(now, server(at), ResourceKind.STATE, part, 0)
         now += wait
         for owed in releases.take_due(now):
             releases.settled(now, owed, heard)
@@ -348,8 +356,8 @@
         for owed in releases.take_due(now):
             releases.settled(now, owed, True)
             heard_of.add(owed.request)
-    assert releases.owed == 0
-    assert len(heard_of) + releases.lapsed == len(drawn)
+    assert releases.pending == 0
+    assert len(heard_of) + releases.expired == len(drawn)
 
 
 # --- planning
@@ -367,12 +375,12 @@
         return []
 
     session = PlanningSession(policy, edge_now_us=1_000_000, now_us=400)
-    reply = session.heard(1_000_100, [i.Request(1, "a", 5, 1.0), i.Request(2, "bad", 5, 1.0)])
-    assert reply.actions == [i.Send(1, 1), i.Fail(2)] and len(reply.faults) == 1
+    reply = session.handle_events(1_000_100, [i.Request(1, "a", 5, 1.0), i.Request(2, "bad", 5, 1.0)])
+    assert reply.actions == [i.Send(1, 1), i.Fail(2)] and len(reply.errors) == 1
     assert session.next_due_us() == 1_000 and not session.tick(999).actions and len(calls) == 2
     session.tick(1_000)
     assert calls[-1] == (i.Timer(9), 1_000_600)
-    session.heard(1_000_000, [i.Hangup(1)])
+    session.handle_events(1_000_000, [i.Hangup(1)])
     assert calls[-1][1] == 1_000_600, "time never goes back"
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -6,7 +6,7 @@
 
 from tests.crossing_ledger import LEFT_S
 from tests.crossings import Stage
-from yardspindle.api.inbox import AHEAD_REQUESTS_MOST
+from yardspindle.api.request_queue import MAX_QUEUED_REQUESTS
 
 LEAVING = ("fin", "close", "rst")
 PHASES = ("before the read", "read out", "write out", "streaming")
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("how", LEAVING)
 @pytest.mark.parametrize("phase", PHASES)
-@pytest.mark.parametrize("count,body", [(5, 61_000), (3 * AHEAD_REQUESTS_MOST, 10)])
+@pytest.mark.parametrize("count,body", [(5, 61_000), (3 * MAX_QUEUED_REQUESTS, 10)])
 def test_a_client_sends_much_and_goes_while_its_first_request_waits(
     stage: Stage, how: str, phase: str, count: int, body: int
 ) -> None:
--- a/tests/test_crossings_bounds.py
+++ b/tests/test_crossings_bounds.py
@@ -9,11 +9,11 @@
 from tests.crossing_parties import Call, Client
 from tests.crossings import DUE_S, RELEASE_S, Stage
 from yardspindle.core.request import timeouts
-from yardspindle.core.request.holds import PINNED_PART
+from yardspindle.core.request.held_resources import RELEASE_FRACTION
 
 ORDERS = ("first", "second", "one turn")
-FREE_S = timeouts.FREE_US / 1e6
-HELD_S = PINNED_PART * RELEASE_S
+FREE_S = timeouts.RELEASE_CALL_US / 1e6
+HELD_S = RELEASE_FRACTION * RELEASE_S
 SEEN_S = 0.1  # by then what was due is seen at the host
 
 
--- a/tests/test_crossings_descriptors.py
+++ b/tests/test_crossings_descriptors.py
@@ -11,7 +11,7 @@
 from tests.crossings import Stage
 from tests.platform_standin import Platform
 from tests.test_node import play
-from yardspindle.core.hosts.shares import SOCKETS_LEAST
+from yardspindle.core.hosts.resource_budget import MIN_SOCKETS
 from yardspindle.node.app import Node
 from yardspindle.runtime.world import NoDescriptor
 
@@ -45,10 +45,10 @@
 
 
 def test_a_program_that_cannot_accept_waits_and_goes_on(tmp_path: Path) -> None:
-    with Stage(tmp_path, sockets=SOCKETS_LEAST, descriptors=SOCKETS_LEAST) as stage:
+    with Stage(tmp_path, sockets=MIN_SOCKETS, descriptors=MIN_SOCKETS) as stage:
         writes = streaming(stage, 4)
         more = [stage.client() for _ in range(6)]
-        stage.until("no descriptor left", lambda: stage.open_descriptors() == SOCKETS_LEAST)
+        stage.until("no descriptor left", lambda: stage.open_descriptors() == MIN_SOCKETS)
         begun = stage.busy()
         stage.at(monotonic() + LOOK_S)
         assert stage.busy() - begun < BUSY_MOST * LOOK_S
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("hosts", [1, 12])
 def test_requests_at_once_are_served_with_the_least_descriptors(tmp_path: Path, hosts: int) -> None:
-    with Stage(tmp_path, sockets=SOCKETS_LEAST, descriptors=SOCKETS_LEAST, readers=hosts, writers=hosts) as stage:
+    with Stage(tmp_path, sockets=MIN_SOCKETS, descriptors=MIN_SOCKETS, readers=hosts, writers=hosts) as stage:
         clients = [stage.client() for _ in range(6)]
         for client in clients:
             client.ask("known", cls="none")  # it is accepted
@@ -78,7 +78,7 @@
 
 
 def test_what_is_held_is_let_go_of_though_no_descriptor_is_left(tmp_path: Path) -> None:
-    with Stage(tmp_path, sockets=SOCKETS_LEAST, descriptors=SOCKETS_LEAST) as stage:
+    with Stage(tmp_path, sockets=MIN_SOCKETS, descriptors=MIN_SOCKETS) as stage:
         writes, client = streaming(stage, 3), stage.client()
         client.ask("held")
         read = stage.call("read")
@@ -102,7 +102,7 @@
             patch.setattr(node.world, "connect", none)
             answer = platform.ask(b"9b1f03aa5c7e2d41", deadline_ms=3_000)
             assert answer.status == 503
-            assert not node.core.rooms._silent
+            assert not node.core.request_releases._last_failure_us
             assert not any(server.failures for server in node.policy.servers.values())
         return platform.ask(b"9b1f03aa5c7e2d42").status
 
--- a/tests/test_edge_core.py
+++ b/tests/test_edge_core.py
@@ -15,8 +15,8 @@
 from yardspindle.core.hosts.directory import Server
 from yardspindle.core.request import commands as c
 from yardspindle.core.request.edge_core import EdgeCore
-from yardspindle.core.request.open import EdgeRules
-from yardspindle.core.request.releases import Thing
+from yardspindle.core.request.engine_releases import ResourceKind
+from yardspindle.core.request.records import EdgeRules
 
 RULES = EdgeRules(
     effects={"safe": i.Effect.SAFE, "once": i.Effect.UNSAFE, "keyed": i.Effect.KEYED},
@@ -25,7 +25,7 @@
     answer_slack_us=40_000,
     retry_after_us=1_000_000,
     max_attempts=4,
-    most_open=6,
+    max_open_requests=6,
 )
 READER, READER2, WRITER, WRITER2, BOTH = 1, 2, 3, 4, 5
 ROLES = {READER: i.Role.READ, READER2: i.Role.READ, WRITER: i.Role.WRITE, WRITER2: i.Role.WRITE, BOTH: i.Role.BOTH}
@@ -43,7 +43,7 @@
 def started() -> EdgeCore:
     core = EdgeCore(RULES)
     core.planner_up(0, 7)
-    core.servers(0, fleet())
+    core.update_servers(0, fleet())
     return core
 
 
@@ -56,8 +56,8 @@
 
 
 def read_done(core: EdgeCore, number: int = 1, cls: str = "safe") -> None:
-    core.arrive(0, ask(number, cls))
-    core.act(0, 7, i.Send(number, READER))
+    core.request_arrived(0, ask(number, cls))
+    core.apply_action(0, 7, i.Send(number, READER))
     core.attempt_ended(10, number, 0, i.Status.READ, state={"x": 1})
 
 
@@ -66,67 +66,67 @@
 
 def test_a_request_is_read_written_and_served() -> None:
     core = started()
-    assert of(c.TellPlanner, core.arrive(0, ask()))[0].event == ask()
-    read = of(c.Read, core.act(0, 7, i.Send(1, READER)))[0]
-    assert (read.attempt, read.until_us) == (0, 1_000_000)
-    place = of(c.AskPlace, core.act(0, 7, i.Ahead(1, WRITER)))[0]
-    told = of(c.TellPlanner, core.place_answered(5, 1, place.place, place.server, True))
+    assert of(c.NotifyPlanner, core.request_arrived(0, ask()))[0].event == ask()
+    read = of(c.Read, core.apply_action(0, 7, i.Send(1, READER)))[0]
+    assert (read.attempt, read.deadline_us) == (0, 1_000_000)
+    place = of(c.ReservePlace, core.apply_action(0, 7, i.Ahead(1, WRITER)))[0]
+    told = of(c.NotifyPlanner, core.place_answered(5, 1, place.place, place.server, True))
     assert told[0].event == i.Note(1, 0, READER, True)
-    told = of(c.TellPlanner, core.attempt_ended(10, 1, 0, i.Status.READ, 3, {"x": 1}))
+    told = of(c.NotifyPlanner, core.attempt_ended(10, 1, 0, i.Status.READ, 3, {"x": 1}))
     assert told[0].event == i.Outcome(1, 0, READER, i.Status.READ, 10, False, 3)
-    write = of(c.Write, core.act(10, 7, i.Send(1, WRITER)))[0]
+    write = of(c.Write, core.apply_action(10, 7, i.Send(1, WRITER)))[0]
     assert (write.state, write.place) == ({"x": 1}, place.place)
     begun, commands = core.first_token(20, 1, 1)
-    assert begun and of(c.TellPlanner, commands)[0].event == i.First(1, 1, WRITER, 10)
+    assert begun and of(c.NotifyPlanner, commands)[0].event == i.First(1, 1, WRITER, 10)
     out = core.attempt_ended(30, 1, 1, i.Status.SERVED)
     assert of(c.Answer, out) == [c.Answer(1, c.Final.SERVED, "served", 0, True)]
-    assert not of(c.Release, out) and not core.life.open
+    assert not of(c.SendRelease, out) and not core.lifecycle.requests
 
 
 def test_a_client_that_hangs_up_while_waiting_for_its_state_leaves_nothing_behind() -> None:
     core = started()
     read_done(core)
-    core.act(10, 7, i.Send(1, WRITER))
-    out = core.client_left(20, 1)
+    core.apply_action(10, 7, i.Send(1, WRITER))
+    out = core.client_disconnected(20, 1)
     assert of(c.Abort, out) == [c.Abort(1, 1, fleet()[WRITER - 1], c.AbortReason.REQUEST_OVER)]
-    assert [r.owed.server.number for r in of(c.Release, out)] == [READER]
-    assert [type(t.event) for t in of(c.TellPlanner, out)] == [i.Hangup, i.Outcome]
-    assert not of(c.Answer, out) and not core.life.open
+    assert [r.release.server.number for r in of(c.SendRelease, out)] == [READER]
+    assert [type(t.event) for t in of(c.NotifyPlanner, out)] == [i.Hangup, i.Outcome]
+    assert not of(c.Answer, out) and not core.lifecycle.requests
 
 
 def test_an_unsafe_request_whose_writer_dies_is_one_failure_and_never_runs_again() -> None:
     core = started()
     read_done(core, cls="once")
-    core.act(10, 7, i.Send(1, WRITER))
+    core.apply_action(10, 7, i.Send(1, WRITER))
     assert not of(c.Answer, core.attempt_ended(20, 1, 1, i.Status.RESET))
-    again = core.act(20, 7, i.Send(1, WRITER2))
+    again = core.apply_action(20, 7, i.Send(1, WRITER2))
     assert not of(c.Write, again) and of(c.Warn, again)[0].rule == "may have run"
-    final = of(c.Answer, core.act(21, 7, i.Refuse(1, 5)))
+    final = of(c.Answer, core.apply_action(21, 7, i.Refuse(1, 5)))
     assert [(a.final, a.code) for a in final] == [(c.Final.FAILED, "may_have_run")]
-    assert not core.act(22, 7, i.Fail(1))
+    assert not core.apply_action(22, 7, i.Fail(1))
 
 
 def test_an_unsafe_request_turned_away_may_be_sent_on() -> None:
     core = started()
     read_done(core, cls="once")
-    core.act(10, 7, i.Send(1, WRITER))
+    core.apply_action(10, 7, i.Send(1, WRITER))
     core.attempt_ended(20, 1, 1, i.Status.FULL)
-    assert of(c.Write, core.act(20, 7, i.Send(1, WRITER2)))
+    assert of(c.Write, core.apply_action(20, 7, i.Send(1, WRITER2)))
 
 
 def test_a_stream_that_breaks_is_a_failure_told_as_closed() -> None:
     core = started()
     read_done(core)
-    core.act(10, 7, i.Send(1, WRITER))
+    core.apply_action(10, 7, i.Send(1, WRITER))
     core.first_token(15, 1, 1)
     out = core.attempt_ended(20, 1, 1, i.Status.RESET)
     assert of(c.Answer, out) == [c.Answer(1, c.Final.FAILED, "stream_broken", 0, True)]
-    assert of(c.TellPlanner, out)[0].event.closed
+    assert of(c.NotifyPlanner, out)[0].event.closed
 
 
 def test_a_planner_that_says_nothing_gets_the_request_failed_in_time() -> None:
     core = started()
-    core.arrive(0, ask())
+    core.request_arrived(0, ask())
     assert not core.tick(1_030_000)
     assert of(c.Answer, core.tick(1_041_000))[0].code == "deadline"
 
@@ -135,31 +135,31 @@
     core = started()
     read_done(core)
     out = core.tick(10 + 230_000)
-    assert len(of(c.Release, out)) == 1 and of(c.Warn, out)[0].rule == "held too long"
-    late = core.act(250_000, 7, i.Send(1, WRITER))
+    assert len(of(c.SendRelease, out)) == 1 and of(c.Warn, out)[0].rule == "held too long"
+    late = core.apply_action(250_000, 7, i.Send(1, WRITER))
     assert not of(c.Write, late)
-    assert of(c.TellPlanner, late)[0].event == i.Outcome(1, 1, WRITER, i.Status.FULL, 0, False, 1)
+    assert of(c.NotifyPlanner, late)[0].event == i.Outcome(1, 1, WRITER, i.Status.FULL, 0, False, 1)
 
 
 def test_what_was_let_go_of_is_not_warned_of_at_every_look_at_the_clock() -> None:
     core = started()
-    core.arrive(0, ask())
-    core.act(0, 7, i.Send(1, READER))
-    core.act(0, 7, i.Ahead(1, WRITER))
+    core.request_arrived(0, ask())
+    core.apply_action(0, 7, i.Send(1, READER))
+    core.apply_action(0, 7, i.Ahead(1, WRITER))
     core.attempt_ended(10, 1, 0, i.Status.FULL)
-    core.act(10, 7, i.Discard(1))
+    core.apply_action(10, 7, i.Discard(1))
     assert not any(of(c.Warn, core.tick(at)) for at in range(200_000, 500_000, 20_000))
 
 
 def test_a_lost_planner_settles_each_request_by_what_is_out() -> None:
     core = started()
     for number, cls in ((1, "safe"), (2, "safe"), (3, "once"), (4, "once"), (5, "once")):
-        core.arrive(0, ask(number, cls))
-    core.act(0, 7, i.Send(2, READER))
+        core.request_arrived(0, ask(number, cls))
+    core.apply_action(0, 7, i.Send(2, READER))
     for number in (3, 4, 5):
-        core.act(0, 7, i.Send(number, READER))
+        core.apply_action(0, 7, i.Send(number, READER))
         core.attempt_ended(5, number, 0, i.Status.READ, state={})
-        core.act(5, 7, i.Send(number, WRITER))
+        core.apply_action(5, 7, i.Send(number, WRITER))
     core.first_token(6, 4, 1)
     core.attempt_ended(6, 5, 1, i.Status.RESET)
     out = core.planner_down(10)
@@ -171,48 +171,48 @@
     }
     assert of(c.Abort, out) == [c.Abort(2, 0, fleet()[READER - 1], c.AbortReason.PLANNER_LOST)]
     core.planner_up(11, 8)
-    assert not core.act(12, 8, i.Fail(4)), "a later planner knows nothing of what an earlier one decided"
+    assert not core.apply_action(12, 8, i.Fail(4)), "a later planner knows nothing of what an earlier one decided"
     assert of(c.Answer, core.attempt_ended(20, 4, 1, i.Status.SERVED))[0].final is c.Final.SERVED
     assert of(c.Answer, core.attempt_ended(20, 3, 1, i.Status.TIMEOUT))[0].final is c.Final.FAILED
-    assert not core.life.open
+    assert not core.lifecycle.requests
 
 
 def test_without_a_planner_requests_are_refused_at_once_with_advice() -> None:
     core = EdgeCore(RULES)
-    assert of(c.Answer, core.arrive(0, ask())) == [c.Answer(1, c.Final.REFUSED, "planner_lost", 1_000_000)]
+    assert of(c.Answer, core.request_arrived(0, ask())) == [c.Answer(1, c.Final.REFUSED, "planner_lost", 1_000_000)]
 
 
 def test_more_than_it_may_hold_is_refused_at_once() -> None:
     core = started()
     for number in range(1, 7):
-        assert not of(c.Answer, core.arrive(0, ask(number)))
-    assert of(c.Answer, core.arrive(0, ask(7)))[0].code == "edge_full"
+        assert not of(c.Answer, core.request_arrived(0, ask(number)))
+    assert of(c.Answer, core.request_arrived(0, ask(7)))[0].code == "edge_full"
 
 
 def test_nothing_new_goes_to_a_server_past_its_grace() -> None:
     core = started()
-    core.servers(50, fleet(frozenset({READER})))
-    core.arrive(60, ask(1))
-    assert of(c.Read, core.act(100_050, 7, i.Send(1, READER)))
-    core.arrive(60, ask(2))
-    core.servers(90_000, fleet(frozenset({READER})))  # told again: the first news counts
-    out = core.act(100_051, 7, i.Send(2, READER))
-    assert not of(c.Read, out) and of(c.TellPlanner, out)[0].event.status is i.Status.MOOT
-    core.servers(100_060, [s for s in fleet() if s.number != READER2])
-    assert not of(c.Read, core.act(200_061, 7, i.Send(2, READER2))), "one that left the list is gone"
+    core.update_servers(50, fleet(frozenset({READER})))
+    core.request_arrived(60, ask(1))
+    assert of(c.Read, core.apply_action(100_050, 7, i.Send(1, READER)))
+    core.request_arrived(60, ask(2))
+    core.update_servers(90_000, fleet(frozenset({READER})))  # told again: the first news counts
+    out = core.apply_action(100_051, 7, i.Send(2, READER))
+    assert not of(c.Read, out) and of(c.NotifyPlanner, out)[0].event.status is i.Status.MOOT
+    core.update_servers(100_060, [s for s in fleet() if s.number != READER2])
+    assert not of(c.Read, core.apply_action(200_061, 7, i.Send(2, READER2))), "one that left the list is gone"
 
 
 def test_a_place_granted_after_nobody_wants_it_is_let_go() -> None:
     core = started()
-    core.arrive(0, ask())
-    core.act(0, 7, i.Send(1, READER))
-    place = of(c.AskPlace, core.act(0, 7, i.Ahead(1, WRITER)))[0]
-    second = of(c.AskPlace, core.act(1, 7, i.Ahead(1, WRITER2)))[0]
+    core.request_arrived(0, ask())
+    core.apply_action(0, 7, i.Send(1, READER))
+    place = of(c.ReservePlace, core.apply_action(0, 7, i.Ahead(1, WRITER)))[0]
+    second = of(c.ReservePlace, core.apply_action(1, 7, i.Ahead(1, WRITER2)))[0]
     out = core.place_answered(2, 1, place.place, place.server, True)
-    assert [(r.owed.part, r.owed.server.number) for r in of(c.Release, out)] == [(place.place, WRITER)]
-    core.act(3, 7, i.Refuse(1))
+    assert [(r.release.number, r.release.server.number) for r in of(c.SendRelease, out)] == [(place.place, WRITER)]
+    core.apply_action(3, 7, i.Refuse(1))
     out = core.place_answered(4, 1, second.place, second.server, None)
-    assert [r.owed.server.number for r in of(c.Release, out)] == [WRITER2]
+    assert [r.release.server.number for r in of(c.SendRelease, out)] == [WRITER2]
 
 
 @pytest.mark.parametrize(
@@ -229,15 +229,15 @@
 def test_a_place_whose_write_may_never_have_come_is_let_go(status: i.Status | None, released: bool) -> None:
     """Seed 191 of the virtual days: the client left before its write was on the wire, and the place lapsed."""
     core = started()
-    core.arrive(0, ask())
-    core.act(0, 7, i.Send(1, READER))
-    place = of(c.AskPlace, core.act(0, 7, i.Ahead(1, WRITER)))[0]
+    core.request_arrived(0, ask())
+    core.apply_action(0, 7, i.Send(1, READER))
+    place = of(c.ReservePlace, core.apply_action(0, 7, i.Ahead(1, WRITER)))[0]
     core.place_answered(5, 1, place.place, place.server, True)
     core.attempt_ended(10, 1, 0, i.Status.READ, state={"x": 1})
-    assert of(c.Write, core.act(10, 7, i.Send(1, WRITER)))[0].place == place.place
-    out = core.client_left(20, 1) if status is None else core.attempt_ended(20, 1, 1, status)
-    places = [r.owed for r in of(c.Release, out) if r.owed.thing is Thing.PLACE]
-    assert [(owed.part, owed.server.number) for owed in places] == [(place.place, WRITER)] * released
+    assert of(c.Write, core.apply_action(10, 7, i.Send(1, WRITER)))[0].place == place.place
+    out = core.client_disconnected(20, 1) if status is None else core.attempt_ended(20, 1, 1, status)
+    places = [r.release for r in of(c.SendRelease, out) if r.release.kind is ResourceKind.PLACE]
+    assert [(release.number, release.server.number) for release in places] == [(place.place, WRITER)] * released
 
 
 # --- anything at all
@@ -267,12 +267,12 @@
         self.epoch = 1
         self.numbers: list[int] = []
         self.out: dict[tuple[int, int], bool] = {}  # attempts out; whether the stream has begun
-        self.places: list[c.AskPlace] = []
-        self.releases: list[c.Release] = []
+        self.places: list[c.ReservePlace] = []
+        self.releases: list[c.SendRelease] = []
         self.answers: dict[int, int] = {}
-        self.broken: list[c.Broken] = []
+        self.broken: list[c.ReportViolation] = []
         self.take(self.core.planner_up(0, 1))
-        self.take(self.core.servers(0, fleet()))
+        self.take(self.core.update_servers(0, fleet()))
 
     def take(self, commands: list[c.Command]) -> None:
         for command in commands:
@@ -280,13 +280,13 @@
                 self.out[(command.request, command.attempt)] = False
             elif isinstance(command, c.Abort):
                 del self.out[(command.request, command.attempt)]
-            elif isinstance(command, c.AskPlace):
+            elif isinstance(command, c.ReservePlace):
                 self.places.append(command)
-            elif isinstance(command, c.Release):
+            elif isinstance(command, c.SendRelease):
                 self.releases.append(command)
             elif isinstance(command, c.Answer):
                 self.answers[command.request] = self.answers.get(command.request, 0) + 1
-            elif isinstance(command, c.Broken):
+            elif isinstance(command, c.ReportViolation):
                 self.broken.append(command)
 
     def end(self, key: tuple[int, int], status: i.Status) -> None:
@@ -306,11 +306,11 @@
         match kind:
             case "arrive":
                 self.numbers.append(len(self.numbers) + 1)
-                self.take(core.arrive(now, ask(self.numbers[-1], a, now + b * 1_000)))
+                self.take(core.request_arrived(now, ask(self.numbers[-1], a, now + b * 1_000)))
             case "send":
-                self.take(core.act(now, self.epoch, i.Send(self.pick(a), b)))
+                self.take(core.apply_action(now, self.epoch, i.Send(self.pick(a), b)))
             case "ahead":
-                self.take(core.act(now, self.epoch, i.Ahead(self.pick(a), b)))
+                self.take(core.apply_action(now, self.epoch, i.Ahead(self.pick(a), b)))
             case "act":
                 number = self.pick(a)
                 actions: dict[str, i.Action] = {
@@ -319,7 +319,7 @@
                     "discard": i.Discard(number),
                     "cancel": i.Cancel(number, max((k[1] for k in self.out if k[0] == number), default=0)),
                 }
-                self.take(core.act(now, self.epoch, actions[b]))
+                self.take(core.apply_action(now, self.epoch, actions[b]))
             case "end" if self.out:
                 key = list(self.out)[a % len(self.out)]
                 streaming = self.out.pop(key)
@@ -327,7 +327,7 @@
                 self.end(key, status)
             case "first" if self.out:
                 key = list(self.out)[a % len(self.out)]
-                if core.life.open[key[0]].out.server.role is not i.Role.READ:  # type: ignore[union-attr]
+                if core.lifecycle.requests[key[0]].attempt.server.role is not i.Role.READ:  # type: ignore[union-attr]
                     begun, commands = core.first_token(now, *key)
                     self.take(commands)
                     self.out[key] = begun
@@ -335,19 +335,19 @@
                 asked = self.places.pop(a % len(self.places))
                 self.take(core.place_answered(now, asked.request, asked.place, asked.server, b))
             case "leave":
-                self.take(core.client_left(now, self.pick(a)))
+                self.take(core.client_disconnected(now, self.pick(a)))
             case "wait":
                 self.tick_to(now + a * 1_000)
             case "drain":
-                self.take(core.servers(now, fleet(frozenset({a}))))
+                self.take(core.update_servers(now, fleet(frozenset({a}))))
             case "planner":
                 self.take(core.planner_down(now))
                 if a:
                     self.epoch += 1
                     self.take(core.planner_up(now, self.epoch))
-                    self.take(core.servers(now, fleet()))
+                    self.take(core.update_servers(now, fleet()))
             case "release" if self.releases:
-                self.take(core.release_settled(now, self.releases.pop(0).owed, a))
+                self.take(core.release_settled(now, self.releases.pop(0).release, a))
 
     def finish(self) -> None:
         """The last fault is over: everything ends and nothing stays."""
@@ -359,7 +359,7 @@
             self.take(self.core.place_answered(self.now, asked.request, asked.place, asked.server, True))
         self.tick_to(self.now + 1_500_000)
         while self.releases:
-            self.take(self.core.release_settled(self.now, self.releases.pop(0).owed, True))
+            self.take(self.core.release_settled(self.now, self.releases.pop(0).release, True))
             self.now += 1_000
             if not self.releases:
                 self.tick_to(self.now + 2_000_000)
--- a/tests/test_edge_core_rules.py
+++ b/tests/test_edge_core_rules.py
@@ -29,9 +29,9 @@
     world = play(script)
     assert world.broken == []
     assert all(count == 1 for count in world.answers.values())
-    assert not world.core.life.open and not world.out, "every request ended"
-    assert world.core.releases.owed == 0 and not world.core.watch.open
-    tally = world.core.life.tally
+    assert not world.core.lifecycle.requests and not world.out, "every request ended"
+    assert world.core.engine_releases.pending == 0 and not world.core.rule_checker.requests
+    tally = world.core.lifecycle.counts
     assert tally.taken == len(world.numbers) == tally.served + tally.refused + tally.failed + tally.left
 
 
@@ -51,7 +51,9 @@
 
     def no_hindrance(patch: pytest.MonkeyPatch) -> None:
         patch.setattr(
-            lifecycle.Lifecycle, "_hindrance", lambda self, now, r, number: (None, self.directory.servers.get(number))
+            lifecycle.Lifecycle,
+            "_reason_not_to_send",
+            lambda self, now, r, number: (None, self.directory.servers.get(number)),
         )
 
     assert fault(no_hindrance, [("arrive", "safe", 400), ("send", 0, READER), ("send", 0, READER2)]) == {
@@ -68,7 +70,7 @@
     assert "nothing left pinned" in fault(no_ticks, [*held, ("wait", 199, 0)])
 
     def never_untaken(patch: pytest.MonkeyPatch) -> None:
-        patch.setattr(lifecycle.Lifecycle, "_untaken", lambda self, now, r, out: None)
+        patch.setattr(lifecycle.Lifecycle, "_unconfirmed_write", lambda self, now, r, out: None)
 
     placed = [
         ("arrive", "safe", 400),
--- a/tests/test_engine_client.py
+++ b/tests/test_engine_client.py
@@ -10,10 +10,10 @@
 import pytest
 
 from yardspindle.core.hosts.directory import Server
-from yardspindle.core.request.proof import PROVES_NOT_RUN, may_have_run
+from yardspindle.core.request.retry_safety import PROVES_NOT_RUN, may_have_run
 from yardspindle.edge.executor import Running
 from yardspindle.engine.http_client import ExchangeBroken, HttpClient, NotSent
-from yardspindle.engine.vllm import AnswerStream, Ended, EngineClient, read_body, write_body
+from yardspindle.engine.vllm import AnswerStream, AttemptResult, EngineClient, read_body, write_body
 from yardspindle.interface import Role, State, Status
 from yardspindle.protocol import http1
 from yardspindle.protocol.sse import write_event
@@ -152,7 +152,7 @@
 )
 def test_how_a_write_ends_before_its_stream(script: Script, status: Status, note: int, proves: bool) -> None:
     ended = with_peer(script, lambda world, peer, engines: engines.write(peer.server(), 1, 1, b"{}", None))
-    assert isinstance(ended, Ended) and (ended.status, ended.note) == (status, note)
+    assert isinstance(ended, AttemptResult) and (ended.status, ended.note) == (status, note)
     assert (status in PROVES_NOT_RUN) == proves == (not may_have_run(Role.WRITE, status))
     assert (ended.client_error is not None) == (ended.detail.startswith("HTTP 400"))
 
@@ -257,7 +257,7 @@
 
         with pytest.raises(NotSent):
             HttpClient(world, 1_000_000, 1_000_000).request(
-                "127.0.0.1", listener.port, b"POST", b"/", [], b"{}", ready=ready
+                "127.0.0.1", listener.port, b"POST", b"/", [], b"{}", late_headers=ready
             )
         if not reset:
             assert accepted.result.read() == b""
@@ -284,7 +284,7 @@
         engines.http.idle_us = 5_000
         engines.read(peer.server(Role.READ), 1, 0, b"{}")
         world.sleep_until(world.now_us() + 8_000)
-        engines.http.close_old()
+        engines.http.close_expired()
         assert not engines.http._idle
         engines.http.idle_us = 5_000_000
         engines.read(peer.server(Role.READ), 2, 0, b"{}")
@@ -306,7 +306,7 @@
         assert isinstance(stream, AnswerStream)
         got: list[bytes] = []
         try:
-            for batch in stream.batches():
+            for batch in stream.event_batches():
                 got += batch
             assert whole
         except ExchangeBroken:
@@ -331,7 +331,7 @@
     assert (
         with_peer(
             answers(data),
-            lambda world, peer, engines: engines.ask_place(peer.server(), 1, 1, 9.0, peer.server(Role.READ), 0),
+            lambda world, peer, engines: engines.reserve_place(peer.server(), 1, 1, 9.0, peer.server(Role.READ), 0),
         )
         is held
     )
--- a/tests/test_fleet_worlds.py
+++ b/tests/test_fleet_worlds.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from yardspindle.core.fleet import ownership, spread
-from yardspindle.core.fleet.sweep import Answer, Fates
+from yardspindle.core.fleet import duty_assignment, ownership
+from yardspindle.core.fleet.sweep import EndedEpochs, ProbeResult
 from yardspindle.fleet.store.interface import StoreError
 from yardspindle.lab.fleet_worlds import draw_fleet, play_fleet
 from yardspindle.steward.app import Steward
@@ -32,17 +32,17 @@
 
 def _any_holder_is_me(patch: pytest.MonkeyPatch) -> None:
     """Somebody else's key is taken for one's own."""
-    real = ownership._looked
+    real = ownership._apply_acquire_result
 
     def looked(state: Any, now: int, duty: str, lease: int, holder: Any, revision: int, commands: Any) -> Any:
         mine = ownership.Holder(state.name, state.lease, holder.fence) if holder is not None else None
         return real(state, now, duty, lease, mine, revision, commands)
 
-    patch.setattr(ownership, "_looked", looked)
-    shares = spread.shares
+    patch.setattr(ownership, "_apply_acquire_result", looked)
+    shares = duty_assignment.candidate_orders
     patch.setattr(
-        spread,
-        "shares",
+        duty_assignment,
+        "candidate_orders",
         lambda free, holders, names: {
             duty: sorted(order, key=lambda name: 0) for duty, order in shares(free, holders, names).items()
         },
@@ -51,12 +51,12 @@
 
 def _acts_without_its_lease(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(ownership, "may_act", lambda state, now, duty: dict(state.held).get(duty))
-    patch.setattr(ownership, "_lapse", lambda state, now, commands: state)
+    patch.setattr(ownership, "_expire_lease", lambda state, now, commands: state)
 
 
 def _a_lost_answer_is_a_refusal(patch: pytest.MonkeyPatch) -> None:
     """The key stays, and nobody works."""
-    real = Steward._take
+    real = Steward._acquire
 
     def take(self: Steward, duty: str, lease: int) -> None:
         txn = self.store.txn
@@ -65,7 +65,7 @@
             try:
                 return txn(asked)
             except StoreError:
-                self._feed(ownership.Looked(duty, lease, None, 0))
+                self._handle_event(ownership.AcquireResult(duty, lease, None, 0))
                 raise SystemError from None
 
         patch.setattr(self.store, "txn", once)
@@ -76,16 +76,16 @@
         finally:
             patch.setattr(self.store, "txn", txn)
 
-    patch.setattr(Steward, "_take", take)
+    patch.setattr(Steward, "_acquire", take)
 
 
 def _silence_is_death(patch: pytest.MonkeyPatch) -> None:
-    real = Fates.asked
+    real = EndedEpochs.record_probe
     patch.setattr(
-        Fates,
-        "asked",
+        EndedEpochs,
+        "record_probe",
         lambda self, now, epoch, answer, found: real(
-            self, now, epoch, Answer.REFUSED if answer is Answer.SILENT else answer, found
+            self, now, epoch, ProbeResult.REFUSED if answer is ProbeResult.NO_ANSWER else answer, found
         ),
     )
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.platform_standin import EVENTS, HEAD, Host, Platform, plain, request, stream, write
-from yardspindle.core.request.unread_calls import LAPSE_US
+from yardspindle.core.request.unread_calls import EXPIRY_US
 from yardspindle.node.app import Node
 from yardspindle.protocol import http1
 from yardspindle.runtime.virtual import Simulation
@@ -70,7 +70,7 @@
         answer = platform.ask(ID)
         assert (answer.status, answer.whole, answer.body) == (200, True, b"".join(EVENTS))
         assert platform.kinds(ID) == ["read", "place", "write"]
-        assert node.core.life.tally.served == 1 and not node.core.busy and not node.executor.ids
+        assert node.core.lifecycle.counts.served == 1 and not node.core.busy and not node.executor.request_ids
 
     play(main)
 
@@ -94,7 +94,7 @@
         platform, orders = Platform(sim), []
         for _ in range(2):
             world, node = platform.node()
-            orders.append([server.entry.server for server in node.policy._order("some text")])
+            orders.append([server.entry.server for server in node.policy._reader_order("some text")])
             world.kill()
             platform.hosts = dict(reversed(platform.hosts.items()))  # the next one hears of them in another order
         return orders
@@ -249,8 +249,8 @@
         assert "free" in platform.kinds(ID) and ID not in platform.states
         platform.sleep(3_000_000)
         assert not node.core.busy
-        platform.sleep(LAPSE_US)  # until then what lies unread at a silent host is remembered
-        assert not node.core.needs_time and not node.executor.ids
+        platform.sleep(EXPIRY_US)  # until then what lies unread at a silent host is remembered
+        assert not node.core.needs_tick and not node.executor.request_ids
 
     play(main)
 
--- a/tests/test_node_bounds.py
+++ b/tests/test_node_bounds.py
@@ -9,11 +9,11 @@
 from tests.platform_standin import EVENTS, HEAD, Host, Platform, request, stream, write
 from tests.test_node import play, readers, writers
 from tests.test_node_handover import at_ease
-from yardspindle.core.request.rooms import LATE_MOST
-from yardspindle.core.request.unread_calls import LAPSE_US
+from yardspindle.core.request.request_releases import MAX_LATE_CALLS
+from yardspindle.core.request.unread_calls import EXPIRY_US
 from yardspindle.engine import http_client
 from yardspindle.node.app import Node
-from yardspindle.node.hosts import BODY_MOST, LIMITS
+from yardspindle.node.host_client import MAX_BODY_BYTES, RESPONSE_LIMITS
 from yardspindle.protocol import http1
 from yardspindle.runtime.scheduler import Task
 from yardspindle.runtime.world import Stream
@@ -114,7 +114,7 @@
         answer = platform.ask(b"id", deadline_ms=5_000)
         assert (answer.status, answer.body) == (200, WHOLE) and len(calls) == 2
         assert answer.took_us < 1_200_000
-        assert said[0] <= 6 * BODY_MOST + 131_072  # six bytes of small chunks for one of content; and a window
+        assert said[0] <= 6 * MAX_BODY_BYTES + 131_072  # six bytes of small chunks for one of content; and a window
         at_ease(platform, node)
         assert not [task for task in platform.sim.scheduler.tasks if task.name in ("attempt", "free", "place")]
 
@@ -124,7 +124,7 @@
 def test_as_many_interim_answers_as_are_bounded_are_passed_over() -> None:
     def hints(host: Host, to: Stream, number: bytes) -> bool:
         host.platform.states.discard(number)
-        to.write(b"HTTP/1.1 103 x\r\n\r\n" * http_client.INTERIM_MOST)
+        to.write(b"HTTP/1.1 103 x\r\n\r\n" * http_client.MAX_INTERIM)
         return stream(host, to)
 
     def main(platform: Platform, node: Node) -> None:
@@ -172,19 +172,19 @@
             most = max(most, sum(map(len, node.executor.releases.running.values())))
         for task in tasks:
             task.join()
-        assert most <= 3 * 6 + LATE_MOST
+        assert most <= 3 * 6 + MAX_LATE_CALLS
         platform.sleep(1_500_000)
         # What is owed is said on and on, for ten seconds, and to a few hosts at a time.
         out = sum(map(len, node.executor.releases.running.values()))
-        assert out <= 3 * len(node.core.rooms.owed) + LATE_MOST <= 18 + LATE_MOST
-        platform.sleep(LAPSE_US + 12_000_000)  # said again for as long, and each time on and on
-        assert not node.core.needs_time and not node.executor.ids and not node.executor.releases.running
+        assert out <= 3 * len(node.core.request_releases.pending) + MAX_LATE_CALLS <= 18 + MAX_LATE_CALLS
+        platform.sleep(EXPIRY_US + 12_000_000)  # said again for as long, and each time on and on
+        assert not node.core.needs_tick and not node.executor.request_ids and not node.executor.releases.running
 
     play(main)
 
 
 def test_a_body_is_bounded_by_the_platforms_own() -> None:
-    assert LIMITS.body == BODY_MOST == 256 * 1_024
+    assert RESPONSE_LIMITS.body == MAX_BODY_BYTES == 256 * 1_024
 
 
 def test_a_stream_without_end_holds_nothing_but_what_has_not_gone_out() -> None:
--- a/tests/test_node_cores.py
+++ b/tests/test_node_cores.py
@@ -10,15 +10,21 @@
 from hypothesis import strategies as st
 
 from yardspindle import interface as i
-from yardspindle.core.hosts.connection_pool import DOUBT_US, PoolTrust
 from yardspindle.core.hosts.directory import Server
 from yardspindle.core.hosts.host_list import HostList, ListAnswer, Member
-from yardspindle.core.hosts.shares import Shares
+from yardspindle.core.hosts.idle_limit import REDUCED_US, IdleLimit
+from yardspindle.core.hosts.resource_budget import ResourceBudget
 from yardspindle.core.request import commands as c
 from yardspindle.core.request.edge_core import EdgeCore
 from yardspindle.core.request.graceful_shutdown import shutdown_times
-from yardspindle.core.request.open import EdgeRules
-from yardspindle.core.request.rooms import AGAIN_US, MORE_AT_ONCE, PAUSE_US, TRIES_AT_ONCE, Rooms
+from yardspindle.core.request.records import EdgeRules
+from yardspindle.core.request.request_releases import (
+    IMMEDIATE_TRIES,
+    REPEAT_DELAY_US,
+    RETRY_FANOUT,
+    RETRY_PAUSE_US,
+    RequestReleases,
+)
 from yardspindle.protocol.chunks import ChunkReader
 from yardspindle.protocol.http1 import ProtocolError
 
@@ -29,8 +35,8 @@
     answer_slack_us=8_000,
     retry_after_us=1_000_000,
     max_attempts=6,
-    most_open=100,
-    release_whole=True,
+    max_open_requests=100,
+    release_by_request=True,
 )
 READER, WRITER, WRITER2 = 1, 2, 3
 
@@ -42,12 +48,12 @@
 def started(rules: EdgeRules = RULES) -> EdgeCore:
     core = EdgeCore(rules)
     core.planner_up(0, 1)
-    core.servers(0, [server(READER, i.Role.READ), server(WRITER, i.Role.WRITE), server(WRITER2, i.Role.WRITE)])
+    core.update_servers(0, [server(READER, i.Role.READ), server(WRITER, i.Role.WRITE), server(WRITER2, i.Role.WRITE)])
     return core
 
 
 def kinds(commands: list[c.Command]) -> list[str]:
-    return [type(command).__name__ for command in commands if not isinstance(command, c.TellPlanner)]
+    return [type(command).__name__ for command in commands if not isinstance(command, c.NotifyPlanner)]
 
 
 def of(kind: type[Any], commands: list[c.Command]) -> list[Any]:
@@ -56,19 +62,19 @@
 
 def sent(core: EdgeCore, attempt: int, request: int = 1) -> None:
     """The attempt's connection came up and took its last byte."""
-    assert core.sending(0, request, attempt)
-    core.written(request, attempt)
+    assert core.start_sending(0, request, attempt)
+    core.attempt_written(request, attempt)
 
 
 def asked(core: EdgeCore, place: int = 1, writer: int = 2, request: int = 1) -> None:
     """The call for a place was written, whose read was."""
-    assert core.place_asked(0, request, place, server(writer, i.Role.WRITE))
+    assert core.place_requested(0, request, place, server(writer, i.Role.WRITE))
 
 
 def reading(core: EdgeCore, cls: str = "safe") -> None:
-    core.arrive(0, i.Request(1, cls, 5_000_000, 100.0))
-    core.act(0, 1, i.Send(1, READER))
-    core.act(0, 1, i.Ahead(1, WRITER))
+    core.request_arrived(0, i.Request(1, cls, 5_000_000, 100.0))
+    core.apply_action(0, 1, i.Send(1, READER))
+    core.apply_action(0, 1, i.Ahead(1, WRITER))
 
 
 # --- one word lets go of all
@@ -78,24 +84,24 @@
     core = started()
     reading(core)
     core.attempt_ended(10, 1, 0, i.Status.READ)
-    core.act(20, 1, i.Send(1, WRITER))
+    core.apply_action(20, 1, i.Send(1, WRITER))
     told = core.attempt_ended(30, 1, 1, i.Status.FULL, note=1)
     assert kinds(told) == []  # nothing that only another kind of engine understands
-    assert of(c.TellPlanner, told)[0].event.note == 1
-    assert kinds(core.act(30, 1, i.Discard(1))) == ["Free"]
-    assert kinds(core.act(30, 1, i.Send(1, READER))) == ["Read"]
+    assert of(c.NotifyPlanner, told)[0].event.note == 1
+    assert kinds(core.apply_action(30, 1, i.Discard(1))) == ["SendRequestRelease"]
+    assert kinds(core.apply_action(30, 1, i.Send(1, READER))) == ["Read"]
 
 
 def test_a_read_that_broke_is_let_go_of_twice_as_its_state_may_come_later() -> None:
     core = started()
     reading(core)
-    freed = of(c.Free, core.attempt_ended(1_000, 1, 0, i.Status.RESET))
+    freed = of(c.SendRequestRelease, core.attempt_ended(1_000, 1, 0, i.Status.RESET))
     assert len(freed) == 1
-    core.act(1_000, 1, i.Refuse(1, 0))
-    assert kinds(core.room_settled(2_000, freed[0].room, freed[0].server.number, True)) == []
-    again = of(c.Free, core.tick(2_000 + AGAIN_US))
+    core.apply_action(1_000, 1, i.Refuse(1, 0))
+    assert kinds(core.request_release_settled(2_000, freed[0].release, freed[0].server.number, True)) == []
+    again = of(c.SendRequestRelease, core.tick(2_000 + REPEAT_DELAY_US))
     assert len(again) == 1
-    core.room_settled(2_001 + AGAIN_US, again[0].room, again[0].server.number, True)
+    core.request_release_settled(2_001 + REPEAT_DELAY_US, again[0].release, again[0].server.number, True)
     assert not core.busy
 
 
@@ -103,10 +109,10 @@
     core = started()
     reading(core)
     assert kinds(core.place_answered(5, 1, 1, server(WRITER, i.Role.WRITE), False)) == []
-    assert kinds(core.act(6, 1, i.Ahead(1, WRITER2))) == ["AskPlace"]
+    assert kinds(core.apply_action(6, 1, i.Ahead(1, WRITER2))) == ["ReservePlace"]
     assert kinds(core.place_answered(7, 1, 2, server(WRITER2, i.Role.WRITE), None)) == []  # it may be held
     core.attempt_ended(10, 1, 0, i.Status.READ)
-    assert kinds(core.act(10, 1, i.Send(1, WRITER2))) == ["Write"]
+    assert kinds(core.apply_action(10, 1, i.Send(1, WRITER2))) == ["Write"]
     core.first_token(20, 1, 1)
     assert kinds(core.attempt_ended(30, 1, 1, i.Status.SERVED)) == ["Answer"]  # the stream freed the rest
     assert not core.busy
@@ -117,9 +123,9 @@
     reading(core)
     sent(core, 0)
     asked(core)
-    free = of(c.Free, core.client_left(5, 1))
-    core.room_settled(6, free[0].room, free[0].server.number, True)
-    assert kinds(core.place_answered(7, 1, 1, server(WRITER, i.Role.WRITE), True)) == ["Free"]
+    free = of(c.SendRequestRelease, core.client_disconnected(5, 1))
+    core.request_release_settled(6, free[0].release, free[0].server.number, True)
+    assert kinds(core.place_answered(7, 1, 1, server(WRITER, i.Role.WRITE), True)) == ["SendRequestRelease"]
 
 
 @pytest.mark.parametrize("word", [True, None])
@@ -129,9 +135,9 @@
     reading(core)
     sent(core, 0)
     asked(core)
-    (free,) = of(c.Free, core.attempt_ended(5, 1, 0, i.Status.FULL))
-    core.room_settled(6, free.room, free.server.number, True)
-    assert kinds(core.place_answered(7, 1, 1, server(WRITER, i.Role.WRITE), word)) == ["Free"]
+    (free,) = of(c.SendRequestRelease, core.attempt_ended(5, 1, 0, i.Status.FULL))
+    core.request_release_settled(6, free.release, free.server.number, True)
+    assert kinds(core.place_answered(7, 1, 1, server(WRITER, i.Role.WRITE), word)) == ["SendRequestRelease"]
 
 
 def test_a_place_granted_late_takes_nothing_from_under_the_next_read() -> None:
@@ -139,25 +145,25 @@
     reading(core)
     sent(core, 0)
     asked(core)
-    (free,) = of(c.Free, core.attempt_ended(5, 1, 0, i.Status.FULL))
-    assert "Read" in kinds(core.act(6, 1, i.Send(1, READER)))
-    assert core.owes(1)  # nothing of the next read is written yet
-    core.room_settled(6, free.room, free.server.number, True)
-    assert not core.owes(1)
+    (free,) = of(c.SendRequestRelease, core.attempt_ended(5, 1, 0, i.Status.FULL))
+    assert "Read" in kinds(core.apply_action(6, 1, i.Send(1, READER)))
+    assert core.release_pending(1)  # nothing of the next read is written yet
+    core.request_release_settled(6, free.release, free.server.number, True)
+    assert not core.release_pending(1)
     sent(core, 1)
     assert kinds(core.place_answered(7, 1, 1, server(WRITER, i.Role.WRITE), True)) == []
-    assert kinds(core.attempt_ended(9, 1, 1, i.Status.FULL)) == ["Free"]
+    assert kinds(core.attempt_ended(9, 1, 1, i.Status.FULL)) == ["SendRequestRelease"]
 
 
 def test_a_place_granted_late_takes_no_state_from_under_its_request() -> None:
     core = started()
     reading(core)
-    core.act(1, 1, i.Ahead(1, WRITER2))
+    core.apply_action(1, 1, i.Ahead(1, WRITER2))
     core.attempt_ended(5, 1, 0, i.Status.READ)
     assert kinds(core.place_answered(7, 1, 1, server(WRITER, i.Role.WRITE), True)) == []
-    assert kinds(core.act(8, 1, i.Send(1, WRITER2))) == ["Write"]
+    assert kinds(core.apply_action(8, 1, i.Send(1, WRITER2))) == ["Write"]
     assert kinds(core.attempt_ended(9, 1, 1, i.Status.ERROR)) == []  # the state may be read again
-    assert "Free" in kinds(core.act(9, 1, i.Refuse(1, 0)))
+    assert "SendRequestRelease" in kinds(core.apply_action(9, 1, i.Refuse(1, 0)))
 
 
 @pytest.mark.parametrize("status", [i.Status.FULL, i.Status.CONNECT_FAILED])
@@ -166,19 +172,25 @@
     core = started()
     reading(core)
     sent(core, 0)
-    (lost,) = of(c.Free, core.attempt_ended(1_000, 1, 0, i.Status.RESET))
-    assert "Read" in kinds(core.act(1_000, 1, i.Send(1, READER)))
-    said = of(c.Free, core.room_settled(1_001, lost.room, lost.server.number, False))  # never heard
-    assert said and core.owes(1)  # said on, and the next read waits for it
-    core.room_settled(1_500, said[0].room, said[0].server.number, True)
-    again = of(c.Free, core.tick(1_500 + AGAIN_US))  # twice, as what the lost read left may come late
-    assert len(again) == 1 and core.owes(1)
-    core.room_settled(2_000 + AGAIN_US, again[0].room, again[0].server.number, True)
+    (lost,) = of(c.SendRequestRelease, core.attempt_ended(1_000, 1, 0, i.Status.RESET))
+    assert "Read" in kinds(core.apply_action(1_000, 1, i.Send(1, READER)))
+    said = of(
+        c.SendRequestRelease, core.request_release_settled(1_001, lost.release, lost.server.number, False)
+    )  # never heard
+    assert said and core.release_pending(1)  # said on, and the next read waits for it
+    core.request_release_settled(1_500, said[0].release, said[0].server.number, True)
+    again = of(
+        c.SendRequestRelease, core.tick(1_500 + REPEAT_DELAY_US)
+    )  # twice, as what the lost read left may come late
+    assert len(again) == 1 and core.release_pending(1)
+    core.request_release_settled(2_000 + REPEAT_DELAY_US, again[0].release, again[0].server.number, True)
     if status is i.Status.FULL:
         sent(core, 1)
-    assert not of(c.Free, core.attempt_ended(3_000 + AGAIN_US, 1, 1, status))  # it never ran, and nothing is held
-    core.act(3_000 + AGAIN_US, 1, i.Refuse(1, 0))
-    assert not core.busy and core.watch.last is None
+    assert not of(
+        c.SendRequestRelease, core.attempt_ended(3_000 + REPEAT_DELAY_US, 1, 1, status)
+    )  # it never ran, and nothing is held
+    core.apply_action(3_000 + REPEAT_DELAY_US, 1, i.Refuse(1, 0))
+    assert not core.busy and core.rule_checker.last_violation is None
 
 
 def test_what_waits_too_long_for_a_writer_is_let_go_of_in_time() -> None:
@@ -186,7 +198,7 @@
     reading(core)
     core.attempt_ended(10, 1, 0, i.Status.READ)
     assert kinds(core.tick(200_000)) == []
-    assert kinds(core.tick(240_000)) == ["Warn", "Free"]
+    assert kinds(core.tick(240_000)) == ["Warn", "SendRequestRelease"]
 
 
 @pytest.mark.parametrize("resume", [False, True])
@@ -194,17 +206,17 @@
     """Where they do not, to cut a stream off while its events come loses its request."""
     core = started(replace(RULES, resume=resume))
     for number, cls in ((1, "safe"), (2, "once"), (3, "safe")):
-        core.arrive(0, i.Request(number, cls, 5_000_000, 100.0))
-        core.act(0, 1, i.Send(number, READER))
+        core.request_arrived(0, i.Request(number, cls, 5_000_000, 100.0))
+        core.apply_action(0, 1, i.Send(number, READER))
         core.attempt_ended(10, number, 0, i.Status.READ)
     for number in (2, 3):
-        core.act(20, 1, i.Send(number, WRITER))
+        core.apply_action(20, 1, i.Send(number, WRITER))
         sent(core, 1, number)
     core.first_token(30, 3, 1)
-    commands = core.leave(40)
-    assert [(words.request, words.attempt) for words in of(c.LastWords, commands)] == ([(3, 1)] if resume else [])
-    assert {a.request for a in of(c.Answer, commands)} == {1, 2} and list(core.life.open) == [3]
-    commands += core.last_said(41, 3) if resume else []
+    commands = core.shut_down(40)
+    assert [(words.request, words.attempt) for words in of(c.FlushStream, commands)] == ([(3, 1)] if resume else [])
+    assert {a.request for a in of(c.Answer, commands)} == {1, 2} and list(core.lifecycle.requests) == [3]
+    commands += core.stream_flushed(41, 3) if resume else []
     answers = {a.request: (a.final, a.streamed) for a in of(c.Answer, commands)}
     cut = {3: (c.Final.FAILED, True)} if resume else {}
     assert answers == {1: (c.Final.REFUSED, False), 2: (c.Final.FAILED, False), **cut}
@@ -212,26 +224,26 @@
     if not resume:
         ended = of(c.Answer, core.attempt_ended(50, 3, 1, i.Status.SERVED))
         assert [a.final for a in ended] == [c.Final.SERVED]
-    assert not core.life.open
+    assert not core.lifecycle.requests
 
 
 @pytest.mark.parametrize("resume", [False, True])
 def test_a_move_breaks_off_what_streams_where_clients_ask_for_the_rest(resume: bool) -> None:
     core = EdgeCore(replace(RULES, resume=resume))
     core.planner_up(0, 1)
-    core.servers(0, [server(READER, i.Role.READ), server(WRITER, i.Role.WRITE)])
+    core.update_servers(0, [server(READER, i.Role.READ), server(WRITER, i.Role.WRITE)])
     reading(core)
     core.attempt_ended(10, 1, 0, i.Status.READ)
-    core.act(20, 1, i.Send(1, WRITER))
-    assert kinds(core.act(25, 1, i.Move(1))) == []  # nothing has begun
+    core.apply_action(20, 1, i.Send(1, WRITER))
+    assert kinds(core.apply_action(25, 1, i.Move(1))) == []  # nothing has begun
     core.first_token(30, 1, 1)
-    assert kinds(core.act(40, 1, i.Move(1))) == (["Answer", "Abort"] if resume else [])
+    assert kinds(core.apply_action(40, 1, i.Move(1))) == (["Answer", "Abort"] if resume else [])
 
 
 # --- whom to tell
 
 
-def ask(rooms: Rooms, at: int, servers: dict[int, Server], heard: bool = False) -> list[int]:
+def ask(rooms: RequestReleases, at: int, servers: dict[int, Server], heard: bool = False) -> list[int]:
     """What is due now is said; who was asked."""
     due = rooms.take_due(at, servers)
     for room, to in due:
@@ -241,62 +253,62 @@
 
 def test_a_host_that_does_not_answer_is_no_excuse() -> None:
     """With a zone cut off ten in a row were silent, asked one by one: 1.3 s, and the state was still held."""
-    rooms, servers = Rooms(), {n: server(n, i.Role.READ) for n in range(1, 40)}
+    rooms, servers = RequestReleases(), {n: server(n, i.Role.READ) for n in range(1, 40)}
     servers[3].state = i.State.GONE
-    rooms.heard(5, 20)
-    rooms.owe(10, 9, False)
+    rooms.server_answered(5, 20)
+    rooms.add(10, 9, False)
     asked = [ask(rooms, 10 + at, servers) for at in range(4)]
     assert asked[0] == [20]  # the one heard last first
-    assert [len(once) for once in asked] == [1, MORE_AT_ONCE, MORE_AT_ONCE, MORE_AT_ONCE]
-    assert len(set(sum(asked, []))) == TRIES_AT_ONCE and 3 not in sum(asked, [])  # nobody twice, none that is gone
+    assert [len(once) for once in asked] == [1, RETRY_FANOUT, RETRY_FANOUT, RETRY_FANOUT]
+    assert len(set(sum(asked, []))) == IMMEDIATE_TRIES and 3 not in sum(asked, [])  # nobody twice, none that is gone
     assert ask(rooms, 20, servers) == []
-    assert ask(rooms, 20 + PAUSE_US, servers, heard=True) and not rooms.owed
+    assert ask(rooms, 20 + RETRY_PAUSE_US, servers, heard=True) and not rooms.pending
 
 
 def test_a_host_that_was_silent_comes_last_for_the_next_request_too() -> None:
     """With a fifth of the hosts dead each release began with the same dead ones: 148 words to the first of them."""
-    rooms, servers = Rooms(), {n: server(n, i.Role.READ) for n in range(1, 6)}
-    rooms.owe(1, 9, False)
+    rooms, servers = RequestReleases(), {n: server(n, i.Role.READ) for n in range(1, 6)}
+    rooms.add(1, 9, False)
     silent = [*ask(rooms, 1, servers), *ask(rooms, 2, servers)]
-    rooms.owed.pop(9)
-    rooms.owe(3, 10, False)
+    rooms.pending.pop(9)
+    rooms.add(3, 10, False)
     asked = ask(rooms, 3, servers)
     assert asked and asked[0] not in silent
-    rooms.owed.pop(10)
-    rooms.heard(4, silent[0])
-    rooms.owe(5, 11, False)
+    rooms.pending.pop(10)
+    rooms.server_answered(4, silent[0])
+    rooms.add(5, 11, False)
     assert ask(rooms, 5, servers) == silent[:1]
 
 
 def test_dispatchers_that_know_nothing_do_not_all_ask_one_host() -> None:
     firsts = set()
     for seed in range(20):
-        rooms = Rooms(seed)
-        rooms.owe(0, 9, False)
+        rooms = RequestReleases(seed)
+        rooms.add(0, 9, False)
         firsts.update(ask(rooms, 0, {n: server(n, i.Role.READ) for n in range(1, 40)}))
     assert len(firsts) > 10
 
 
 def test_a_word_said_again_waits_though_others_of_the_first_time_are_still_out() -> None:
-    rooms, servers = Rooms(), {n: server(n, i.Role.READ) for n in range(1, 9)}
-    rooms.owe(0, 9, True)
+    rooms, servers = RequestReleases(), {n: server(n, i.Role.READ) for n in range(1, 9)}
+    rooms.add(0, 9, True)
     ask(rooms, 0, servers)
     (room, one), (_, two), (_, three) = rooms.take_due(1, servers)
     rooms.settled(1, room, one.number, True)
     rooms.settled(2, room, two.number, True)  # of the first time: no word said again
     rooms.settled(3, room, three.number, False)
-    assert rooms.owed and rooms.take_due(AGAIN_US, servers) == []
-    assert ask(rooms, 1 + AGAIN_US, servers, heard=True) and not rooms.owed
+    assert rooms.pending and rooms.take_due(REPEAT_DELAY_US, servers) == []
+    assert ask(rooms, 1 + REPEAT_DELAY_US, servers, heard=True) and not rooms.pending
 
 
 def test_a_word_that_is_heard_when_it_is_owed_no_more_only_counts() -> None:
-    rooms, servers = Rooms(), {1: server(1, i.Role.READ)}
-    rooms.owe(0, 9, True)
+    rooms, servers = RequestReleases(), {1: server(1, i.Role.READ)}
+    rooms.add(0, 9, True)
     ((room, to),) = rooms.take_due(0, servers)
-    rooms.owed.pop(9)
+    rooms.pending.pop(9)
     rooms.settled(1, room, to.number, True)
-    assert not rooms.owed
-    rooms.owe(2, 9, False)
+    assert not rooms.pending
+    rooms.add(2, 9, False)
     assert len(rooms.take_due(2, servers)) == 1  # and the count of what is out was kept
 
 
@@ -315,7 +327,7 @@
 def test_numbers_do_not_depend_on_the_order_of_arrival(names: list[str]) -> None:
     hosts = HostList({"reads": i.Role.READ})
     for revision, name in enumerate(names):
-        hosts.take(fleet(revision, member(name), complete=False))
+        hosts.apply(fleet(revision, member(name), complete=False))
     assert {s.name: s.number for s in hosts.servers()} == {
         name: HostList({}).number(name) for name in ("s-1", "s-22", "s-333", "s-4444")
     }
@@ -323,17 +335,17 @@
 
 def test_a_bad_answer_never_empties_the_list() -> None:
     hosts = HostList({"reads": i.Role.READ})
-    hosts.known(fleet(5, member("s-1")))
+    hosts.restore(fleet(5, member("s-1")))
     assert hosts.members().list_kind is i.ListKind.STALE
-    assert not hosts.take(fleet(9))
-    assert not hosts.take(fleet(4, member("s-22")))
+    assert not hosts.apply(fleet(9))
+    assert not hosts.apply(fleet(4, member("s-22")))
     assert [s.name for s in hosts.servers()] == ["s-1"]
-    assert hosts.take(fleet(5, member("s-1")))  # the first real one: no longer stale
+    assert hosts.apply(fleet(5, member("s-1")))  # the first real one: no longer stale
     assert hosts.members().list_kind is i.ListKind.COMPLETE
-    assert not hosts.take(fleet(6, complete=False))
-    assert hosts.take(fleet(7, member("s-1", "Terminating"), complete=False))
+    assert not hosts.apply(fleet(6, complete=False))
+    assert hosts.apply(fleet(7, member("s-1", "Terminating"), complete=False))
     assert [e.state for e in hosts.members().entries] == [i.State.DRAINING]
-    assert hosts.take(fleet(8, member("s-1", "Gone"), member("s-22", up_since_ms=3), complete=False))
+    assert hosts.apply(fleet(8, member("s-1", "Gone"), member("s-22", up_since_ms=3), complete=False))
     assert [(s.name, s.host) for s in hosts.servers()] == [("s-22", "10.0.0.4")]
     assert [e.up_since_us for e in hosts.members().entries] == [3_000]
 
@@ -378,27 +390,30 @@
 def test_a_departure_serves_what_is_owed_and_has_answered_before_the_kill(longest_us: int, resume: bool) -> None:
     times = shutdown_times(1_000_000, longest_us, resume)
     kill_us = 1_000_000 + min(longest_us, 3_000_000) + 700_000
-    assert times.close_us - 1_000_000 >= 700_000 and times.refuse_us - 1_000_000 >= 700_000
-    assert times.close_us <= times.leave_us <= times.gone_us <= times.let_go_us and times.refuse_us <= times.leave_us
+    assert times.close_idle_us - 1_000_000 >= 700_000 and times.refuse_us - 1_000_000 >= 700_000
+    assert (
+        times.close_idle_us <= times.stop_us <= times.exit_us <= times.release_deadline_us
+        and times.refuse_us <= times.stop_us
+    )
     if resume:
-        assert times.gone_us < kill_us or longest_us <= 150_000  # none can be, where nothing is left of the time
+        assert times.exit_us < kill_us or longest_us <= 150_000  # none can be, where nothing is left of the time
     else:  # what streams runs on; what would be lost at the kill is not taken any more
-        assert times.refuse_us == 1_700_000 and times.leave_us <= kill_us <= times.gone_us
+        assert times.refuse_us == 1_700_000 and times.stop_us <= kill_us <= times.exit_us
 
 
 @pytest.mark.parametrize("sockets", [16, 256, 768, 1024])
 def test_descriptors_suffice_for_clients_their_streams_and_what_is_kept(sockets: int) -> None:
-    shares = Shares(sockets, 96)
+    shares = ResourceBudget(sockets, 96)
     hosts, requests = 11, sockets // 3  # a third is the most that clients hold for requests
-    assert shares.clients > requests
+    assert shares.client_connections > requests
     if sockets >= 256:
-        assert shares.clients + requests <= sockets and shares.kept * hosts <= sockets // 5
+        assert shares.client_connections + requests <= sockets and shares.idle_per_host * hosts <= sockets // 5
 
 
 def test_a_kept_connection_found_dead_young_shortens_trust_for_a_while() -> None:
-    trust = PoolTrust(9_000_000)
-    trust.broke(0, 4_000_000)
+    trust = IdleLimit(9_000_000)
+    trust.found_closed(0, 4_000_000)
     assert trust.limit_us(1) == 2_000_000
-    trust.broke(1, 8_000_000)
+    trust.found_closed(1, 8_000_000)
     assert trust.limit_us(2) == 2_000_000  # one that lived longer says nothing new
-    assert trust.limit_us(DOUBT_US + 2) == 9_000_000
+    assert trust.limit_us(REDUCED_US + 2) == 9_000_000
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -13,7 +13,7 @@
 from yardspindle import interface as i
 from yardspindle.core.hosts.host_list import HostList, ListAnswer, Member
 from yardspindle.core.request import timeouts
-from yardspindle.node.discovery import Discovery
+from yardspindle.node.discovery import DiscoveryClient
 from yardspindle.protocol import http1
 from yardspindle.runtime.virtual import Simulation, VirtualWorld
 from yardspindle.runtime.world import ConnectReset, Stream
@@ -62,7 +62,7 @@
         self.world: VirtualWorld = sim.program("node")
         self.hosts = HostList({"reads": i.Role.READ})
         self.lists: list[tuple[int, list[str]]] = []  # in force, one after another
-        self.discovery = Discovery(self.world, address(FIRST), self.hosts, self.news, self.world.signal())
+        self.discovery = DiscoveryClient(self.world, address(FIRST), self.hosts, self.news, self.world.signal())
 
     def news(self) -> None:
         self.lists.append(
@@ -104,7 +104,7 @@
 
     def run() -> None:
         agents, follower = [Agent(sim, FIRST), Agent(sim, SECOND)], Follower(sim)
-        follower.discovery.move(address(SECOND))
+        follower.discovery.change_address(address(SECOND))
         follower.discovery.start()
         follower.until(lambda: len(agents[1].asked) == 2, 100_000)
         assert [len(agent.streams) for agent in agents] == [0, 1]
@@ -160,7 +160,7 @@
         agent.fault, agent.faulty = FAULTS[name], 1 << 30
         agent.drain()
         agent.met.wait()
-        follower.discovery.move(address(SECOND))
+        follower.discovery.change_address(address(SECOND))
         follower.until(lambda: follower.hosts.revision == 8, 100_000)
         asked = len(agent.asked)
         agent.faulty = 0
@@ -180,11 +180,11 @@
     def main(follower: Follower, agent: Agent) -> None:
         second = Agent(follower.sim, SECOND, revision=8)
         second.fault, second.faulty = FAULTS[name], 1 << 30 if back else 1
-        follower.discovery.move(address(SECOND))
+        follower.discovery.change_address(address(SECOND))
         second.met.wait()
         if back:
             agent.revision = 8
-            follower.discovery.move(address(FIRST))
+            follower.discovery.change_address(address(FIRST))
         follower.until(lambda: follower.hosts.revision == 8, MOVE_TOLD_US)
 
     play(main)
@@ -272,7 +272,7 @@
     def main(follower: Follower, agent: Agent) -> None:
         hosts, agent.phases = agent.phases, {}
         agent.revision = 6
-        follower.world.sleep_until(follower.world.now_us() + timeouts.EMPTY_US - 500_000)
+        follower.world.sleep_until(follower.world.now_us() + timeouts.EMPTY_LIST_US - 500_000)
         assert len(follower.hosts) == 2  # an answer that lost its entries, or some of them
         agent.phases, agent.revision = hosts, 7
         follower.until(lambda: follower.hosts.revision == 7, 250_000)
@@ -360,21 +360,21 @@
 def test_an_old_list_is_taken_only_as_the_answer_to_a_call_of_its_own() -> None:
     hosts = HostList({})
     one, two = Member("one"), Member("two")
-    assert hosts.take(ListAnswer(7, True, (one, two)))
+    assert hosts.apply(ListAnswer(7, True, (one, two)))
     for older in (ListAnswer(6, True, (one,)), ListAnswer(5, False, (Member("one", phase="Gone"),))):
-        assert not hosts.take(older) and hosts.doubt and hosts.revision == 7
-    assert not hosts.take(ListAnswer(6, False), anew=True)
-    assert not hosts.take(ListAnswer(6, True, (Member("one", phase="Gone"),)), anew=True)
-    assert hosts.take(ListAnswer(6, True, (one,)), anew=True) and not hosts.doubt and len(hosts) == 1
+        assert not hosts.apply(older) and hosts.rejection and hosts.revision == 7
+    assert not hosts.apply(ListAnswer(6, False), requested_full=True)
+    assert not hosts.apply(ListAnswer(6, True, (Member("one", phase="Gone"),)), requested_full=True)
+    assert hosts.apply(ListAnswer(6, True, (one,)), requested_full=True) and not hosts.rejection and len(hosts) == 1
 
 
 def test_the_sums_of_waits_stay_inside_the_clocks_of_the_list() -> None:
     p = timeouts
-    call = p.SILENT_AGENT_US + p.LIST_US
-    assert p.WATCH_US + p.SILENT_AGENT_US + 2 * call + p.AGENT_PAUSE_US < TOLD_US
-    found = p.WATCH_US + p.SILENT_AGENT_US
-    assert p.LIST_US + found + call < TOLD_US  # an answer of before the change that is slow, silence, a slow one
-    stalled = p.SILENT_AGENT_US + p.PIECE_US
-    assert found + stalled + p.EMPTY_US + p.DOUBT_PAUSE_US + stalled < TOLD_US
-    assert p.MOVED_US + p.DOUBT_PAUSE_US + call <= MOVE_TOLD_US and p.MOVED_US > 0
-    assert p.SILENT_AGENT_US + p.AGENT_PAUSE_US < 250_000
+    call = p.AGENT_RESPONSE_US + p.LIST_BODY_US
+    assert p.WATCH_WAIT_US + p.AGENT_RESPONSE_US + 2 * call + p.AGENT_RETRY_PAUSE_US < TOLD_US
+    found = p.WATCH_WAIT_US + p.AGENT_RESPONSE_US
+    assert p.LIST_BODY_US + found + call < TOLD_US  # an answer of before the change that is slow, silence, a slow one
+    stalled = p.AGENT_RESPONSE_US + p.LIST_CHUNK_US
+    assert found + stalled + p.EMPTY_LIST_US + p.LIST_RECHECK_PAUSE_US + stalled < TOLD_US
+    assert p.AGENT_MOVE_WAIT_US + p.LIST_RECHECK_PAUSE_US + call <= MOVE_TOLD_US and p.AGENT_MOVE_WAIT_US > 0
+    assert p.AGENT_RESPONSE_US + p.AGENT_RETRY_PAUSE_US < 250_000
--- a/tests/test_node_effects.py
+++ b/tests/test_node_effects.py
@@ -10,7 +10,7 @@
 from tests.platform_standin import SETTINGS, TOLD, Host, Platform, plain, write
 from tests.test_node import writers
 from yardspindle.node.app import Node
-from yardspindle.node.config import parse
+from yardspindle.node.config import parse_config
 from yardspindle.runtime.virtual import Simulation
 from yardspindle.runtime.world import Stream
 
@@ -33,7 +33,7 @@
 
     def main() -> Platform:
         platform = Platform(sim)
-        node = Node(sim.program("node"), parse(TOLD, json.dumps({"settings": with_effect(effect)}).encode()))
+        node = Node(sim.program("node"), parse_config(TOLD, json.dumps({"settings": with_effect(effect)}).encode()))
         node.world.spawn("start", node.start).join()
         for number in range(6):
             calls: list[int] = []
@@ -48,7 +48,11 @@
             statuses.append(answer.status)
             took.append(answer.took_us)
             platform.sleep(1_000_000)
-        assert not node.core.life.open and not node.core.rooms.owed and not node.core.watch.last
+        assert (
+            not node.core.lifecycle.requests
+            and not node.core.request_releases.pending
+            and not node.core.rule_checker.last_violation
+        )
         return platform
 
     platform = sim.run("main", main)
@@ -108,7 +112,7 @@
 
     def main() -> None:
         platform = Platform(sim)
-        node = Node(sim.program("node"), parse(TOLD, json.dumps({"settings": with_effect(effect)}).encode()))
+        node = Node(sim.program("node"), parse_config(TOLD, json.dumps({"settings": with_effect(effect)}).encode()))
         node.world.spawn("start", node.start).join()
 
         def silent(host: Host, to: Stream, number: bytes) -> bool:
@@ -121,8 +125,8 @@
                 sim.network.cut("node", host.name)
         asked = platform.clients.spawn("ask", platform.ask, b"id", b"order", SHORT_MS)
         platform.sleep(100_000)
-        node.executor.perform(node.core.leave(node.world.now_us()))
-        assert asked.join().status == status and not node.core.watch.last
+        node.executor.perform(node.core.shut_down(node.world.now_us()))
+        assert asked.join().status == status and not node.core.rule_checker.last_violation
 
     sim.run("main", main)
     assert sim.crashes == []
--- a/tests/test_node_fleet.py
+++ b/tests/test_node_fleet.py
@@ -13,7 +13,7 @@
 from tests.platform_standin import SETTINGS, TOLD, Host, Platform, answer, request
 from yardspindle.core.hosts.host_list import ListAnswer
 from yardspindle.node.app import Node
-from yardspindle.node.config import parse
+from yardspindle.node.config import parse_config
 from yardspindle.runtime.scheduler import Task
 from yardspindle.runtime.virtual import Simulation
 from yardspindle.runtime.world import Stream
@@ -32,7 +32,7 @@
     for at in range(NODES):
         told = {**TOLD, "ROUTER_LISTEN": f"10.1.1.{at}:9000"}
         world = sim.program(f"node {at}")
-        node = Node(world, parse(told, json.dumps({"seed": f"{at:x}", "settings": settings}).encode()))
+        node = Node(world, parse_config(told, json.dumps({"seed": f"{at:x}", "settings": settings}).encode()))
         world.spawn("start", node.start).join()
         nodes.append(node)
     return platform, nodes
@@ -70,17 +70,17 @@
         known = {"revision": 1, "complete": True, "members": [member(at) for at in range(1_000)]}
         told = json.dumps({"known": known, "settings": {**SETTINGS, "instances": 1_024}}).encode()
         tracemalloc.start()
-        node = Node(sim.program("node"), parse(TOLD, told))
+        node = Node(sim.program("node"), parse_config(TOLD, told))
         node.world.spawn("start", node.start).join()  # nobody answers at discovery's address
         odd = [member(at, size=0.0) for at in range(300)] + [{"id": f"odd {at}"} for at in range(200)]
         changes = [*odd, *(member(at, phase="Gone") for at in range(300, 600))]
-        assert node.hosts.take(msgspec.convert({"revision": 2, "complete": False, "members": changes}, ListAnswer))
-        node._news()
+        assert node.host_list.apply(msgspec.convert({"revision": 2, "complete": False, "members": changes}, ListAnswer))
+        node._on_list_change()
         _, peak = tracemalloc.get_traced_memory()
         tracemalloc.stop()
-        assert len(node.hosts) == 900 and len(node.core.life.directory.servers) >= 700
+        assert len(node.host_list) == 900 and len(node.core.lifecycle.directory.servers) >= 700
         assert peak < 16 << 20
-        assert sum(not server.gone for server in node.policy.servers.values()) == 700
+        assert sum(not server.inactive for server in node.policy.servers.values()) == 700
 
     play(main)
 
@@ -128,7 +128,7 @@
             host.script = hang
         tasks = at_each(platform, ask)
         platform.sleep(500_000)
-        by_number = sorted(platform.hosts.values(), key=lambda host: nodes[0].hosts.number(host.name))
+        by_number = sorted(platform.hosts.values(), key=lambda host: nodes[0].host_list.number(host.name))
         for host in by_number[: len(by_number) // 2]:
             for at in range(NODES):
                 sim.network.cut(f"node {at}", host.name)
--- a/tests/test_node_handover.py
+++ b/tests/test_node_handover.py
@@ -13,8 +13,8 @@
 from tests.test_node_sending import slow
 from yardspindle import interface as i
 from yardspindle.core.request import commands as c
-from yardspindle.core.request.rooms import AGAIN_US
-from yardspindle.core.request.unread_calls import LAPSE_US
+from yardspindle.core.request.request_releases import REPEAT_DELAY_US
+from yardspindle.core.request.unread_calls import EXPIRY_US
 from yardspindle.node.app import Node
 from yardspindle.protocol import http1
 from yardspindle.runtime.world import Stream
@@ -35,10 +35,10 @@
     """Nothing is left, and no rule was broken."""
     platform.sleep(RELEASE_US + 3_000_000)
     assert not platform.states and not node.core.busy
-    platform.sleep(LAPSE_US)  # until then what lies unread at a silent host is remembered
-    assert not platform.states and not node.core.needs_time and not node.executor.ids
+    platform.sleep(EXPIRY_US)  # until then what lies unread at a silent host is remembered
+    assert not platform.states and not node.core.needs_tick and not node.executor.request_ids
     assert not node.executor.running and not node.executor.releases.running
-    assert node.core.watch.last is None
+    assert node.core.rule_checker.last_violation is None
 
 
 # --- a second answer
@@ -148,7 +148,7 @@
     def main(platform: Platform, node: Node) -> None:
         for host in writers(platform):
             host.script = twice(write, STRANGE, 5_000)
-        trust = node.http.trust
+        trust = node.http.idle_limit
         assert trust is not None
         for number in range(6):
             assert platform.ask(b"id%d" % number).body == WHOLE
@@ -201,7 +201,7 @@
         for number in range(8):
             assert platform.ask(b"id%d" % number).body == WHOLE
             platform.sleep(50_000)
-        trust = node.http.trust
+        trust = node.http.idle_limit
         assert trust is not None and trust.limit_us(node.world.now_us()) == node.http.idle_us
         at_ease(platform, node)
 
@@ -301,7 +301,14 @@
         assert (
             served > 5
             and late > 5
-            and sum((node.core.life.tally.served, node.core.life.tally.failed, node.core.life.tally.refused)) == 60
+            and sum(
+                (
+                    node.core.lifecycle.counts.served,
+                    node.core.lifecycle.counts.failed,
+                    node.core.lifecycle.counts.refused,
+                )
+            )
+            == 60
         )
         at_ease(platform, node)
 
@@ -317,28 +324,33 @@
     core = started()
     reading(core)
     sent(core, 0)
-    server = core.life.directory.servers[WRITER]
-    assert core.place_asked(0, 1, 1, server)
+    server = core.lifecycle.directory.servers[WRITER]
+    assert core.place_requested(0, 1, 1, server)
     steps: list[Callable[[], list[c.Command]]] = [
         lambda: core.place_answered(5_000, 1, 1, server, held),
         lambda: core.attempt_ended(5_000, 1, 0, i.Status.ERROR),
     ]
     commands = [command for step in (steps if place_first else steps[::-1]) for command in step()]
-    assert len({id(free.room) for free in of(c.Free, commands)}) == 1  # the read may have ended well
-    assert core.rooms.owed
-    assert kinds(core.act(6_000, 1, i.Send(1, READER))) == ["Read"]
-    for at_us in (7_000, 7_000 + AGAIN_US):  # a word said later would take what this one reads: it waits for both
-        assert core.owes(1)
-        (free, *_) = [*of(c.Free, commands), *of(c.Free, core.tick(at_us))]
-        commands = core.room_settled(at_us, free.room, free.server.number, True)
-    assert not core.owes(1)
+    assert len({id(free.release) for free in of(c.SendRequestRelease, commands)}) == 1  # the read may have ended well
+    assert core.request_releases.pending
+    assert kinds(core.apply_action(6_000, 1, i.Send(1, READER))) == ["Read"]
+    for at_us in (
+        7_000,
+        7_000 + REPEAT_DELAY_US,
+    ):  # a word said later would take what this one reads: it waits for both
+        assert core.release_pending(1)
+        (free, *_) = [*of(c.SendRequestRelease, commands), *of(c.SendRequestRelease, core.tick(at_us))]
+        commands = core.request_release_settled(at_us, free.release, free.server.number, True)
+    assert not core.release_pending(1)
     sent(core, 1)
     core.attempt_ended(209_000, 1, 1, i.Status.READ)
-    assert kinds(core.act(209_000, 1, i.Send(1, WRITER2))) == ["Write"]
+    assert kinds(core.apply_action(209_000, 1, i.Send(1, WRITER2))) == ["Write"]
     sent(core, 2)
     assert core.first_token(209_500, 1, 2)[0]
     core.attempt_ended(209_900, 1, 2, i.Status.SERVED)
-    assert not core.life.open and not core.rooms.owed and core.watch.last is None
+    assert (
+        not core.lifecycle.requests and not core.request_releases.pending and core.rule_checker.last_violation is None
+    )
 
 
 def test_a_read_that_fails_as_its_place_is_answered_leaves_nothing() -> None:
--- a/tests/test_node_held.py
+++ b/tests/test_node_held.py
@@ -10,9 +10,9 @@
 from yardspindle import interface as i
 from yardspindle.core.request import commands as c
 from yardspindle.core.request.edge_core import EdgeCore
-from yardspindle.core.request.holds import CONNECTS_HELD, PINNED_PART
-from yardspindle.core.request.rooms import AGAIN_US, LATE_MOST, MORE_AT_ONCE, Rooms
-from yardspindle.core.request.unread_calls import LAPSE_US
+from yardspindle.core.request.held_resources import CONNECTS_WHILE_HELD, RELEASE_FRACTION
+from yardspindle.core.request.request_releases import MAX_LATE_CALLS, REPEAT_DELAY_US, RETRY_FANOUT, RequestReleases
+from yardspindle.core.request.unread_calls import EXPIRY_US
 from yardspindle.node.app import Node
 from yardspindle.runtime.world import Stream
 
@@ -93,17 +93,17 @@
     reading(core, "once")
     sent(core, 0)
     core.attempt_ended(10_000, 1, 0, i.Status.READ)
-    assert kinds(core.act(10_000, 1, i.Send(1, WRITER))) == ["Write"]
-    limit = core.life.held_connect_us
-    assert limit is not None and CONNECTS_HELD * limit <= PINNED_PART * RULES.release_us
+    assert kinds(core.apply_action(10_000, 1, i.Send(1, WRITER))) == ["Write"]
+    limit = core.lifecycle.held_connect_timeout_us
+    assert limit is not None and CONNECTS_WHILE_HELD * limit <= RELEASE_FRACTION * RULES.release_us
     core.attempt_ended(10_000 + limit, 1, 1, i.Status.CONNECT_FAILED)
-    assert kinds(core.act(10_000 + limit, 1, i.Send(1, WRITER2))) == ["Write"]
-    late = core.tick(10_001 + round(PINNED_PART * RULES.release_us))
-    assert kinds(late) == ["Warn", "Abort", "Free"]
-    (told,) = [command.event for command in of(c.TellPlanner, late)]
+    assert kinds(core.apply_action(10_000 + limit, 1, i.Send(1, WRITER2))) == ["Write"]
+    late = core.tick(10_001 + round(RELEASE_FRACTION * RULES.release_us))
+    assert kinds(late) == ["Warn", "Abort", "SendRequestRelease"]
+    (told,) = [command.event for command in of(c.NotifyPlanner, late)]
     assert (told.status, told.note, told.closed) == (i.Status.CONNECT_FAILED, 1, False)
-    assert kinds(core.act(300_000, 1, i.Send(1, READER))) == ["Read"]  # an unsafe one: nothing of it has run
-    assert not core.watch.last
+    assert kinds(core.apply_action(300_000, 1, i.Send(1, READER))) == ["Read"]  # an unsafe one: nothing of it has run
+    assert not core.rule_checker.last_violation
 
 
 @pytest.mark.parametrize("written", [False, True])
@@ -113,13 +113,13 @@
     reading(core)
     sent(core, 0)
     core.attempt_ended(10_000, 1, 0, i.Status.READ)
-    core.act(10_000, 1, i.Send(1, WRITER))
+    core.apply_action(10_000, 1, i.Send(1, WRITER))
     if written:
         sent(core, 1)
-    assert kinds(core.tick(10_000 + round(PINNED_PART * RULES.release_us))) == []
-    called_off = core.tick(10_001 + round(PINNED_PART * RULES.release_us))
-    assert kinds(called_off) == ["Warn", "Abort", *(["CloseIdle"] if written else []), "Free"]
-    (told,) = [command.event for command in of(c.TellPlanner, called_off)]
+    assert kinds(core.tick(10_000 + round(RELEASE_FRACTION * RULES.release_us))) == []
+    called_off = core.tick(10_001 + round(RELEASE_FRACTION * RULES.release_us))
+    assert kinds(called_off) == ["Warn", "Abort", *(["CloseIdle"] if written else []), "SendRequestRelease"]
+    (told,) = [command.event for command in of(c.NotifyPlanner, called_off)]
     assert told.status is (i.Status.TIMEOUT if written else i.Status.CONNECT_FAILED) and told.note == 1
     assert of(c.Abort, called_off)[0].reason is (c.AbortReason.UNANSWERED if written else c.AbortReason.NOT_CONNECTED)
 
@@ -129,22 +129,26 @@
     reading(core)
     sent(core, 0)
     core.attempt_ended(10_000, 1, 0, i.Status.READ)
-    core.act(10_000, 1, i.Send(1, WRITER))
-    core.watch.check_time(10_000 + RULES.release_us)
-    assert core.watch.last is None
-    core.watch.check_time(10_001 + RULES.release_us)  # as if the life cycle had not looked at its clock
-    assert core.watch.last is not None and core.watch.last.rule == "nothing left pinned"
+    core.apply_action(10_000, 1, i.Send(1, WRITER))
+    core.rule_checker.check_time(10_000 + RULES.release_us)
+    assert core.rule_checker.last_violation is None
+    core.rule_checker.check_time(10_001 + RULES.release_us)  # as if the life cycle had not looked at its clock
+    assert (
+        core.rule_checker.last_violation is not None and core.rule_checker.last_violation.rule == "nothing left pinned"
+    )
 
 
 def test_a_word_that_is_owed_is_said_while_a_reads_connection_is_made() -> None:
     core: EdgeCore = started()
     reading(core)
     sent(core, 0)
-    (lost,) = of(c.Free, core.attempt_ended(1_000, 1, 0, i.Status.RESET))
-    core.act(1_000, 1, i.Send(1, READER))
-    again = of(c.Free, core.room_settled(2_000, lost.room, lost.server.number, False))
-    assert core.owes(1) and again  # the read is not written before it is heard: it would take what that leaves
-    assert not core.sending(2_000, 1, 1) and core.counts()["violations"] == 1
+    (lost,) = of(c.SendRequestRelease, core.attempt_ended(1_000, 1, 0, i.Status.RESET))
+    core.apply_action(1_000, 1, i.Send(1, READER))
+    again = of(c.SendRequestRelease, core.request_release_settled(2_000, lost.release, lost.server.number, False))
+    assert (
+        core.release_pending(1) and again
+    )  # the read is not written before it is heard: it would take what that leaves
+    assert not core.start_sending(2_000, 1, 1) and core.counts()["violations"] == 1
 
 
 @pytest.mark.parametrize("again", [False, True])
@@ -182,57 +186,67 @@
         platform.sleep(RELEASE_US + 300_000)
         assert not platform.states
         platform.sleep(1_000_000)
-        assert not node.core.rooms.owed and not node.core.rooms._out and not node.core.rooms._late
-        platform.sleep(LAPSE_US)  # until then a read that went on at a stopped host is remembered
-        assert not node.executor.releases.running and not node.executor.ids
+        assert (
+            not node.core.request_releases.pending
+            and not node.core.request_releases._in_flight
+            and not node.core.request_releases._late_calls
+        )
+        platform.sleep(EXPIRY_US)  # until then a read that went on at a stopped host is remembered
+        assert not node.executor.releases.running and not node.executor.request_ids
 
     play(main)
 
 
 def test_a_host_that_is_slow_to_accept_may_still_take_the_word() -> None:
-    rooms, servers = Rooms(), {n: server(n, i.Role.READ) for n in range(1, 40)}
-    rooms.owe(0, 9, True)
+    rooms, servers = RequestReleases(), {n: server(n, i.Role.READ) for n in range(1, 40)}
+    rooms.add(0, 9, True)
     ((room, slow),) = rooms.take_due(0, servers)
-    assert rooms.overdue(70, room, slow.number)
+    assert rooms.call_overdue(70, room, slow.number)
     asked = [to for _, to in rooms.take_due(70, servers)]
-    assert slow not in asked and len(asked) == MORE_AT_ONCE
-    rooms.settled_late(80, room, slow.number, True)
+    assert slow not in asked and len(asked) == RETRY_FANOUT
+    rooms.late_call_settled(80, room, slow.number, True)
     for to in asked:  # they are of the first time, whether they hear or not
         rooms.settled(90, room, to.number, to is asked[0])
-    assert rooms.owed and rooms.take_due(79 + AGAIN_US, servers) == []
-    ((_, first),) = rooms.take_due(80 + AGAIN_US, servers)
-    assert rooms.overdue(90 + AGAIN_US, room, first.number)
-    rooms.owed.pop(9)
-    rooms.owe(91 + AGAIN_US, 9, False)
-    rooms.settled_late(92 + AGAIN_US, room, first.number, True)  # a word of the room before takes nothing off this one
-    assert rooms.owed and not rooms._late
+    assert rooms.pending and rooms.take_due(79 + REPEAT_DELAY_US, servers) == []
+    ((_, first),) = rooms.take_due(80 + REPEAT_DELAY_US, servers)
+    assert rooms.call_overdue(90 + REPEAT_DELAY_US, room, first.number)
+    rooms.pending.pop(9)
+    rooms.add(91 + REPEAT_DELAY_US, 9, False)
+    rooms.late_call_settled(
+        92 + REPEAT_DELAY_US, room, first.number, True
+    )  # a word of the room before takes nothing off this one
+    assert rooms.pending and not rooms._late_calls
 
 
 @pytest.mark.parametrize("heard", [False, True])
 def test_a_dead_fleet_leaves_few_connections_waited_for(heard: bool) -> None:
-    rooms, servers = Rooms(), {n: server(n, i.Role.READ) for n in range(1, 40)}
+    rooms, servers = RequestReleases(), {n: server(n, i.Role.READ) for n in range(1, 40)}
     for number in range(60):
-        rooms.owe(0, number, False)
+        rooms.add(0, number, False)
     out = rooms.take_due(0, servers)
-    late = [rooms.overdue(70, room, to.number) for room, to in out]
-    assert late.count(True) == LATE_MOST < late.count(False)
+    late = [rooms.call_overdue(70, room, to.number) for room, to in out]
+    assert late.count(True) == MAX_LATE_CALLS < late.count(False)
     for (room, to), waits in zip(out, late, strict=True):
         if waits:
-            rooms.settled_late(80, room, to.number, heard)
+            rooms.late_call_settled(80, room, to.number, heard)
         else:
             rooms.settled(80, room, to.number, False)
-    assert not rooms._late and not rooms._out and len(rooms.owed) == 60 - heard * LATE_MOST
+    assert not rooms._late_calls and not rooms._in_flight and len(rooms.pending) == 60 - heard * MAX_LATE_CALLS
 
 
 def test_the_watch_withholds_what_crosses_between_attempts_and_releases() -> None:
     core = started()
     reading(core)
     sent(core, 0)
-    assert core.watch.releasing(1) is False and core.watch.last is not None and "under attempts" in core.watch.last.text
+    assert (
+        core.rule_checker.may_release(1) is False
+        and core.rule_checker.last_violation is not None
+        and "under attempts" in core.rule_checker.last_violation.text
+    )
     core.attempt_ended(10_000, 1, 0, i.Status.READ)
-    assert core.watch.releasing(1)
-    core.act(10_000, 1, i.Send(1, WRITER))
-    assert core.watch.releasing(1)  # nothing of it is written yet
+    assert core.rule_checker.may_release(1)
+    core.apply_action(10_000, 1, i.Send(1, WRITER))
+    assert core.rule_checker.may_release(1)  # nothing of it is written yet
     assert core.counts()["violations"] == core.counts()["broken_nothing_left_pinned"] == 1
 
 
@@ -240,10 +254,10 @@
     core = started()
     reading(core)
     sent(core, 0)
-    assert of(c.Free, core.attempt_ended(1_000, 1, 0, i.Status.RESET))
-    assert not of(c.Broken, core.tick(1_000 + RULES.release_us))
-    assert len(of(c.Broken, core.tick(1_001 + RULES.release_us))) == 1
-    assert not of(c.Broken, core.tick(1_002 + RULES.release_us)) and core.counts()["violations"] == 1
+    assert of(c.SendRequestRelease, core.attempt_ended(1_000, 1, 0, i.Status.RESET))
+    assert not of(c.ReportViolation, core.tick(1_000 + RULES.release_us))
+    assert len(of(c.ReportViolation, core.tick(1_001 + RULES.release_us))) == 1
+    assert not of(c.ReportViolation, core.tick(1_002 + RULES.release_us)) and core.counts()["violations"] == 1
 
 
 @pytest.mark.parametrize("word", [True, False, None])
@@ -253,8 +267,8 @@
     sent(core, 0)
     asked(core)
     core.place_answered(1_000, 1, 1, server(WRITER, i.Role.WRITE), word)
-    called_off = kinds(core.tick(1 + round(PINNED_PART * RULES.release_us)))
-    assert ("Abort" in called_off) is (word is None) and core.watch.last is None
+    called_off = kinds(core.tick(1 + round(RELEASE_FRACTION * RULES.release_us)))
+    assert ("Abort" in called_off) is (word is None) and core.rule_checker.last_violation is None
 
 
 def test_the_first_bytes_of_an_answer_stop_the_clock_of_what_is_held() -> None:
@@ -262,7 +276,7 @@
     reading(core)
     sent(core, 0)
     core.attempt_ended(10_000, 1, 0, i.Status.READ)
-    core.act(10_000, 1, i.Send(1, WRITER))
+    core.apply_action(10_000, 1, i.Send(1, WRITER))
     sent(core, 1)
-    core.heard(1, 1)
-    assert kinds(core.tick(400_000)) == [] and core.watch.last is None
+    core.attempt_answered(1, 1)
+    assert kinds(core.tick(400_000)) == [] and core.rule_checker.last_violation is None
--- a/tests/test_node_left.py
+++ b/tests/test_node_left.py
@@ -13,10 +13,10 @@
 from tests.test_node import play, readers, writers
 from tests.test_node_sending import HOP_US, slow, the_one
 from yardspindle import interface as i
-from yardspindle.core.request.open import Open
-from yardspindle.core.request.unread_calls import LAPSE_US
+from yardspindle.core.request.records import RequestRecord
+from yardspindle.core.request.unread_calls import EXPIRY_US
 from yardspindle.node.app import Node
-from yardspindle.node.config import parse
+from yardspindle.node.config import parse_config
 from yardspindle.protocol import http1
 from yardspindle.runtime.real import RealWorld
 from yardspindle.runtime.world import Stream, StreamError
@@ -50,11 +50,11 @@
     ids: list[bytes] = []
 
     def written(number: int, _attempt: int) -> None:
-        ids.append(node.executor.ids.get(number, b"?"))
-        known = node.core.life.open.get(number)
+        ids.append(node.executor.request_ids.get(number, b"?"))
+        known = node.core.lifecycle.requests.get(number)
         assert known is not None and known.final is None, "written after its client left"
 
-    wrapped(node.core, "written", written)
+    wrapped(node.core, "attempt_written", written)
     return ids
 
 
@@ -74,14 +74,14 @@
     platform.sleep(RELEASE_US + 300_000)
     assert [what for what in platform.kinds(number) if what != "free"] == [what for what in seen if what != "free"]
     assert number not in platform.states
-    platform.sleep(LAPSE_US + 3_000_000)  # until then what lies unread at a silent host is remembered
-    assert not node.core.needs_time and not node.executor.ids
+    platform.sleep(EXPIRY_US + 3_000_000)  # until then what lies unread at a silent host is remembered
+    assert not node.core.needs_tick and not node.executor.request_ids
     assert not node.executor.releases.running and not node.executor.running
-    assert node.core.watch.last is None
+    assert node.core.rule_checker.last_violation is None
 
 
-def connecting(role: i.Role) -> Callable[[Open], bool]:
-    return lambda r: r.out is not None and r.out.server.role is role and not r.out.written
+def connecting(role: i.Role) -> Callable[[RequestRecord], bool]:
+    return lambda r: r.attempt is not None and r.attempt.server.role is role and not r.attempt.written
 
 
 @CLOSES
@@ -119,7 +119,7 @@
         for host in readers(platform):
             host.script = hangs
         client = begins(platform)
-        the_one(platform, node, lambda r: r.place is not None and r.out is not None and r.out.written)
+        the_one(platform, node, lambda r: r.place is not None and r.attempt is not None and r.attempt.written)
         leave(client)
         is_over(platform, node, ["read"])
 
@@ -167,7 +167,7 @@
         for host in readers(platform):
             host.script = breaks
         client = begins(platform)
-        known = the_one(platform, node, lambda r: r.attempts == 2)
+        known = the_one(platform, node, lambda r: r.attempt_count == 2)
         platform.sleep(10_000)
         assert node.executor.releases.running and connecting(i.Role.READ)(known)
         leave(client)
@@ -188,7 +188,7 @@
         for host in readers(platform) if role is i.Role.READ else writers(platform):
             host.script, host.place_status = full, 409
         client = begins(platform)
-        the_one(platform, node, lambda r: r.out is None and r.attempts > (role is i.Role.WRITE))
+        the_one(platform, node, lambda r: r.attempt is None and r.attempt_count > (role is i.Role.WRITE))
         leave(client)
         platform.sleep(5_000)
         is_over(platform, node, platform.kinds(ID))
@@ -216,7 +216,7 @@
             assert number not in platform.states
             left += number not in ids
         assert 5 < left < 55  # some came up first, some were left first
-        assert not node.core.busy and node.core.watch.last is None
+        assert not node.core.busy and node.core.rule_checker.last_violation is None
 
     play(main)
 
@@ -232,9 +232,13 @@
 
         def connect(host: str, port: int, deadline_us: int) -> Stream:
             stream = made(host, port, deadline_us)
-            for known in list(node.core.life.open.values()):
-                if known.out is not None and known.out.server.host == host and known.out.server.role is role:
-                    node.executor.running[known.ask.request].exchange.left()
+            for known in list(node.core.lifecycle.requests.values()):
+                if (
+                    known.attempt is not None
+                    and known.attempt.server.host == host
+                    and known.attempt.server.role is role
+                ):
+                    node.executor.running[known.request.request].exchange.client_disconnected()
             return stream
 
         node.world.connect = connect  # type: ignore[method-assign]
@@ -294,7 +298,7 @@
             platform.sleep(RELEASE_US)
             assert number not in platform.states, at
         platform.sleep(1_000_000)
-        assert not node.core.busy and node.core.watch.last is None
+        assert not node.core.busy and node.core.rule_checker.last_violation is None
 
     play(main)
 
@@ -347,7 +351,7 @@
         free = world.listen("127.0.0.1", 0)
         free.close()
         told = {**TOLD, "ROUTER_LISTEN": f"127.0.0.1:{free.port}", "ROUTER_DISCOVERY": serve(lists)}
-        node = Node(world, parse(told, json.dumps({"limits": {"sockets": 256}, "settings": SETTINGS}).encode()))
+        node = Node(world, parse_config(told, json.dumps({"limits": {"sockets": 256}, "settings": SETTINGS}).encode()))
         node.start()
         main(world, lambda: world.connect("127.0.0.1", free.port, world.now_us() + 1_000_000), seen)
 
--- a/tests/test_node_lists.py
+++ b/tests/test_node_lists.py
@@ -11,7 +11,7 @@
 from yardspindle.core.hosts.host_list import HostList, ListAnswer, Member
 from yardspindle.core.request import timeouts
 from yardspindle.node.app import Node
-from yardspindle.node.config import parse
+from yardspindle.node.config import parse_config
 from yardspindle.protocol import http1
 from yardspindle.runtime.virtual import Simulation
 
@@ -25,7 +25,7 @@
 def heard_after(platform: Platform, node: Node, within_us: int) -> int:
     """How long after now the list in force is the newest, at most a millisecond too much; fails after `within_us`."""
     began = platform.sim.now_us()
-    while node.hosts.revision < platform.revision:
+    while node.host_list.revision < platform.revision:
         assert platform.sim.now_us() - began < within_us, "not heard in time"
         platform.sleep(1_000)
     return platform.sim.now_us() - began
@@ -38,10 +38,10 @@
         asked = len(platform.asked)
         while len(platform.asked) == asked:
             platform.sleep(1_000)
-        platform.sleep(round(phase * timeouts.WATCH_US))
+        platform.sleep(round(phase * timeouts.WATCH_WAIT_US))
         platform.watches += 1
         drain_one(platform)
-        heard_after(platform, node, max(6_000_000, round((1 - phase) * timeouts.WATCH_US) + 2_000_000))
+        heard_after(platform, node, max(6_000_000, round((1 - phase) * timeouts.WATCH_WAIT_US) + 2_000_000))
 
     play(main)
 
@@ -79,7 +79,7 @@
         platform.down_until_us = sim.now_us() + 4_000_000
         known = {"revision": 1, "complete": True, "members": platform.members()}
         world = sim.program("node")
-        node = Node(world, parse(TOLD, json.dumps({"known": known, "settings": SETTINGS}).encode()))
+        node = Node(world, parse_config(TOLD, json.dumps({"known": known, "settings": SETTINGS}).encode()))
         world.spawn("start", node.start)
         drained = writers(platform)[0]
         drain_one(platform)
@@ -91,7 +91,7 @@
             stream.write(up)
             statuses.append(answer(platform.clients, stream, sim.now_us()).status)
             stream.close()
-        assert node.hosts.revision == platform.revision and 503 in statuses
+        assert node.host_list.revision == platform.revision and 503 in statuses
         for number in range(9):
             assert platform.ask(b"id%d" % number).whole
         assert drained.name not in {name for what, name, _ in platform.seen if what in ("write", "place")}
@@ -111,12 +111,12 @@
         platform.down_until_us = began + down_us
         known = {"revision": 1, "complete": True, "members": platform.members()}
         world = sim.program("node")
-        node = Node(world, parse(TOLD, json.dumps({"known": known, "settings": SETTINGS}).encode()))
+        node = Node(world, parse_config(TOLD, json.dumps({"known": known, "settings": SETTINGS}).encode()))
         world.spawn("start", node.start).join()
-        reply = node.early(http1.RequestHead(b"GET", b"/up", 1, []))
+        reply = node.early_reply(http1.RequestHead(b"GET", b"/up", 1, []))
         assert reply is not None and reply.status == 200
         assert 1_000_000 + sim.now_us() - began < 5_500_000
-        assert platform.ask(b"id").whole and node.hosts.stale
+        assert platform.ask(b"id").whole and node.host_list.stale
         if down_us < 60_000_000:
             platform.sleep(began + down_us - sim.now_us())
             drain_one(platform)
@@ -137,7 +137,7 @@
         known = {"revision": 9 if below else 1, "complete": True, "members": platform.members()}
         data = {"known": known, "settings": SETTINGS}
         world = sim.program("node")
-        node = Node(world, parse(TOLD, json.dumps(data).encode()))
+        node = Node(world, parse_config(TOLD, json.dumps(data).encode()))
         start = world.spawn("start", node.start)
         platform.sleep(1_000_000)
         platform.down_until_us = 0  # the calls that are out stay silent
@@ -145,11 +145,11 @@
         drained, later = writers(platform)[:2]
         drained.phase, platform.revision = "Terminating", 3
         del platform.hosts[later.name]
-        node.reload(parse(TOLD, json.dumps(data | {"discovery": "10.2.0.9:8500"}).encode()))
+        node.reload(parse_config(TOLD, json.dumps(data | {"discovery": "10.2.0.9:8500"}).encode()))
         began = sim.now_us()
         start.join()
-        assert sim.now_us() - began < 50_000 and node.hosts.revision == 3 and not node.hosts.stale
-        assert len(node.hosts) == 4
+        assert sim.now_us() - began < 50_000 and node.host_list.revision == 3 and not node.host_list.stale
+        assert len(node.host_list) == 4
 
     sim = Simulation(5)
     sim.run("main", main)
@@ -159,7 +159,7 @@
 def test_an_old_answer_that_comes_late_changes_nothing() -> None:
     hosts = HostList({})
     one, two = Member("one"), Member("two", phase="Terminating")
-    assert hosts.take(ListAnswer(7, True, (one, two)))
+    assert hosts.apply(ListAnswer(7, True, (one, two)))
     for older in (ListAnswer(6, True, (one,)), ListAnswer(5, False, (Member("two"),)), ListAnswer(6, False)):
-        assert not hosts.take(older)
+        assert not hosts.apply(older)
     assert hosts.revision == 7 and len(hosts) == 2
--- a/tests/test_node_more.py
+++ b/tests/test_node_more.py
@@ -12,7 +12,7 @@
 from tests.test_node import BAD, ID, play, readers, says, writers
 from yardspindle.core.config import ConfigError
 from yardspindle.node.app import Node
-from yardspindle.node.config import parse, variables
+from yardspindle.node.config import parse_config, required_variables
 from yardspindle.protocol import http1
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.world import Stream, StreamError
@@ -33,7 +33,7 @@
             except DeadlineExceeded:
                 assert got  # an error, and the connection stays
         assert not got or got.startswith(b"HTTP/1.1 4") or got.startswith(b"HTTP/1.1 5")
-        assert node.core.life.tally.taken == 0 and platform.seen == []
+        assert node.core.lifecycle.counts.taken == 0 and platform.seen == []
         assert platform.ask(b"good").whole
 
     play(main)
@@ -74,7 +74,7 @@
         for spoilt in (b"{", b'{"revision":9,"complete":true,"members":[]}', b'{"revision":1,"complete":true}'):
             platform.spoil, platform.revision = spoilt, platform.revision + 1
             platform.sleep(1_000_000)
-        assert len(node.hosts) == 5
+        assert len(node.host_list) == 5
         for number in range(6):
             assert platform.ask(b"id%d" % number).whole
         assert drained.name not in [name for what, name, _ in platform.seen if what == "write"]
@@ -87,14 +87,14 @@
         platform.sleep(100_000)
         platform.sim.network.cut("node", f"discovery {TOLD['ROUTER_DISCOVERY']}")
         platform.sleep(7_000_000)
-        assert len(node.hosts) == 5 and platform.ask(b"meanwhile").whole
+        assert len(node.host_list) == 5 and platform.ask(b"meanwhile").whole
         platform.discovery("10.2.0.9:8500")
         platform.hosts.pop(writers(platform)[0].name)
         platform.revision = 7
         config = json.dumps({"discovery": "10.2.0.9:8500", "settings": SETTINGS}).encode()
-        node.reload(parse(TOLD, config))
+        node.reload(parse_config(TOLD, config))
         platform.sleep(200_000)
-        assert (len(node.hosts), node.hosts.revision) == (4, 7)
+        assert (len(node.host_list), node.host_list.revision) == (4, 7)
 
     play(main)
 
@@ -112,14 +112,14 @@
             policy, core, tables = node.policy, node.core, node.executor
             held: list[Sized] = [
                 policy.servers,
-                policy.open,
-                core.life.directory.servers,
-                core.life.open,
-                core.rooms.owed,
-                core.rooms._heard,
-                tables.ids,
+                policy.open_requests,
+                core.lifecycle.directory.servers,
+                core.lifecycle.requests,
+                core.request_releases.pending,
+                core.request_releases._last_answer_us,
+                tables.request_ids,
                 tables.running,
-                node.hosts._numbers,
+                node.host_list._numbers,
                 node.http._idle,
                 node._open_ids,
             ]
@@ -168,7 +168,7 @@
         assert not answers[b"streams"].whole and answers[b"streams"].body.startswith(EVENTS[0])
         assert answers[b"waits"].status == 503 and answers[b"order"].status in (502, 504)
         assert max(answer.took_us for answer in answers.values()) < 3_900_000
-        assert not node.core.life.open
+        assert not node.core.lifecycle.requests
 
     play(main)
 
@@ -200,7 +200,7 @@
             if platform.hosts[name].flavor == "reads":
                 platform.states.add(b"id")  # it was read, and only its end was not heard
         drain.join()
-        assert not platform.states and not node.core.rooms.owed
+        assert not platform.states and not node.core.request_releases.pending
 
     play(main)
 
@@ -277,11 +277,11 @@
 )
 def test_a_bad_configuration_is_one_clear_line(data: bytes, named: str) -> None:
     with pytest.raises(ConfigError) as caught:
-        parse(TOLD, data)
+        parse_config(TOLD, data)
     text = str(caught.value)
     assert text.startswith("/config.json: ") and named in text and "\n" not in text
 
 
 def test_a_missing_variable_is_named() -> None:
     with pytest.raises(ConfigError, match="ROUTER_LISTEN"):
-        variables({name: value for name, value in TOLD.items() if name != "ROUTER_LISTEN"})
+        required_variables({name: value for name, value in TOLD.items() if name != "ROUTER_LISTEN"})
--- a/tests/test_node_moves.py
+++ b/tests/test_node_moves.py
@@ -20,9 +20,9 @@
         agent.drain()
         follower.until(lambda: follower.hosts.revision == 6, 50_000)
         second = Agent(follower.sim, SECOND, revision=5)
-        follower.discovery.move(address(SECOND))
+        follower.discovery.change_address(address(SECOND))
         took = follower.until(lambda: follower.hosts.revision == 5, MOVE_TOLD_US)
-        assert took > timeouts.MOVED_US and follower.lists[-1][1] == ["h1"]
+        assert took > timeouts.AGENT_MOVE_WAIT_US and follower.lists[-1][1] == ["h1"]
         second.drain("h1")
         follower.until(lambda: follower.lists[-1] == (6, ["h0"]), 50_000)  # its own next word counts again
 
@@ -39,7 +39,7 @@
     def main(follower: Follower, agent: Agent) -> None:
         second = Agent(follower.sim, SECOND, revision=2, hosts=3)
         second.fault, second.faulty = FAULTS[name], times
-        follower.discovery.move(address(SECOND))
+        follower.discovery.change_address(address(SECOND))
         follower.until(lambda: follower.hosts.revision == 2, MOVE_TOLD_US)
         assert follower.lists == [(5, ["h0", "h1"]), (2, ["h0", "h1", "h2"])]
         second.drain("h2")
@@ -49,13 +49,15 @@
 
 
 @pytest.mark.parametrize("name", FAULTS)
-@pytest.mark.parametrize("at_us", [timeouts.MOVED_US - 1_000, timeouts.MOVED_US, timeouts.MOVED_US + 1_000])
+@pytest.mark.parametrize(
+    "at_us", [timeouts.AGENT_MOVE_WAIT_US - 1_000, timeouts.AGENT_MOVE_WAIT_US, timeouts.AGENT_MOVE_WAIT_US + 1_000]
+)
 def test_a_call_that_meets_a_fault_just_when_a_new_address_is_to_be_believed_is_made_again_in_time(
     at_us: int, name: str
 ) -> None:
     def main(follower: Follower, agent: Agent) -> None:
         second = Agent(follower.sim, SECOND, revision=2)
-        follower.discovery.move(address(SECOND))
+        follower.discovery.change_address(address(SECOND))
         follower.world.sleep_until(follower.world.now_us() + at_us)
         second.fault, second.faulty = FAULTS[name], 1
         follower.until(lambda: follower.hosts.revision == 2, MOVE_TOLD_US - at_us)
@@ -70,7 +72,7 @@
 
     def main(follower: Follower, agent: Agent) -> None:
         second = Agent(follower.sim, SECOND, revision=2)
-        follower.discovery.move(address(SECOND))
+        follower.discovery.change_address(address(SECOND))
         follower.world.sleep_until(follower.world.now_us() + later_us)
         second.drain()
         if gone:
@@ -84,12 +86,15 @@
 
 def test_a_list_without_hosts_at_a_new_address_is_not_believed_for_what_the_old_one_said() -> None:
     hosts = HostList({})
-    assert hosts.take(ListAnswer(7, True, (Member("one"),)), 0, anew=True)
-    assert not hosts.take(ListAnswer(8, True), 1, anew=True)
-    hosts.moved(timeouts.EMPTY_US)
-    assert not hosts.take(ListAnswer(8, True), timeouts.EMPTY_US + 1, anew=True) and len(hosts) == 1
-    assert hosts.take(ListAnswer(8, True), 2 * timeouts.EMPTY_US + 1, anew=True) and not len(hosts)
-    assert timeouts.EMPTY_US + timeouts.DOUBT_PAUSE_US + timeouts.SILENT_AGENT_US + timeouts.PIECE_US < MOVE_TOLD_US
+    assert hosts.apply(ListAnswer(7, True, (Member("one"),)), 0, requested_full=True)
+    assert not hosts.apply(ListAnswer(8, True), 1, requested_full=True)
+    hosts.discovery_moved(timeouts.EMPTY_LIST_US)
+    assert not hosts.apply(ListAnswer(8, True), timeouts.EMPTY_LIST_US + 1, requested_full=True) and len(hosts) == 1
+    assert hosts.apply(ListAnswer(8, True), 2 * timeouts.EMPTY_LIST_US + 1, requested_full=True) and not len(hosts)
+    assert (
+        timeouts.EMPTY_LIST_US + timeouts.LIST_RECHECK_PAUSE_US + timeouts.AGENT_RESPONSE_US + timeouts.LIST_CHUNK_US
+        < MOVE_TOLD_US
+    )
 
 
 def test_an_older_list_just_after_a_move_ends_hosts_and_does_nothing_else() -> None:
@@ -101,8 +106,8 @@
         Member("absent", up_since_ms=8.0),
         Member("not there yet", up_since_ms=8.5),
     )
-    assert hosts.take(ListAnswer(7, True, mine), 0)
-    hosts.moved(1)
+    assert hosts.apply(ListAnswer(7, True, mine), 0)
+    hosts.discovery_moved(1)
     old = ListAnswer(
         3,
         True,
@@ -113,8 +118,8 @@
             Member("more"),
         ),
     )
-    assert not hosts.take(old, 2) and hosts.revision == 7
-    assert hosts.take(old, 2, anew=True) and hosts.doubt and hosts.revision == 7 and not hosts.started
+    assert not hosts.apply(old, 2) and hosts.revision == 7
+    assert hosts.apply(old, 2, requested_full=True) and hosts.rejection and hosts.revision == 7 and not hosts.started
     assert [entry.state.name for entry in hosts.members().entries] == [
         "SERVING",
         "DRAINING",
@@ -122,9 +127,9 @@
         "DRAINING",
         "SERVING",
     ]
-    assert not hosts.take(old, 2, anew=True)
+    assert not hosts.apply(old, 2, requested_full=True)
     restored = ListAnswer(3, True, tuple(replace(member, phase="Ready") for member in (*mine, Member("more"))))
-    assert hosts.take(restored, 2, anew=True)  # the answer before had lost entries: nothing of it stays
+    assert hosts.apply(restored, 2, requested_full=True)  # the answer before had lost entries: nothing of it stays
     assert [entry.state.name for entry in hosts.members().entries] == [
         "SERVING",
         "SERVING",
--- a/tests/test_node_sending.py
+++ b/tests/test_node_sending.py
@@ -12,7 +12,7 @@
 from yardspindle import interface as i
 from yardspindle.core.request import commands as c
 from yardspindle.core.request.edge_core import EdgeCore
-from yardspindle.core.request.open import Open
+from yardspindle.core.request.records import RequestRecord
 from yardspindle.node.app import Node
 from yardspindle.runtime.virtual import VirtualWorld
 from yardspindle.runtime.world import Stream
@@ -33,10 +33,10 @@
     return task.join
 
 
-def the_one(platform: Platform, node: Node, when: Callable[[Open], bool]) -> Open:
+def the_one(platform: Platform, node: Node, when: Callable[[RequestRecord], bool]) -> RequestRecord:
     """The one open request, once it has come so far."""
     for _ in range(1_000):
-        for known in node.core.life.open.values():
+        for known in node.core.lifecycle.requests.values():
             if when(known):
                 return known
         platform.sleep(1_000)
@@ -106,17 +106,17 @@
 def test_the_time_told_is_rounded_down_and_an_attempt_with_none_left_is_not_sent() -> None:
     core = started()
     reading(core)
-    assert core.sending(1, 1, 0) == 4_999
-    assert core.sending(4_998_999, 1, 0) == 1
-    assert core.sending(4_999_001, 1, 0) == 0
-    assert core.sending(5_000_000, 1, 0) == core.sending(6_000_000, 1, 0) == 0
+    assert core.start_sending(1, 1, 0) == 4_999
+    assert core.start_sending(4_998_999, 1, 0) == 1
+    assert core.start_sending(4_999_001, 1, 0) == 0
+    assert core.start_sending(5_000_000, 1, 0) == core.start_sending(6_000_000, 1, 0) == 0
 
 
 def test_an_attempts_own_time_bounds_what_it_tells() -> None:
     core = started()
-    core.arrive(0, i.Request(1, "safe", 5_000_000, 100.0))
-    core.act(0, 1, i.Send(1, READER, timeout_us=70_000))
-    assert core.sending(10_500, 1, 0) == 59
+    core.request_arrived(0, i.Request(1, "safe", 5_000_000, 100.0))
+    core.apply_action(0, 1, i.Send(1, READER, timeout_us=70_000))
+    assert core.start_sending(10_500, 1, 0) == 59
 
 
 @pytest.mark.parametrize("written", [False, True])
@@ -125,13 +125,13 @@
     reading(core, "once")
     sent(core, 0)
     core.attempt_ended(10_000, 1, 0, i.Status.READ)
-    core.act(10_000, 1, i.Send(1, WRITER))
+    core.apply_action(10_000, 1, i.Send(1, WRITER))
     if written:
         sent(core, 1)
-    told = of(c.TellPlanner, core.attempt_ended(60_000, 1, 1, i.Status.TIMEOUT))
+    told = of(c.NotifyPlanner, core.attempt_ended(60_000, 1, 1, i.Status.TIMEOUT))
     assert [event.event.status for event in told] == [i.Status.TIMEOUT if written else i.Status.MOOT]
-    assert kinds(core.act(60_000, 1, i.Send(1, WRITER2))) == (["Warn"] if written else ["Write"])
-    assert core.watch.last is None
+    assert kinds(core.apply_action(60_000, 1, i.Send(1, WRITER2))) == (["Warn"] if written else ["Write"])
+    assert core.rule_checker.last_violation is None
 
 
 def test_a_host_is_not_blamed_for_a_connection_whose_request_is_out_of_time() -> None:
@@ -156,7 +156,7 @@
 
 def relisted(core: EdgeCore, now_us: int, number: int, state: i.State | None) -> None:
     """A new list in which one server drains, or (None) is missing."""
-    core.servers(
+    core.update_servers(
         now_us,
         [
             server(n, role, state if n == number and state else i.State.SERVING)
@@ -171,12 +171,12 @@
     core = started()
     reading(core)
     relisted(core, 1_000, READER, state)
-    assert core.sending(501_000, 1, 0)  # to the end of its grace
-    assert not core.sending(501_001, 1, 0)
-    told = of(c.TellPlanner, core.attempt_ended(501_001, 1, 0, i.Status.MOOT))
+    assert core.start_sending(501_000, 1, 0)  # to the end of its grace
+    assert not core.start_sending(501_001, 1, 0)
+    told = of(c.NotifyPlanner, core.attempt_ended(501_001, 1, 0, i.Status.MOOT))
     assert [event.event.status for event in told] == [i.Status.MOOT]
     relisted(core, 501_002, READER, i.State.SERVING)
-    assert kinds(core.act(501_002, 1, i.Send(1, READER))) == ["Read"]  # nothing of it has run
+    assert kinds(core.apply_action(501_002, 1, i.Send(1, READER))) == ["Read"]  # nothing of it has run
 
 
 def test_no_first_byte_goes_where_a_host_listens_no_more() -> None:
@@ -184,8 +184,8 @@
     reading(core)
     moved = server(READER, i.Role.READ)
     moved.port += 100
-    core.servers(1_000, [moved])
-    assert not core.sending(1_001, 1, 0)
+    core.update_servers(1_000, [moved])
+    assert not core.start_sending(1_001, 1, 0)
 
 
 @pytest.mark.parametrize("state", [i.State.DRAINING, i.State.GONE, None])
@@ -193,20 +193,23 @@
     core = started()
     reading(core)
     sent(core, 0)
-    assert core.asking(1, 1, 0)
+    assert core.may_reserve_place(1, 1, 0)
     relisted(core, 1_000, WRITER, state)
-    assert not core.asking(1, 1, 0)
+    assert not core.may_reserve_place(1, 1, 0)
 
 
 def test_the_watch_finds_a_first_byte_that_the_list_forbids() -> None:
     core = started()
     reading(core)
     relisted(core, 0, READER, i.State.DRAINING)
-    assert core.watch.sending(500_000, 1, 0, core.life.listed(1)) and core.watch.last is None
-    assert not core.watch.sending(500_001, 1, 0, core.life.listed(1))
-    assert core.watch.last is not None and core.watch.last.rule == "drains kept"
-    assert not core.watch.sending(0, 1, 7, core.life.listed(1))
-    assert core.watch.last.rule == "one final answer"
+    assert (
+        core.rule_checker.may_send(500_000, 1, 0, core.lifecycle.listed_server(1))
+        and core.rule_checker.last_violation is None
+    )
+    assert not core.rule_checker.may_send(500_001, 1, 0, core.lifecycle.listed_server(1))
+    assert core.rule_checker.last_violation is not None and core.rule_checker.last_violation.rule == "drains kept"
+    assert not core.rule_checker.may_send(0, 1, 7, core.lifecycle.listed_server(1))
+    assert core.rule_checker.last_violation.rule == "one final answer"
 
 
 @pytest.mark.parametrize("cls", [b"ask", b"order"])
@@ -221,15 +224,17 @@
     def main(platform: Platform, node: Node) -> None:
         slow(platform, readers(platform) if role is i.Role.READ else writers(platform), 25_000)
         answer = asked(platform, cls)
-        known = the_one(platform, node, lambda r: r.out is not None and r.out.server.role is role)
-        assert known.out is not None
-        name = known.out.server.name
+        known = the_one(platform, node, lambda r: r.attempt is not None and r.attempt.server.role is role)
+        assert known.attempt is not None
+        name = known.attempt.server.name
         drain(platform, name, gone)
         assert answer().whole
         what = "read" if role is i.Role.READ else "write"
         at = [host for seen, host, _ in platform.seen if seen == what]
         assert len(at) == 1 and name not in at
-        assert node.core.watch.last is None and node.core.life.tally.interlocks == {"drain while connecting": 1}
+        assert node.core.rule_checker.last_violation is None and node.core.lifecycle.counts.interlocks == {
+            "drain while connecting": 1
+        }
 
     play(main)
 
--- a/tests/test_node_stalled.py
+++ b/tests/test_node_stalled.py
@@ -18,7 +18,7 @@
 
 LARGE = b"data: " + b"x" * (WINDOW_BYTES // 4) + b"\n\n"
 WHOLE = EVENTS[0] + LARGE * 20 + EVENTS[-1]  # much more than lies on the way while nobody takes it
-STALL_US = timeouts.SILENT_STREAM_US + 1_000_000
+STALL_US = timeouts.STREAM_IDLE_US + 1_000_000
 assert STALL_US < timeouts.STALLED_CLIENT_US
 
 
@@ -104,7 +104,7 @@
         began = sim.now_us()
         world.spawn("drain", node.drain).join()
         assert sim.now_us() - began < 3_700_000 - 900_000  # well before the kill
-        assert not node.executor.running and not node.core.life.open
+        assert not node.executor.running and not node.core.lifecycle.requests
         got = client.join()
         if takes_us == 0:
             assert got.whole
--- a/tests/test_node_streams.py
+++ b/tests/test_node_streams.py
@@ -20,7 +20,7 @@
 from yardspindle.core.request import timeouts
 from yardspindle.core.request.graceful_shutdown import shutdown_times
 from yardspindle.node.app import Node
-from yardspindle.node.hosts import EVENT_ENDS
+from yardspindle.node.host_client import EVENT_ENDS
 from yardspindle.protocol import http1
 from yardspindle.protocol.chunks import ChunkReader
 from yardspindle.runtime.world import Stream
@@ -159,7 +159,7 @@
 def test_a_part_of_a_chunk_that_comes_to_its_end_soon_is_not_passed_on_before() -> None:
     def spoilt(host: Host, to: Stream, number: bytes) -> bool:
         to.write(HEAD + http1.write_chunk(EVENTS[0]) + CHUNK[:-2])
-        host.sleep(timeouts.PART_US // 2)
+        host.sleep(timeouts.PARTIAL_EVENT_US // 2)
         to.write(b"zz")
         host.sleep(1_000_000)
         return False
@@ -250,10 +250,12 @@
             host.script = script
         client: Any = platform.connect()
         client.write(request(b"id"))
-        platform.sleep(timeouts.SILENT_STREAM_US + 2_000_000)
+        platform.sleep(timeouts.STREAM_IDLE_US + 2_000_000)
         got = answer(platform.clients, client, 0)
         assert (got.whole, got.body) == (True, b"".join(events))
-        assert node.http.trust is not None and node.http.trust.limit_us(node.world.now_us()) == node.http.idle_us
+        assert (
+            node.http.idle_limit is not None and node.http.idle_limit.limit_us(node.world.now_us()) == node.http.idle_us
+        )
         at_ease(platform, node)
 
     play(main)
@@ -266,7 +268,7 @@
     def script(host: Host, to: Stream, number: bytes) -> bool:
         host.platform.states.discard(number)
         to.write(HEAD + http1.write_chunk(ONE))
-        host.sleep(timeouts.SILENT_STREAM_US - 100_000)
+        host.sleep(timeouts.STREAM_IDLE_US - 100_000)
         host.platform.sim.scheduler.timers.set(host.world.now_us() + 50_000, node_world[0].stall)
         host.sleep(80_000)
         to.write(http1.write_chunk(TWO) + http1.LAST_CHUNK if whole else CHUNK[:9])
@@ -282,7 +284,7 @@
             host.script = script
         answered = platform.ask(b"id")
         assert (answered.whole, answered.body) == (whole, ONE + TWO * whole)
-        assert answered.took_us < timeouts.SILENT_STREAM_US + 400_000
+        assert answered.took_us < timeouts.STREAM_IDLE_US + 400_000
         at_ease(platform, node)
 
     node_world: list[Any] = []
@@ -297,7 +299,7 @@
     reading(core)
     sent(core, 0)
     core.attempt_ended(10, 1, 0, i.Status.READ)
-    core.act(20, 1, i.Send(1, WRITER))
+    core.apply_action(20, 1, i.Send(1, WRITER))
     sent(core, 1)
     core.first_token(30, 1, 1)
     return core
@@ -305,19 +307,23 @@
 
 def test_a_stream_that_ends_with_its_last_words_was_served() -> None:
     core = streaming()
-    assert kinds(core.leave(40)) == ["LastWords"]
+    assert kinds(core.shut_down(40)) == ["FlushStream"]
     served = core.attempt_ended(41, 1, 1, i.Status.SERVED)
     assert [answer.final for answer in of(c.Answer, served)] == [c.Final.SERVED]
-    assert core.last_said(42, 1) == [] and not core.life.open and core.watch.last is None
+    assert core.stream_flushed(42, 1) == [] and not core.lifecycle.requests and core.rule_checker.last_violation is None
 
 
 def test_a_stream_that_goes_on_after_its_last_words_is_broken_off() -> None:
     core = streaming()
-    core.leave(40)
-    over = core.last_said(42, 1)
+    core.shut_down(40)
+    over = core.stream_flushed(42, 1)
     assert [(answer.final, answer.streamed) for answer in of(c.Answer, over)] == [(c.Final.FAILED, True)]
-    assert of(c.Abort, over) and not core.life.open and core.last_said(43, 1) == []
-    assert core.act(43, 1, i.Send(1, READER)) == [] and core.watch.last is None and RULES.release_whole
+    assert of(c.Abort, over) and not core.lifecycle.requests and core.stream_flushed(43, 1) == []
+    assert (
+        core.apply_action(43, 1, i.Send(1, READER)) == []
+        and core.rule_checker.last_violation is None
+        and RULES.release_by_request
+    )
 
 
 @pytest.mark.parametrize("pieces", [1, 2, 6])
@@ -353,7 +359,7 @@
         platform.sleep(400_000)
         now = node.world.now_us()
         longest_us = max(round(cls.give_up_us) for cls in node.config.settings.classes)
-        leaves.append(shutdown_times(now, longest_us, True).leave_us)
+        leaves.append(shutdown_times(now, longest_us, True).stop_us)
         drain = node.world.spawn("drain", node.drain)
         for task in [*tasks, drain]:
             task.join()
@@ -364,14 +370,14 @@
                 assert number in whole, (number, at - leaves[0])
         for number in whole:
             assert answers[number].body == WHOLE
-        assert not node.core.life.open and readers(platform)
+        assert not node.core.lifecycle.requests and readers(platform)
 
     play(main)
 
 
 def test_last_words_of_a_request_that_is_over_are_none() -> None:
     def main(platform: Platform, node: Node) -> None:
-        node.executor.perform([c.LastWords(99, 0)])
+        node.executor.perform([c.FlushStream(99, 0)])
         platform.sleep(50_000)
         assert platform.ask(b"id").body == WHOLE
 
@@ -403,7 +409,7 @@
         answer = platform.ask(b"one", cls)
         assert answer.took_us < 1_000_000 and platform.kinds(b"one").count("write") == (2 if cls == b"ask" else 1)
         assert answer.whole and answer.status in ((200,) if cls == b"ask" else (502, 504))
-        assert node.core.life.tally.interlocks == {}
+        assert node.core.lifecycle.counts.interlocks == {}
 
     play(main)
 
@@ -414,6 +420,6 @@
             host.script = resets_after(HEAD + http1.write_chunk(EVENTS[0]))
         answer = platform.ask(ID)
         assert (answer.status, answer.whole, answer.body) == (200, False, EVENTS[0]) and answer.took_us < 1_000_000
-        assert (node.core.life.tally.failed, node.core.life.tally.left) == (1, 0)
+        assert (node.core.lifecycle.counts.failed, node.core.lifecycle.counts.left) == (1, 0)
 
     play(main)
--- a/tests/test_node_sweep.py
+++ b/tests/test_node_sweep.py
@@ -20,7 +20,7 @@
     """The true answer, in single bytes, in nearly all the time that one may take."""
     head, _, body = answer.partition(b"\r\n\r\n")
     stream.write(head + b"\r\n\r\n")
-    end_us = agent.world.now_us() + timeouts.LIST_US - 50_000
+    end_us = agent.world.now_us() + timeouts.LIST_BODY_US - 50_000
     for at in range(len(body) - 1):
         agent.sleep(5_000)
         stream.write(body[at : at + 1])
@@ -90,7 +90,7 @@
 def test_a_drain_around_a_fault_in_any_phase_of_a_watch_is_in_force_in_time(name: str) -> None:
     took = {
         (phase_us, around_us): swept(FAULTS[name], phase_us, around_us)
-        for phase_us in range(0, timeouts.WATCH_US + timeouts.SILENT_AGENT_US, STEP_US)
+        for phase_us in range(0, timeouts.WATCH_WAIT_US + timeouts.AGENT_RESPONSE_US, STEP_US)
         for around_us in AROUND_US
     }
     worst = max(took, key=lambda moment: took[moment])
