--- a/yardspindle/core/request/releases.py
+++ b/yardspindle/core/request/engine_releases.py
@@ -13,14 +13,16 @@
 
 from yardspindle.core.hosts.directory import Server
 
-AT_ONCE_MOST = 4  # releases out to one server: they are small, and a dead server holds each up for its time-out
+MAX_IN_FLIGHT_PER_SERVER = (
+    4  # releases out to one server: they are small, and a dead server holds each up for its time-out
+)
 PAUSE_FIRST_US = 25_000  # before a second try; a lost connection is usually back at once
 PAUSE_MOST_US = 1_000_000
-LAPSE_US = 30_000_000  # an engine lets go by itself before this; later tries would be about nothing
-OWED_MOST = 20_000  # in all; past it the oldest of the fullest server is dropped, as it lapses first
+EXPIRY_US = 30_000_000  # an engine lets go by itself before this; later tries would be about nothing
+MAX_PENDING = 20_000  # in all; past it the oldest of the fullest server is dropped, as it lapses first
 
 
-class Thing(Enum):
+class ResourceKind(Enum):
     """What is let go of."""
 
     STATE = "state"
@@ -28,13 +30,13 @@
 
 
 @dataclass(slots=True)
-class Owed:
+class PendingRelease:
     """A release that an engine has not confirmed. `part` numbers the attempt or the place."""
 
     server: Server
-    thing: Thing
+    kind: ResourceKind
     request: int
-    part: int
+    number: int
     since_us: int
     tries: int = 0
     due_us: int = 0
@@ -42,44 +44,44 @@
 
 @dataclass(slots=True)
 class _Line:
-    waiting: deque[Owed] = field(default_factory=deque)
+    waiting: deque[PendingRelease] = field(default_factory=deque)
     out: int = 0
 
 
-class Releases:
+class ReleaseQueues:
     """All that is owed, by server."""
 
     def __init__(self) -> None:
         """Nothing is owed."""
         self._lines: dict[tuple[str, int], _Line] = {}
-        self.owed = 0
-        self.lapsed = 0
+        self.pending = 0
+        self.expired = 0
         self.dropped = 0
 
-    def owe(self, now_us: int, server: Server, thing: Thing, request: int, part: int) -> None:
+    def add(self, now_us: int, server: Server, thing: ResourceKind, request: int, part: int) -> None:
         """Something is to be let go of; a server without the extension is never told."""
         if not server.places:
             return
         line = self._lines.setdefault((server.host, server.port), _Line())
-        line.waiting.append(Owed(server, thing, request, part, now_us, due_us=now_us))
-        self.owed += 1
-        if self.owed > OWED_MOST:
+        line.waiting.append(PendingRelease(server, thing, request, part, now_us, due_us=now_us))
+        self.pending += 1
+        if self.pending > MAX_PENDING:
             fullest = max(self._lines.values(), key=lambda known: len(known.waiting))
             fullest.waiting.popleft()
-            self.owed -= 1
+            self.pending -= 1
             self.dropped += 1
 
-    def take_due(self, now_us: int) -> list[Owed]:
+    def take_due(self, now_us: int) -> list[PendingRelease]:
         """What to say now; each is then answered for with `settled`."""
-        due: list[Owed] = []
+        due: list[PendingRelease] = []
         for key, line in list(self._lines.items()):
             for _ in range(len(line.waiting)):
-                if line.out >= AT_ONCE_MOST:
+                if line.out >= MAX_IN_FLIGHT_PER_SERVER:
                     break
                 owed = line.waiting.popleft()
-                if now_us - owed.since_us >= LAPSE_US:
-                    self.lapsed += 1
-                    self.owed -= 1
+                if now_us - owed.since_us >= EXPIRY_US:
+                    self.expired += 1
+                    self.pending -= 1
                 elif owed.due_us > now_us:
                     line.waiting.append(owed)
                 else:
@@ -89,12 +91,12 @@
                 del self._lines[key]
         return due
 
-    def settled(self, now_us: int, owed: Owed, heard: bool) -> None:
+    def settled(self, now_us: int, owed: PendingRelease, confirmed: bool) -> None:
         """The engine confirmed, or was not heard: then it is said again later."""
         line = self._lines[(owed.server.host, owed.server.port)]
         line.out -= 1
-        if heard:
-            self.owed -= 1
+        if confirmed:
+            self.pending -= 1
             return
         owed.tries += 1
         owed.due_us = now_us + min(PAUSE_FIRST_US << min(owed.tries - 1, 10), PAUSE_MOST_US)
@@ -102,5 +104,7 @@
 
     def next_due_us(self) -> int | None:
         """When the next one is to be said, or None; servers with enough out wait for those."""
-        due = [owed.due_us for line in self._lines.values() if line.out < AT_ONCE_MOST for owed in line.waiting]
+        due = [
+            owed.due_us for line in self._lines.values() if line.out < MAX_IN_FLIGHT_PER_SERVER for owed in line.waiting
+        ]
         return min(due, default=None)
--- a/yardspindle/core/request/evidence.py
+++ b/yardspindle/core/request/evidence.py
@@ -13,7 +13,7 @@
 
 from yardspindle.interface import Status
 
-PROVES_TAKEN = frozenset({Status.READ, Status.SERVED, Status.FULL, Status.ERROR})
+PROVES_ACCEPTED = frozenset({Status.READ, Status.SERVED, Status.FULL, Status.ERROR})
 """Ends of an attempt that only a server's own word brings: by then a running server had it."""
 
 
@@ -22,4 +22,4 @@
 
     DECIDED = 0  # nothing of it need have left this program
     WRITTEN = 1  # its last byte was written here: it may have run, or may yet
-    TAKEN = 2  # a running server has it
+    ACCEPTED = 2  # a running server has it
--- a/yardspindle/core/request/graceful_shutdown.py
+++ b/yardspindle/core/request/graceful_shutdown.py
@@ -27,19 +27,19 @@
 class ShutdownTimes:
     """Times of one planned end."""
 
-    close_us: int  # idle connections are closed, no new ones taken
+    close_idle_us: int  # idle connections are closed, no new ones taken
     refuse_us: int  # a request that still comes is refused
-    leave_us: int  # what is unanswered is answered; where clients ask for the rest, what streams is broken off
-    gone_us: int  # the process ends at the latest, but for what is still to be let go of
-    let_go_us: int  # then in any case
+    stop_us: int  # what is unanswered is answered; where clients ask for the rest, what streams is broken off
+    exit_us: int  # the process ends at the latest, but for what is still to be let go of
+    release_deadline_us: int  # then in any case
 
 
-def shutdown_times(told_us: int, longest_us: int, resume: bool) -> ShutdownTimes:
+def shutdown_times(signalled_us: int, longest_deadline_us: int, resume: bool) -> ShutdownTimes:
     """The times for a dispatcher whose longest deadline is `longest_us`; `resume`: clients ask for a stream's rest."""
-    kill_us = told_us + min(longest_us, KILL_AFTER_MOST_US) + KILL_MORE_US
-    early_us = told_us + KILL_MORE_US
+    kill_us = signalled_us + min(longest_deadline_us, KILL_AFTER_MOST_US) + KILL_MORE_US
+    early_us = signalled_us + KILL_MORE_US
     close_us = max(kill_us - CLOSE_BEFORE_US, early_us) if resume else early_us
     leave_us = max(kill_us - LEAVE_BEFORE_US, close_us)
     if not resume:
-        return ShutdownTimes(close_us, early_us, leave_us, told_us + STREAMS_US, told_us + STREAMS_US)
+        return ShutdownTimes(close_us, early_us, leave_us, signalled_us + STREAMS_US, signalled_us + STREAMS_US)
     return ShutdownTimes(close_us, leave_us, leave_us, leave_us + LAST_WORDS_US, leave_us + LET_GO_US)
--- a/yardspindle/core/request/intake.py
+++ b/yardspindle/core/request/intake.py
@@ -43,30 +43,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class RequestFields:
     """What a front found in a request; sizes in bytes of UTF-8."""
 
     tenant: str | None
     cls: str | None = None
     session: str | None = None
-    shared_opening: str | None = None
+    shared_prefix: str | None = None
     timeout_ms: float | None = None
     client_timeout_ms: float | None = None
-    opening: tuple[bytes, ...] = ()  # tools, and leading system and developer messages
-    first: bytes = b""  # the first message after the opening
+    prefix_parts: tuple[bytes, ...] = ()  # tools, and leading system and developer messages
+    first_message: bytes = b""  # the first message after the opening
     size: int = 0  # of all messages and tools
     max_out: int | None = None
-    whole: bool = False  # the answer is to come in one piece
+    buffered: bool = False  # the answer is to come in one piece
     messages: tuple[tuple[str, bytes], ...] = ()  # role and text of each
     tools: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class AcceptedRequest:
     """The request as the policy sees it, and how its size was estimated."""
 
     request: i.Request
-    kind: str
+    text_kind: str
     size: int
 
 
@@ -82,7 +82,7 @@
         self._max_out = config.edge.default_max_tokens
         self.estimate = TokenEstimate()
 
-    def take(self, now_us: int, number: int, said: Said) -> Taken:
+    def accept(self, now_us: int, number: int, said: RequestFields) -> AcceptedRequest:
         """The request numbered `number`. Raises IntakeError."""
         cls = self._classes.get(said.cls or self.default_class)
         if cls is None:
@@ -90,11 +90,11 @@
         kind = f"{said.tenant or ''} {cls.name}"
         # Whole tokens: the policy adds and subtracts them, and what fractions leave over makes an idle reader busy.
         tokens = float(round(self.estimate.tokens(kind, said.size)))
-        opening_size = sum(len(part) for part in said.opening)
+        opening_size = sum(len(part) for part in said.prefix_parts)
         opening_tokens = min(float(round(self.estimate.tokens(kind, opening_size))), tokens) if opening_size else 0.0
         prefix = self._opening(said, opening_tokens)
         limit_ms = cls.give_up_ms
-        if said.whole:  # the class's time is to the first token; a whole answer is seen after the last
+        if said.buffered:  # the class's time is to the first token; a whole answer is seen after the last
             limit_ms += (said.max_out or self._max_out) * (cls.token_aim_ms or WHOLE_TOKEN_MS)
         give_up_us = microseconds(limit_ms)
         for param, value in (("timeout_ms", said.timeout_ms), ("x-stainless-read-timeout", said.client_timeout_ms)):
@@ -103,7 +103,7 @@
             if not math.isfinite(value) or value < TIMEOUT_MS_LEAST:
                 raise IntakeError(param, f"not a time of at least {TIMEOUT_MS_LEAST:g} ms")
             give_up_us = min(give_up_us, microseconds(min(value, limit_ms)))
-        return Taken(
+        return AcceptedRequest(
             i.Request(
                 request=number,
                 cls=cls.name,
@@ -119,21 +119,21 @@
             said.size,
         )
 
-    def learn(self, taken: Taken, prompt_tokens: int) -> None:
+    def learn(self, taken: AcceptedRequest, prompt_tokens: int) -> None:
         """An engine counted the prompt."""
-        self.estimate.learn(taken.kind, taken.size, prompt_tokens)
+        self.estimate.learn(taken.text_kind, taken.size, prompt_tokens)
 
-    def _opening(self, said: Said, tokens: float) -> str | None:
-        if said.shared_opening is not None:
-            return _named(said.tenant, "metadata.shared_opening", said.shared_opening)
+    def _opening(self, said: RequestFields, tokens: float) -> str | None:
+        if said.shared_prefix is not None:
+            return _named(said.tenant, "metadata.shared_opening", said.shared_prefix)
         if tokens < OPENING_TOKENS_LEAST:
             return None
-        return _hash(said.opening)
+        return _hash(said.prefix_parts)
 
-    def _session(self, said: Said) -> str | None:
+    def _session(self, said: RequestFields) -> str | None:
         if said.session is not None:
             return _named(said.tenant, "metadata.session", said.session)
-        return _hash((*said.opening, said.first)) if said.first else None
+        return _hash((*said.prefix_parts, said.first_message)) if said.first_message else None
 
 
 def _named(tenant: str | None, param: str, name: str) -> str:
--- a/yardspindle/core/request/lifecycle.py
+++ b/yardspindle/core/request/lifecycle.py
@@ -21,13 +21,13 @@
 from yardspindle import interface as i
 from yardspindle.core.hosts.directory import Directory, Server
 from yardspindle.core.request import commands as c
-from yardspindle.core.request.evidence import PROVES_TAKEN, Evidence
-from yardspindle.core.request.holds import Holds
-from yardspindle.core.request.open import Attempt, Open
-from yardspindle.core.request.proof import PROVES_NOT_RUN, harmless_to_repeat, may_have_run
+from yardspindle.core.request.evidence import PROVES_ACCEPTED, Evidence
+from yardspindle.core.request.held_resources import HeldResources
+from yardspindle.core.request.records import Attempt, RequestRecord
+from yardspindle.core.request.retry_safety import PROVES_NOT_RUN, harmless_to_repeat, may_have_run
 
 
-class Lifecycle(Holds):
+class Lifecycle(HeldResources):
     """All requests of one edge."""
 
     # --- the planner comes and goes
@@ -38,7 +38,7 @@
             self.planner_down(now_us)
         self.epoch = epoch
         self.directory = Directory()
-        return self._take()
+        return self._take_commands()
 
     def planner_down(self, now_us: int) -> list[c.Command]:
         """No planner decides: settle at once what cannot go on without one; streams go on to their end.
@@ -46,78 +46,80 @@
         A write that is out may still answer, so it is waited for; a read leads nowhere and is let go.
         """
         self.epoch = 0
-        for r in list(self.open.values()):
+        for r in list(self.requests.values()):
             if r.epoch and r.final is None:
                 r.epoch = 0
-                if r.out is not None and r.out.server.role is i.Role.READ:
+                if r.attempt is not None and r.attempt.server.role is i.Role.READ:
                     self._abort(now_us, r, c.AbortReason.PLANNER_LOST)
-                if r.out is None:
+                if r.attempt is None:
                     self._give_up(r, "planner_lost")
             r.epoch = 0
-        return self._take()
+        return self._take_commands()
 
-    def leave(self, now_us: int) -> list[c.Command]:
+    def shut_down(self, now_us: int) -> list[c.Command]:
         """This program is about to end: answer everything.
 
         Streams go on, unless clients ask for their rest: there each is broken off once what has come was passed on.
         """
         self.epoch = 0
-        for r in list(self.open.values()):
+        for r in list(self.requests.values()):
             r.epoch = 0
             if r.final is not None:
                 continue
             if r.streaming:
-                if self.rules.resume and r.out is not None:
-                    self._commands.append(c.LastWords(r.ask.request, r.out.number))
+                if self.rules.resume and r.attempt is not None:
+                    self._commands.append(c.FlushStream(r.request.request, r.attempt.number))
                 continue
-            if r.out is not None:
-                r.ran = r.ran or self.rules.release_whole and r.out.written  # a read, too: see docs/questions.md
+            if r.attempt is not None:
+                r.may_have_run = (
+                    r.may_have_run or self.rules.release_by_request and r.attempt.written
+                )  # a read, too: see docs/questions.md
                 self._abort(now_us, r, c.AbortReason.SHUTDOWN)
             self._give_up(r, "draining", 0)  # others are there: no time to wait for
-        return self._take()
+        return self._take_commands()
 
-    def last_said(self, now_us: int, request: int) -> list[c.Command]:
+    def stream_flushed(self, now_us: int, request: int) -> list[c.Command]:
         """All that had come of a stream when this program was about to end was passed on: break it off."""
-        if (r := self.open.get(request)) is not None:
+        if (r := self.requests.get(request)) is not None:
             self._move(now_us, r)
-        return self._take()
+        return self._take_commands()
 
-    def servers(self, now_us: int, listed: list[Server]) -> list[c.Command]:
+    def update_servers(self, now_us: int, listed: list[Server]) -> list[c.Command]:
         """The planner's list of servers, complete."""
         self.directory.replace(now_us, listed)
-        return self._take()
+        return self._take_commands()
 
     # --- clients
 
-    def arrive(self, now_us: int, ask: i.Request, whole: bool = False) -> list[c.Command]:
+    def request_arrived(self, now_us: int, request: i.Request, buffered: bool = False) -> list[c.Command]:
         """A client's request: taken, and told to the planner, or refused at once. Raises KeyError: its class."""
-        r = Open(ask, self.rules.effects[ask.cls], self.epoch, whole, held_since_us=now_us)
-        assert ask.request not in self.open, "a request's number comes twice"
-        self.tally.taken += 1
-        full = len(self.open) >= self.rules.most_open
-        self.open[ask.request] = r
+        r = RequestRecord(request, self.rules.effects[request.cls], self.epoch, buffered, held_since_us=now_us)
+        assert request.request not in self.requests, "a request's number comes twice"
+        self.counts.taken += 1
+        full = len(self.requests) >= self.rules.max_open_requests
+        self.requests[request.request] = r
         if full or not self.epoch:
             self._give_up(r, "planner_lost" if not full else "edge_full")
         else:
-            self._tell(r, ask)
-        return self._take()
+            self._tell(r, request)
+        return self._take_commands()
 
-    def client_left(self, now_us: int, request: int) -> list[c.Command]:
+    def client_disconnected(self, now_us: int, request: int) -> list[c.Command]:
         """The client hung up, or cannot be written to: nothing more is owed, all that runs is stopped."""
-        r = self.open.get(request)
+        r = self.requests.get(request)
         if r is not None and r.final is None:
             r.final = c.Final.FAILED
-            self.tally.left += 1
+            self.counts.left += 1
             self._tell(r, i.Hangup(request))
             self._settle(now_us, r)
-        return self._take()
+        return self._take_commands()
 
     # --- what the planner wants
 
-    def act(self, now_us: int, epoch: int, action: i.Action) -> list[c.Command]:
+    def apply_action(self, now_us: int, epoch: int, action: i.Action) -> list[c.Command]:
         """Carry out one action of a planner's start; one of an earlier start is passed over."""
         if epoch != self.epoch or not epoch:
-            return self._take()
+            return self._take_commands()
         match action:
             case i.Send():
                 self._send(now_us, action)
@@ -137,32 +139,37 @@
                 self._commands.append(c.CloseIdle(server))
             case _:
                 pass  # timers, messages and lists are the planner's own
-        return self._take()
+        return self._take_commands()
 
-    def _with(self, request: int, do: Callable[[Open], None]) -> None:
-        r = self.open.get(request)
+    def _with(self, request: int, do: Callable[[RequestRecord], None]) -> None:
+        r = self.requests.get(request)
         if r is not None and r.epoch == self.epoch:
             do(r)
 
     def _send(self, now_us: int, send: i.Send) -> None:
-        r = self.open.get(send.request)
+        r = self.requests.get(send.request)
         if r is None or r.epoch != self.epoch:
             return
-        number, r.attempts = r.attempts, r.attempts + 1  # counted also when it is not made, as the policy does
-        why, server = self._hindrance(now_us, r, send.server)
+        number, r.attempt_count = (
+            r.attempt_count,
+            r.attempt_count + 1,
+        )  # counted also when it is not made, as the policy does
+        why, server = self._reason_not_to_send(now_us, r, send.server)
         if why is not None or server is None:
             self._interlock(r, why or "unknown server")
             note = 1 if why == "no state" else 0
             status = i.Status.FULL if note else i.Status.MOOT
             self._tell(r, i.Outcome(send.request, number, send.server, status, 0, r.final is not None, note))
             return
-        until_us = r.ask.expires_us
+        until_us = r.request.expires_us
         if send.timeout_us:
             until_us = min(until_us, now_us + send.timeout_us)
-        evidence = Evidence.DECIDED if self.rules.release_whole else Evidence.TAKEN  # where it is not told
-        r.out = Attempt(number, server, now_us, until_us, evidence)
+        evidence = Evidence.DECIDED if self.rules.release_by_request else Evidence.ACCEPTED  # where it is not told
+        r.attempt = Attempt(number, server, now_us, until_us, evidence)
         if server.role is i.Role.READ:
-            if not self.rules.release_whole:  # else what an earlier read left is let go of with what this one leaves
+            if (
+                not self.rules.release_by_request
+            ):  # else what an earlier read left is let go of with what this one leaves
                 self._release_state(r)
             self._commands.append(c.Read(send.request, number, server, until_us))
             return
@@ -170,45 +177,45 @@
         if place is not None and place.server is not server:
             self._release_place(r)
         r.place = None
-        held = r.out.place = place.number if place is not None and place.server is server else None
+        held = r.attempt.place = place.number if place is not None and place.server is server else None
         self._commands.append(c.Write(send.request, number, server, until_us, r.state, held))
 
-    def _hindrance(self, now_us: int, r: Open, number: int) -> tuple[str | None, Server | None]:
+    def _reason_not_to_send(self, now_us: int, r: RequestRecord, number: int) -> tuple[str | None, Server | None]:
         """Why an attempt must not be made, or the server that it goes to."""
-        if r.final is not None or now_us >= r.ask.expires_us:
+        if r.final is not None or now_us >= r.request.expires_us:
             return "request over", None
-        if r.out is not None:
+        if r.attempt is not None:
             return "second attempt", None
-        if r.attempts > self.rules.max_attempts:
+        if r.attempt_count > self.rules.max_attempts:
             return "too many attempts", None
-        if r.ran and r.effect is not i.Effect.SAFE:
+        if r.may_have_run and r.effect is not i.Effect.SAFE:
             return "may have run", None
         if number not in self.directory.servers:
             return "unknown server", None
-        server = self.directory.open_for(number, now_us, self.rules.drain_grace_us)
+        server = self.directory.accepting(number, now_us, self.rules.drain_grace_us)
         if server is None:
             return "drain", None
-        if server.role is i.Role.WRITE and r.state_at is None and not self.rules.writers_read:
+        if server.role is i.Role.WRITE and r.state_server is None and not self.rules.writers_read:
             return "no state", None  # also where ours was let go: the engine would read the whole prompt itself
         return None, server
 
-    def _refuse(self, now_us: int, r: Open, retry_after_us: int) -> None:
-        if r.out is not None and may_have_run(r.out.server.role, i.Status.CANCELLED):
-            r.ran = True
-        if harmless_to_repeat(r.effect, r.ran):
+    def _refuse(self, now_us: int, r: RequestRecord, retry_after_us: int) -> None:
+        if r.attempt is not None and may_have_run(r.attempt.server.role, i.Status.CANCELLED):
+            r.may_have_run = True
+        if harmless_to_repeat(r.effect, r.may_have_run):
             self._answer(now_us, r, c.Final.REFUSED, "overloaded", retry_after_us)
         else:
             self._interlock(r, "refused though it may have run")
             self._answer(now_us, r, c.Final.FAILED, "may_have_run")
 
-    def _move(self, now_us: int, r: Open) -> None:
+    def _move(self, now_us: int, r: RequestRecord) -> None:
         """Break a running stream off: its client comes again for the rest. What has not begun is left alone."""
         if r.final is None and r.streaming:
             self._final(r, c.Final.FAILED, "moved")
             self._settle(now_us, r)
 
-    def _cancel(self, now_us: int, r: Open, number: int) -> None:
-        if r.out is not None and r.out.number == number and not r.streaming:
+    def _cancel(self, now_us: int, r: RequestRecord, number: int) -> None:
+        if r.attempt is not None and r.attempt.number == number and not r.streaming:
             self._abort(now_us, r, c.AbortReason.POLICY)
             self._forget_if_done(r)
 
@@ -216,18 +223,18 @@
 
     def first_token(self, now_us: int, request: int, number: int) -> bool:
         """The answer begins: from now on the request belongs to this stream. False: its request is over."""
-        r = self.open.get(request)
-        if r is None or r.final is not None or r.out is None or r.out.number != number:
+        r = self.requests.get(request)
+        if r is None or r.final is not None or r.attempt is None or r.attempt.number != number:
             return False
         r.streaming = True
-        r.state, r.state_at = None, None  # the writer has fetched it, and what else was held is gone
-        r.held = bool(r.asking)  # but for a place that may yet come to be
-        self._tell(r, i.First(request, number, r.out.server.number, now_us - r.out.sent_us))
+        r.state, r.state_server = None, None  # the writer has fetched it, and what else was held is gone
+        r.held = bool(r.unanswered_places)  # but for a place that may yet come to be
+        self._tell(r, i.First(request, number, r.attempt.server.number, now_us - r.attempt.sent_us))
         return True
 
-    def told(self) -> list[c.Command]:
+    def take_commands(self) -> list[c.Command]:
         """The commands that `first_token` left."""
-        return self._take()
+        return self._take_commands()
 
     def attempt_ended(
         self,
@@ -240,20 +247,20 @@
         stale: bool = False,
     ) -> list[c.Command]:
         """An attempt ended by itself or by its time-out; `state` comes with a read, `stale` of a kept connection."""
-        r = self.open.get(request)
-        if r is None or r.out is None or r.out.number != number:
-            return self._take()  # it was called off, and its end has been told
-        out, r.out = r.out, None
-        if out.taken or status in PROVES_TAKEN:
+        r = self.requests.get(request)
+        if r is None or r.attempt is None or r.attempt.number != number:
+            return self._take_commands()  # it was called off, and its end has been told
+        out, r.attempt = r.attempt, None
+        if out.accepted or status in PROVES_ACCEPTED:
             r.held_since_us = now_us
-        r.ran = r.ran or may_have_run(out.server.role, status)
+        r.may_have_run = r.may_have_run or may_have_run(out.server.role, status)
         if status is i.Status.TIMEOUT:
             self._may_lie_unread(r, out)
         if status is i.Status.READ:
-            r.state, r.state_at, r.state_attempt, r.held = state, out.server, number, True
-        elif out.server.role is i.Role.READ and self.rules.release_whole:
+            r.state, r.state_server, r.state_attempt, r.held = state, out.server, number, True
+        elif out.server.role is i.Role.READ and self.rules.release_by_request:
             if status not in PROVES_NOT_RUN:
-                r.unsure = True
+                r.may_hold_later = True
                 self._hold(now_us, r)
             self._release(r)
         elif out.server.role is i.Role.READ:  # it may still be reading, or hold a state that we never heard of
@@ -261,7 +268,7 @@
         elif note == 1:
             self._release_state(r)
         if status not in (i.Status.SERVED, i.Status.FULL) and not r.streaming:
-            self._untaken(now_us, r, out)
+            self._unconfirmed_write(now_us, r, out)
         if r.streaming or status is i.Status.SERVED:
             served = status is i.Status.SERVED
             self._final(r, c.Final.SERVED if served else c.Final.FAILED, "served" if served else "stream_broken")
@@ -274,57 +281,57 @@
         if r.final is None and not r.epoch:
             self._give_up(r, "planner_lost")
         self._settle(now_us, r)
-        return self._take()
+        return self._take_commands()
 
-    def left_ms(self, now_us: int, request: int, number: int) -> int:
+    def remaining_ms(self, now_us: int, request: int, number: int) -> int:
         """What an attempt whose first byte is about to be written may tell its server; 0: it must not go out.
 
         Connections take time, and so do other waits before a first byte: the client may have left since the attempt
         was decided on, its time may be up, and the list in force now may forbid the server.
         """
-        r = self.open.get(request)
-        if r is None or r.final is not None or r.out is None or r.out.number != number:
+        r = self.requests.get(request)
+        if r is None or r.final is not None or r.attempt is None or r.attempt.number != number:
             return 0
         if not self._as_connected(
-            self.directory.open_for(r.out.server.number, now_us, self.rules.drain_grace_us), r.out.server
+            self.directory.accepting(r.attempt.server.number, now_us, self.rules.drain_grace_us), r.attempt.server
         ):
             self._interlock(r, "drain while connecting")
             return 0
-        return max((r.out.until_us - now_us) // 1_000, 0)
+        return max((r.attempt.deadline_us - now_us) // 1_000, 0)
 
-    def listed(self, request: int) -> Server | None:
+    def listed_server(self, request: int) -> Server | None:
         """The server of a request's attempt, by the list in force now."""
-        r = self.open.get(request)
-        return self.directory.servers.get(r.out.server.number) if r is not None and r.out is not None else None
+        r = self.requests.get(request)
+        return self.directory.servers.get(r.attempt.server.number) if r is not None and r.attempt is not None else None
 
-    def written(self, request: int, number: int) -> None:
+    def attempt_written(self, request: int, number: int) -> None:
         """An attempt's last byte is written."""
-        r = self.open.get(request)
-        if r is not None and r.out is not None and r.out.number == number:
-            r.out.evidence = max(r.out.evidence, Evidence.WRITTEN)
+        r = self.requests.get(request)
+        if r is not None and r.attempt is not None and r.attempt.number == number:
+            r.attempt.evidence = max(r.attempt.evidence, Evidence.WRITTEN)
 
-    def heard(self, request: int, number: int) -> None:
+    def attempt_answered(self, request: int, number: int) -> None:
         """The first bytes of an attempt's answer came."""
-        r = self.open.get(request)
-        if r is not None and r.out is not None and r.out.number == number:
-            r.out.evidence = Evidence.TAKEN
+        r = self.requests.get(request)
+        if r is not None and r.attempt is not None and r.attempt.number == number:
+            r.attempt.evidence = Evidence.ACCEPTED
 
-    def unwritten(self, request: int, number: int) -> bool:
+    def is_unwritten(self, request: int, number: int) -> bool:
         """Whether an attempt is on its way whose last byte is not written."""
-        r = self.open.get(request)
-        return r is not None and r.out is not None and r.out.number == number and not r.out.written
+        r = self.requests.get(request)
+        return r is not None and r.attempt is not None and r.attempt.number == number and not r.attempt.written
 
     # --- time
 
     def tick(self, now_us: int) -> list[c.Command]:
         """Keep the rules that time breaks; called every few milliseconds' tens while requests are open."""
-        for r in list(self.open.values()):
-            if r.final is None and r.whole and r.streaming and now_us >= r.ask.expires_us:
+        for r in list(self.requests.values()):
+            if r.final is None and r.buffered and r.streaming and now_us >= r.request.expires_us:
                 self._final(r, c.Final.FAILED, "deadline")
                 self._settle(now_us, r)
-            elif r.final is None and not r.streaming and now_us >= r.ask.expires_us + self.rules.answer_slack_us:
+            elif r.final is None and not r.streaming and now_us >= r.request.expires_us + self.rules.answer_slack_us:
                 self._interlock(r, "answer overdue")
                 self._answer(now_us, r, c.Final.FAILED, "deadline")
             else:
                 self._look_at_what_is_held(now_us, r)
-        return self._take()
+        return self._take_commands()
--- a/yardspindle/core/request/planning.py
+++ b/yardspindle/core/request/planning.py
@@ -12,16 +12,16 @@
 from dataclasses import dataclass, field
 
 from yardspindle import interface as i
-from yardspindle.core.hosts.roster import Roster
+from yardspindle.core.hosts.server_list import ServerList
 
 
 @dataclass(slots=True)
-class Reply:
+class Decisions:
     """What an edge is to do, what people are to read, what broke."""
 
     actions: list[i.Action] = field(default_factory=list)
     logs: list[str] = field(default_factory=list)
-    faults: list[str] = field(default_factory=list)
+    errors: list[str] = field(default_factory=list)
 
 
 class PlanningSession:
@@ -36,15 +36,15 @@
         self._set = 0
         self.events = 0
 
-    def members(self, now_us: int, roster: Roster) -> Reply:
+    def update_members(self, now_us: int, roster: ServerList) -> Decisions:
         """News of the server list."""
-        reply = Reply()
+        reply = Decisions()
         self._handle(now_us + self.offset_us, roster.members(self.offset_us), reply)
         return reply
 
-    def heard(self, edge_now_us: int, events: list[i.Event]) -> Reply:
+    def handle_events(self, edge_now_us: int, events: list[i.Event]) -> Decisions:
         """Events of one frame, in order; the timers due before them come first."""
-        reply = Reply()
+        reply = Decisions()
         self._due(edge_now_us, reply)
         for event in events:
             self._handle(edge_now_us, event, reply)
@@ -54,24 +54,24 @@
         """When the next timer is due, on the planner's clock."""
         return self._timers[0][0] - self.offset_us if self._timers else None
 
-    def tick(self, now_us: int) -> Reply:
+    def tick(self, now_us: int) -> Decisions:
         """Let the timers that are due fire."""
-        reply = Reply()
+        reply = Decisions()
         self._due(now_us + self.offset_us, reply)
         return reply
 
-    def _due(self, edge_now_us: int, reply: Reply) -> None:
+    def _due(self, edge_now_us: int, reply: Decisions) -> None:
         while self._timers and self._timers[0][0] <= edge_now_us:
             due_us, _, token = heapq.heappop(self._timers)
             self._handle(max(edge_now_us, due_us), i.Timer(token), reply)
 
-    def _handle(self, edge_now_us: int, event: i.Event, reply: Reply) -> None:
+    def _handle(self, edge_now_us: int, event: i.Event, reply: Decisions) -> None:
         self._last_us = max(self._last_us, edge_now_us)  # frames and timers meet here: time never goes back
         self.events += 1
         try:
             actions = self._policy(event, self._last_us)
         except Exception as fault:  # the one request fails, the others go on
-            reply.faults.append(f"{type(event).__name__}: {type(fault).__name__}: {fault}")
+            reply.errors.append(f"{type(event).__name__}: {type(fault).__name__}: {fault}")
             request = getattr(event, "request", None)
             if isinstance(request, int):
                 reply.actions.append(i.Fail(request))
--- a/yardspindle/core/request/open.py
+++ b/yardspindle/core/request/records.py
@@ -21,10 +21,10 @@
     answer_slack_us: int
     retry_after_us: int  # advice with a refusal that the edge makes by itself
     max_attempts: int
-    most_open: int
+    max_open_requests: int
     writers_read: bool = False
     resume: bool = False  # clients ask for the rest of a stream that was broken off
-    release_whole: bool = False  # engines let go of all that is held for a request together, and of nothing less
+    release_by_request: bool = False  # engines let go of all that is held for a request together, and of nothing less
 
 
 @dataclass(slots=True)
@@ -34,7 +34,7 @@
     number: int
     server: Server
     sent_us: int
-    until_us: int  # when it is given up
+    deadline_us: int  # when it is given up
     evidence: Evidence
     place: int | None = None  # that a write is to take
 
@@ -44,9 +44,9 @@
         return self.evidence >= Evidence.WRITTEN
 
     @property
-    def taken(self) -> bool:
+    def accepted(self) -> bool:
         """Whether a running server is known to have it: until then the time of what is held runs on."""
-        return self.evidence >= Evidence.TAKEN
+        return self.evidence >= Evidence.ACCEPTED
 
 
 @dataclass(slots=True)
@@ -59,46 +59,50 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskedPlace:
+class UnansweredPlace:
     """A call for a place that was written, and is not answered."""
 
     server: Server
-    at_us: int
+    sent_us: int
 
 
 @dataclass(slots=True)
-class Open:
+class RequestRecord:
     """A request that was taken and is not done with."""
 
-    ask: i.Request
+    request: i.Request
     effect: i.Effect
     epoch: int  # of the planner that knows it; 0 when none does any more
-    whole: bool = False  # the client sees nothing before the last token: its time runs on after the first
-    attempts: int = 0
-    out: Attempt | None = None
+    buffered: bool = False  # the client sees nothing before the last token: its time runs on after the first
+    attempt_count: int = 0
+    attempt: Attempt | None = None
     streaming: bool = False
-    ran: bool = False
+    may_have_run: bool = False
     final: c.Final | None = None  # also set (to FAILED) when the client left: nothing may follow
     state: Any = None
     state_attempt: int = 0
-    state_at: Server | None = None
+    state_server: Server | None = None
     place: Place | None = None
-    places: int = 0
-    asking: dict[int, AskedPlace] = field(default_factory=dict)  # places asked for, whose answers are awaited
+    place_count: int = 0
+    unanswered_places: dict[int, UnansweredPlace] = field(
+        default_factory=dict
+    )  # places asked for, whose answers are awaited
     held: bool = False  # `release_whole`: a state or place may be held for it somewhere
-    unsure: bool = False  # and a read's connection was closed without its word: its state may come after a release
+    may_hold_later: bool = (
+        False  # and a read's connection was closed without its word: its state may come after a release
+    )
     held_since_us: int = 0  # since when what is held waits for an attempt that a running server is known to have
 
 
-def phase(r: Open) -> str:
+def phase(r: RequestRecord) -> str:
     """Where a request stands, in a few words: for pages, traces and the count of transitions."""
     if r.final is not None:
-        return "settling" if r.out is not None else "over"
+        return "settling" if r.attempt is not None else "over"
     if r.streaming:
         at = "streaming"
-    elif r.out is None:
-        at = "read" if r.state_at is not None else "waiting"
-    elif r.out.server.role is i.Role.READ:
+    elif r.attempt is None:
+        at = "read" if r.state_server is not None else "waiting"
+    elif r.attempt.server.role is i.Role.READ:
         at = "reading"
     else:
         at = "writing"
@@ -108,7 +112,7 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class RequestCounts:
     """Counts for the metrics."""
 
     taken: int = 0
@@ -118,7 +122,7 @@
     left: int = 0
     interlocks: dict[str, int] = field(default_factory=dict)
 
-    def fields(self) -> dict[str, int]:
+    def as_dict(self) -> dict[str, int]:
         """The counts by name, for a line of a log."""
         finals = {name: getattr(self, name) for name in ("taken", "served", "refused", "failed", "left")}
         return finals | {rule.replace(" ", "_"): count for rule, count in sorted(self.interlocks.items())}
--- a/yardspindle/core/request/proof.py
+++ b/yardspindle/core/request/retry_safety.py
@@ -26,7 +26,7 @@
     return effect is Effect.SAFE or not ran
 
 
-def status_of_refusal(http_status: int, code: str | None) -> tuple[Status, int]:
+def classify_error(http_status: int, code: str | None) -> tuple[Status, int]:
     """An engine's error answer as a status and a note (1: it found no state to fetch).
 
     Only a code that we know proves anything: a bare 503 may come from a proxy after the engine had begun.
--- a/yardspindle/core/request/unread_calls.py
+++ b/yardspindle/core/request/unread_calls.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, field
 
 AFTER_HEARD_US = 120_000  # what lies in other connections of a server that answers again is read by then
-LAPSE_US = 6_000_000  # a machine that is silent for longer is taken for one that is gone
-CALLS_MOST = 5_000  # requests that are remembered; past it the oldest goes
+EXPIRY_US = 6_000_000  # a machine that is silent for longer is taken for one that is gone
+MAX_TRACKED = 5_000  # requests that are remembered; past it the oldest goes
 PERIOD_PART = 0.75  # of the release time, from one release to the next
 
 
@@ -39,10 +39,10 @@
         """A call was written to a server, which gave no word of it, and its connection is closed."""
         call = self.requests.setdefault(request, UnreadCall(now_us, now_us + self._period_us))
         call.servers[server] = silent or call.servers.get(server, False)
-        if len(self.requests) > CALLS_MOST:
+        if len(self.requests) > MAX_TRACKED:
             del self.requests[next(iter(self.requests))]
 
-    def heard(self, now_us: int, server: int) -> None:
+    def server_answered(self, now_us: int, server: int) -> None:
         """A server answers: what lay unread there is read in these moments."""
         for call in self.requests.values():
             if call.servers.get(server) is False:
@@ -50,7 +50,7 @@
                 if not call.servers:
                     call.due_us = now_us + AFTER_HEARD_US
 
-    def keep(self, listed: Collection[int]) -> None:
+    def retain_servers(self, listed: Collection[int]) -> None:
         """Forget what lies at servers that are listed no more: they are gone, with all that they held."""
         for request, call in list(self.requests.items()):
             if call.servers and not any(server in listed for server in call.servers):
@@ -66,6 +66,6 @@
             if request in running:
                 continue
             due.append(request)
-            if not call.servers or now_us - call.since_us >= LAPSE_US:
+            if not call.servers or now_us - call.since_us >= EXPIRY_US:
                 del self.requests[request]
         return due
--- a/yardspindle/drill.py
+++ b/yardspindle/drill.py
@@ -9,7 +9,7 @@
 
 from yardspindle import interface as i
 from yardspindle.policy import Policy
-from yardspindle.settings_map import settings
+from yardspindle.settings_map import parse_settings
 
 STATUS = {
     "S": i.Status.SERVED,
@@ -120,7 +120,7 @@
         """Hand one event to its instance and give back the reply's lines."""
         if name == "spawn":
             who, seed, setup = rest.split(" ", 2)
-            self.policies[int(who)] = Policy(settings(json.loads(setup)), int(seed))
+            self.policies[int(who)] = Policy(parse_settings(json.loads(setup)), int(seed))
             return []
         if name not in FIELDS:
             raise Malformed(f"unknown message {name!r}")
--- a/yardspindle/edge/app.py
+++ b/yardspindle/edge/app.py
@@ -10,17 +10,17 @@
 
 from yardspindle import interface as i
 from yardspindle.api import chat
-from yardspindle.api.errors import JSON, ApiError, error_body, final_reply
+from yardspindle.api.errors import JSON_CONTENT_TYPE, ApiError, error_body, final_reply
 from yardspindle.api.exchange import Exchange, Reply
 from yardspindle.api.serving import Server, ServingLimits
 from yardspindle.core.config import Config, ConfigError, edge_rules, microseconds, settings_hash, split_address
 from yardspindle.core.hosts.directory import Server as ListedServer
-from yardspindle.core.request.answer import DONE, AnswerState, Collected, http_of
+from yardspindle.core.prefix.prefix_tracker import PrefixTracker, PromptBlocks
+from yardspindle.core.prefix.tokenizer import ByteTokenizer, ModelTokenizer, Tokenizer
+from yardspindle.core.request.answer import DONE, AnswerTracker, CollectedAnswer, http_error
 from yardspindle.core.request.commands import Final
 from yardspindle.core.request.edge_core import EdgeCore
-from yardspindle.core.request.intake import Intake, IntakeError, Said, Taken
-from yardspindle.core.texts.prefix_knowledge import Blocks, PrefixKnowledge
-from yardspindle.core.texts.tokens import ByteTokenizer, ModelTokenizer, Tokenizer
+from yardspindle.core.request.intake import AcceptedRequest, Intake, IntakeError, RequestFields
 from yardspindle.edge.cache_events import CacheEvents
 from yardspindle.edge.executor import Executor, Running, served_body
 from yardspindle.edge.metrics import EdgeMetrics
@@ -55,7 +55,7 @@
         self.config = config
         self.unique = f"{world.random('edge id').getrandbits(48):012x}"
         self._unsafe = {row.name for row in config.classes if row.effect != "safe"}
-        self._keys = chat.Keys(config)
+        self._keys = chat.ApiKeys(config)
         self.metrics = EdgeMetrics()
         self.core = EdgeCore(edge_rules(config))
         self.intake = Intake(config)
@@ -137,9 +137,9 @@
                 self.executor.perform(self.core.tick(self.world.now_us()))
             if now - closed_us > CLOSE_OLD_US:
                 closed_us = now
-                self.http.close_old()
+                self.http.close_expired()
                 if self.knowledge is not None:
-                    self.knowledge.tick(now)
+                    self.knowledge.check_timeouts(now)
 
     # --- planner
 
@@ -158,27 +158,27 @@
         self.executor.perform(self.core.planner_down(self.world.now_us()))
 
     def _servers(self, servers: list[ListedServer]) -> None:
-        self.executor.perform(self.core.servers(self.world.now_us(), servers))
+        self.executor.perform(self.core.update_servers(self.world.now_us(), servers))
         if self.events is not None:
             self.events.listed(servers)
 
     def _actions(self, epoch: int, actions: list[i.Action]) -> None:
         for action in actions:
-            self.executor.perform(self.core.act(self.world.now_us(), epoch, action))
+            self.executor.perform(self.core.apply_action(self.world.now_us(), epoch, action))
 
     # --- routes
 
-    def early(self, head: http1.RequestHead) -> Reply | None:
+    def early_reply(self, head: http1.RequestHead) -> Reply | None:
         """See Handler."""
         path = head.target.partition(b"?")[0]
         try:
-            if path == chat.COMPLETIONS:
-                self._keys.tenant(head)
+            if path == chat.COMPLETIONS_PATH:
+                self._keys.authenticate(head)
                 chat.check_head(head)
                 return None
             if (
-                path != chat.MODELS
-                and not path.startswith(chat.MODELS + b"/")
+                path != chat.MODELS_PATH
+                and not path.startswith(chat.MODELS_PATH + b"/")
                 and path not in (b"/metrics", b"/healthz")
             ):
                 raise ApiError(404, "not_found", "There is nothing at this path.")
@@ -190,27 +190,29 @@
 
     def _page(self, path: bytes, head: http1.RequestHead) -> Reply:
         if path == b"/metrics":
-            self.metrics.open_requests.set(len(self.core.life.open))
+            self.metrics.open_requests.set(len(self.core.lifecycle.requests))
             self.metrics.connections.set(self._server.connections if self._server else 0)
             if self.knowledge is not None:
                 self._index_metrics(self.knowledge)
             return Reply(200, [(b"content-type", b"text/plain; version=0.0.4; charset=utf-8")], self.metrics.text())
         if path == b"/healthz":
             return Reply(
-                200 if self.core.epoch else 503, [JSON], msgspec.json.encode({"planner": bool(self.core.epoch)})
+                200 if self.core.epoch else 503,
+                [JSON_CONTENT_TYPE],
+                msgspec.json.encode({"planner": bool(self.core.epoch)}),
             )
-        self._keys.tenant(head)
+        self._keys.authenticate(head)
         model = chat.model_object(self.config.model)
-        if path == chat.MODELS:
-            return Reply(200, [JSON], msgspec.json.encode({"object": "list", "data": [model]}))
-        if path[len(chat.MODELS) + 1 :] != self.config.model.encode():
+        if path == chat.MODELS_PATH:
+            return Reply(200, [JSON_CONTENT_TYPE], msgspec.json.encode({"object": "list", "data": [model]}))
+        if path[len(chat.MODELS_PATH) + 1 :] != self.config.model.encode():
             raise ApiError(404, "model_not_found", "There is no such model.", "model")
-        return Reply(200, [JSON], msgspec.json.encode(model))
+        return Reply(200, [JSON_CONTENT_TYPE], msgspec.json.encode(model))
 
-    def _index_metrics(self, knowledge: PrefixKnowledge) -> None:
+    def _index_metrics(self, knowledge: PrefixTracker) -> None:
         metrics, now = self.metrics, self.world.now_us()
         metrics.index_blocks.set(len(knowledge.index))
-        metrics.index_told.set(knowledge.score.told)
+        metrics.index_told.set(knowledge.score.predicted)
         metrics.index_found.set(knowledge.score.found)
         metrics.index_trust.clear()
         for name, feed in knowledge.feeds.items():
@@ -218,7 +220,9 @@
 
     def malformed(self, error: http1.ProtocolError) -> Reply:
         """See Handler."""
-        return Reply(error.status, [JSON], error_body("malformed_request", error.reason, "invalid_request_error"))
+        return Reply(
+            error.status, [JSON_CONTENT_TYPE], error_body("malformed_request", error.reason, "invalid_request_error")
+        )
 
     # --- a chat request
 
@@ -232,31 +236,31 @@
         number = run.taken.request.request
         self.executor.running[number] = run
         try:
-            exchange.on_gone = lambda: self._gone(run)
-            self.executor.perform(self.core.arrive(run.came_us, run.taken.request, not run.stream))
+            exchange.on_disconnect = lambda: self._gone(run)
+            self.executor.perform(self.core.request_arrived(run.came_us, run.taken.request, not run.stream))
             run.done.wait()
             self._finish(run)
         finally:
             if run.answer is None:  # however this ends, the core must hear of it
-                self.executor.perform(self.core.client_left(self.world.now_us(), number))
+                self.executor.perform(self.core.client_disconnected(self.world.now_us(), number))
                 self.metrics.left.labels(run.taken.request.cls).inc()
             del self.executor.running[number]
             self._log(run)
 
     def _take(self, exchange: Exchange) -> Running:
-        tenant = self._keys.tenant(exchange.head)
-        asked = chat.parse(exchange.body, exchange.head, tenant, self.config.model)
+        tenant = self._keys.authenticate(exchange.head)
+        asked = chat.parse_request(exchange.body, exchange.head, tenant, self.config.model)
         exchange.body = b""
         now = self.world.now_us()
         self._numbers += 1
         try:
-            taken = self.intake.take(now, self._numbers, asked.said)
+            taken = self.intake.accept(now, self._numbers, asked.request_fields)
         except IntakeError as error:
             raise ApiError(400, "invalid_value", str(error), error.param) from None
-        blocks = Blocks()
+        blocks = PromptBlocks()
         claims: dict[str, float] = {}
         if self.knowledge is not None:
-            taken, blocks, claims = self._know(now, self.knowledge, taken, asked.said)
+            taken, blocks, claims = self._know(now, self.knowledge, taken, asked.request_fields)
         request_id = f"req-{self.unique}-{self._numbers}"
         head = b""
         if asked.stream:
@@ -268,8 +272,8 @@
             exchange,
             head,
             asked.stream,
-            AnswerState(asked.usage_wanted or not asked.stream),
-            None if asked.stream else Collected(),
+            AnswerTracker(asked.include_usage or not asked.stream),
+            None if asked.stream else CollectedAnswer(),
             now,
             self.world.signal(),
             blocks=blocks,
@@ -277,18 +281,18 @@
         )
 
     def _know(
-        self, now: int, knowledge: PrefixKnowledge, taken: Taken, said: Said
-    ) -> tuple[Taken, Blocks, dict[str, float]]:
+        self, now: int, knowledge: PrefixTracker, taken: AcceptedRequest, said: RequestFields
+    ) -> tuple[AcceptedRequest, PromptBlocks, dict[str, float]]:
         """The request with what readers are known to keep of its prompt, and what they claim."""
         blocks = knowledge.blocks(said.messages, said.tools)
         readers = {
             s.name: s.number
-            for s in self.core.life.directory.servers.values()
+            for s in self.core.lifecycle.directory.servers.values()
             if s.role is not i.Role.WRITE and s.closed_us is None
         }
         tokens = taken.request.prompt_tokens
-        claims = knowledge.claimed(now, blocks, tokens)
-        kept = knowledge.told(claims, blocks, readers, tokens)
+        claims = knowledge.claimed_tokens(now, blocks, tokens)
+        kept = knowledge.predict(claims, blocks, readers, tokens)
         if not kept:
             return taken, blocks, claims
         told = {readers[name]: float(round(count)) for name, count in kept.items()}  # whole, as in Intake
@@ -296,7 +300,7 @@
 
     def _gone(self, run: Running) -> None:
         if run.answer is None:
-            self.executor.perform(self.core.client_left(self.world.now_us(), run.taken.request.request))
+            self.executor.perform(self.core.client_disconnected(self.world.now_us(), run.taken.request.request))
         run.done.set()
 
     def _finish(self, run: Running) -> None:
@@ -309,16 +313,16 @@
             if run.stream:
                 exchange.finish(write_event(DONE))
             else:
-                exchange.reply(Reply(200, [JSON, (b"x-request-id", request_id)], served_body(run)))
+                exchange.reply(Reply(200, [JSON_CONTENT_TYPE, (b"x-request-id", request_id)], served_body(run)))
         elif answer.streamed and run.stream:
-            error = error_body(answer.code, http_of(answer, True).message, "server_error")
+            error = error_body(answer.code, http_error(answer, True).message, "server_error")
             exchange.send(write_event(error, b"error"), run.head)
-            exchange.break_off()
+            exchange.abort()
         elif run.client_error is not None and not answer.streamed:
             status, body = run.client_error  # the engine says that the request itself is at fault
-            exchange.reply(Reply(status, [JSON, (b"x-request-id", request_id)], body))
+            exchange.reply(Reply(status, [JSON_CONTENT_TYPE, (b"x-request-id", request_id)], body))
         else:
-            final = http_of(answer, run.taken.request.cls in self._unsafe)
+            final = http_error(answer, run.taken.request.cls in self._unsafe)
             exchange.reply(final_reply(final, request_id))
 
     def _log(self, run: Running) -> None:
@@ -340,7 +344,7 @@
         )
 
 
-def _knowledge(world: World, config: Config) -> PrefixKnowledge | None:
+def _knowledge(world: World, config: Config) -> PrefixTracker | None:
     index = config.index
     if index.mode == "off":
         return None
@@ -352,8 +356,12 @@
             raise ConfigError(f"index.tokenizer: {error.filename}: {error.strerror}") from None
         except ValueError as error:
             raise ConfigError(f"index.tokenizer: {index.tokenizer}: {error}") from None
-    return PrefixKnowledge(
-        tokenizer, index.block_size, index.max_blocks, guessing=index.mode != "events", following=index.mode != "guess"
+    return PrefixTracker(
+        tokenizer,
+        index.block_size,
+        index.max_blocks,
+        use_estimates=index.mode != "events",
+        use_events=index.mode != "guess",
     )
 
 
--- a/yardspindle/edge/cache_events.py
+++ b/yardspindle/edge/cache_events.py
@@ -11,8 +11,8 @@
 
 from yardspindle.core.config import split_address
 from yardspindle.core.hosts.directory import Server
-from yardspindle.core.texts.cache_feed import Batch
-from yardspindle.core.texts.prefix_knowledge import PrefixKnowledge
+from yardspindle.core.prefix.cache_feed import Batch
+from yardspindle.core.prefix.prefix_tracker import PrefixTracker
 from yardspindle.runtime.scheduler import Closed, DeadlineExceeded, Task
 from yardspindle.runtime.world import MessageSocket, World
 
@@ -26,7 +26,7 @@
 class CacheEvents:
     """Keeps one subscription for each box that publishes."""
 
-    def __init__(self, world: World, knowledge: PrefixKnowledge) -> None:
+    def __init__(self, world: World, knowledge: PrefixTracker) -> None:
         """Nothing is followed before `listed`."""
         self._world = world
         self._knowledge = knowledge
@@ -37,19 +37,19 @@
 
     def listed(self, servers: list[Server]) -> None:
         """The server list: follow what is on it and publishes, leave the rest."""
-        publishing = {s.name: s for s in servers if s.events is not None} if self._knowledge.following else {}
+        publishing = {s.name: s for s in servers if s.events is not None} if self._knowledge.use_events else {}
         for name, (address, replay, task, socket) in list(self._following.items()):
             server = publishing.get(name)
             if server is None or (server.events, server.replay) != (address, replay):
                 socket.close()
                 task.cancel()
                 del self._following[name]
-                self._knowledge.lost(self._world.now_us(), name)
+                self._knowledge.subscription_lost(self._world.now_us(), name)
         for server in servers:
             if server.up_since_ms > self._since.setdefault(server.name, server.up_since_ms):
                 self._since[server.name] = server.up_since_ms
-                self._knowledge.restarted(server.name)
-        self._knowledge.listed(publishing)
+                self._knowledge.engine_restarted(server.name)
+        self._knowledge.set_publishers(publishing)
         for name, server in publishing.items():
             if name not in self._following and server.events is not None:
                 socket = self._world.messages("sub", *split_address(server.events))
@@ -65,7 +65,7 @@
             got = self._decoded(name, parts[-2:])
             if got is None:
                 continue
-            wanted = self._knowledge.batch(self._world.now_us(), name, *got)
+            wanted = self._knowledge.receive_batch(self._world.now_us(), name, *got)
             if wanted is not None and replay is not None and name not in self._replaying:
                 self._replaying.add(name)
                 self._world.spawn("replay", self._replay, name, replay, wanted)
@@ -89,7 +89,7 @@
             socket.close()
             self._replaying.discard(name)
         log.info("cache events replayed", server=name, start=start, batches=len(batches))
-        self._knowledge.replayed(self._world.now_us(), name, batches)
+        self._knowledge.receive_replay(self._world.now_us(), name, batches)
 
     def _decoded(self, name: str, parts: list[bytes]) -> tuple[int, Batch] | None:
         try:
--- a/yardspindle/edge/executor.py
+++ b/yardspindle/edge/executor.py
@@ -14,13 +14,13 @@
 
 from yardspindle import interface as i
 from yardspindle.api.exchange import Exchange
+from yardspindle.core.prefix.prefix_tracker import PrefixTracker, PromptBlocks
 from yardspindle.core.request import commands as c
-from yardspindle.core.request.answer import AnswerState, Collected
+from yardspindle.core.request.answer import AnswerTracker, CollectedAnswer
 from yardspindle.core.request.commands import Final
 from yardspindle.core.request.edge_core import EdgeCore
-from yardspindle.core.request.intake import Intake, Taken
-from yardspindle.core.request.releases import Owed, Thing
-from yardspindle.core.texts.prefix_knowledge import Blocks, PrefixKnowledge
+from yardspindle.core.request.engine_releases import PendingRelease, ResourceKind
+from yardspindle.core.request.intake import AcceptedRequest, Intake
 from yardspindle.edge.metrics import EdgeMetrics
 from yardspindle.engine import vllm
 from yardspindle.engine.http_client import ExchangeBroken
@@ -39,20 +39,20 @@
 class Running:
     """A request's I/O."""
 
-    taken: Taken
+    taken: AcceptedRequest
     request_id: str
     fields: vllm.Fields
     exchange: Exchange
     head: bytes  # of the streamed answer, sent with its first event
     stream: bool
-    state: AnswerState
-    collected: Collected | None
+    state: AnswerTracker
+    collected: CollectedAnswer | None
     came_us: int
     done: Signal
     answer: c.Answer | None = None
     client_error: tuple[int, bytes] | None = None
     attempts: dict[int, Task] = field(default_factory=dict)
-    blocks: Blocks = Blocks()
+    blocks: PromptBlocks = PromptBlocks()
     claims: dict[str, float] = field(default_factory=dict)
     first_us: int = 0
     reading_since_us: int = 0  # since when the writer's next event is awaited
@@ -62,9 +62,9 @@
         """The attempt's last byte is written."""
         self.written = True
 
-    def timed_out(self) -> vllm.Ended:
+    def timed_out(self) -> vllm.AttemptResult:
         """How the attempt ended whose time is up: before its last byte is written nothing of it has run."""
-        return vllm.Ended(i.Status.TIMEOUT if self.written else i.Status.MOOT)
+        return vllm.AttemptResult(i.Status.TIMEOUT if self.written else i.Status.MOOT)
 
 
 class Executor:
@@ -79,7 +79,7 @@
         intake: Intake,
         stalled_us: int,
         tell: Callable[[i.Event], None],
-        knowledge: PrefixKnowledge | None,
+        knowledge: PrefixTracker | None,
     ) -> None:
         """`stalled_us`: how long a running stream may bring nothing."""
         self._world = world
@@ -96,7 +96,7 @@
         """Carry out commands, in order, without waiting."""
         for command in commands:
             match command:
-                case c.TellPlanner(event):
+                case c.NotifyPlanner(event):
                     self._tell(event)
                 case c.Read():
                     self._start(command.request, command.attempt, self._read, command)
@@ -106,9 +106,9 @@
                     run = self.running.get(command.request)
                     if run is not None and command.attempt in run.attempts:
                         run.attempts.pop(command.attempt).cancel()
-                case c.AskPlace():
+                case c.ReservePlace():
                     self._world.spawn("place", self._ask_place, command)
-                case c.Release(owed):
+                case c.SendRelease(owed):
                     self._world.spawn("release", self._release, owed)
                 case c.Answer():
                     run = self.running.get(command.request)
@@ -121,7 +121,7 @@
                     self._metrics.interlocks.labels(rule).inc()
                     run = self.running.get(request)
                     log.warning("interlock", rule=rule, request_id=run.request_id if run else str(request))
-                case c.Broken(rule, request, text):
+                case c.ReportViolation(rule, request, text):
                     self._metrics.broken.labels(rule).inc()
                     run = self.running.get(request)
                     log.error("rule broken", rule=rule, text=text, request_id=run.request_id if run else str(request))
@@ -134,7 +134,7 @@
         run = self.running[request]
         run.attempts[attempt] = self._world.spawn("attempt", run_attempt, command, run)
 
-    def _ended(self, run: Running, command: c.Read | c.Write, ended: vllm.Ended) -> None:
+    def _ended(self, run: Running, command: c.Read | c.Write, ended: vllm.AttemptResult) -> None:
         run.attempts.pop(command.attempt, None)
         stage = "read" if isinstance(command, c.Read) else "write"
         self._metrics.attempts.labels(stage, ended.status.value).inc()
@@ -152,14 +152,14 @@
         if ended.usage is not None:
             self._intake.learn(run.taken, ended.usage.prompt_tokens)
             self._metrics.prompt_tokens.inc(ended.usage.prompt_tokens)
-            self._metrics.cached_tokens.inc(ended.usage.cached or 0)
+            self._metrics.cached_tokens.inc(ended.usage.cached_tokens or 0)
             if ended.status is i.Status.READ and self._knowledge is not None:
                 told = (run.taken.request.kept or {}).get(command.server.number)
-                self._knowledge.read(
+                self._knowledge.record_read(
                     command.server.name,
                     run.blocks,
                     ended.usage.prompt_tokens,
-                    ended.usage.cached,
+                    ended.usage.cached_tokens,
                     told,
                     run.claims.get(command.server.name),
                 )
@@ -174,7 +174,7 @@
     def _read(self, command: c.Read, run: Running) -> None:
         run.written = False
         try:
-            with self._world.deadline(command.until_us):
+            with self._world.deadline(command.deadline_us):
                 ended = self._engines.read(
                     command.server, command.request, command.attempt, vllm.read_body(run.fields), run.now_written
                 )
@@ -185,14 +185,14 @@
     def _write(self, command: c.Write, run: Running) -> None:
         run.written = False
         try:
-            with self._world.deadline(command.until_us):
+            with self._world.deadline(command.deadline_us):
                 body = vllm.write_body(run.fields, command.state)
                 answer = self._engines.write(
                     command.server, command.request, command.attempt, body, command.place, run.now_written
                 )
                 first = None
                 if isinstance(answer, vllm.AnswerStream):
-                    batches = answer.batches()
+                    batches = answer.event_batches()
                     try:
                         first = next(batches, None)
                     except BaseException:
@@ -201,8 +201,8 @@
         except DeadlineExceeded:
             return self._ended(run, command, run.timed_out())
         except ExchangeBroken as error:
-            return self._ended(run, command, vllm.Ended(i.Status.RESET, detail=str(error)))
-        if isinstance(answer, vllm.Ended):
+            return self._ended(run, command, vllm.AttemptResult(i.Status.RESET, detail=str(error)))
+        if isinstance(answer, vllm.AttemptResult):
             return self._ended(run, command, answer)
         try:
             ended = self._relay(command, run, answer, first, batches)
@@ -213,12 +213,12 @@
 
     def _relay(
         self, command: c.Write, run: Running, answer: vllm.AnswerStream, first: list[bytes] | None, batches: Any
-    ) -> vllm.Ended | None:
+    ) -> vllm.AttemptResult | None:
         """From the first event to the last; None when the request was over before it."""
         if first is None:
-            return vllm.Ended(i.Status.RESET, detail="the answer ended before it began")
+            return vllm.AttemptResult(i.Status.RESET, detail="the answer ended before it began")
         if vllm_error := next((data for data in first[:1] if data.startswith(b'{"error"')), None):
-            return vllm.Ended(i.Status.ERROR, detail=vllm_error[:200].decode(errors="replace"))
+            return vllm.AttemptResult(i.Status.ERROR, detail=vllm_error[:200].decode(errors="replace"))
         begun, commands = self._core.first_token(self._world.now_us(), command.request, command.attempt)
         self.perform(commands)
         if not begun:
@@ -235,18 +235,18 @@
                 if batch is None:
                     break
                 self._pass_on(run, batch)
-            if run.state.whole:
+            if run.state.complete:
                 self._finish(answer)
                 counts = run.state.counts
                 if counts is not None:
                     self._intake.learn(run.taken, counts.prompt)
-                return vllm.Ended(i.Status.SERVED, counts.cached if counts else 0)
-            return vllm.Ended(i.Status.ERROR if run.state.error else i.Status.RESET, detail="stream broken")
+                return vllm.AttemptResult(i.Status.SERVED, counts.cached if counts else 0)
+            return vllm.AttemptResult(i.Status.ERROR if run.state.error else i.Status.RESET, detail="stream broken")
         except (ExchangeBroken, ValueError) as error:
-            return vllm.Ended(i.Status.RESET, detail=str(error))
+            return vllm.AttemptResult(i.Status.RESET, detail=str(error))
         except StreamError:  # the client left or takes nothing; the exchange has told the core
-            run.exchange.left()
-            return vllm.Ended(i.Status.CANCELLED)
+            run.exchange.client_disconnected()
+            return vllm.AttemptResult(i.Status.CANCELLED)
         finally:
             stop_guard()
 
@@ -266,7 +266,7 @@
     def _finish(self, answer: vllm.AnswerStream) -> None:
         try:
             with self._world.deadline(self._world.now_us() + FINISH_US):
-                answer.finish()
+                answer.read_to_end()
         except (ExchangeBroken, DeadlineExceeded):
             pass  # the answer was whole; only its connection is not kept
 
@@ -286,11 +286,11 @@
 
     # --- places and releases
 
-    def _ask_place(self, command: c.AskPlace) -> None:
+    def _ask_place(self, command: c.ReservePlace) -> None:
         held: bool | None = None
         try:
             with self._world.deadline(self._world.now_us() + PLACE_US):
-                held = self._engines.ask_place(
+                held = self._engines.reserve_place(
                     command.server, command.request, command.place, command.tokens, command.reader, command.read_attempt
                 )
         except (DeadlineExceeded, Cancelled):
@@ -299,12 +299,14 @@
             self._core.place_answered(self._world.now_us(), command.request, command.place, command.server, held)
         )
 
-    def _release(self, owed: Owed) -> None:
+    def _release(self, owed: PendingRelease) -> None:
         heard = False
         try:
             with self._world.deadline(self._world.now_us() + RELEASE_US):
-                release = self._engines.release_state if owed.thing is Thing.STATE else self._engines.release_place
-                heard = release(owed.server, owed.request, owed.part)
+                release = (
+                    self._engines.release_state if owed.kind is ResourceKind.STATE else self._engines.release_place
+                )
+                heard = release(owed.server, owed.request, owed.number)
         except DeadlineExceeded:
             pass
         self.perform(self._core.release_settled(self._world.now_us(), owed, heard))
--- a/yardspindle/edge/planner_link.py
+++ b/yardspindle/edge/planner_link.py
@@ -11,7 +11,7 @@
 import structlog
 
 from yardspindle import interface as i
-from yardspindle.core.fleet.pulse import Pulse
+from yardspindle.core.fleet.planner_liveness import PlannerLiveness
 from yardspindle.core.hosts.directory import Server
 from yardspindle.link import frames
 from yardspindle.runtime.scheduler import DeadlineExceeded
@@ -50,7 +50,7 @@
         self._on_down = on_down
         self._on_servers = on_servers
         self._on_actions = on_actions
-        self._pulse = Pulse(silent_us)
+        self._pulse = PlannerLiveness(silent_us)
         self._pending: list[i.Event] = []
         self._wake = world.channel(1)
         self._stream: Stream | None = None
@@ -73,9 +73,9 @@
 
     def look(self, now_us: int) -> None:
         """Cut a link whose planner no longer answers; the reading side settles what it had decided."""
-        if self._stream is not None and self._pulse.silent(now_us):
+        if self._stream is not None and self._pulse.timed_out(now_us):
             log.error("planner is silent; the link is cut", answered=self.answered, told=self._number)
-            self._pulse.begin(now_us)
+            self._pulse.reset(now_us)
             self._stream.abort()
 
     def run(self) -> None:
@@ -106,7 +106,7 @@
             log.warning("greeting failed", reason=str(error) or "no answer in time")
             return False
         self._pending.clear()
-        self._pulse.begin(self._world.now_us())
+        self._pulse.reset(self._world.now_us())
         self._stream = stream
         sender = None
         try:
@@ -147,7 +147,7 @@
     def _take(self, epoch: int, frame: frames.Frame) -> None:
         if isinstance(frame, frames.Actions):
             self.answered = frame.answers
-            self._pulse.answered(self._world.now_us(), frame.answers)
+            self._pulse.record_answered(self._world.now_us(), frame.answers)
             self._on_actions(epoch, [frames.original(action) for action in frame.actions])
         elif isinstance(frame, frames.Servers):
             self._on_servers(frame.servers)
@@ -163,7 +163,7 @@
                 while self._pending and self._stream is stream:
                     events, self._pending = self._pending, []
                     self._number += 1
-                    self._pulse.sent(self._world.now_us(), self._number)
+                    self._pulse.record_sent(self._world.now_us(), self._number)
                     stream.write(
                         frames.encode(
                             frames.Events(
--- a/yardspindle/engine/http_client.py
+++ b/yardspindle/engine/http_client.py
@@ -12,14 +12,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from yardspindle.core.hosts.connection_pool import PoolTrust
+from yardspindle.core.hosts.idle_limit import IdleLimit
 from yardspindle.core.request import timeouts
 from yardspindle.protocol import http1
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.world import ConnectError, NoDescriptor, Stream, StreamError, World
 
-IDLE_MOST = 64  # connections kept for each server unless told otherwise; others are closed after their use
-INTERIM_MOST = 16  # answers 1xx before the final one
+MAX_IDLE = 64  # connections kept for each server unless told otherwise; others are closed after their use
+MAX_INTERIM = 16  # answers 1xx before the final one
 
 
 class ExchangeBroken(Exception):
@@ -28,7 +28,7 @@
     `stale`: it was a kept connection and brought nothing, so this says less of the server than of the connection.
     """
 
-    spoilt = False
+    malformed = False
     stale = False
 
 
@@ -42,8 +42,8 @@
 
     stream: Stream
     parser: http1.ResponseParser
-    used_us: int = 0  # when it was last kept; 0 until then
-    heard: Callable[[], None] | None = None  # called once, when the first bytes of an answer come
+    idle_since_us: int = 0  # when it was last kept; 0 until then
+    on_first_byte: Callable[[], None] | None = None  # called once, when the first bytes of an answer come
 
 
 @dataclass(slots=True)
@@ -76,7 +76,7 @@
     def close(self) -> None:
         """Keep the connection if the response is complete and allows it, else reset it: the server must notice."""
         if self.ended and http1.keeps_alive(self.head) and not self.connection.parser.buffered:
-            self.client.keep(self.key, self.connection)
+            self.client.put_idle(self.key, self.connection)
         elif self.ended:
             self.connection.stream.close()
         else:
@@ -99,9 +99,9 @@
     world: World
     connect_us: int
     idle_us: int
-    idle_most: int = IDLE_MOST
+    max_idle: int = MAX_IDLE
     limits: http1.Limits = field(default_factory=http1.Limits)
-    trust: PoolTrust | None = None  # how long connections are kept by what became of them; else `idle_us` alone
+    idle_limit: IdleLimit | None = None  # how long connections are kept by what became of them; else `idle_us` alone
     head_us: int = 0  # how long a head may take from its first byte to its last; 0: no bound
     counts: Counts = field(default_factory=Counts)
     _idle: dict[tuple[str, int], deque[Connection]] = field(default_factory=dict)
@@ -114,12 +114,12 @@
         target: bytes,
         headers: http1.Headers,
         body: bytes = b"",
-        written: Callable[[], None] | None = None,
-        ready: Callable[[], http1.Headers] | None = None,
+        on_written: Callable[[], None] | None = None,
+        late_headers: Callable[[], http1.Headers] | None = None,
         connect_us: int | None = None,
-        rest_us: int = 0,
+        min_idle_us: int = 0,
         descriptor_us: int | None = None,
-        heard: Callable[[], None] | None = None,
+        on_first_byte: Callable[[], None] | None = None,
     ) -> Response:
         """Send a request and wait for the response's head.
 
@@ -135,11 +135,11 @@
         key = (host, port)
         name = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
         while True:
-            connection = self._take(key, rest_us) or self._open(key, connect_us, descriptor_us)
-            late = self._ready(connection, ready)
+            connection = self._take(key, min_idle_us) or self._open(key, connect_us, descriptor_us)
+            late = self._ready(connection, late_headers)
             if connection.stream.quiet():
                 break
-            if not connection.used_us:
+            if not connection.idle_since_us:
                 connection.stream.close()
                 raise NotSent("closed before the request's first byte")
             self._not_used(connection)  # it was while `ready` waited
@@ -148,17 +148,17 @@
             data = http1.write_request(method, target, [(b"host", name.encode()), *headers, *late], body)
             connection.parser.expects(method)
             self._write(connection, data)
-            if written is not None:
-                written()
-            connection.heard = heard
-            for _ in range(INTERIM_MOST + 1):
+            if on_written is not None:
+                on_written()
+            connection.on_first_byte = on_first_byte
+            for _ in range(MAX_INTERIM + 1):
                 event = self._head(connection)
                 if isinstance(event, http1.ResponseHead) and event.status >= 200:
                     done = True
                     return Response(self, key, connection, event)
             raise _spoilt("interim answers without end")
         except ExchangeBroken as error:
-            error.stale = bool(connection.used_us) and not error.spoilt and not connection.parser.buffered
+            error.stale = bool(connection.idle_since_us) and not error.malformed and not connection.parser.buffered
             if error.stale:
                 self._found_dead(connection)
             raise
@@ -180,12 +180,12 @@
             raise NotSent(f"write: {error}") from None
 
     def _found_dead(self, connection: Connection) -> None:
-        if self.trust is not None:
+        if self.idle_limit is not None:
             now = self.world.now_us()
-            self.trust.broke(now, now - connection.used_us)
+            self.idle_limit.found_closed(now, now - connection.idle_since_us)
 
     def _limit_us(self) -> int:
-        return self.idle_us if self.trust is None else self.trust.limit_us(self.world.now_us())
+        return self.idle_us if self.idle_limit is None else self.idle_limit.limit_us(self.world.now_us())
 
     def _head(self, connection: Connection) -> http1.Event:
         """The next head: one that has begun and does not end is as broken as one that cannot be read."""
@@ -211,9 +211,9 @@
                     raise _spoilt("empty lines without end")
                 data = connection.stream.read()
                 if data:
-                    if connection.heard is not None:
-                        connection.heard()
-                        connection.heard = None
+                    if connection.on_first_byte is not None:
+                        connection.on_first_byte()
+                        connection.on_first_byte = None
                     connection.parser.feed(data)
                     empty += 0 if connection.parser.stage is not http1.RESTING or data.strip(b"\r\n") else len(data)
                 elif connection.parser.closed:
@@ -226,7 +226,7 @@
         except http1.ProtocolError as error:
             raise _spoilt(error.reason) from None
 
-    def keep(self, key: tuple[str, int], connection: Connection) -> None:
+    def put_idle(self, key: tuple[str, int], connection: Connection) -> None:
         """Put a connection aside for the next request.
 
         One that its server closed with the last byte was never idle: kept, it would cast doubt on those that are.
@@ -234,9 +234,9 @@
         if not connection.stream.quiet():
             return connection.stream.close()
         idle = self._idle.setdefault(key, deque())
-        connection.used_us = self.world.now_us()
+        connection.idle_since_us = self.world.now_us()
         idle.append(connection)
-        if len(idle) > self.idle_most:
+        if len(idle) > self.max_idle:
             idle.popleft().stream.close()
 
     def close_idle(self, host: str, port: int) -> None:
@@ -244,11 +244,11 @@
         for connection in self._idle.pop((host, port), ()):
             connection.stream.close()
 
-    def close_old(self) -> None:
+    def close_expired(self) -> None:
         """Close what was idle for longer than it may be; called now and then."""
         oldest = self.world.now_us() - self._limit_us()
         for key, idle in list(self._idle.items()):
-            while idle and idle[0].used_us < oldest:
+            while idle and idle[0].idle_since_us < oldest:
                 idle.popleft().stream.close()
             if not idle:
                 del self._idle[key]
@@ -260,7 +260,7 @@
 
     def _take(self, key: tuple[str, int], rest_us: int) -> Connection | None:
         while (connection := self._rested(key, rest_us)) is not None:
-            if self.world.now_us() - connection.used_us >= self._limit_us():
+            if self.world.now_us() - connection.idle_since_us >= self._limit_us():
                 self.counts.stale += 1
                 connection.stream.close()
             elif connection.stream.quiet():
@@ -274,7 +274,7 @@
         """The one used last is the likeliest to be alive; old ones can time out."""
         idle = self._idle.get(key, deque())
         for connection in reversed(idle):
-            if connection.used_us + rest_us <= self.world.now_us():
+            if connection.idle_since_us + rest_us <= self.world.now_us():
                 idle.remove(connection)
                 return connection
         return None
@@ -294,7 +294,7 @@
     def _open(self, key: tuple[str, int], connect_us: int | None, descriptor_us: int | None) -> Connection:
         limit_us = self.connect_us if connect_us is None else min(connect_us, self.connect_us)
         if descriptor_us is None:
-            descriptor_us = timeouts.DESCRIPTOR_US if connect_us is None else limit_us
+            descriptor_us = timeouts.DESCRIPTOR_WAIT_US if connect_us is None else limit_us
         until_us = self.world.now_us() + descriptor_us
         while True:
             try:  # the time of the connection itself begins once there is a descriptor: its server is judged by it
@@ -302,14 +302,14 @@
             except NoDescriptor:
                 if self.world.now_us() >= until_us:
                     raise
-                self.world.sleep_until(self.world.now_us() + timeouts.DESCRIPTOR_PAUSE_US)
+                self.world.sleep_until(self.world.now_us() + timeouts.DESCRIPTOR_RETRY_PAUSE_US)
                 continue
             self.counts.opened += 1
             return Connection(stream, http1.ResponseParser(limits=self.limits))
 
     def close_oldest(self) -> bool:
         """Close the kept connection that has been idle longest, to any server; whether there was one."""
-        idle = min((idle for idle in self._idle.values() if idle), key=lambda idle: idle[0].used_us, default=None)
+        idle = min((idle for idle in self._idle.values() if idle), key=lambda idle: idle[0].idle_since_us, default=None)
         if idle is not None:
             idle.popleft().stream.close()
         return idle is not None
@@ -317,7 +317,7 @@
 
 def _spoilt(reason: str) -> ExchangeBroken:
     broken = ExchangeBroken(reason)
-    broken.spoilt = True
+    broken.malformed = True
     return broken
 
 
--- a/yardspindle/engine/vllm.py
+++ b/yardspindle/engine/vllm.py
@@ -16,7 +16,7 @@
 from msgspec import Struct, field
 
 from yardspindle.core.hosts.directory import Server
-from yardspindle.core.request.proof import status_of_refusal
+from yardspindle.core.request.retry_safety import classify_error
 from yardspindle.engine.http_client import ConnectError, ExchangeBroken, HttpClient, Response
 from yardspindle.interface import Status
 from yardspindle.protocol import http1
@@ -67,7 +67,7 @@
     prompt_tokens_details: PromptDetails | None = None
 
     @property
-    def cached(self) -> int | None:
+    def cached_tokens(self) -> int | None:
         """Prompt tokens found kept, or None where the engine does not say."""
         return self.prompt_tokens_details.cached_tokens if self.prompt_tokens_details else None
 
@@ -100,7 +100,7 @@
 
 
 @dataclass(slots=True)
-class Ended:
+class AttemptResult:
     """How an attempt ended, for the core."""
 
     status: Status
@@ -138,7 +138,7 @@
         self._response = response
         self._sse = SseParser()
 
-    def batches(self) -> Iterator[list[bytes]]:
+    def event_batches(self) -> Iterator[list[bytes]]:
         """Data of the events, as many at once as came at once. Raises ExchangeBroken."""
         response, sse = self._response, self._sse
         try:
@@ -157,7 +157,7 @@
         """Reset the connection; a task that reads from it gets ExchangeBroken."""
         self._response.connection.stream.abort()
 
-    def finish(self) -> None:
+    def read_to_end(self) -> None:
         """Read to the response's end, so that the connection can be kept. Raises ExchangeBroken."""
         while self._response.read() is not None:
             pass
@@ -180,20 +180,20 @@
         return f"{self._unique}-{request}.p{place}"
 
     def read(
-        self, server: Server, request: int, attempt: int, body: bytes, written: Callable[[], None] | None = None
-    ) -> Ended:
+        self, server: Server, request: int, attempt: int, body: bytes, on_written: Callable[[], None] | None = None
+    ) -> AttemptResult:
         """First stage. Never raises but for deadlines and cancellation. `written`: see HttpClient.request."""
         headers = [*JSON_HEADERS, (b"x-request-id", self.state_id(request, attempt).encode())]
         try:
-            response = self.http.request(server.host, server.port, b"POST", COMPLETIONS, headers, body, written)
+            response = self.http.request(server.host, server.port, b"POST", COMPLETIONS, headers, body, on_written)
         except ConnectError as error:
-            return Ended(Status.CONNECT_FAILED, detail=str(error))
+            return AttemptResult(Status.CONNECT_FAILED, detail=str(error))
         except ExchangeBroken as error:
-            return Ended(Status.RESET, detail=str(error))
+            return AttemptResult(Status.RESET, detail=str(error))
         try:
             data = response.read_all()
         except ExchangeBroken as error:
-            return Ended(Status.RESET, detail=str(error))
+            return AttemptResult(Status.RESET, detail=str(error))
         finally:
             response.close()
         if response.head.status != 200:
@@ -201,11 +201,11 @@
         try:
             answer = msgspec.json.decode(data, type=_ReadAnswer)
         except msgspec.DecodeError as error:
-            return Ended(Status.ERROR, detail=f"the read's answer is malformed: {error}")
+            return AttemptResult(Status.ERROR, detail=f"the read's answer is malformed: {error}")
         if not answer.kv_transfer_params:
-            return Ended(Status.ERROR, detail="the read's answer names no state")
+            return AttemptResult(Status.ERROR, detail="the read's answer names no state")
         state = {**answer.kv_transfer_params, "do_remote_prefill": True, "do_remote_decode": False}
-        return Ended(Status.READ, answer.usage.cached or 0, state, answer.usage)
+        return AttemptResult(Status.READ, answer.usage.cached_tokens or 0, state, answer.usage)
 
     def write(
         self,
@@ -214,28 +214,28 @@
         attempt: int,
         body: bytes,
         place: int | None,
-        written: Callable[[], None] | None = None,
-    ) -> AnswerStream | Ended:
+        on_written: Callable[[], None] | None = None,
+    ) -> AnswerStream | AttemptResult:
         """Second stage: the answer's stream, or how it ended before one began."""
         headers = [*JSON_HEADERS, (b"x-request-id", self.state_id(request, attempt).encode())]
         if place is not None:
             headers.append((PLACE_HEADER, self.place_id(request, place).encode()))
         try:
-            response = self.http.request(server.host, server.port, b"POST", COMPLETIONS, headers, body, written)
+            response = self.http.request(server.host, server.port, b"POST", COMPLETIONS, headers, body, on_written)
         except ConnectError as error:
-            return Ended(Status.CONNECT_FAILED, detail=str(error))
+            return AttemptResult(Status.CONNECT_FAILED, detail=str(error))
         except ExchangeBroken as error:
-            return Ended(Status.RESET, detail=str(error))
+            return AttemptResult(Status.RESET, detail=str(error))
         if response.head.status == 200:
             return AnswerStream(response)
         try:
             return refused(response.head.status, response.read_all())
         except ExchangeBroken as error:
-            return Ended(Status.RESET, detail=str(error))
+            return AttemptResult(Status.RESET, detail=str(error))
         finally:
             response.close()
 
-    def ask_place(
+    def reserve_place(
         self, server: Server, request: int, place: int, tokens: float, reader: Server, read_attempt: int
     ) -> bool | None:
         """Whether the writer holds a place; None when it was not heard."""
@@ -273,7 +273,7 @@
             response.close()
 
 
-def refused(http_status: int, data: bytes) -> Ended:
+def refused(http_status: int, data: bytes) -> AttemptResult:
     """An error answer as the end of an attempt."""
     code: str | None = None
     message = ""
@@ -282,8 +282,8 @@
         code, message = None if error.code is None else str(error.code), error.message
     except msgspec.DecodeError:
         pass
-    status, note = status_of_refusal(http_status, code)
-    ended = Ended(status, note, detail=f"HTTP {http_status} {code or ''} {message[:200]}".strip())
+    status, note = classify_error(http_status, code)
+    ended = AttemptResult(status, note, detail=f"HTTP {http_status} {code or ''} {message[:200]}".strip())
     if 400 <= http_status < 500 and status is Status.ERROR and http_status not in (408, 429):
         ended.client_error, ended.client_status = data[:ERROR_BYTES_MOST], http_status
     return ended
--- a/yardspindle/fleet/file.py
+++ b/yardspindle/fleet/file.py
@@ -11,7 +11,7 @@
 import structlog
 
 from yardspindle.core.config import Config, ConfigError
-from yardspindle.core.hosts.roster import Roster, parse_list
+from yardspindle.core.hosts.server_list import ServerList, parse_server_list
 from yardspindle.runtime.world import World
 
 log = structlog.get_logger("yardspindle.fleet")
@@ -20,7 +20,9 @@
 class FileSource:
     """Feeds a roster from a file."""
 
-    def __init__(self, world: World, path: str, config: Config, roster: Roster, on_news: Callable[[], None]) -> None:
+    def __init__(
+        self, world: World, path: str, config: Config, roster: ServerList, on_news: Callable[[], None]
+    ) -> None:
         """`on_news` is called when a changed list is in force."""
         self._world = world
         self._path = path
@@ -39,9 +41,9 @@
             raise ConfigError(f"{self._path}: {error.strerror}") from None
         if data == self._data:
             return
-        document = parse_list(self._path, data, self._config)
+        document = parse_server_list(self._path, data, self._config)
         self._data = data
-        if self._roster.take(document):
+        if self._roster.apply(document):
             log.info("server list", version=self._roster.version, servers=len(document.servers))
             self._on_news()
 
--- a/yardspindle/fleet/follow.py
+++ b/yardspindle/fleet/follow.py
@@ -11,7 +11,7 @@
 import structlog
 
 from yardspindle.core.fleet.kv import Compacted, prefix_end
-from yardspindle.core.fleet.members import Keys, View
+from yardspindle.core.fleet.members import FleetKeys, FleetView
 from yardspindle.fleet.store.interface import Store, StoreError, Watch
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.world import World
@@ -26,10 +26,10 @@
 class Follower:
     """One process's view of its fleet."""
 
-    def __init__(self, world: World, store: Store, keys: Keys, on_news: Callable[[], None]) -> None:
+    def __init__(self, world: World, store: Store, keys: FleetKeys, on_news: Callable[[], None]) -> None:
         """`on_news` is called after each change."""
         self._world, self._store, self._keys, self._on_news = world, store, keys, on_news
-        self.view = View(keys)
+        self.view = FleetView(keys)
         self.current_us = 0  # when the view was last known to be all that the store holds
         self.read_anew = 0
         self._behind_us = 0  # since when the view is behind
@@ -78,7 +78,7 @@
                     log.warning("the watch is silent; read anew", revision=self.view.revision)
                     return
                 continue
-            self.view.change(changes.revision, changes.changes)
+            self.view.apply(changes.revision, changes.changes)
             if self._behind_us:
                 self._behind_us = self._world.now_us()
             self._heard()
--- a/yardspindle/fleet/leave.py
+++ b/yardspindle/fleet/leave.py
@@ -7,7 +7,7 @@
 from yardspindle.core.config import Config, microseconds
 from yardspindle.core.fleet import permits as p
 from yardspindle.core.fleet.kv import prefix_end
-from yardspindle.core.fleet.members import Keys
+from yardspindle.core.fleet.members import FleetKeys
 from yardspindle.core.fleet.release_keys import UnitKeys
 from yardspindle.fleet.store.interface import StoreError
 from yardspindle.fleet.store.open import open_store
@@ -25,10 +25,10 @@
     while world.now_us() < until_us:
         try:
             store = open_store(world, config.fleet)
-            keys = UnitKeys(Keys(config.fleet.name))
+            keys = UnitKeys(FleetKeys(config.fleet.name))
             rows = store.range(keys.root, prefix_end(keys.root))
             units = keys.read({row.key: row for row in rows.rows})
-            no = p.ask(units.fleet(config.release.limit, 0), unit)
+            no = p.check_departure(units.snapshot(config.release.limit, 0), unit)
             if unit in units.permits:  # perhaps from a call whose answer was lost, or a release's
                 log.info("leave was given", unit=unit, by=units.permits[unit].by)
                 return True
@@ -37,7 +37,7 @@
                 permit = p.Permit(
                     unit, status.epoch if status is not None else "", unit, "asked to end", since_us=world.now_us()
                 )
-                store.txn(keys.leave(units, permit))
+                store.txn(keys.grant_own_permit(units, permit))
                 continue  # read back: it was given, or somebody else was let go meanwhile
             reason = no.reason
         except (StoreError, OSError) as error:
--- a/yardspindle/fleet/membership.py
+++ b/yardspindle/fleet/membership.py
@@ -15,7 +15,7 @@
 
 from yardspindle.core.config import FleetConfig, microseconds, split_address
 from yardspindle.core.fleet.kv import KeyValue
-from yardspindle.core.fleet.members import Keys, Kind, Member, may_register
+from yardspindle.core.fleet.members import FleetKeys, Kind, Member, may_register
 from yardspindle.fleet.page import MemberPage
 from yardspindle.fleet.store.interface import Store, StoreError, WentBack
 from yardspindle.fleet.store.open import open_store
@@ -63,7 +63,7 @@
         self._world, self._store = world, store
         self._ttl_us = microseconds(config.ttl_ms)
         self._listen, self._advertise = config.listen, config.advertise
-        self.keys = Keys(config.name)
+        self.keys = FleetKeys(config.name)
         self.member = Member(name, kind, epoch, zone=zone, version=version, since_us=world.now_us())
         self._turns = turns or _no_turns()
         self.lease = 0
@@ -151,7 +151,7 @@
                 self.refused = ""
                 self._changed = self._world.signal()
                 return True
-            found = answer.found[0]
+            found = answer.results[0]
             known = found[0] if found else None
 
     def _keep(self, lease: int, until_us: int) -> None:
--- a/yardspindle/fleet/page.py
+++ b/yardspindle/fleet/page.py
@@ -11,12 +11,12 @@
 import msgspec
 from msgspec import Struct
 
-from yardspindle.api.errors import JSON, ApiError
+from yardspindle.api.errors import JSON_CONTENT_TYPE, ApiError
 from yardspindle.api.exchange import Exchange, Reply
 from yardspindle.api.serving import Server, ServingLimits
 from yardspindle.core.config import split_address
 from yardspindle.core.fleet.members import Member
-from yardspindle.core.fleet.sweep import Answer
+from yardspindle.core.fleet.sweep import ProbeResult
 from yardspindle.engine.http_client import ConnectError, ExchangeBroken, HttpClient
 from yardspindle.protocol import http1
 from yardspindle.runtime.scheduler import DeadlineExceeded
@@ -46,11 +46,11 @@
         self._world.spawn("member page", Server(self._world, listener, self, ServingLimits(), _nothing).serve)
         return listener.host, listener.port
 
-    def early(self, head: http1.RequestHead) -> Reply | None:
+    def early_reply(self, head: http1.RequestHead) -> Reply | None:
         """See Handler."""
         if head.target != MEMBER or head.method not in (b"GET", b"HEAD"):
             return ApiError(404, "not_found", "There is nothing at this path.").reply()
-        return Reply(200, [JSON], msgspec.json.encode(Word(self._member(), self._world.now_us())))
+        return Reply(200, [JSON_CONTENT_TYPE], msgspec.json.encode(Word(self._member(), self._world.now_us())))
 
     def handle(self, exchange: Exchange) -> None:
         """See Handler."""
@@ -61,7 +61,7 @@
         return ApiError(error.status, "malformed_request", error.reason).reply()
 
 
-def ask(http: HttpClient, page: str) -> tuple[Answer, Word | None]:
+def ask(http: HttpClient, page: str) -> tuple[ProbeResult, Word | None]:
     """What a page says, or what became of asking."""
     world = http.world
     limit = world.deadline(world.now_us() + ASK_US)
@@ -70,17 +70,17 @@
             response = http.request(*split_address(page), b"GET", MEMBER, [])
             data = response.read_all()
             response.close()
-        return Answer.ANSWERED, msgspec.json.decode(data, type=Word)
+        return ProbeResult.ANSWERED, msgspec.json.decode(data, type=Word)
     except ConnectReset:
-        return Answer.SILENT, None
+        return ProbeResult.NO_ANSWER, None
     except ConnectError as error:
-        return Answer.REFUSED if "refused" in str(error).lower() else Answer.SILENT, None
+        return ProbeResult.REFUSED if "refused" in str(error).lower() else ProbeResult.NO_ANSWER, None
     except (ExchangeBroken, msgspec.DecodeError):
-        return Answer.SILENT, None
+        return ProbeResult.NO_ANSWER, None
     except DeadlineExceeded:
         if not limit.passed:
             raise
-        return Answer.SILENT, None
+        return ProbeResult.NO_ANSWER, None
 
 
 def _nothing(fault: BaseException) -> None:
--- a/yardspindle/fleet/store/embedded.py
+++ b/yardspindle/fleet/store/embedded.py
@@ -21,9 +21,9 @@
     Compacted,
     Delete,
     KeyValue,
-    Rows,
+    RangeResult,
     Txn,
-    TxnAnswer,
+    TxnResult,
     evaluate,
 )
 from yardspindle.fleet.store.interface import Granted, Kept, NotDone, StoreError, Unknown, WentBack
@@ -67,11 +67,11 @@
 
     # --- calls
 
-    def range(self, key: bytes, end: bytes = b"", revision: int = 0) -> Rows:
+    def range(self, key: bytes, end: bytes = b"", revision: int = 0) -> RangeResult:
         """See Store."""
         return self._patiently(lambda: self._range(key, end, revision), reads=True)
 
-    def txn(self, txn: Txn) -> TxnAnswer:
+    def txn(self, txn: Txn) -> TxnResult:
         """See Store."""
         return self._write(lambda: self._txn(txn))
 
@@ -219,16 +219,16 @@
         """See kv.Reader."""
         return bool(self._db.run("SELECT 1 FROM leases WHERE lease = ?", (lease,)))
 
-    def _range(self, key: bytes, end: bytes, revision: int) -> Rows:
+    def _range(self, key: bytes, end: bytes, revision: int) -> RangeResult:
         now = self._revision()
         if not revision or revision == now:
-            return Rows(now, tuple(self.rows(key, end)))
+            return RangeResult(now, tuple(self.rows(key, end)))
         if revision > now:
             raise NotDone("11: etcdserver: mvcc: required revision is a future revision")
         if revision < int(self._about("compacted")):
             raise Compacted(int(self._about("compacted")))
         where, arguments = _range(key, end)
-        return Rows(
+        return RangeResult(
             now,
             tuple(
                 _row(row)
@@ -240,7 +240,7 @@
             ),
         )
 
-    def _txn(self, txn: Txn) -> TxnAnswer:
+    def _txn(self, txn: Txn) -> TxnResult:
         answer, changes = evaluate(txn, self, self._revision())
         self._commit(changes)
         return answer
--- a/yardspindle/fleet/store/gateway.py
+++ b/yardspindle/fleet/store/gateway.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from yardspindle.core.fleet.kv import Changes, Compacted, Rows, Txn, TxnAnswer
+from yardspindle.core.fleet.kv import Changes, Compacted, RangeResult, Txn, TxnResult
 from yardspindle.engine.http_client import ConnectError, ExchangeBroken, HttpClient, NotSent, Response
 from yardspindle.fleet.store import gateway_json as j
 from yardspindle.fleet.store.interface import (
@@ -53,13 +53,13 @@
         self.calls = 0
         self._refused = ""  # why this store is not used any more
 
-    def range(self, key: bytes, end: bytes = b"", revision: int = 0) -> Rows:
+    def range(self, key: bytes, end: bytes = b"", revision: int = 0) -> RangeResult:
         """See Store."""
         call = j.RangeCall(j.b64(key), j.b64(end), str(revision) if revision else 0)
         reply = self._ask(j.RANGE, msgspec.json.encode(call), j.RangeReply, writes=False)
-        return Rows(int(reply.header.revision), tuple(j.row_in(row) for row in reply.kvs))
+        return RangeResult(int(reply.header.revision), tuple(j.row_in(row) for row in reply.kvs))
 
-    def txn(self, txn: Txn) -> TxnAnswer:
+    def txn(self, txn: Txn) -> TxnResult:
         """See Store."""
         data, before = self._call(j.TXN, j.txn_out(txn), writes=True)
         try:
--- a/yardspindle/fleet/store/gateway_json.py
+++ b/yardspindle/fleet/store/gateway_json.py
@@ -25,7 +25,7 @@
     Relation,
     Target,
     Txn,
-    TxnAnswer,
+    TxnResult,
 )
 
 RANGE, TXN = b"/v3/kv/range", b"/v3/kv/txn"
@@ -274,7 +274,7 @@
     compare = []
     for c in txn.compare:
         target, name = TARGETS[c.target]
-        want = b64(c.want) if isinstance(c.want, bytes) else str(c.want)
+        want = b64(c.expected) if isinstance(c.expected, bytes) else str(c.expected)
         call = CompareCall(RELATIONS[c.relation], target, b64(c.key))
         setattr(call, name, want)
         compare.append(call)
@@ -297,10 +297,10 @@
     return Txn(tuple(compare), tuple(op_in(op) for op in call.success), tuple(op_in(op) for op in call.failure))
 
 
-def answer_out(txn: Txn, answer: TxnAnswer, header: Header) -> bytes:
+def answer_out(txn: Txn, answer: TxnResult, header: Header) -> bytes:
     """A transaction's answer as JSON."""
     replies = []
-    for op, found in zip(txn.then if answer.succeeded else txn.otherwise, answer.found, strict=True):
+    for op, found in zip(txn.then if answer.succeeded else txn.otherwise, answer.results, strict=True):
         match op:
             case Get():
                 replies.append(
@@ -313,13 +313,13 @@
     return msgspec.json.encode(TxnReply(header, answer.succeeded, replies))
 
 
-def answer_in(data: bytes) -> TxnAnswer:
+def answer_in(data: bytes) -> TxnResult:
     """A transaction's answer from JSON. Raises Malformed."""
     reply = decode(data, TxnReply)
     found = tuple(
         tuple(row_in(row) for row in r.response_range.kvs) if r.response_range else () for r in reply.responses
     )
-    return TxnAnswer(int(reply.header.revision), reply.succeeded, found)
+    return TxnResult(int(reply.header.revision), reply.succeeded, found)
 
 
 def changes_out(changes: Changes, header: Header) -> bytes:
--- a/yardspindle/fleet/store/interface.py
+++ b/yardspindle/fleet/store/interface.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from yardspindle.core.fleet.kv import Changes, Rows, Txn, TxnAnswer
+from yardspindle.core.fleet.kv import Changes, RangeResult, Txn, TxnResult
 
 
 class StoreError(Exception):
@@ -63,10 +63,10 @@
 class Store(Protocol):
     """A store. All raise NotDone, Unknown or WentBack; reads never raise Unknown."""
 
-    def range(self, key: bytes, end: bytes = b"", revision: int = 0) -> Rows:
+    def range(self, key: bytes, end: bytes = b"", revision: int = 0) -> RangeResult:
         """The rows of a range, now or at a revision. Raises Compacted."""
 
-    def txn(self, txn: Txn) -> TxnAnswer:
+    def txn(self, txn: Txn) -> TxnResult:
         """A transaction."""
 
     def grant(self, ttl_us: int) -> Granted:
--- a/yardspindle/lab/block_cache.py
+++ b/yardspindle/lab/block_cache.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from yardspindle.core.texts.blocks import chain
-from yardspindle.core.texts.cache_feed import AllBlocksCleared, Batch, BlockRemoved, BlockStored, CacheEvent
+from yardspindle.core.prefix.blocks import block_hashes
+from yardspindle.core.prefix.cache_feed import AllBlocksCleared, Batch, BlockRemoved, BlockStored, CacheEvent
 
 REPLAY_BATCHES = 10_000
 
@@ -41,7 +41,7 @@
 
     def hashes(self, packed: bytes) -> list[int]:
         """A prompt's blocks."""
-        return chain(packed, self.block_size)
+        return block_hashes(packed, self.block_size)
 
     def keep(self, hashes: list[int], packed: bytes) -> None:
         """A prompt was read: its blocks are kept, the end of the chain to go first."""
--- a/yardspindle/lab/engine.py
+++ b/yardspindle/lab/engine.py
@@ -13,10 +13,10 @@
 import msgspec
 import xxhash
 
-from yardspindle.api.errors import JSON, ApiError, error_body
+from yardspindle.api.errors import JSON_CONTENT_TYPE, ApiError, error_body
 from yardspindle.api.exchange import Exchange, Reply
 from yardspindle.api.serving import Server, ServingLimits
-from yardspindle.core.texts.tokens import ByteTokenizer
+from yardspindle.core.prefix.tokenizer import ByteTokenizer
 from yardspindle.engine.http_client import ConnectError, ExchangeBroken
 from yardspindle.engine.vllm import COMPLETIONS, HOLDS, PLACE_HEADER, PLACES
 from yardspindle.lab.block_cache import BlockCache
@@ -89,7 +89,7 @@
 
     # --- routes
 
-    def early(self, head: http1.RequestHead) -> Reply | None:
+    def early_reply(self, head: http1.RequestHead) -> Reply | None:
         """See Handler."""
         target = head.target
         if head.method in (b"DELETE", b"GET") and self.hung is not None:
@@ -134,7 +134,7 @@
             self.note("gone", request)  # seen on the socket, also while it hangs
             gone.set()
 
-        exchange.on_gone = left
+        exchange.on_disconnect = left
         if self.hung is not None:
             self.hung.wait()
         ended = "failed"
@@ -167,7 +167,7 @@
                 self.full = True
             case "normal":
                 self.slow, self.full, self.draining = 1.0, False, False
-        exchange.reply(Reply(200, [JSON], b"{}"))
+        exchange.reply(Reply(200, [JSON_CONTENT_TYPE], b"{}"))
 
     def _stop_resets(self) -> None:
         self.reset = False
@@ -211,26 +211,26 @@
         if full or self.draining:
             code = "engine_draining" if self.draining else "engine_full"
             self.note("turned away", request, code=code)
-            exchange.reply(Reply(503, [JSON], error_body(code, "No room.", "overloaded_error")))
+            exchange.reply(Reply(503, [JSON_CONTENT_TYPE], error_body(code, "No room.", "overloaded_error")))
             return False
         if self.load.running >= self.set.slots or self.load.memory + tokens > self.set.memory_tokens:
             turn = self.world.signal()
             self.load.waiting.append(turn)
-            previous = exchange.on_gone
+            previous = exchange.on_disconnect
 
             def left() -> None:
                 turn.set()
                 if previous is not None:
                     previous()
 
-            exchange.on_gone = left
+            exchange.on_disconnect = left
             turn.wait()
-            exchange.on_gone = previous
+            exchange.on_disconnect = previous
             if turn in self.load.waiting:
                 self.load.waiting.remove(turn)
-            elif exchange.gone and self.load.waiting:  # its turn had come: it passes to the next
+            elif exchange.disconnected and self.load.waiting:  # its turn had come: it passes to the next
                 self.load.waiting.popleft().set()
-            if exchange.gone:
+            if exchange.disconnected:
                 gone.set()
                 raise StreamError("gone while waiting")
         self.load.running += 1
@@ -241,7 +241,7 @@
 
     def _prompt(self, call: Call) -> tuple[int, int, list[int], bytes]:
         """Prompt tokens, those kept, its blocks, and the tokens themselves."""
-        packed = self.tokenizer.packed([(m.role, text_of(m.content)) for m in call.messages], bytes(call.tools))
+        packed = self.tokenizer.encode_prompt([(m.role, text_of(m.content)) for m in call.messages], bytes(call.tools))
         hashes = self.cache.hashes(packed)
         return len(packed) // 4, self.cache.found(hashes) * self.set.block_size, hashes, packed
 
@@ -282,7 +282,7 @@
                 "remote_request_id": request,
             },
         }
-        exchange.reply(Reply(200, [JSON], msgspec.json.encode(answer)))
+        exchange.reply(Reply(200, [JSON_CONTENT_TYPE], msgspec.json.encode(answer)))
         return "read"
 
     # --- writing
@@ -305,10 +305,14 @@
             if params.get("do_remote_prefill"):
                 if not self._fetch(params, total, had_place is not None, gone):
                     self.note("no state", request)
-                    exchange.reply(Reply(409, [JSON], error_body("no_state", "No state to fetch.", "state_error")))
+                    exchange.reply(
+                        Reply(409, [JSON_CONTENT_TYPE], error_body("no_state", "No state to fetch.", "state_error"))
+                    )
                     return "no state"
             elif self.set.role == "write":
-                exchange.reply(Reply(409, [JSON], error_body("no_state", "No state was named.", "state_error")))
+                exchange.reply(
+                    Reply(409, [JSON_CONTENT_TYPE], error_body("no_state", "No state was named.", "state_error"))
+                )
                 return "no state"
             elif not self._read_prompt(call, gone)[2]:
                 return "cancelled"
@@ -329,7 +333,7 @@
                     params["remote_port"],
                     b"POST",
                     FETCH + str(params.get("remote_request_id", "-")).encode(),
-                    [JSON],
+                    [JSON_CONTENT_TYPE],
                     b"{}",
                 )
                 response.read_all()
@@ -347,7 +351,7 @@
             exchange.reply(ApiError(404, "no_state", "No such state.").reply())
             return
         self.note("fetched", request)
-        exchange.reply(Reply(200, [JSON], b"{}"))
+        exchange.reply(Reply(200, [JSON_CONTENT_TYPE], b"{}"))
 
     def _answer(
         self, exchange: Exchange, request: str, call: Call, total: int, kept: int, steps: int, gone: Signal
@@ -360,7 +364,7 @@
             if not self._pause(pause_us, gone) or self.reset:
                 self.note("sent", request, tokens=sent)
                 exchange.stream.abort()
-                exchange.break_off()
+                exchange.abort()
                 return "reset" if self.reset else "client gone"
             if call.stream:
                 last = step == steps - 1
@@ -386,7 +390,7 @@
             exchange.reply(
                 Reply(
                     200,
-                    [JSON],
+                    [JSON_CONTENT_TYPE],
                     msgspec.json.encode(
                         {
                             **base,
--- a/yardspindle/lab/engine_holds.py
+++ b/yardspindle/lab/engine_holds.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from yardspindle.api.errors import JSON, ApiError
+from yardspindle.api.errors import JSON_CONTENT_TYPE, ApiError
 from yardspindle.api.exchange import Exchange, Reply
-from yardspindle.core.fleet.fences import Fences
+from yardspindle.core.fleet.fences import FenceRegistry
 from yardspindle.engine.http_client import HttpClient
 from yardspindle.engine.vllm import DUTY_HEADER, FENCE_HEADER, PLACES, STATES, HoldRow, HoldsAnswer
 from yardspindle.lab.engine_settings import EngineSettings, Held, Load, PlaceCall
@@ -36,7 +36,7 @@
         self.places: dict[str, Held] = {}
         self.released: OrderedDict[str, None] = OrderedDict()  # ids let go before their read or place was there
         self.full = self.draining = False
-        self.fences = Fences(self._known_fences())
+        self.fences = FenceRegistry(self._known_fences())
 
     def _known_fences(self) -> dict[str, int]:
         known: dict[str, int] = {}
@@ -82,7 +82,7 @@
         if (refused := self._obeyed(head)) is not None:
             return refused
         rows = [HoldRow(name, "state") for name in self.states] + [HoldRow(name, "place") for name in self.places]
-        return Reply(200, [JSON], msgspec.json.encode(HoldsAnswer(rows)))
+        return Reply(200, [JSON_CONTENT_TYPE], msgspec.json.encode(HoldsAnswer(rows)))
 
     def _let_go(self, head: http1.RequestHead) -> Reply:
         if (refused := self._obeyed(head)) is not None:
@@ -103,13 +103,13 @@
             and not self.full
         )
         if not room or call.place in self.released:
-            exchange.reply(Reply(409, [JSON], b'{"held":false}'))
+            exchange.reply(Reply(409, [JSON_CONTENT_TYPE], b'{"held":false}'))
             return
         self.load.running += 1
         self.load.memory += call.tokens
         self.places[call.place] = Held(call.tokens, self.world.now_us() + int(self.set.hold_ms * 1_000))
         self.note("hold place", call.place)
-        exchange.reply(Reply(200, [JSON], b'{"held":true}'))
+        exchange.reply(Reply(200, [JSON_CONTENT_TYPE], b'{"held":true}'))
 
     def _release(self, held: dict[str, Held], request: str) -> None:
         known = held.pop(request, None)
@@ -129,7 +129,7 @@
         while True:
             self.world.sleep_until(self.world.now_us() + int(self.set.hold_ms * 1_000 / WINDOW_PARTS))
             now = self.world.now_us()
-            self.http.close_old()
+            self.http.close_expired()
             for held in (self.states, self.places):
                 for request, known in list(held.items()):
                     if now >= known.expires_us:
--- a/yardspindle/lab/etcd.py
+++ b/yardspindle/lab/etcd.py
@@ -13,11 +13,11 @@
 import msgspec
 from msgspec import Struct
 
-from yardspindle.api.errors import JSON, ApiError
+from yardspindle.api.errors import JSON_CONTENT_TYPE, ApiError
 from yardspindle.api.exchange import Exchange, Reply
 from yardspindle.api.serving import Server, ServingLimits
-from yardspindle.core.fleet.kv import BadRequest, Change, Changes, Compacted, Txn, covers
-from yardspindle.core.fleet.kv_model import Model
+from yardspindle.core.fleet.kv import BadRequest, Change, Changes, Compacted, Txn, range_contains
+from yardspindle.core.fleet.kv_model import StoreModel
 from yardspindle.fleet.store import gateway_json as j
 from yardspindle.protocol import http1
 from yardspindle.runtime.scheduler import Signal
@@ -56,13 +56,13 @@
     def __init__(self, world: World, journal: str = "") -> None:
         """Nothing is opened before `start`."""
         self.world = world
-        self.model = Model()
+        self.model = StoreModel()
         self.journal = journal
         self.followers: list[Follower] = []
         self.leaderless = False
         self.late_us = 0
         self.lose = 0
-        self.marked: Model | None = None
+        self.marked: StoreModel | None = None
         self.stale_reads = False
         self.cluster = world.random("cluster").getrandbits(62) or 1
         self._told = self.model.revision
@@ -87,7 +87,7 @@
     def _expire(self) -> None:
         while True:
             now = self.world.now_us()
-            ended = [n for n, lease in self.model.leases.items() if lease.ends_us <= now]
+            ended = [n for n, lease in self.model.leases.items() if lease.expires_us <= now]
             if ended:
                 self.model.expire(now)
                 self.note("expired", leases=ended)
@@ -96,7 +96,7 @@
 
     # --- routes
 
-    def early(self, head: http1.RequestHead) -> Reply | None:
+    def early_reply(self, head: http1.RequestHead) -> Reply | None:
         """See Handler."""
         if head.method != b"POST" or head.target not in PATHS:
             return ApiError(404, "not_found", "Not Found").reply()
@@ -111,7 +111,7 @@
         target, body = exchange.head.target, exchange.body
         if target == CONTROL:
             self._control(msgspec.json.decode(body, type=Control))
-            return exchange.reply(Reply(200, [JSON], b"{}"))
+            return exchange.reply(Reply(200, [JSON_CONTENT_TYPE], b"{}"))
         if self.late_us:
             self.world.sleep_until(self.world.now_us() + self.late_us)
         if self.leaderless:
@@ -135,13 +135,15 @@
             self.lose -= 1
             exchange.stream.abort()
             return None
-        exchange.reply(Reply(200, [JSON], answer))
+        exchange.reply(Reply(200, [JSON_CONTENT_TYPE], answer))
         return None
 
     def _error(self, exchange: Exchange, target: bytes, body: bytes, error: BadRequest) -> None:
         self.note("refused", path=target.decode(), call=msgspec.Raw(body), code=error.code, text=str(error))
         status = {3: 400, 5: 404, 9: 400, 11: 400, 14: 503}.get(error.code, 500)
-        exchange.reply(Reply(status, [JSON], msgspec.json.encode(j.ErrorReply(str(error), error.code, str(error)))))
+        exchange.reply(
+            Reply(status, [JSON_CONTENT_TYPE], msgspec.json.encode(j.ErrorReply(str(error), error.code, str(error))))
+        )
 
     def _header(self) -> j.Header:
         return j.Header(str(self.cluster), "1", str(self.model.revision), "2")
@@ -172,7 +174,7 @@
                 reply = j.LeaseReply(self._header())
             case j.TIME_LEFT:
                 lease = int(j.decode(body, j.LeaseCall).ID)
-                reply = j.LeaseReply(self._header(), str(lease), str(model.time_left(now, lease)))
+                reply = j.LeaseReply(self._header(), str(lease), str(model.remaining_ttl_s(now, lease)))
             case _:
                 model.compact(int(j.decode(body, j.RangeCall).revision))
                 reply = j.LeaseReply(self._header())
@@ -182,11 +184,11 @@
 
     def _watch(self, exchange: Exchange, call: j.WatchCreate) -> None:
         key, end, since = j.unb64(call.key), j.unb64(call.range_end), int(call.start_revision)
-        head = exchange.start(200, [JSON])
+        head = exchange.start(200, [JSON_CONTENT_TYPE])
         created = j.WatchStream(j.WatchReply(self._header(), created=True))
         exchange.send(msgspec.json.encode(created) + b"\n", head)
         try:
-            missed = self.model.since(key, end, since) if since else Changes(self.model.revision)
+            missed = self.model.changes_since(key, end, since) if since else Changes(self.model.revision)
         except Compacted as error:
             gone = j.WatchReply(self._header(), canceled=True, compact_revision=str(error.revision))
             return exchange.finish(msgspec.json.encode(j.WatchStream(gone)) + b"\n")
@@ -198,7 +200,7 @@
             if follower.turn is not None:
                 follower.turn.set()
 
-        exchange.on_gone = left
+        exchange.on_disconnect = left
         try:
             if missed.changes:
                 exchange.send(j.changes_out(missed, self._header()))
@@ -218,13 +220,15 @@
         """Let the watches have what changed since they were last told."""
         if self.model.revision == self._told:
             return
-        news = self.model.since(b"\0", b"\0", self._told + 1)
+        news = self.model.changes_since(b"\0", b"\0", self._told + 1)
         self._told = self.model.revision
         for follower in self.followers:
             mine: tuple[Change, ...] = tuple(
                 c
                 for c in news.changes
-                if (covers(follower.key, follower.end, c.row.key) if follower.end else c.row.key == follower.key)
+                if (
+                    range_contains(follower.key, follower.end, c.row.key) if follower.end else c.row.key == follower.key
+                )
             )
             if mine:
                 follower.waiting.append(j.changes_out(Changes(news.revision, mine), self._header()))
--- a/yardspindle/lab/fleet_worlds.py
+++ b/yardspindle/lab/fleet_worlds.py
@@ -292,7 +292,7 @@
                 do = {"leases end": b"expire", "watches break": b"break_watches", "compaction": b"compact"}[fault.kind]
                 etcd.command(do.decode())
             case "leaves" if world.alive and not world.gate.shut:
-                world.spawn("leave", self.stewards[on].leave)
+                world.spawn("leave", self.stewards[on].shut_down)
 
                 def again() -> None:
                     if self.world(on) is world:  # else a later fault has had it started already
@@ -330,7 +330,7 @@
         for name, steward in self.stewards.items():
             if self.world(name).alive:
                 for duty, _ in steward.state.held:
-                    if steward.act(duty) is not None:
+                    if steward.fence_to_act(duty) is not None:
                         found.setdefault(duty, []).append(name)
         return found
 
@@ -358,9 +358,11 @@
             idle = [
                 duty
                 for duty in wanted
-                if len(owners.get(duty, [])) != 1 or duty not in self.stewards[owners[duty][0]].workers
+                if len(owners.get(duty, [])) != 1 or duty not in self.stewards[owners[duty][0]].duty_tasks
             ]
-            barred = all(steward.state.barred for steward in self.stewards.values())  # then nobody may own anything
+            barred = all(
+                steward.state.clock_skewed for steward in self.stewards.values()
+            )  # then nobody may own anything
             if not left and not idle or barred:
                 return
             if sim.now_us() > until_us:
--- a/yardspindle/lab/release_worlds.py
+++ b/yardspindle/lab/release_worlds.py
@@ -14,15 +14,15 @@
 
 from yardspindle.core.config import Config, Limit, parse
 from yardspindle.core.fleet import release_plan as r
-from yardspindle.core.fleet.members import Keys
-from yardspindle.core.fleet.release_keys import Entry, UnitKeys, Units
+from yardspindle.core.fleet.members import FleetKeys
+from yardspindle.core.fleet.release_keys import AuditEntry, ReleaseView, UnitKeys
 from yardspindle.core.fleet.unit import UnitFile
 from yardspindle.fleet.store.open import open_store
 from yardspindle.lab.etcd import EtcdStandIn
 from yardspindle.lab.fleet import to_toml
 from yardspindle.runtime.virtual import Simulation, VirtualWorld
 from yardspindle.steward.app import Steward
-from yardspindle.unit.app import Unit
+from yardspindle.unit.app import UnitSupervisor
 
 HOST, STORE = "127.0.0.1", "store"
 STEWARDS, UNITS = ("s0", "s1", "s2"), tuple(f"u{n}" for n in range(6))
@@ -115,7 +115,7 @@
         self.found: list[str] = []
         self.counts: Counter[str] = Counter()
         self.machines = {name: Machine(self.sim, name) for name in UNITS}
-        self.keys = UnitKeys(Keys("main"))
+        self.keys = UnitKeys(FleetKeys("main"))
         self.version = self.rng.choice([GOOD, GOOD, GOOD, NEVER, FRAIL])
         self._ill_since: dict[str, int] = {}
         self._permits: set[str] = set()
@@ -159,9 +159,9 @@
         file = UnitFile(
             name, "dispatcher", "f", ("old", GOOD, NEVER, FRAIL), ("run",), f"{name}.state", groups, start_s=6.0
         )
-        Unit(world, file, fleet, store, "world", VirtualHands(world, self.machines[name])).start()
+        UnitSupervisor(world, file, fleet, store, "world", VirtualHands(world, self.machines[name])).start()
 
-    def units(self) -> Units:
+    def units(self) -> ReleaseView:
         """What the store holds, straight from it."""
         model = self.etcd.model
         return self.keys.read({row.key: row for row in model.rows(self.keys.root, b"\0")})
@@ -186,8 +186,8 @@
         sim.scheduler.spawn("ills", self._ills)
         if not self._until("all are well", lambda: self._runs({"old"})):
             return
-        places = self.units().places
-        release = r.begin("r", r.PlanFile(self.version, "old", settle_s=1.0, start_s=25.0), places)
+        places = self.units().placements
+        release = r.create_release("r", r.PlanFile(self.version, "old", settle_s=1.0, start_s=25.0), places)
         self._say(release, "start")
         faults = [sim.scheduler.spawn("fault", self._fault) for _ in range(self.rng.randint(0, 5))]
         back_us = sim.now_us() + self.rng.randrange(40_000_000) if self.rng.random() < 0.3 else None
@@ -224,14 +224,14 @@
         )
 
     def _say(self, release: r.Release, what: str) -> None:
-        txn = self.keys.say(self.units(), release, Entry(self.sim.now_us(), "ana", what))
+        txn = self.keys.update_release_by_operator(self.units(), release, AuditEntry(self.sim.now_us(), "ana", what))
         if not self.etcd.model.txn(txn).succeeded:
             self.found.append(f"say: {what} was not taken")
         self.etcd._tell()
 
     def _word(self, word: str) -> None:
         release = self.units().release
-        told = r.told(release, word, "") if release is not None else "none"
+        told = r.apply_operator_command(release, word, "") if release is not None else "none"
         if isinstance(told, r.Release):
             self._say(told, word)
 
--- a/yardspindle/lab/virtual_fleet.py
+++ b/yardspindle/lab/virtual_fleet.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from yardspindle.core.config import Config, parse
-from yardspindle.core.request.open import phase
+from yardspindle.core.request.records import phase
 from yardspindle.edge.app import Edge
 from yardspindle.engine.http_client import ConnectError
 from yardspindle.lab.audit import Audit, Figures
@@ -208,13 +208,13 @@
         out = core._out
 
         def counted(now_us: int, commands: Any) -> Any:
-            for number, r in core.life.open.items():
+            for number, r in core.lifecycle.requests.items():
                 now = phase(r)
                 before = known.get(number, "new")
                 if now != before:
                     self.transitions[f"{before} -> {now}"] += 1
                     known[number] = now
-            for number in known.keys() - core.life.open.keys():
+            for number in known.keys() - core.lifecycle.requests.keys():
                 self.transitions[f"{known.pop(number)} -> gone"] += 1
             return out(now_us, commands)
 
--- a/yardspindle/lab/worlds.py
+++ b/yardspindle/lab/worlds.py
@@ -132,12 +132,12 @@
             self.sim.scheduler.sleep_until(self.sim.now_us() + LOOK_US)
             self.audit.until(self.sim.now_us())
             for name, seat in self._edges.items():
-                if seat.edge is not None and seat.edge.core.watch.last is not None:
-                    self._found.append(f"{name}'s own watch: {seat.edge.core.watch.last}")
+                if seat.edge is not None and seat.edge.core.rule_checker.last_violation is not None:
+                    self._found.append(f"{name}'s own watch: {seat.edge.core.rule_checker.last_violation}")
                 if (
                     seat.edge is not None
                     and not self._hushed
-                    and (late := INTERLOCKS & seat.edge.core.life.tally.interlocks.keys())
+                    and (late := INTERLOCKS & seat.edge.core.lifecycle.counts.interlocks.keys())
                 ):
                     self._found.append(f"at once: {name} had to keep the rule itself: {', '.join(sorted(late))}")
             listed = frozenset(server.name for server in self._planner.roster.servers) if self._planner else frozenset()
@@ -184,10 +184,10 @@
             edge = seat.edge
             assert edge is not None
             left = {
-                "open": len(edge.core.life.open),
-                "owed": edge.core.releases.owed,
+                "open": len(edge.core.lifecycle.requests),
+                "owed": edge.core.engine_releases.pending,
                 "running": len(edge.executor.running),
-                "watched": len(edge.core.watch.open),
+                "watched": len(edge.core.rule_checker.requests),
                 "tasks": len(self._tasks(name) - seat.idle),
                 "connections": max(self._streams(name) - seat.idle_streams, 0),
             }
--- a/yardspindle/node/__main__.py
+++ b/yardspindle/node/__main__.py
@@ -10,7 +10,7 @@
 from yardspindle.core.config import ConfigError
 from yardspindle.node import log
 from yardspindle.node.app import Node
-from yardspindle.node.config import read, variables
+from yardspindle.node.config import read_config, required_variables
 from yardspindle.runtime.real import RealWorld
 from yardspindle.runtime.scheduler import Task
 
@@ -19,8 +19,8 @@
     """Run until a signal."""
     world = RealWorld()
     try:
-        told = variables(os.environ)
-        world.run("node", lambda: program(world, told))
+        told = required_variables(os.environ)
+        world.run("node", lambda: run(world, told))
     except ConfigError as error:
         print(error, file=sys.stderr)
         return 2
@@ -30,7 +30,7 @@
     return 0
 
 
-def program(world: RealWorld, told: dict[str, str]) -> None:
+def run(world: RealWorld, told: dict[str, str]) -> None:
     """The first task: signals, start, and the end.
 
     Signals are heard before the file is read: what SIGHUP announces is then in what is read, or is read anew. Until
@@ -39,29 +39,29 @@
 
     def reload() -> None:
         try:
-            node.reload(read(world.read_file, told))
+            node.reload(read_config(world.read_file, told))
         except ConfigError as error:
-            log.line("the new configuration is not taken", fault=error)
+            log.write("the new configuration is not taken", fault=error)
 
     def stop() -> None:
         node.stop()
         world.stop.set()
 
-    world.scheduler.on_crash = crashed
+    world.scheduler.on_crash = log_crash
     world.on_signals({signal.SIGTERM: stop, signal.SIGINT: stop, signal.SIGHUP: reload})
-    node = Node(world, read(world.read_file, told))
+    node = Node(world, read_config(world.read_file, told))
     node.start()
     if not world.stop.is_set:
         gc.collect()
         gc.freeze()
-        log.line("ready", name=node.config.name)
+        log.write("ready", name=node.config.name)
     world.stop.wait()
     node.drain()
 
 
-def crashed(task: Task, error: BaseException) -> None:
+def log_crash(task: Task, error: BaseException) -> None:
     """A task's own error ends that task alone."""
-    log.line("a task failed", task=task.name, fault=f"{type(error).__name__}: {error}")
+    log.write("a task failed", task=task.name, fault=f"{type(error).__name__}: {error}")
 
 
 if __name__ == "__main__":
--- a/yardspindle/node/app.py
+++ b/yardspindle/node/app.py
@@ -6,32 +6,32 @@
 
 from yardspindle.api.exchange import Exchange, Reply
 from yardspindle.api.serving import Server, ServingLimits
-from yardspindle.core.hosts.connection_pool import PoolTrust
 from yardspindle.core.hosts.host_list import HostList
-from yardspindle.core.hosts.shares import Shares
+from yardspindle.core.hosts.idle_limit import IdleLimit
+from yardspindle.core.hosts.resource_budget import ResourceBudget
 from yardspindle.core.request import commands as c
 from yardspindle.core.request import timeouts
-from yardspindle.core.request.answer import http_of
+from yardspindle.core.request.answer import http_error
 from yardspindle.core.request.edge_core import EdgeCore
 from yardspindle.core.request.graceful_shutdown import shutdown_times
 from yardspindle.core.request.planning import PlanningSession
 from yardspindle.engine.http_client import HttpClient
 from yardspindle.node import log, request
 from yardspindle.node.config import NodeConfig
-from yardspindle.node.discovery import Discovery
+from yardspindle.node.discovery import DiscoveryClient
 from yardspindle.node.executor import EPOCH, Executor
-from yardspindle.node.hosts import LIMITS, Hosts
-from yardspindle.node.running import Running
-from yardspindle.node.trace import Trace
+from yardspindle.node.host_client import RESPONSE_LIMITS, HostClient
+from yardspindle.node.running_request import RunningRequest
+from yardspindle.node.trace import RequestTrace
 from yardspindle.policy import Policy
 from yardspindle.protocol import http1
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.world import StreamError, World
 
-TICK_US = 20_000  # how often the core's own deadlines are looked at; as often as the policy's
-HOUSEKEEPING_US = 1_000_000
-COUNTS_US = 30_000_000  # between lines of the log that tell the counts so far
-UP = b"/up"
+TICK_INTERVAL_US = 20_000  # how often the core's own deadlines are looked at; as often as the policy's
+HOUSEKEEPING_INTERVAL_US = 1_000_000
+COUNTS_LOG_INTERVAL_US = 30_000_000  # between lines of the log that tell the counts so far
+HEALTH_PATH = b"/up"
 CLIENT_LIMITS = http1.Limits(line=8_192, head=16_384, headers=64, body=262_144)
 
 
@@ -47,22 +47,22 @@
         now = world.now_us()
         session = PlanningSession(lambda event, at_us: policy.handle(at_us, event), now, now)
         self.policy = policy
-        self.hosts = HostList(config.roles)
-        self.shares = Shares(min(config.limits.sockets, world.descriptors()), config.limits.memory_mb)
-        idle_us = round(config.idle_us * timeouts.IDLE_PART)
+        self.host_list = HostList(config.roles)
+        self.shares = ResourceBudget(min(config.limits.sockets, world.descriptors()), config.limits.memory_mb)
+        idle_us = round(config.idle_us * timeouts.IDLE_REUSE_FRACTION)
         self.http = HttpClient(
             world,
             config.connect_us,
             idle_us,
-            self.shares.kept,
-            LIMITS,
-            trust=PoolTrust(idle_us),
-            head_us=timeouts.HEAD_US,
+            self.shares.idle_per_host,
+            RESPONSE_LIMITS,
+            idle_limit=IdleLimit(idle_us),
+            head_us=timeouts.RESPONSE_HEAD_US,
         )
         world.relieve = self.http.close_oldest
-        self.executor = Executor(world, self.core, session, Hosts(self.http))
+        self.executor = Executor(world, self.core, session, HostClient(self.http))
         self._settled = world.signal()  # discovery was heard, or the process is told to end: no more is waited for
-        self.discovery = Discovery(world, config.discovery, self.hosts, self._news, self._settled)
+        self.discovery = DiscoveryClient(world, config.discovery, self.host_list, self._on_list_change, self._settled)
         self._open_ids: set[bytes] = set()
         self._requests = 0
         self._server: Server | None = None
@@ -79,17 +79,17 @@
         limits = ServingLimits(
             CLIENT_LIMITS,
             idle_us=timeouts.IDLE_CLIENT_US,
-            header_us=timeouts.SILENT_CLIENT_US,
-            stalled_us=timeouts.STALLED_CLIENT_US,
-            fresh_us=timeouts.SILENT_CLIENT_US,
-            body_us=timeouts.SILENT_CLIENT_US,
-            most=self.shares.clients,
-            bodies=self.shares.bodies,
+            header_us=timeouts.CLIENT_REQUEST_US,
+            write_stall_us=timeouts.STALLED_CLIENT_US,
+            first_byte_us=timeouts.CLIENT_REQUEST_US,
+            body_us=timeouts.CLIENT_REQUEST_US,
+            max_connections=self.shares.client_connections,
+            max_body_bytes=self.shares.body_bytes,
         )
         self._server = Server(self.world, listener, self, limits, _fault)
         self.executor.perform(self.core.planner_up(self.world.now_us(), EPOCH))
-        self.hosts.known(config.known)
-        self._news()
+        self.host_list.restore(config.known)
+        self._on_list_change()
         self.discovery.start()
         self.world.spawn("accept", self._server.serve)
         self.world.spawn("tick", self._tick)
@@ -97,7 +97,7 @@
             with self.world.deadline(self.world.now_us() + timeouts.FIRST_LIST_US):
                 self._settled.wait()
         except DeadlineExceeded:
-            log.line("discovery has not answered yet", known=len(self.hosts))
+            log.write("discovery has not answered yet", known=len(self.host_list))
         self._ready = self._told_us is None
 
     def stop(self) -> None:
@@ -109,64 +109,66 @@
 
     def reload(self, config: NodeConfig) -> None:
         """A new configuration file: what may change while running is where discovery is."""
-        log.line("new configuration", discovery=f"{config.discovery[0]}:{config.discovery[1]}")
-        self.discovery.move(config.discovery)
+        log.write("new configuration", discovery=f"{config.discovery[0]}:{config.discovery[1]}")
+        self.discovery.change_address(config.discovery)
 
     def drain(self) -> None:
         """A planned restart: say so, serve what still comes, answer what was taken, then leave."""
         self.stop()
         assert self._server is not None and self._told_us is not None
-        log.line("draining", open=len(self.executor.running))
+        log.write("draining", open=len(self.executor.running))
         longest_us = max(round(cls.give_up_us) for cls in self.config.settings.classes)
         times = shutdown_times(self._told_us, longest_us, self.config.rules.resume)
         self._refuse_us = times.refuse_us
-        self.world.sleep_until(times.close_us)
+        self.world.sleep_until(times.close_idle_us)
         self._server.close_idle()
-        self.world.call_at(times.leave_us, self._leave)
-        self._server.drain(times.gone_us)
-        while (self.core.rooms.owed or self.executor.asking) and self.world.now_us() < times.let_go_us:
-            self.world.sleep_until(self.world.now_us() + TICK_US)
-        log.line("counts", **self.core.counts(), **self.policy.counts())
+        self.world.call_at(times.stop_us, self._leave)
+        self._server.drain(times.exit_us)
+        while (
+            self.core.request_releases.pending or self.executor.places_in_flight
+        ) and self.world.now_us() < times.release_deadline_us:
+            self.world.sleep_until(self.world.now_us() + TICK_INTERVAL_US)
+        log.write("counts", **self.core.counts(), **self.policy.counts())
 
     def _leave(self) -> None:
         """The process is about to be killed: every request gets its answer now."""
-        log.line("leaving", open=len(self.executor.running))
-        self.executor.perform(self.core.leave(self.world.now_us()))
+        log.write("leaving", open=len(self.executor.running))
+        self.executor.perform(self.core.shut_down(self.world.now_us()))
 
     def _tick(self) -> None:
         kept_us = counted_us = self.world.now_us()
         while True:
             now = self.world.now_us()
-            self.world.sleep_until(now + TICK_US)
-            if self.core.needs_time:
+            self.world.sleep_until(now + TICK_INTERVAL_US)
+            if self.core.needs_tick:
                 self.executor.perform(self.core.tick(self.world.now_us()))
-            if now - kept_us > HOUSEKEEPING_US:
+            if now - kept_us > HOUSEKEEPING_INTERVAL_US:
                 kept_us = now
-                self.http.close_old()
-                for number in list(self.executor.ids):
+                self.http.close_expired()
+                for number in list(self.executor.request_ids):
                     self.executor.forget(number)
-            if now - counted_us > COUNTS_US:
+            if now - counted_us > COUNTS_LOG_INTERVAL_US:
                 counted_us = now
-                log.line("counts", **self.core.counts(), **self.policy.counts())
+                log.write("counts", **self.core.counts(), **self.policy.counts())
 
-    def _news(self) -> None:
+    def _on_list_change(self) -> None:
         now = self.world.now_us()
-        for member in self.hosts.started:
-            log.line(
+        for member in self.host_list.started:
+            log.write(
                 "host started",
                 id=member.id,
-                number=self.hosts.number(member.id),
+                number=self.host_list.number(member.id),
                 kind=member.flavor,
                 up=f"{member.up_since_ms:.0f}",
             )
-        self.executor.perform(self.core.servers(now, self.hosts.servers()))
-        self.executor.members(self.hosts.members())
+        self.executor.perform(self.core.update_servers(now, self.host_list.servers()))
+        self.executor.update_members(self.host_list.members())
 
     # --- front
 
-    def early(self, head: http1.RequestHead) -> Reply | None:
+    def early_reply(self, head: http1.RequestHead) -> Reply | None:
         """See Handler: all that the head alone shows to be wrong, before a byte of the body is read."""
-        if head.target == UP and head.method in (b"GET", b"HEAD"):
+        if head.target == HEALTH_PATH and head.method in (b"GET", b"HEAD"):
             return Reply(200 if self._ready else 503, [], b"")
         try:
             self._asked(head)
@@ -174,8 +176,8 @@
             return _error(refused.status, refused.reason)
         return None
 
-    def _asked(self, head: http1.RequestHead) -> request.Asked:
-        asked = request.read_head(head, self.core.life.rules.effects)
+    def _asked(self, head: http1.RequestHead) -> request.ClientRequest:
+        asked = request.read_head(head, self.core.lifecycle.rules.effects)
         if asked.id in self._open_ids:
             raise request.Refused(409, "Req-Id: open already")
         return asked
@@ -186,7 +188,7 @@
 
     def handle(self, exchange: Exchange) -> None:
         """See Handler."""
-        came_us = exchange.came_us
+        came_us = exchange.received_us
         try:
             asked = self._asked(exchange.head)  # once more: the id may have come meanwhile
             request.check_body(exchange.body)
@@ -197,45 +199,45 @@
             return
         self._requests += 1
         number = self._requests
-        ask = request.to_policy(asked, number, came_us, len(exchange.body))
-        run = Running(ask, asked.id, exchange, self.world.signal(), trace=Trace(came_us))
+        ask = request.policy_request(asked, number, came_us, len(exchange.body))
+        run = RunningRequest(ask, asked.id, exchange, self.world.signal(), trace=RequestTrace(came_us))
         self._open_ids.add(asked.id)
-        self.executor.running[number], self.executor.ids[number] = run, asked.id
+        self.executor.running[number], self.executor.request_ids[number] = run, asked.id
         try:
-            exchange.on_gone = self._gone(run)
-            self.executor.perform(self.core.arrive(self.world.now_us(), ask))
+            exchange.on_disconnect = self._gone(run)
+            self.executor.perform(self.core.request_arrived(self.world.now_us(), ask))
             run.done.wait()
             self._finish(run)
         finally:
             if run.answer is None:  # however this ends, the core must hear of it
-                self.executor.perform(self.core.client_left(self.world.now_us(), number))
+                self.executor.perform(self.core.client_disconnected(self.world.now_us(), number))
             del self.executor.running[number]
             self._open_ids.discard(asked.id)
             self.executor.forget(number)
             end = "left" if run.answer is None else run.answer.code
-            log.line("request", id=asked.id.decode(), **run.trace.fields(self.world.now_us(), ask, end))
+            log.write("request", id=asked.id.decode(), **run.trace.log_fields(self.world.now_us(), ask, end))
 
-    def _gone(self, run: Running) -> Callable[[], None]:
+    def _gone(self, run: RunningRequest) -> Callable[[], None]:
         def gone() -> None:
             if run.answer is None:
-                self.executor.perform(self.core.client_left(self.world.now_us(), run.ask.request))
+                self.executor.perform(self.core.client_disconnected(self.world.now_us(), run.request.request))
             run.done.set()
 
         return gone
 
-    def _finish(self, run: Running) -> None:
+    def _finish(self, run: RunningRequest) -> None:
         answer, exchange = run.answer, run.exchange
         if answer is None:
             raise StreamError("the client left")
         if answer.final is c.Final.SERVED:
             exchange.finish()
         elif answer.streamed:
-            exchange.break_off()
+            exchange.abort()
         elif answer.final is c.Final.REFUSED:
             after = b"%d.%03d" % divmod(max(answer.retry_after_us, 0) // 1_000, 1_000)
             exchange.reply(_error(503, answer.code, [(b"retry-after", after)] if answer.retry_after_us else []))
         else:
-            exchange.reply(_error(http_of(answer, unsafe=False).status, answer.code))
+            exchange.reply(_error(http_error(answer, unsafe=False).status, answer.code))
 
 
 def _error(status: int, reason: str, headers: http1.Headers | None = None) -> Reply:
@@ -244,4 +246,4 @@
 
 def _fault(error: BaseException) -> None:
     if not isinstance(error, (StreamError, DeadlineExceeded)):
-        log.line("a request's handler failed", fault=f"{type(error).__name__}: {error}")
+        log.write("a request's handler failed", fault=f"{type(error).__name__}: {error}")
--- a/yardspindle/node/config.py
+++ b/yardspindle/node/config.py
@@ -11,25 +11,25 @@
 
 from yardspindle import interface as i
 from yardspindle.core.config import ConfigError
-from yardspindle.core.hosts import unstated
+from yardspindle.core.hosts import connection_defaults
 from yardspindle.core.hosts.address import ipv4_address
-from yardspindle.core.hosts.host_list import ListAnswer, check
-from yardspindle.core.hosts.shares import SOCKETS_LEAST
-from yardspindle.core.request.open import EdgeRules
+from yardspindle.core.hosts.host_list import ListAnswer, validate
+from yardspindle.core.hosts.resource_budget import MIN_SOCKETS
+from yardspindle.core.request.records import EdgeRules
 from yardspindle.node import settings_schema
-from yardspindle.settings_map import settings
+from yardspindle.settings_map import parse_settings
 
 VARIABLES = ("ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_CONFIG")
-BYTES_MOST = 16_777_216  # the list of a hundred thousand hosts; more is no configuration
-REASON_MOST = 300  # characters: one line, whatever a file holds
+MAX_CONFIG_BYTES = 16_777_216  # the list of a hundred thousand hosts; more is no configuration
+MAX_REASON_CHARS = 300  # characters: one line, whatever a file holds
 
 
-class Limits(Struct, frozen=True):
+class MachineLimits(Struct, frozen=True):
     """What the machine gives."""
 
     cores: float = 1.0
     memory_mb: Annotated[int, Meta(gt=0)] = 2048
-    sockets: Annotated[int, Meta(ge=SOCKETS_LEAST)] = 1024
+    sockets: Annotated[int, Meta(ge=MIN_SOCKETS)] = 1024
 
 
 class _File(Struct, frozen=True):
@@ -38,7 +38,7 @@
     listen: str | None = None
     discovery: str | None = None
     seed: Annotated[str, Meta(pattern=r"^[0-9a-fA-F]{1,32}$")] = "0"
-    limits: Limits = Limits()
+    limits: MachineLimits = MachineLimits()
     known: ListAnswer = ListAnswer(0, True)
 
 
@@ -50,7 +50,7 @@
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: int
-    limits: Limits
+    limits: MachineLimits
     known: ListAnswer
     settings: i.Settings
     rules: EdgeRules
@@ -63,7 +63,7 @@
         return {kind.name: kind.role for kind in self.settings.kinds}
 
 
-def variables(environment: Mapping[str, str]) -> dict[str, str]:
+def required_variables(environment: Mapping[str, str]) -> dict[str, str]:
     """The platform's variables. Raises ConfigError."""
     for name in VARIABLES:
         if not environment.get(name):
@@ -71,11 +71,11 @@
     return {name: environment[name] for name in VARIABLES}
 
 
-def parse(told: Mapping[str, str], data: bytes) -> NodeConfig:
+def parse_config(variables: Mapping[str, str], data: bytes) -> NodeConfig:
     """The configuration file's bytes, beside the variables. Raises ConfigError naming file, field and reason."""
-    file = told["ROUTER_CONFIG"]
-    if len(data) > BYTES_MOST:
-        raise ConfigError(f"{file}: over {BYTES_MOST} bytes")
+    file = variables["ROUTER_CONFIG"]
+    if len(data) > MAX_CONFIG_BYTES:
+        raise ConfigError(f"{file}: over {MAX_CONFIG_BYTES} bytes")
     try:
         read = msgspec.json.decode(data, type=_File)
     except msgspec.ValidationError as error:
@@ -83,7 +83,7 @@
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:  # the last: nested without end
         raise ConfigError(f"{file}: no JSON: {_line(error)}") from None
     try:
-        check(read.known)
+        validate(read.known)
     except ValueError as error:
         raise ConfigError(f"{file}: known: {_line(error)}") from None
     raw = read.settings
@@ -92,16 +92,16 @@
     except msgspec.ValidationError as error:
         raise _wrong(file, error, "settings") from None
     try:
-        mapped = settings(raw)
+        mapped = parse_settings(raw)
     except KeyError as error:
         raise ConfigError(f"{file}: settings: no such value: {_line(error)}") from None
     except (ValueError, TypeError, AttributeError, IndexError, OverflowError) as error:
         raise ConfigError(f"{file}: settings: {_line(error)}") from None
     allowed = raw.get("allowed") or {}
     return NodeConfig(
-        name=read.name or told["ROUTER_NAME"],
-        listen=_address(file, "listen", read.listen, told["ROUTER_LISTEN"]),
-        discovery=_address(file, "discovery", read.discovery, told["ROUTER_DISCOVERY"]),
+        name=read.name or variables["ROUTER_NAME"],
+        listen=_address(file, "listen", read.listen, variables["ROUTER_LISTEN"]),
+        discovery=_address(file, "discovery", read.discovery, variables["ROUTER_DISCOVERY"]),
         seed=int(read.seed, 16),
         limits=read.limits,
         known=read.known,
@@ -113,13 +113,13 @@
             answer_slack_us=mapped.answer_slack_us,
             retry_after_us=mapped.max_retry_after_us if mapped.retry_after else 0,
             max_attempts=mapped.max_attempts,
-            most_open=unstated.most_open(allowed.get("max-open")),
+            max_open_requests=connection_defaults.max_open(allowed.get("max-open")),
             writers_read=mapped.writers_read,
             resume=mapped.resume,
-            release_whole=True,
+            release_by_request=True,
         ),
-        connect_us=unstated.connect_us(mapped, allowed.get("connect-timeout-us")),
-        idle_us=unstated.idle_us(mapped, allowed.get("conn-idle-us")),
+        connect_us=connection_defaults.connect_us(mapped, allowed.get("connect-timeout-us")),
+        idle_us=connection_defaults.idle_us(mapped, allowed.get("conn-idle-us")),
     )
 
 
@@ -130,17 +130,17 @@
 
 
 def _line(text: object) -> str:
-    return " ".join(str(text).split())[:REASON_MOST]
+    return " ".join(str(text).split())[:MAX_REASON_CHARS]
 
 
-def read(read_file: Callable[[str, int], bytes], told: Mapping[str, str]) -> NodeConfig:
+def read_config(read_file: Callable[[str, int], bytes], variables: Mapping[str, str]) -> NodeConfig:
     """The configuration as its file stands now. Raises ConfigError."""
-    path = told["ROUTER_CONFIG"]
+    path = variables["ROUTER_CONFIG"]
     try:
-        data = read_file(path, BYTES_MOST + 1)
+        data = read_file(path, MAX_CONFIG_BYTES + 1)
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
-    return parse(told, data)
+    return parse_config(variables, data)
 
 
 def _address(file: str, field: str, text: str | None, variable: str) -> tuple[str, int]:
--- a/yardspindle/node/hosts.py
+++ b/yardspindle/node/host_client.py
@@ -15,30 +15,30 @@
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.world import ConnectReset, NoDescriptor, StreamError
 
-ROOMS = b"/bootstrap/rooms/"
-BODY_MOST = 262_144  # of a whole body, and of a chunk of a stream
-LIMITS = http1.Limits(line=8_192, head=16_384, headers=64, body=BODY_MOST)
-CACHED = re.compile(rb'"cached_tokens"\s*:\s*([0-9]{1,9})')
-EVENT, EVENT_ENDS = b"data:", (b"\n\n", b"\n\r\n")  # a line may end in either way
-Ready = Callable[[], http1.Headers]  # see HttpClient.request; may raise CalledOff
+ROOMS_PATH = b"/bootstrap/rooms/"
+MAX_BODY_BYTES = 262_144  # of a whole body, and of a chunk of a stream
+RESPONSE_LIMITS = http1.Limits(line=8_192, head=16_384, headers=64, body=MAX_BODY_BYTES)
+CACHED_TOKENS = re.compile(rb'"cached_tokens"\s*:\s*([0-9]{1,9})')
+EVENT_PREFIX, EVENT_ENDS = b"data:", (b"\n\n", b"\n\r\n")  # a line may end in either way
+BeforeWrite = Callable[[], http1.Headers]  # see HttpClient.request; may raise CalledOff
 
 
-class CalledOff(Exception):
+class CallCancelled(Exception):
     """Raised where a call's first byte is about to be written: it must not go out any more. Nothing was sent."""
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptResult:
     """How an attempt ended; `note` is what the policy is told with it."""
 
     status: Status
     note: int = 0
     detail: str = ""
     stale: bool = False  # the connection was reset in a way that says little of the host
-    ours: bool = False  # for want of a descriptor: that says nothing of it
+    no_descriptor: bool = False  # for want of a descriptor: that says nothing of it
 
 
-class Stream:
+class ResponseStream:
     """An answer under way. Reads raise ExchangeBroken; ProtocolError says that it is spoilt."""
 
     def __init__(self, response: Response) -> None:
@@ -47,12 +47,12 @@
         self._connection = response.connection
         self._world = response.client.world
         parser = response.connection.parser
-        self._chunks = ChunkReader(BODY_MOST)
+        self._chunks = ChunkReader(MAX_BODY_BYTES)
         self._left = bytes(parser.buffer)
         self._chunked = http1.is_chunked(response.head.headers, response.head.minor)
         parser.buffer.clear()
 
-    def next(self, hold_us: int = 0) -> bytes | None:
+    def read(self, hold_us: int = 0) -> bytes | None:
         """The chunks that have come whole since, or None at the end. Raises ExchangeBroken and ProtocolError.
 
         `hold_us`: how long whole events are held that are part of a chunk which does not get whole; 0: till it does.
@@ -72,7 +72,7 @@
                 due_us = due_us or self._world.now_us() + hold_us
                 if not self._comes_by(due_us):
                     due_us = 0
-                    if events := self.early():
+                    if events := self.complete_events():
                         return events
                     continue
             try:
@@ -83,7 +83,7 @@
                 raise ExchangeBroken("closed inside the stream")
             self._left = data
 
-    def early(self) -> bytes:
+    def complete_events(self) -> bytes:
         """The whole events of a chunk that is not whole; they are not given out again."""
         return self._chunks.early(EVENT_ENDS)
 
@@ -113,7 +113,7 @@
         self._connection.stream.abort()
 
 
-class Hosts:
+class HostClient:
     """Calls to model hosts."""
 
     def __init__(self, http: HttpClient) -> None:
@@ -127,11 +127,11 @@
         headers: http1.Headers,
         body: bytes,
         written: Callable[[], None],
-        heard: Callable[[], None],
-        ready: Ready,
+        acknowledged: Callable[[], None],
+        before_write: BeforeWrite,
         connect_us: int | None,
         rest_us: int,
-    ) -> Ended | Stream:
+    ) -> AttemptResult | ResponseStream:
         """Send the request to a reader or writer and wait for what it says, or for the head of its stream."""
         try:
             response = self.http.request(
@@ -142,64 +142,74 @@
                 headers,
                 body,
                 written,
-                ready,
+                before_write,
                 connect_us,
                 rest_us,
-                heard=heard,
+                on_first_byte=acknowledged,
             )
         except ConnectError as error:
-            return Ended(
+            return AttemptResult(
                 Status.CONNECT_FAILED,
                 detail=str(error),
                 stale=isinstance(error, ConnectReset),
-                ours=isinstance(error, NoDescriptor),
+                no_descriptor=isinstance(error, NoDescriptor),
             )
         except NotSent as error:
-            return Ended(Status.CONNECT_FAILED, detail=str(error), stale=error.stale)
+            return AttemptResult(Status.CONNECT_FAILED, detail=str(error), stale=error.stale)
         except ExchangeBroken as error:
-            return Ended(Status.ERROR if error.spoilt else Status.RESET, detail=str(error), stale=error.stale)
+            return AttemptResult(
+                Status.ERROR if error.malformed else Status.RESET, detail=str(error), stale=error.stale
+            )
         head = response.head
         if head.status == 200 and server.role is not Role.READ:
-            return Stream(response)
-        limit = self.http.world.deadline(self.http.world.now_us() + timeouts.BODY_US)
+            return ResponseStream(response)
+        limit = self.http.world.deadline(self.http.world.now_us() + timeouts.RESPONSE_BODY_US)
         try:
             with limit:
                 content = response.read_all()
         except ExchangeBroken as error:
-            return Ended(Status.ERROR if error.spoilt else Status.RESET, detail=str(error))
+            return AttemptResult(Status.ERROR if error.malformed else Status.RESET, detail=str(error))
         except DeadlineExceeded:
             if not limit.passed:
                 raise
-            return Ended(Status.ERROR, detail="the body does not end")
+            return AttemptResult(Status.ERROR, detail="the body does not end")
         finally:
             response.close()
         declined = head.get(b"srv-declined") == b"1"
         if head.status == 202 and server.role is Role.READ:
-            return Ended(Status.READ, cached(content))
+            return AttemptResult(Status.READ, cached_tokens(content))
         if head.status == 410 and declined:
-            return Ended(Status.FULL, 1)
+            return AttemptResult(Status.FULL, 1)
         if head.status in (503, 504) and declined:
-            return Ended(Status.FULL)
-        return Ended(Status.ERROR, detail=f"status {head.status}")
+            return AttemptResult(Status.FULL)
+        return AttemptResult(Status.ERROR, detail=f"status {head.status}")
 
-    def ask_place(self, server: Server, request_id: bytes, ready: Ready) -> bool | None:
+    def ask_place(self, server: Server, request_id: bytes, ready: BeforeWrite) -> bool | None:
         """Whether a writer holds a place now; None when it is not known."""
         try:
             return {200: True, 409: False}.get(self._call(server, b"POST", request_id, ready, None))
         except NoDescriptor:
             return False  # it was never asked
 
-    def release(self, server: Server, request_id: bytes, ready: Ready) -> bool | None:
+    def release(self, server: Server, request_id: bytes, ready: BeforeWrite) -> bool | None:
         """Let go of all that is held for a request anywhere; whether the host heard. None: see Rooms.settled."""
         try:
-            return self._call(server, b"DELETE", request_id, ready, timeouts.FREE_DESCRIPTOR_US) == 204
+            return self._call(server, b"DELETE", request_id, ready, timeouts.RELEASE_DESCRIPTOR_US) == 204
         except NoDescriptor:
             return None
 
-    def _call(self, server: Server, method: bytes, request_id: bytes, ready: Ready, descriptor_us: int | None) -> int:
+    def _call(
+        self, server: Server, method: bytes, request_id: bytes, ready: BeforeWrite, descriptor_us: int | None
+    ) -> int:
         try:
             response = self.http.request(
-                server.host, server.port, method, ROOMS + request_id, [], ready=ready, descriptor_us=descriptor_us
+                server.host,
+                server.port,
+                method,
+                ROOMS_PATH + request_id,
+                [],
+                late_headers=ready,
+                descriptor_us=descriptor_us,
             )
         except NoDescriptor:
             raise
@@ -214,7 +224,7 @@
         return response.head.status
 
 
-def cached(data: bytes) -> int:
+def cached_tokens(data: bytes) -> int:
     """The prompt tokens that a host says it found kept; 0 where it says nothing readable."""
-    found = CACHED.search(data)
+    found = CACHED_TOKENS.search(data)
     return int(found[1]) if found else 0
--- a/yardspindle/node/log.py
+++ b/yardspindle/node/log.py
@@ -6,19 +6,19 @@
 import sys
 from collections.abc import Callable
 
-LINE_MOST = 400
+MAX_LINE_CHARS = 400
 
 
-def line(what: str, **fields: object) -> None:
+def write(what: str, **fields: object) -> None:
     """Write one line."""
     text = " ".join([what, *(f"{name}={value}" for name, value in fields.items())])
     with contextlib.suppress(OSError, ValueError):  # a log that cannot be written must not end what it tells of
-        sys.stderr.write(" ".join(text.split())[:LINE_MOST] + "\n")
+        sys.stderr.write(" ".join(text.split())[:MAX_LINE_CHARS] + "\n")
 
 
-def guarded(step: Callable[[], None]) -> None:
+def run_guarded(step: Callable[[], None]) -> None:
     """Run a step that the loop itself calls: an error is told, and must not end the loop."""
     try:
         step()
     except Exception as fault:
-        line("a timer failed", fault=f"{type(fault).__name__}: {fault}")
+        write("a timer failed", fault=f"{type(fault).__name__}: {fault}")
--- a/yardspindle/node/request.py
+++ b/yardspindle/node/request.py
@@ -14,10 +14,10 @@
 from yardspindle import interface as i
 from yardspindle.protocol.http1 import RequestHead
 
-PATH = b"/v1/chat/completions"
-ID = re.compile(rb"[0-9A-Za-z._-]{1,64}")
+CHAT_PATH = b"/v1/chat/completions"
+REQUEST_ID = re.compile(rb"[0-9A-Za-z._-]{1,64}")
 MILLISECONDS = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,6})?")
-LENGTH = re.compile(r"[0-9]{1,9}(\.[0-9]{1,6})?")
+TOKEN_COUNT = re.compile(r"[0-9]{1,9}(\.[0-9]{1,6})?")
 CHARS_PER_TOKEN = 4.0
 
 
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class ClientRequest:
     """A request as its head states it; the body is not looked into."""
 
     id: bytes
@@ -45,14 +45,14 @@
     resumed: bool
 
 
-def read_head(head: RequestHead, classes: Mapping[str, i.Effect]) -> Asked:
+def read_head(head: RequestHead, classes: Mapping[str, i.Effect]) -> ClientRequest:
     """Check a request's head. Raises Refused."""
-    if head.target.partition(b"?")[0] != PATH:
+    if head.target.partition(b"?")[0] != CHAT_PATH:
         raise Refused(404, "there is nothing at this path")
     if head.method != b"POST":
         raise Refused(405, "only POST here")
     number = _one(head, b"req-id")
-    if ID.fullmatch(number) is None:
+    if REQUEST_ID.fullmatch(number) is None:
         raise Refused(400, "Req-Id: missing or malformed")
     cls = _text(head, b"req-kind")
     if cls not in classes:
@@ -61,7 +61,7 @@
     if MILLISECONDS.fullmatch(deadline) is None or float(deadline) <= 0:
         raise Refused(400, "Req-Deadline-Ms: not a time")
     retry = _one(head, b"req-retry")
-    return Asked(
+    return ClientRequest(
         number,
         cls,
         round(float(deadline) * 1_000),
@@ -83,7 +83,7 @@
         raise Refused(400, "the body is no JSON object") from None
 
 
-def to_policy(asked: Asked, number: int, came_us: int, body_size: int) -> i.Request:
+def policy_request(asked: ClientRequest, number: int, came_us: int, body_size: int) -> i.Request:
     """The request as the policy is asked it."""
     prefix = asked.extra.get("prefix") or None
     return i.Request(
@@ -121,7 +121,7 @@
     extra: dict[str, str] = {}
     for part in value.decode("latin-1").split(","):
         name, _, text = part.strip().partition("=")
-        if name in ("prompt_len", "prefix_len", "max_out") and LENGTH.fullmatch(text) is None:
+        if name in ("prompt_len", "prefix_len", "max_out") and TOKEN_COUNT.fullmatch(text) is None:
             raise Refused(400, f"Req-Extra: {name} is no length")
         extra[name] = text
     return extra
--- a/yardspindle/planner/app.py
+++ b/yardspindle/planner/app.py
@@ -16,9 +16,8 @@
 from yardspindle.api.exchange import Exchange, Reply
 from yardspindle.api.serving import Server, ServingLimits
 from yardspindle.core.config import Config, microseconds, policy_settings, settings_hash, split_address
-from yardspindle.core.hosts.roster import Roster
-from yardspindle.core.request.planning import PlanningSession
-from yardspindle.core.request.planning import Reply as Decisions
+from yardspindle.core.hosts.server_list import ServerList
+from yardspindle.core.request.planning import Decisions, PlanningSession
 from yardspindle.fleet.file import FileSource
 from yardspindle.fleet.membership import join
 from yardspindle.link import frames
@@ -43,7 +42,7 @@
         self.config = config
         self._agreed = settings_hash(config)
         self.epoch = max(world.now_us(), 1)  # later starts have later epochs
-        self.roster = Roster(config)
+        self.roster = ServerList(config)
         self.source = FileSource(world, config.planner.servers, config, self.roster, self._news)
         self.sessions: list[EdgeSession] = []
         self.metrics = PlannerMetrics()
@@ -174,12 +173,12 @@
             raise frames.LinkError(f"an edge does not send {type(frame).__name__}")
         self._answers = frame.number
         self._planner.metrics.events.inc(len(frame.events))
-        self._decided(self._planning.heard(frame.now_us, [frames.original(e) for e in frame.events]), True)
+        self._decided(self._planning.handle_events(frame.now_us, [frames.original(e) for e in frame.events]), True)
 
     def news(self) -> None:
         """The server list changed."""
         self.send(frames.Servers(self._planner.roster.version, self._planner.roster.addresses()))
-        self._decided(self._planning.members(self._world.now_us(), self._planner.roster))
+        self._decided(self._planning.update_members(self._world.now_us(), self._planner.roster))
 
     def send(self, frame: frames.Frame) -> None:
         """Put a frame on its way."""
@@ -193,7 +192,7 @@
         roster, metrics = self._planner.roster, self._planner.metrics
         for text in decisions.logs:
             log.info("policy", edge=self._number, text=text)
-        for fault in decisions.faults:
+        for fault in decisions.errors:
             metrics.faults.inc()
             log.error("policy failed on one event", edge=self._number, fault=fault)
         for action in decisions.actions:
@@ -247,7 +246,7 @@
     def __init__(self, planner: Planner) -> None:
         self._planner = planner
 
-    def early(self, head: http1.RequestHead) -> Reply | None:
+    def early_reply(self, head: http1.RequestHead) -> Reply | None:
         if head.target != b"/metrics" or head.method not in (b"GET", b"HEAD"):
             return ApiError(404, "not_found", "There is nothing at this path.").reply()
         return Reply(
--- a/yardspindle/policy/decide.py
+++ b/yardspindle/policy/decide.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from yardspindle import interface as i
-from yardspindle.policy.life import Life
+from yardspindle.policy.request_lifecycle import Life
 from yardspindle.policy.state import SWEEP_US
 
 SWEEP_TOKEN = 1 << 40  # timer token of the sweep; request ids are under 2^32
@@ -14,7 +14,7 @@
 
     def handle(self, now_us: int, event: i.Event) -> list[i.Action]:
         """Decide on one event."""
-        self.now, self.acts = now_us, []
+        self.now_us, self.acts = now_us, []
         match event:
             case i.Members():
                 self._members(event)
@@ -22,11 +22,11 @@
                 self._arrive(event)
             case i.Outcome():
                 self._outcome(event)
-            case i.First() | i.Note() | i.Hangup() if event.request in self.open:
-                self._heard(self.open[event.request], event)
+            case i.First() | i.Note() | i.Hangup() if event.request in self.open_requests:
+                self._heard(self.open_requests[event.request], event)
             case i.Timer():
                 self._sweep()
-        if not self.sweep_set and self.open:
+        if not self.sweep_set and self.open_requests:
             self.sweep_set = True
             self.acts.append(i.SetTimer(now_us + SWEEP_US, SWEEP_TOKEN))
         return self.acts
--- a/yardspindle/policy/hosts.py
+++ b/yardspindle/policy/servers.py
@@ -19,7 +19,7 @@
     """What this router knows of each server, and whether a request may go there."""
 
     def _members(self, event: i.Members) -> None:
-        if not self.set.list_pushed and event.list_kind in (i.ListKind.STALE, i.ListKind.FAILED):
+        if not self.settings.list_pushed and event.list_kind in (i.ListKind.STALE, i.ListKind.FAILED):
             self.acts.append(i.Watch(True))  # at the start, and again when the subscription is lost
         self.orders.clear()
         named = {entry.server for entry in event.entries}
@@ -30,25 +30,25 @@
             )
             moved_us = abs(entry.up_since_us - known.entry.up_since_us)
             if entry.up_since_us and moved_us > START_MOVED_US:  # restarted: what we held against it is void
-                known.failures, known.ejected_until, known.since_us = 0, 0, self._since(entry)
+                known.failures, known.ejected_until_us, known.started_us = 0, 0, self._since(entry)
                 known.refused = 0
                 known.full.clear()
                 known.kept.clear()
             known.entry = entry if entry.units > 0 else replace(entry, units=1e-9)
-            known.gone, known.gone_us = entry.state is not i.State.SERVING, self.now
+            known.inactive, known.gone_us = entry.state is not i.State.SERVING, self.now_us
         if event.list_kind not in (i.ListKind.STALE, i.ListKind.FAILED):
-            self.listed_us = self.now
+            self.listed_us = self.now_us
         if event.list_kind in (i.ListKind.COMPLETE, i.ListKind.STALE):
-            for server in [s for n, s in self.servers.items() if n not in named and not s.gone]:
-                server.gone, server.gone_us = True, self.now
+            for server in [s for n, s in self.servers.items() if n not in named and not s.inactive]:
+                server.inactive, server.gone_us = True, self.now_us
         # Where servers are replaced by new ones all day, what is known of the old must not pile up.
         self.servers = {
             n: s
             for n, s in self.servers.items()
-            if not s.gone or s.out or s.streams or n in named or self.now - s.gone_us < KEY_SPAN_US
+            if not s.inactive or s.out or s.streams or n in named or self.now_us - s.gone_us < KEY_SPAN_US
         }
-        self.listed = Counter(s.role for s in self.servers.values() if not s.gone)
-        self._weigh([s for s in self.servers.values() if not s.gone])
+        self.listed = Counter(s.role for s in self.servers.values() if not s.inactive)
+        self._weigh([s for s in self.servers.values() if not s.inactive])
 
     def _since(self, entry: i.Entry) -> int:
         """When a server that is listed with this start began to serve, by our clock.
@@ -58,8 +58,8 @@
         """
         if not entry.up_since_us:
             return LONG_AGO_US
-        likely = self.listed_us - LIST_LATE_US <= entry.up_since_us <= self.now
-        return entry.up_since_us if likely else self.now
+        likely = self.listed_us - LIST_LATE_US <= entry.up_since_us <= self.now_us
+        return entry.up_since_us if likely else self.now_us
 
     def _weigh(self, serving: list[Server]) -> None:  # a cell's part of the reads follows its writers
         units = {s.entry.cell: [0.0, 0.0] for s in serving}
@@ -84,24 +84,24 @@
         server.failures += 1
         server.refused += why == i.Status.CONNECT_FAILED.value
         if server.failures == 1:
-            server.failed_us = self.now
+            server.failed_us = self.now_us
             self.acts.append(i.Log(f"ejected {server.entry.server}: {why}"))
-        server.ejected_until = self.now + TRIAL_US * (1 << min(server.failures - 1, 3))
+        server.ejected_until_us = self.now_us + TRIAL_US * (1 << min(server.failures - 1, 3))
 
     def _alive(self, server: Server, r: Open, sent: int | None) -> None:  # lives, and takes the tenant's work
         # It was down, so it restarted, and the list, seconds late, has not told yet. Connections that broke
         # on the way are no restart: taken for one, a few resets had most of a warm fleet count as cold.
-        if server.refused and (sent or self.now) >= server.failed_us:
-            server.since_us = self.now
+        if server.refused and (sent or self.now_us) >= server.failed_us:
+            server.started_us = self.now_us
         server.failures = server.refused = 0
         server.answered_us = max(server.answered_us, sent or LONG_AGO_US)
         server.full.pop(r.ask.tenant, None)
 
     def _usable(self, server: Server, r: Open) -> bool:  # not shut (for the tenant), no trial out
-        shut = max(server.ejected_until, server.full.get(r.ask.tenant, (0, 0))[0])
+        shut = max(server.ejected_until_us, server.full.get(r.ask.tenant, (0, 0))[0])
         return (
-            not server.gone
-            and self.now >= shut
-            and not (server.failures and server.out and self.now - max(server.out.values()) < TRIAL_US)
+            not server.inactive
+            and self.now_us >= shut
+            and not (server.failures and server.out and self.now_us - max(server.out.values()) < TRIAL_US)
             and server.entry.server not in r.avoid
         )
--- a/yardspindle/policy/slow_start.py
+++ b/yardspindle/policy/slow_start.py
@@ -33,15 +33,15 @@
 
     def _count_arrival(self, ask: i.Request) -> None:
         """Note a request's arrival for the usual rate and for the rate of the moment."""
-        if self.set.cold_us <= 0 or self.set.fall_us <= 0:
+        if self.settings.cold_us <= 0 or self.settings.fall_us <= 0:
             return
-        self.arrivals.append(self.now)
-        while self.now - self.arrivals[0] > self.set.fall_us:
+        self.arrivals.append(self.now_us)
+        while self.now_us - self.arrivals[0] > self.settings.fall_us:
             self.arrivals.popleft()
         if self.usual_at_us is None:
-            self.usual_at_us = self.now
-        faded = math.exp((self.usual_at_us - self.now) / USUAL_SPAN_US)
-        self.usual_at_us = self.now
+            self.usual_at_us = self.now_us
+        faded = math.exp((self.usual_at_us - self.now_us) / USUAL_SPAN_US)
+        self.usual_at_us = self.now_us
         self.usual_seen = self.usual_seen * faded + (not ask.repeat)
         self.usual_span_us = self.usual_span_us * faded + USUAL_SPAN_US * (1 - faded)
 
@@ -51,20 +51,22 @@
         They bear what is left of `fall_multiple` beside the requests of others. One request is never too
         many: where hundreds of routers see little each, most come alone.
         """
-        bears = max(self.set.fall_multiple / SLOW_START_PART - OTHERS, 1.0)
+        bears = max(self.settings.fall_multiple / SLOW_START_PART - OTHERS, 1.0)
         return max(len(self.arrivals) / max(bears * self._usual(), 1.0), 1.0)
 
     def _usual(self) -> float:
         """How many requests usually come in `fall_us`."""
-        quotas = sum(tenant.quota_per_s for tenant in self.set.tenants) / self.set.instances / 1e6
+        quotas = sum(tenant.quota_per_s for tenant in self.settings.tenants) / self.settings.instances / 1e6
         rate = (self.usual_seen + quotas * FIRST_SPAN_US) / (self.usual_span_us + FIRST_SPAN_US)
-        return rate * self.set.fall_us
+        return rate * self.settings.fall_us
 
     def _warmth(self, server: Server) -> float:
         """What part of its capacity a server has surely regained; its ramp is not told: take a line."""
-        age = 0 if server.refused else self.now - server.since_us  # refused: it may be back, freshly started
-        start = self.set.start_capacity
-        return start + (1 - start) * min(max(age, 0) / max(self.set.cold_us, 1), 1.0)
+        age = (
+            0 if server.refused else self.now_us - server.started_us
+        )  # refused: it may be back, freshly started
+        start = self.settings.start_capacity
+        return start + (1 - start) * min(max(age, 0) / max(self.settings.cold_us, 1), 1.0)
 
     def _admits(self, r: Open, server: Server, home: Server | None) -> bool:
         """Whether a request may go to a server: to any warm one, its home, now and then another cold one."""
@@ -82,7 +84,7 @@
 
     def _bears_another(self, server: Server, part: float) -> bool:
         """Whether a cold server may be sent one more request whose home it is not."""
-        while server.other_sends and self.now - server.other_sends[0] > self.set.fall_us:
+        while server.other_sends and self.now_us - server.other_sends[0] > self.settings.fall_us:
             server.other_sends.popleft()
         others = OTHERS * part * self._usual() / max(self.listed[server.role], 1)
         return len(server.other_sends) < math.floor(others + server.lot)
@@ -94,9 +96,9 @@
             return
         r.cold_tried.add(server.entry.server)
         if server is not home:
-            server.other_sends.append(self.now)
+            server.other_sends.append(self.now_us)
         self.slow_start_sent += 1
-        age = "unknown" if server.refused else f"{(self.now - server.since_us) // 1_000} ms"
+        age = "unknown" if server.refused else f"{(self.now_us - server.started_us) // 1_000} ms"
         self.acts.append(
             i.Log(
                 f"slow start: request {r.ask.request}, attempt {r.attempts}, to "
--- a/yardspindle/policy/state.py
+++ b/yardspindle/policy/state.py
@@ -23,16 +23,16 @@
     entry: i.Entry
     role: i.Role
     memory: float
-    since_us: int  # when it last started, as listed or as its answer after failed connections shows
-    gone: bool = False
+    started_us: int  # when it last started, as listed or as its answer after failed connections shows
+    inactive: bool = False
     gone_us: int = 0  # since when
     out: dict[tuple[int, int], int] = field(default_factory=dict)  # attempts without an answer yet: sent when
-    tokens: float = 0.0  # own prompt tokens waiting at the reader
+    pending_tokens: float = 0.0  # own prompt tokens waiting at the reader
     streams: int = 0  # own answers and places at the writer
     failures: int = 0  # failed connections since it last answered
     failed_us: int = 0  # when the first of them was seen
     refused: int = 0  # those of them that were never made
-    ejected_until: int = 0
+    ejected_until_us: int = 0
     full: dict[str | None, tuple[int, int]] = field(default_factory=dict)  # by tenant: shut until, times full
     kept: dict[str, float] = field(default_factory=dict)  # texts it has read for us: tokens
     late_us: float = 0.0  # how long a read there last took beyond its own reading, seen when
@@ -74,27 +74,27 @@
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
         """Start with nothing but the settings."""
-        self.set, self.now, self.random = settings, 0, random.Random(seed)
+        self.settings, self.now_us, self.random = settings, 0, random.Random(seed)
         self.lots = random.Random(f"lots {seed}")  # of servers: apart from what requests draw
         self.kinds = {kind.name: kind for kind in settings.kinds}
         self.classes = {cls.name: cls for cls in settings.classes}
         self.servers: dict[int, Server] = {}
-        self.open: dict[int, Open] = {}
+        self.open_requests: dict[int, Open] = {}
         self.orders: dict[str, list[Server]] = {}  # readers in a key's order; void when the list changes
         self.pull: dict[int, float] = {}  # how readily a cell's readers draw keys
         self.spare: list[float] = []  # what part of the writing each cell has to spare
         self.cells: dict[int, tuple[float, float]] = {}  # a cell's part of the reads and of the writing
         self.links: dict[int, tuple[float, int]] = {}  # how long a state last took out of a cell, seen when
-        self.keys: dict[str, float] = {}  # requests of a key; in all; since when
-        self.keys_sum, self.keys_us = 0.0, 0
+        self.key_counts: dict[str, float] = {}  # requests of a key; in all; since when
+        self.key_count_total, self.keys_us = 0.0, 0
         self.usual = 0.0  # running mean time of a read
-        self.best_rate = 0.0  # tokens a microsecond that a reader read when nothing was in its way
-        self.own_us = 0.0  # running mean time of a read with nothing in its way
+        self.max_read_rate = 0.0  # tokens a microsecond that a reader read when nothing was in its way
+        self.mean_service_us = 0.0  # running mean time of a read with nothing in its way
         self.read_tokens = 0.0  # running mean of our tokens ahead of a read and its own
-        self.least_aim = min(cls.aim_us for cls in settings.classes)
+        self.min_aim_us = min(cls.aim_us for cls in settings.classes)
         self.log_us = 0
         self.lossy_us = LONG_AGO_US  # when a break last said nothing of its server, or a request got lost
-        self.refused_us = LONG_AGO_US  # when a writer last had no place for us
+        self.last_place_refused_us = LONG_AGO_US  # when a writer last had no place for us
         self.held = 0.0  # own tokens that take up writers' memory
         self.arrivals: deque[int] = deque()  # of requests in the last `fall_us`
         self.listed: Counter[i.Role] = Counter()  # how many servers of a role are listed and serve
--- a/yardspindle/policy/writers.py
+++ b/yardspindle/policy/writers.py
@@ -16,10 +16,10 @@
 
     def _writer(self, r: Open) -> Server | None:
         """The writer with fewest of our streams, of the reader's cell if that has one."""
-        known = [s for s in self.servers.values() if s.role is not i.Role.READ and not s.gone]
+        known = [s for s in self.servers.values() if s.role is not i.Role.READ and not s.inactive]
         # Our even part of all: of each writer it may be under one prompt. Where others died we carry more.
-        part = MEMORY_PART * sum(s.memory for s in known) / self.set.instances
-        part *= 1 if self.now - self.refused_us < SHORT_AIMS * self.least_aim else SPARE_TIMES
+        part = MEMORY_PART * sum(s.memory for s in known) / self.settings.instances
+        part *= 1 if self.now_us - self.last_place_refused_us < SHORT_AIMS * self.min_aim_us else SPARE_TIMES
         if self.held and self.held + r.ask.prompt_tokens > part > 0:
             return None
         home = r.reader.entry.cell if r.reader is not None else None
@@ -31,15 +31,15 @@
 
     def _home_writer(self, r: Open) -> Server | None:
         """The writer that it would have if all that are listed served: by chance, near its home reader."""
-        listed = [s for s in self.servers.values() if s.role is not i.Role.READ and not s.gone]
-        readers = self._order(r.key)
+        listed = [s for s in self.servers.values() if s.role is not i.Role.READ and not s.inactive]
+        readers = self._reader_order(r.key)
         cell = self._cell(r, readers[0].entry.cell) if readers else None
         near = [s for s in listed if s.entry.cell == cell] or listed
         return self.random.choices(near, [s.entry.units for s in near])[0] if near else None
 
     def _least(self, known: list[Server], r: Open) -> Server | None:  # for what each can do now
         usable = [s for s in known if self._usable(s, r) and s.entry.server not in r.asked]
-        if any(self._warmth(s) < 1 for s in usable) and (r.home_writer is None or r.home_writer.gone):
+        if any(self._warmth(s) < 1 for s in usable) and (r.home_writer is None or r.home_writer.inactive):
             r.home_writer = self._home_writer(r)
         fit = [s for s in usable if self._admits(r, s, r.home_writer)]
         loads = [(s.streams + 1 + self.random.expovariate(1)) / s.entry.units / self._warmth(s) for s in fit]
--- a/yardspindle/settings_map.py
+++ b/yardspindle/settings_map.py
@@ -28,7 +28,7 @@
 ROLE = {"read": i.Role.READ, "write": i.Role.WRITE, "both": i.Role.BOTH}
 
 
-def settings(raw: dict[str, Any]) -> i.Settings:
+def parse_settings(raw: dict[str, Any]) -> i.Settings:
     """Map the wire's settings to the interface's; keys that are not known are passed over."""
     info, allowed, rules, prices = (raw.get(key) or {} for key in ("family-info", "allowed", "obligations", "prices"))
 
--- a/yardspindle/steward/app.py
+++ b/yardspindle/steward/app.py
@@ -16,17 +16,17 @@
 from yardspindle.core.config import Config, microseconds, split_address
 from yardspindle.core.fleet import ownership as own
 from yardspindle.core.fleet.kv import Put, Txn
-from yardspindle.core.fleet.members import Keys, Owner, Starts, holder, starts_after
-from yardspindle.core.hosts.roster import Roster
+from yardspindle.core.fleet.members import FleetKeys, Owner, StartCount, decode_holder, next_start_count
+from yardspindle.core.hosts.server_list import ServerList
 from yardspindle.fleet.file import FileSource
 from yardspindle.fleet.follow import Follower
 from yardspindle.fleet.membership import Membership, Turns
 from yardspindle.fleet.store.interface import Store, StoreError
 from yardspindle.runtime.scheduler import Task
 from yardspindle.runtime.world import World
-from yardspindle.steward.clock import Clock
-from yardspindle.steward.release import Releasing
-from yardspindle.steward.sweep import Sweep
+from yardspindle.steward.clock import ClockDuty
+from yardspindle.steward.release import ReleaseDuty
+from yardspindle.steward.sweep import SweepDuty
 
 TICK_US = 20_000  # how often time alone is looked at: a hand-over is to take under 100 ms
 RETRY_US = 50_000  # a store call for a duty that brought no answer
@@ -52,8 +52,8 @@
         fleet = config.fleet
         self.epoch = f"{world.random('steward epoch').getrandbits(48):012x}"
         self.name = fleet.member or self.epoch
-        self.keys = Keys(fleet.name)
-        self.roster = Roster(config)
+        self.keys = FleetKeys(fleet.name)
+        self.roster = ServerList(config)
         self.follower = Follower(world, store, self.keys, self._news)
         self.membership = Membership(
             world,
@@ -66,9 +66,9 @@
             version,
             Turns(self._granted, self._kept, self._failed),
         )
-        self.figures = own.Figures(microseconds(fleet.ttl_ms), microseconds(fleet.margin_ms))
-        self.state = own.State(self.name, self.figures)
-        self.workers: dict[str, Task] = {}
+        self.figures = own.LeaseTiming(microseconds(fleet.ttl_ms), microseconds(fleet.margin_ms))
+        self.state = own.OwnershipState(self.name, self.figures)
+        self.duty_tasks: dict[str, Task] = {}
         self._handing_over: list[Task] = []
         self._begun = False
 
@@ -87,12 +87,12 @@
         at = split_address(self.membership.member.page)
         return at[0], at[1]
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """End on purpose: hand every duty over, then take the registration back."""
         limit = self.world.deadline(self.world.now_us() + LEAVE_US)
         try:
             with limit:
-                self._feed(own.Leave())
+                self._handle_event(own.ShutdownRequested())
                 for task in list(self._handing_over):
                     task.join()
                 self.membership.leave()
@@ -105,49 +105,49 @@
         """The duties that there are: clock, release, and a sweep of each cell that has engines."""
         return frozenset(["clock", "release", *(f"sweep/{row.cell}" for row in self.roster.servers)])
 
-    def act(self, duty: str) -> int | None:
+    def fence_to_act(self, duty: str) -> int | None:
         """The fence to act with now, or None."""
         return own.may_act(self.state, self.world.now_us(), duty)
 
     # --- events
 
     def _granted(self, lease: int, sent_us: int, ttl_us: int) -> None:
-        self._feed(own.Granted(lease, sent_us, ttl_us))
+        self._handle_event(own.LeaseGranted(lease, sent_us, ttl_us))
 
     def _kept(self, lease: int, sent_us: int, ttl_us: int, revision: int) -> None:
-        self._feed(own.Kept(lease, sent_us, ttl_us))
+        self._handle_event(own.LeaseRenewed(lease, sent_us, ttl_us))
         self.follower.expect(revision)
 
     def _failed(self, granting: bool) -> None:
-        self._feed(own.CallFailed(granting))
+        self._handle_event(own.StoreCallFailed(granting))
 
     def _news(self) -> None:
         if self._begun:
-            self._feed(own.Barred(self.epoch in self.follower.view.clocks.out))
-            self._feed(own.Told(self.follower.view.seen(self.wanted())))
+            self._handle_event(own.ClockChecked(self.epoch in self.follower.view.clocks.out))
+            self._handle_event(own.ViewUpdated(self.follower.view.duty_view(self.wanted())))
 
     def _tick(self) -> None:
         while True:
             self.world.sleep_until(self.world.now_us() + TICK_US)
-            self._feed(own.Tick())
+            self._handle_event(own.Tick())
 
-    def _feed(self, event: own.Event) -> None:
+    def _handle_event(self, event: own.Event) -> None:
         """One event through the core, and its commands carried out."""
         now = self.world.now_us()
         self.state, commands = own.step(self.state, now, event)
-        self.membership.say(own.able(self.state, now) or now >= self.state.until_us)
+        self.membership.say(own.is_eligible(self.state, now) or now >= self.state.until_us)
         for command in commands:
             match command:
-                case own.AskLease():
+                case own.RequestLease():
                     self.membership.renew(self.membership.lease)
-                case own.Take(duty, lease):
-                    self.world.spawn(f"take {duty}", self._take, duty, lease)
-                case own.Begin(duty, fence):
+                case own.AcquireDuty(duty, lease):
+                    self.world.spawn(f"take {duty}", self._acquire, duty, lease)
+                case own.StartDuty(duty, fence):
                     log.info("duty taken", duty=duty, fence=fence)
-                    self.workers[duty] = self.world.spawn(f"duty {duty}", self._work(duty).run)
-                case own.End(duty, fence, hand_over, why):
+                    self.duty_tasks[duty] = self.world.spawn(f"duty {duty}", self._work(duty).run)
+                case own.StopDuty(duty, fence, hand_over, why):
                     log.info("duty ended", duty=duty, fence=fence, why=why)
-                    worker = self.workers.pop(duty, None)
+                    worker = self.duty_tasks.pop(duty, None)
                     if worker is not None:
                         worker.cancel()
                     if hand_over:
@@ -157,10 +157,10 @@
 
     def _work(self, duty: str) -> Duty:
         def act() -> int | None:
-            return self.act(duty)
+            return self.fence_to_act(duty)
 
         if duty == "clock":
-            return Clock(
+            return ClockDuty(
                 self.world,
                 self.store,
                 self.keys,
@@ -170,25 +170,25 @@
                 act,
             )
         if duty == "release":
-            return Releasing(
+            return ReleaseDuty(
                 self.world, self.store, self.keys, self.follower, self.config.release.limit, self.name, act
             )
-        return Sweep(self.world, self.store, self.keys, self.follower, self.roster, duty, act)
+        return SweepDuty(self.world, self.store, self.keys, self.follower, self.roster, duty, act)
 
-    def _take(self, duty: str, lease: int) -> None:
+    def _acquire(self, duty: str, lease: int) -> None:
         owner = Owner(self.name, self.epoch, self.world.now_us())
         try:
-            answer = self.store.txn(self.keys.take(duty, owner, lease))
-            row = next(iter(answer.found[-1]), None)
+            answer = self.store.txn(self.keys.acquire(duty, owner, lease))
+            row = next(iter(answer.results[-1]), None)
             revision = answer.revision
         except StoreError as error:
             log.warning("take without an answer", duty=duty, reason=str(error))
-            self._feed(own.CallFailed())
+            self._handle_event(own.StoreCallFailed())
             looked = self._patiently(lambda: self.store.range(self.keys.duty(duty)), lambda: self.state.lease == lease)
             if looked is None:
                 return
             row, revision = next(iter(looked.rows), None), looked.revision
-        self._feed(own.Looked(duty, lease, holder(row) if row is not None else None, revision))
+        self._handle_event(own.AcquireResult(duty, lease, decode_holder(row) if row is not None else None, revision))
 
     def _hand_over(self, duty: str, fence: int, worker: Task | None) -> None:
         def hand_over() -> None:
@@ -207,21 +207,21 @@
                 return call()
             except StoreError as error:
                 log.warning("the store did not answer", reason=str(error))
-                self._feed(own.CallFailed())
+                self._handle_event(own.StoreCallFailed())
                 self.world.sleep_until(self.world.now_us() + RETRY_US)
         return None
 
     def _count_start(self) -> None:
         """A process that comes and goes takes nothing for a while, longer each time."""
-        key = self.keys.starts(self.name)
+        key = self.keys.start_count(self.name)
 
-        def count() -> Starts:
+        def count() -> StartCount:
             known = next(iter(self.store.range(key).rows), None)
-            starts = starts_after(known, self.world.now_us())
+            starts = next_start_count(known, self.world.now_us())
             self.store.txn(Txn(then=(Put(key, msgspec.json.encode(starts)),)))
             return starts
 
         starts = self._patiently(count, lambda: True)
         if starts is not None and starts.count:
             log.info("started again soon", recent=starts.count)
-            self._feed(own.Restarted(starts.count))
+            self._handle_event(own.Restarted(starts.count))
