--- a/yardspindle/steward/clock.py
+++ b/yardspindle/steward/clock.py
@@ -7,9 +7,9 @@
 import msgspec
 import structlog
 
-from yardspindle.core.fleet.clocks import Sample, judge, sample
+from yardspindle.core.fleet.clock_skew import ClockOffset, estimate_offset, find_skewed_clocks
 from yardspindle.core.fleet.kv import Put
-from yardspindle.core.fleet.members import ClockWord, Keys, Member
+from yardspindle.core.fleet.members import ClockReport, FleetKeys, Member
 from yardspindle.engine.http_client import HttpClient
 from yardspindle.fleet.follow import Follower
 from yardspindle.fleet.membership import Membership
@@ -25,14 +25,14 @@
 log = structlog.get_logger("yardspindle.steward.clock")
 
 
-class Clock:
+class ClockDuty:
     """See Duty."""
 
     def __init__(
         self,
         world: World,
         store: Store,
-        keys: Keys,
+        keys: FleetKeys,
         follower: Follower,
         membership: Membership,
         bound_us: int,
@@ -42,7 +42,7 @@
         self._world, self._store, self._keys, self._follower = world, store, keys, follower
         self._membership, self._bound_us, self._act = membership, bound_us, act
         self._http = HttpClient(world, CONNECT_US, IDLE_US)
-        self._said: ClockWord | None = None
+        self._said: ClockReport | None = None
         self._said_us = 0
 
     def run(self) -> None:
@@ -51,14 +51,16 @@
             own = self._membership.member
             epochs = {name: member.epoch for name, member in self._follower.view.members.items()} | {own.id: own.epoch}
             samples = self._ask_all()
-            word = judge({name: row for name, row in samples.items() if name in epochs}, epochs, self._bound_us)
+            word = find_skewed_clocks(
+                {name: row for name, row in samples.items() if name in epochs}, epochs, self._bound_us
+            )
             now = self._world.now_us()
             if self._said is None or word.out != self._said.out or now - self._said_us > SAY_US:
                 self._say(now, word)
             self._world.sleep_until(now + ROUND_US)
 
-    def _ask_all(self) -> dict[str, Sample]:
-        samples = {self._membership.member.id: Sample(0, 0)}
+    def _ask_all(self) -> dict[str, ClockOffset]:
+        samples = {self._membership.member.id: ClockOffset(0, 0)}
         waiting = [m for name, m in sorted(self._follower.view.members.items()) if name not in samples and m.page]
 
         def some() -> None:
@@ -69,19 +71,19 @@
             task.join()
         return samples
 
-    def _ask(self, member: Member, samples: dict[str, Sample]) -> None:
+    def _ask(self, member: Member, samples: dict[str, ClockOffset]) -> None:
         before = self._world.now_us()
         _, word = ask(self._http, member.page)
         if word is not None and word.member.epoch == member.epoch:
-            samples[member.id] = sample(before, word.now_us, self._world.now_us())
+            samples[member.id] = estimate_offset(before, word.now_us, self._world.now_us())
 
-    def _say(self, now: int, word: ClockWord) -> None:
+    def _say(self, now: int, word: ClockReport) -> None:
         fence = self._act()
         if fence is None:
             return
         try:
             if self._store.txn(
-                self._keys.under("clock", fence, Put(self._keys.clocks, msgspec.json.encode(word)))
+                self._keys.with_fence("clock", fence, Put(self._keys.clocks, msgspec.json.encode(word)))
             ).succeeded:
                 self._said, self._said_us = word, now
                 if word.out:
--- a/yardspindle/steward/release.py
+++ b/yardspindle/steward/release.py
@@ -10,10 +10,10 @@
 from yardspindle.core.config import Limit
 from yardspindle.core.fleet import permits as p
 from yardspindle.core.fleet import release_plan as r
+from yardspindle.core.fleet.canary_analysis import OutcomeCounts, add_window
 from yardspindle.core.fleet.kv import Txn, prefix_end
-from yardspindle.core.fleet.members import Keys
-from yardspindle.core.fleet.release_keys import Entry, UnitKeys, Units, wish_steps
-from yardspindle.core.fleet.verdict import Counts, window
+from yardspindle.core.fleet.members import FleetKeys
+from yardspindle.core.fleet.release_keys import AuditEntry, ReleaseView, UnitKeys, drain_request_steps
 from yardspindle.fleet.follow import Follower
 from yardspindle.fleet.store.interface import Store, StoreError
 from yardspindle.runtime.world import World
@@ -24,14 +24,14 @@
 log = structlog.get_logger("yardspindle.steward.release")
 
 
-class Releasing:
+class ReleaseDuty:
     """See Duty."""
 
     def __init__(
         self,
         world: World,
         store: Store,
-        keys: Keys,
+        keys: FleetKeys,
         follower: Follower,
         limits: tuple[Limit, ...],
         name: str,
@@ -40,7 +40,7 @@
         """`limits`: the fleet's; `act`: the fence to act with now, or None."""
         self._world, self._store, self._follower = world, store, follower
         self._keys, self._limits, self._name, self._act = UnitKeys(keys), limits, name, act
-        self._counted: dict[str, p.Status] = {}  # what each unit had told at the last window
+        self._counted: dict[str, p.UnitStatus] = {}  # what each unit had told at the last window
         self._window_us = world.now_us()
 
     def run(self) -> None:
@@ -55,7 +55,7 @@
         now = self._world.now_us()
         units = self._keys.read(self._follower.view.rows)
         steps = self._steps(units, now, now - self._follower.current_us, fence)
-        if any(isinstance(step, r.Grant) for step in steps):
+        if any(isinstance(step, r.GrantPermit) for step in steps):
             # Nobody is let go on what a watch told some time ago: the store is read, and it is decided once more.
             try:
                 rows = self._store.range(self._keys.root, prefix_end(self._keys.root)).rows
@@ -68,27 +68,27 @@
         for step in steps:
             self._do(now, fence, units, step)
 
-    def _steps(self, units: Units, now: int, age_us: int, fence: int) -> list[r.Step]:
-        fleet = units.fleet(self._limits, age_us)
+    def _steps(self, units: ReleaseView, now: int, age_us: int, fence: int) -> list[r.Step]:
+        fleet = units.snapshot(self._limits, age_us)
         release = units.release
         if release is not None and now - self._window_us >= WINDOW_US:
             self._window_us = now
             release = self._compare(units, release)
         steps: list[r.Step] = []
         if release is not None:
-            steps = r.steps(release, fleet, units.orders, now, fence, self._name)
-            if release is not units.release and not any(isinstance(step, r.Keep) for step in steps):
-                steps.append(r.Keep(release))
-        if not any(isinstance(step, r.Grant) for step in steps):
-            steps += wish_steps(units, fleet, now, fence, self._name)
+            steps = r.next_steps(release, fleet, units.orders, now, fence, self._name)
+            if release is not units.release and not any(isinstance(step, r.UpdateRelease) for step in steps):
+                steps.append(r.UpdateRelease(release))
+        if not any(isinstance(step, r.GrantPermit) for step in steps):
+            steps += drain_request_steps(units, fleet, now, fence, self._name)
         return steps
 
-    def _do(self, now: int, fence: int, units: Units, step: r.Step) -> None:
+    def _do(self, now: int, fence: int, units: ReleaseView, step: r.Step) -> None:
         """One step; those after it that rest on the same rows are refused by the store, and decided anew."""
         txn: Txn
         match step:
-            case r.Grant():
-                txn = self._keys.grant(fence, units, step)
+            case r.GrantPermit():
+                txn = self._keys.grant_permit(fence, units, step)
                 log.info(
                     "unit let go",
                     unit=step.unit,
@@ -97,22 +97,22 @@
                     version=step.order.version,
                     fence=fence,
                 )
-            case r.Close(unit):
-                txn = self._keys.close(fence, units, unit)
+            case r.ClosePermit(unit):
+                txn = self._keys.close_permit(fence, units, unit)
                 log.info("unit is back", unit=unit, fence=fence)
-            case r.Keep(release):
+            case r.UpdateRelease(release):
                 was = units.release.phase if units.release is not None else ""
                 entry = None
                 if release.phase != was:
-                    entry = Entry(now, self._name, f"release {release.id}: {release.phase}", release.why)
+                    entry = AuditEntry(now, self._name, f"release {release.id}: {release.phase}", release.why)
                     log.warning("release", id=release.id, phase=release.phase, why=release.why)
-                txn = self._keys.keep(fence, units, release, entry)
+                txn = self._keys.update_release(fence, units, release, entry)
         try:
             self._store.txn(txn)
         except StoreError as error:  # unknown or not done: the view tells which, and the next look decides on it
             log.warning("a step without an answer", reason=str(error))
 
-    def _compare(self, units: Units, release: r.Release) -> r.Release:
+    def _compare(self, units: ReleaseView, release: r.Release) -> r.Release:
         """The counts of a window, released units against the others."""
         sums = {True: [0, 0], False: [0, 0]}
         for unit, status in units.statuses.items():
@@ -125,5 +125,5 @@
         self._counted = dict(units.statuses)
         if release.phase != "running":
             return release
-        trial = window(release.trial, Counts(*sums[True]), Counts(*sums[False]))
+        trial = add_window(release.trial, OutcomeCounts(*sums[True]), OutcomeCounts(*sums[False]))
         return replace(release, trial=trial) if trial != release.trial else release
--- a/yardspindle/steward/sweep.py
+++ b/yardspindle/steward/sweep.py
@@ -8,10 +8,10 @@
 import structlog
 
 from yardspindle.core.fleet.kv import Delete
-from yardspindle.core.fleet.members import Keys, Member
-from yardspindle.core.fleet.sweep import Fates, to_release
+from yardspindle.core.fleet.members import FleetKeys, Member
+from yardspindle.core.fleet.sweep import EndedEpochs, holds_to_release
 from yardspindle.core.hosts.directory import Server
-from yardspindle.core.hosts.roster import Roster
+from yardspindle.core.hosts.server_list import ServerList
 from yardspindle.engine import vllm
 from yardspindle.engine.http_client import ConnectError, ExchangeBroken, HttpClient
 from yardspindle.fleet.follow import Follower
@@ -30,16 +30,16 @@
 log = structlog.get_logger("yardspindle.steward.sweep")
 
 
-class Sweep:
+class SweepDuty:
     """See Duty."""
 
     def __init__(
         self,
         world: World,
         store: Store,
-        keys: Keys,
+        keys: FleetKeys,
         follower: Follower,
-        roster: Roster,
+        roster: ServerList,
         duty: str,
         act: Callable[[], int | None],
     ) -> None:
@@ -48,7 +48,7 @@
         self._roster, self._duty, self._act = roster, duty, act
         self._cell = int(duty.partition("/")[2])
         self._http = HttpClient(world, CONNECT_US, IDLE_US)
-        self._fates = Fates()
+        self._fates = EndedEpochs()
         self._asking: set[str] = set()
         self._without: set[str] = set()  # engines that lack the extension
         self._busy: set[str] = set()
@@ -62,19 +62,23 @@
         try:
             while True:
                 now = self._world.now_us()
-                self._fates.look(now, self._follower.view)
-                for epoch, member in self._fates.to_ask(now):
+                self._fates.update(now, self._follower.view)
+                for epoch, member in self._fates.due_probes(now):
                     if epoch not in self._asking:
                         self._asking.add(epoch)
                         tasks.append(self._world.spawn("ask a page", self._ask, epoch, member))
                 # The first time at once, whether or not anybody is gone: engines then refuse earlier owners.
-                if not self._swept_us or self._fates.gone() and now >= self._fates.sweep_us(now, self._swept_us):
+                if (
+                    not self._swept_us
+                    or self._fates.confirmed_dead()
+                    and now >= self._fates.next_sweep_us(now, self._swept_us)
+                ):
                     self._swept_us = now
                     for server in self._roster.addresses():
                         if self._of_cell(server) and server.name not in self._without | self._busy:
                             self._busy.add(server.name)
                             tasks.append(self._world.spawn("sweep an engine", self._sweep, server))
-                for epoch in self._fates.forgotten(now):
+                for epoch in self._fates.expired(now):
                     tasks.append(self._world.spawn("forget an epoch", self._forget, epoch))
                 tasks = [task for task in tasks if not task.done]
                 self._world.sleep_until(now + LOOK_US)
@@ -90,7 +94,7 @@
         try:
             answer, word = ask(self._http, member.page)
             found = word.member.epoch if word is not None else ""
-            if self._fates.asked(self._world.now_us(), epoch, answer, found):
+            if self._fates.record_probe(self._world.now_us(), epoch, answer, found):
                 log.info("an edge is gone for good", edge=member.name, epoch=epoch, proof=answer.value)
                 self._swept_us = 0  # sweep at once
         finally:
@@ -111,7 +115,7 @@
                 self._without.add(server.name)
                 return
             holds = [row.id for row in msgspec.json.decode(data, type=vllm.HoldsAnswer).holds]
-            for hold in to_release(holds, self._fates.gone()):
+            for hold in holds_to_release(holds, self._fates.confirmed_dead()):
                 for root in (vllm.STATES, vllm.PLACES):
                     if (headers := self._headers()) is None:
                         return
@@ -146,6 +150,6 @@
         fence = self._act()
         if fence is not None:
             try:
-                self._store.txn(self._keys.under(self._duty, fence, Delete(self._keys.epoch(epoch))))
+                self._store.txn(self._keys.with_fence(self._duty, fence, Delete(self._keys.epoch(epoch))))
             except StoreError as error:
                 log.info("an epoch's record stays for now", epoch=epoch, reason=str(error))
--- a/yardspindle/unit/app.py
+++ b/yardspindle/unit/app.py
@@ -16,8 +16,8 @@
 from yardspindle.core.config import FleetConfig, microseconds, split_address
 from yardspindle.core.fleet import unit as u
 from yardspindle.core.fleet.kv import Put, Txn
-from yardspindle.core.fleet.members import Keys, read
-from yardspindle.core.fleet.permits import Place, Status
+from yardspindle.core.fleet.members import FleetKeys, decode_row
+from yardspindle.core.fleet.permits import UnitPlacement, UnitStatus
 from yardspindle.core.fleet.release_keys import UnitKeys
 from yardspindle.core.fleet.release_plan import Order
 from yardspindle.fleet.membership import Membership, Turns
@@ -65,7 +65,7 @@
         """How it is (0 well, 1 cold, else failing), and a line of figures."""
 
 
-class Unit:
+class UnitSupervisor:
     """One unit's program."""
 
     def __init__(
@@ -73,14 +73,14 @@
     ) -> None:
         """Nothing is started. Raises ValueError: the state file cannot be read."""
         self.world, self.file, self.store, self.hands = world, file, store, hands
-        self.keys = UnitKeys(Keys(fleet.name))
+        self.keys = UnitKeys(FleetKeys(fleet.name))
         try:
-            memory = msgspec.json.decode(world.read_file(file.state), type=u.Memory)
+            memory = msgspec.json.decode(world.read_file(file.state), type=u.SavedState)
         except FileNotFoundError:
-            memory = u.Memory(file.versions[0])
+            memory = u.SavedState(file.versions[0])
         except msgspec.DecodeError as error:
             raise ValueError(f"{file.state}: {error}") from None
-        self.state = u.State(file, memory)
+        self.state = u.UnitState(file, memory)
         hands.adopt(memory.pid, memory.born)
         self.membership = Membership(
             world,
@@ -96,7 +96,7 @@
         self._listen = split_address(file.page or fleet.listen)
         self._call_us = microseconds(fleet.call_ms)
         self._figures = Figures()
-        self._told: tuple[Status, int] | None = None
+        self._told: tuple[UnitStatus, int] | None = None
         self._told_us = 0
         self._placed = False
         self._checking = False
@@ -104,7 +104,7 @@
     def start(self) -> str:
         """Register and begin. Raises OSError."""
         self.membership.start(*self._listen)
-        self._perform(*u.first(self.state, self.world.now_us(), self.hands.alive()))
+        self._perform(*u.resume(self.state, self.world.now_us(), self.hands.alive()))
         self.world.spawn("orders", self._orders)
         self.world.spawn("watch", self._watch)
         self.world.spawn("tell", self._tell)
@@ -119,33 +119,33 @@
     def _feed(self, event: u.Event) -> None:
         self._perform(*u.step(self.state, self.world.now_us(), event))
 
-    def _perform(self, state: u.State, commands: Sequence[u.Command]) -> None:
+    def _perform(self, state: u.UnitState, commands: Sequence[u.Command]) -> None:
         self.state = state
         for command in commands:
             match command:
-                case u.Remember(memory):
+                case u.SaveState(memory):
                     self._remember(memory)
-                case u.Do(what):
-                    log.info("unit", do=what, version=self.state.memory.version, number=self.state.memory.number)
+                case u.RunCommand(what):
+                    log.info("unit", do=what, version=self.state.saved.version, number=self.state.saved.number)
                     self.world.spawn(what, self._do, what)
 
-    def _remember(self, memory: u.Memory) -> None:
+    def _remember(self, memory: u.SavedState) -> None:
         """Written whole or not at all, before what it is about is done."""
         pid, born = self.hands.id()
         memory = replace(memory, pid=pid, born=born)
-        self.state = u._with(self.state, memory=memory)
+        self.state = u.with_changes(self.state, saved=memory)
         self.world.replace_file(self.file.state, msgspec.json.encode(memory))
 
     def _orders(self) -> None:
-        key = self.keys.of("orders", self.file.name)
+        key = self.keys.row_key("orders", self.file.name)
         while True:
             try:
                 rows = self.store.range(key).rows
-                order = read(rows[0].value, Order) if rows else None
+                order = decode_row(rows[0].value, Order) if rows else None
                 if order is not None:
-                    if order.number > self.state.memory.number:
+                    if order.number > self.state.saved.number:
                         log.info("order", number=order.number, do=order.do, version=order.version, fence=order.fence)
-                    self._feed(u.Ordered(order))
+                    self._feed(u.OrderReceived(order))
             except StoreError as error:
                 log.debug("no order without the store", reason=str(error))
             self._feed(u.Tick())
@@ -155,9 +155,9 @@
         checked = 0
         while True:
             self.world.sleep_until(self.world.now_us() + LOOK_US // 2)
-            if self.state.alive and not self.hands.alive() and self.state.memory.stage != "stopping":
-                log.warning("the unit ended by itself", pid=self.state.memory.pid)
-                self._feed(u.Died())
+            if self.state.alive and not self.hands.alive() and self.state.saved.stage != "stopping":
+                log.warning("the unit ended by itself", pid=self.state.saved.pid)
+                self._feed(u.UnitExited())
             elif self.state.alive and not self._checking and self.world.now_us() - checked >= CHECK_US:
                 checked = self.world.now_us()
                 self._do("check")
@@ -167,32 +167,32 @@
             case "check":
                 self._checking = True
                 try:
-                    code, line = self.hands.check(self.state.memory.version)
+                    code, line = self.hands.check(self.state.saved.version)
                 finally:
                     self._checking = False
-                self._figures = read(line, Figures) or self._figures
-                self._feed(u.Ended("check", code))
+                self._figures = decode_row(line, Figures) or self._figures
+                self._feed(u.CommandEnded("check", code))
             case "drain":
-                self._feed(u.Ended("drain", self.hands.drain(self.state.memory.version)))
+                self._feed(u.CommandEnded("drain", self.hands.drain(self.state.saved.version)))
             case "stop":
                 self.hands.stop()
-                self._feed(u.Ended("stop", 0))
+                self._feed(u.CommandEnded("stop", 0))
             case "start":
-                code = self.hands.start(self.state.memory.version, self._mark())
+                code = self.hands.start(self.state.saved.version, self._mark())
                 if not code:
-                    self._remember(self.state.memory)
-                self._feed(u.Ended("start", code))
+                    self._remember(self.state.saved)
+                self._feed(u.CommandEnded("start", code))
 
     def _mark(self) -> str:
         """Sets this start of the unit apart from every other; the same when it is taken up again after a kill."""
-        return f"{self.file.state} {self.state.memory.starts}"
+        return f"{self.file.state} {self.state.saved.starts}"
 
     # --- what is told
 
-    def status(self) -> Status:
+    def status(self) -> UnitStatus:
         """The unit as it is."""
-        memory, figures = self.state.memory, self._figures
-        return Status(
+        memory, figures = self.state.saved, self._figures
+        return UnitStatus(
             self.file.name,
             f"{memory.pid}-{memory.born}",
             self.state.standing,
@@ -218,13 +218,13 @@
                 before = replace(self._told[0], load=0.0, room=0.0, served=0, bad=0)
                 if plain == before and (status == self._told[0] or now - self._told_us < TELL_US):
                     continue
-            puts = [Put(self.keys.of("statuses", self.file.name), msgspec.json.encode(status), lease)]
+            puts = [Put(self.keys.row_key("statuses", self.file.name), msgspec.json.encode(status), lease)]
             if not self._placed:
                 groups = {str(name): value for name, value in self.file.groups.items()}
                 puts.append(
                     Put(
-                        self.keys.of("places", self.file.name),
-                        msgspec.json.encode(Place(self.file.name, self.file.kind, groups)),
+                        self.keys.row_key("places", self.file.name),
+                        msgspec.json.encode(UnitPlacement(self.file.name, self.file.kind, groups)),
                     )
                 )
             try:
--- a/yardspindle/unit/hands.py
+++ b/yardspindle/unit/runner.py
@@ -17,7 +17,7 @@
 log = structlog.get_logger("yardspindle.unit")
 
 
-class ProcessHands:
+class ProcessRunner:
     """See Hands."""
 
     def __init__(self, world: RealWorld, file: UnitFile) -> None:
