--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -30,6 +30,6 @@
     assert 'f"ejected {server.entry.server}: {why}"' in code and 'f"giving up requests: {why}"' in code
     statuses = {i.Status.CONNECT_FAILED.value, i.Status.RESET.value}
     statuses |= set(re.findall(r'self\._eject\(server, "(\w+)"\)', code))
-    given_up = set(re.findall(r'self\._end\(r, "(\w+)"\)', code))
+    given_up = set(re.findall(r'self\._end\(request, "(\w+)"\)', code))
     assert set(re.findall(r"`ejected N: (.*?)`", page)) == statuses
     assert set(re.findall(r"`giving up requests: (.*?)`", page)) == given_up
--- a/yardspindle/policy/__init__.py
+++ b/yardspindle/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of one router, by concern; settings, events and actions: yardspindle/interface.py."""
+"""The routing policy of one router, by concern; settings, events and actions: yardspindle/interface.py."""
 
 from yardspindle.policy.decide import SWEEP_TOKEN, Policy
 
--- a/yardspindle/policy/decide.py
+++ b/yardspindle/policy/decide.py
@@ -1,32 +1,32 @@
-"""The decisions of one router: an event comes in, actions go out."""
+"""Entry point of the routing policy: dispatches each event and returns the resulting actions."""
 
 from __future__ import annotations
 
 from yardspindle import interface as i
-from yardspindle.policy.request_lifecycle import Life
-from yardspindle.policy.state import SWEEP_US
+from yardspindle.policy.request_lifecycle import RequestLifecycle
+from yardspindle.policy.state import SWEEP_INTERVAL_US
 
 SWEEP_TOKEN = 1 << 40  # timer token of the sweep; request ids are under 2^32
 
 
-class Policy(Life):
-    """Decides for one router: `handle` takes an event and gives back actions."""
+class Policy(RequestLifecycle):
+    """The routing policy of one router. It does no I/O: `handle` maps an event to a list of actions."""
 
     def handle(self, now_us: int, event: i.Event) -> list[i.Action]:
-        """Decide on one event."""
-        self.now_us, self.acts = now_us, []
+        """Process one event at time `now_us` and return the actions to carry out, in order."""
+        self.now_us, self.actions = now_us, []
         match event:
             case i.Members():
-                self._members(event)
+                self._update_servers(event)
             case i.Request():
-                self._arrive(event)
+                self._accept(event)
             case i.Outcome():
-                self._outcome(event)
+                self._handle_outcome(event)
             case i.First() | i.Note() | i.Hangup() if event.request in self.open_requests:
-                self._heard(self.open_requests[event.request], event)
+                self._handle_progress(self.open_requests[event.request], event)
             case i.Timer():
                 self._sweep()
-        if not self.sweep_set and self.open_requests:
-            self.sweep_set = True
-            self.acts.append(i.SetTimer(now_us + SWEEP_US, SWEEP_TOKEN))
-        return self.acts
+        if not self.sweep_pending and self.open_requests:
+            self.sweep_pending = True
+            self.actions.append(i.SetTimer(now_us + SWEEP_INTERVAL_US, SWEEP_TOKEN))
+        return self.actions
--- a/yardspindle/policy/request_lifecycle.py
+++ b/yardspindle/policy/request_lifecycle.py
@@ -1,249 +1,299 @@
-"""The life of a request: sent, waited for, tried again, answered, let go of."""
+"""Lifecycle of a request: read, write, wait, retry, final answer, and release of what is held for it."""
 
 from __future__ import annotations
 
 from yardspindle import interface as i
-from yardspindle.policy.state import KEYS_MOST, SWEEP_US, Open, Server
-from yardspindle.policy.writers import Writers
-
-BUSY_US = 100_000  # a writer that was full gets none of the tenant's work for about the time of a few tokens
-FULL_TIMES = 20  # or so many times what it took to say so, and longer each time: to ask must cost little
-PLACES_MOST = 4  # writers asked for a place with one read; each asking costs what a probe costs
-WAIT_AIM_PART = 0.2  # part of the aim that may be spent waiting before the read; the rest is for the work
-SMOOTH = 0.1  # weight of a new observation in every running mean
-LOG_US = 5_000_000  # at most one line on requests given up in so long
-
-
-class Life(Writers):
-    """What becomes of each request."""
-
-    def _arrive(self, ask: i.Request) -> None:
-        cls = self.classes[ask.cls]
-        aim = cls.aim_us + cls.aim_us_per_1000_prompt_tokens * ask.prompt_tokens / 1000
-        key = ask.prefix or ask.session or str(ask.request)
-        self._count_arrival(ask)
-        r = self.open_requests[ask.request] = Open(ask, cls, aim, key, self.random.random() * self._surge())
+from yardspindle.policy.state import MAX_KEYS, SWEEP_INTERVAL_US, OpenRequest, Server
+from yardspindle.policy.writers import WriterSelection
+
+# Shortest time for which a full server gets no more of the tenant's requests: about a few tokens.
+MIN_FULL_PAUSE_US = 100_000
+# The pause is at least this multiple of the time that the refusal took, so that asking costs little.
+FULL_PAUSE_FACTOR = 20
+MAX_PLACE_REQUESTS = 4  # writers asked for a place per read; each request costs as much as a probe
+# Fraction of the latency target (aim) that a request may wait before its read; the rest is for the work.
+MAX_WAIT_AIM_FRACTION = 0.2
+MEAN_WEIGHT = 0.1  # weight of a new observation in the exponentially weighted means
+LOG_INTERVAL_US = 5_000_000  # at most one log line on requests given up in this time
+
+
+class RequestLifecycle(WriterSelection):
+    """Takes each request from its arrival to its final answer."""
+
+    def _accept(self, arrival: i.Request) -> None:
+        cls = self.classes[arrival.cls]
+        aim_us = cls.aim_us + cls.aim_us_per_1000_prompt_tokens * arrival.prompt_tokens / 1000
+        key = arrival.prefix or arrival.session or str(arrival.request)
+        self._count_arrival(arrival)
+        request = self.open_requests[arrival.request] = OpenRequest(
+            arrival, cls, aim_us, key, self.random.random() * self._surge()
+        )
         self._count_key(key)
-        self._start(r)
+        self._start_read(request)
 
-    def _send(self, r: Open, server: Server) -> None:
-        self._note_send(r, server, r.home_writer if server.role is i.Role.WRITE else r.home_reader)
-        server.out[(r.ask.request, r.attempts)] = self.now_us
-        r.out[r.attempts] = server
-        r.attempts, r.pinned_us = r.attempts + 1, 0
-        self.acts.append(i.Send(r.ask.request, server.entry.server))
+    def _send(self, request: OpenRequest, server: Server) -> None:
+        self._record_send(
+            request, server, request.home_writer if server.role is i.Role.WRITE else request.home_reader
+        )
+        server.in_flight[(request.arrival.request, request.attempts)] = self.now_us
+        request.in_flight[request.attempts] = server
+        request.attempts, request.held_since_us = request.attempts + 1, 0
+        self.actions.append(i.Send(request.arrival.request, server.entry.server))
 
-    def _start(self, r: Open) -> None:  # begin to read, and ask a place with it
+    def _start_read(self, request: OpenRequest) -> None:
+        """Send the request to a reader and request a place at a writer, or let it wait."""
+        # Two attempts are needed: a read and a write.
         if (
-            r.attempts + 2 > self.settings.max_attempts
-            or self.now_us >= r.ask.expires_us - self.settings.tick_us
+            request.attempts + 2 > self.settings.max_attempts
+            or self.now_us >= request.arrival.expires_us - self.settings.tick_us
         ):
-            return self._end(r, "time")
-        r.reader = reader = self._reader(r)
+            return self._end(request, "time")
+        request.reader = reader = self._choose_reader(request)
         if reader is not None and reader.role is i.Role.BOTH:
-            return self._write(r, reader)  # a mixed server takes its share whole
-        writer = self._writer(r)
+            return self._start_write(request, reader)  # a mixed server does both stages
+        writer = self._choose_writer(request)
         if (
             writer is not None
             and reader is None
             and self.settings.writers_read
-            and not any(self._reader_order(r.key))
+            and not any(self._reader_order(request.key))
         ):
-            return self._write(r, writer)
+            return self._start_write(request, writer)
         if writer is None or reader is None:
-            return self._wait(r)
-        reader.pending_tokens += r.new
-        r.backlog = reader.pending_tokens
-        self._send(r, reader)
+            return self._wait(request)
+        reader.pending_tokens += request.uncached_tokens
+        request.backlog_tokens = reader.pending_tokens
+        self._send(request, reader)
         if self.settings.ahead:
-            self._ask(r, writer)
+            self._request_place(request, writer)
         return None
 
-    def _ask(self, r: Open, writer: Server) -> None:
-        r.place = writer
-        self._take(r, writer, 1)
-        self.acts.append(i.Ahead(r.ask.request, writer.entry.server))
+    def _request_place(self, request: OpenRequest, writer: Server) -> None:
+        request.place_writer = writer
+        self._count_stream(request, writer, 1)
+        self.actions.append(i.Ahead(request.arrival.request, writer.entry.server))
 
-    def _write(self, r: Open, server: Server) -> None:
-        self._unplace(r)
-        self._take(r, server, 1)
-        self._send(r, server)
+    def _start_write(self, request: OpenRequest, server: Server) -> None:
+        self._clear_place(request)
+        self._count_stream(request, server, 1)
+        self._send(request, server)
 
-    def _take(self, r: Open, writer: Server, sign: int) -> None:  # count a stream or place of ours
+    def _count_stream(self, request: OpenRequest, writer: Server, sign: int) -> None:
+        """Add (sign 1) or subtract (sign -1) a stream or place of ours at a writer."""
         writer.streams += sign
-        self.held += sign * r.ask.prompt_tokens
+        self.held_tokens += sign * request.arrival.prompt_tokens
 
-    def _unplace(self, r: Open) -> None:
-        if r.place is not None:
-            self._take(r, r.place, -1)
-            r.place = None
+    def _clear_place(self, request: OpenRequest) -> None:
+        if request.place_writer is not None:
+            self._count_stream(request, request.place_writer, -1)
+            request.place_writer = None
 
-    def _uncount(self, r: Open, seq: int) -> bool:  # an attempt is over; was it a read?
-        server = r.out.pop(seq)
-        sent = server.out.pop((r.ask.request, seq), None)
+    def _remove_attempt(self, request: OpenRequest, attempt: int) -> bool:
+        """Remove an attempt that has ended from all counts; return whether it was a read."""
+        server = request.in_flight.pop(attempt)
+        sent_us = server.in_flight.pop((request.arrival.request, attempt), None)
         if server.role is i.Role.READ:
-            server.pending_tokens -= r.new
+            server.pending_tokens -= request.uncached_tokens
             return True
-        self._moved(r, server, sent, first=False)
-        self._take(r, server, -1)
+        self._record_cell_delay(request, server, sent_us, first=False)
+        self._count_stream(request, server, -1)
         return False
 
-    def _next(self, r: Open) -> None:  # after a read, or a writer turned it away
+    def _write_or_wait(self, request: OpenRequest) -> None:
+        """After a read, or when a writer refused: send the request to a writer, or let it wait."""
+        if (
+            self.now_us >= request.arrival.expires_us - self.settings.tick_us
+            or request.attempts >= self.settings.max_attempts
+        ):
+            return self._end(request, "time")
         if (
-            self.now_us >= r.ask.expires_us - self.settings.tick_us
-            or r.attempts >= self.settings.max_attempts
+            request.place_writer is not None
+            and self._usable(request.place_writer, request)
+            and self._admits(request, request.place_writer, request.home_writer)
         ):
-            return self._end(r, "time")
-        if r.place is not None and self._usable(r.place, r) and self._admits(r, r.place, r.home_writer):
-            return self._write(r, r.place)
-        r.asked.clear()
-        if (writer := self._writer(r)) is not None:
-            return self._write(r, writer)
-        r.pinned_us = r.pinned_us or self.now_us
-        return self._wait(r)
-
-    def _wait(self, r: Open) -> None:  # writers are full or readers late: for a bounded time
-        r.waits_us = r.waits_us or self.now_us
-        if self.now_us >= r.ask.expires_us - 2 * SWEEP_US:
-            self._end(r, "time")
-
-    def _heard(self, r: Open, event: i.First | i.Note | i.Hangup) -> None:
+            return self._start_write(request, request.place_writer)
+        request.full_writers.clear()
+        if (writer := self._choose_writer(request)) is not None:
+            return self._start_write(request, writer)
+        request.held_since_us = request.held_since_us or self.now_us
+        return self._wait(request)
+
+    def _wait(self, request: OpenRequest) -> None:
+        """Leave the request to the next sweep, unless it expires before: writers are full or readers late."""
+        request.waiting_since_us = request.waiting_since_us or self.now_us
+        if self.now_us >= request.arrival.expires_us - 2 * SWEEP_INTERVAL_US:
+            self._end(request, "time")
+
+    def _handle_progress(self, request: OpenRequest, event: i.First | i.Note | i.Hangup) -> None:
         if isinstance(event, i.Hangup):
-            self._end(r, None)
-        elif isinstance(event, i.First) and event.attempt in r.out:
-            at = r.out[event.attempt]
-            sent = at.out.pop((event.request, event.attempt), None)
-            self._moved(r, at, sent, first=True)
-            self._alive(at, r, sent)
-            r.pinned_us = 0
-        elif isinstance(event, i.Note) and not event.held and r.place is not None:
-            # The one sure sign of a full writer: ask the next during the read. (The note names the reader.)
-            r.asked.add(r.place.entry.server)
+            self._end(request, None)
+        elif isinstance(event, i.First) and event.attempt in request.in_flight:
+            server = request.in_flight[event.attempt]
+            sent_us = server.in_flight.pop((event.request, event.attempt), None)
+            self._record_cell_delay(request, server, sent_us, first=True)
+            self._record_answer(server, request, sent_us)
+            request.held_since_us = 0
+        elif isinstance(event, i.Note) and not event.held and request.place_writer is not None:
+            # A refused place is the only certain sign of a full writer: request one at another writer while
+            # the read goes on. (The event's server is the reader.)
+            request.full_writers.add(request.place_writer.entry.server)
             self.last_place_refused_us = self.now_us
-            self._unplace(r)
-            if len(r.asked) < PLACES_MOST and r.out and (writer := self._writer(r)) is not None:
-                self._ask(r, writer)
+            self._clear_place(request)
+            if (
+                len(request.full_writers) < MAX_PLACE_REQUESTS
+                and request.in_flight
+                and (writer := self._choose_writer(request)) is not None
+            ):
+                self._request_place(request, writer)
 
-    def _outcome(self, event: i.Outcome) -> None:
-        server, r = self.servers[event.server], self.open_requests.get(event.request)
+    def _handle_outcome(self, event: i.Outcome) -> None:
+        server, request = self.servers[event.server], self.open_requests.get(event.request)
         status = event.status
-        if status is i.Status.FULL and event.note == 0 and r is not None:
-            # A server may turn one tenant away though it has room: it is shut for that one alone.
-            times = server.full.get(r.ask.tenant, (0, 0))[1]
-            pause = max(BUSY_US, FULL_TIMES * event.latency_us) * (times + 1)
-            server.full[r.ask.tenant] = self.now_us + pause, times + 1
+        if status is i.Status.FULL and event.note == 0 and request is not None:
+            # A server may refuse one tenant though it has room, so it is paused for that tenant only.
+            times_full = server.full_by_tenant.get(request.arrival.tenant, (0, 0))[1]
+            pause_us = max(MIN_FULL_PAUSE_US, FULL_PAUSE_FACTOR * event.latency_us) * (times_full + 1)
+            server.full_by_tenant[request.arrival.tenant] = self.now_us + pause_us, times_full + 1
         elif status in (i.Status.CONNECT_FAILED, i.Status.RESET) and not event.stale:
-            # A kept connection that broke under its next request, or one reset while it was made, says that
-            # connections break: not that a server died.
+            # A pooled connection that broke under its next request, or one that was reset during connect,
+            # shows that connections break, not that the server died.
             self._eject(server, status.value)
         elif status is i.Status.TIMEOUT and event.note == 1:
-            # Not a word of it while its state was held: it went to a server that may be silent to all.
+            # The writer did not answer while the state was held: it may be unresponsive to everyone.
             self._eject(server, "silent")
         if event.stale:
-            self.lossy_us = self.now_us
-        sent = self.now_us - event.latency_us
-        if status is i.Status.TIMEOUT and server.role is i.Role.READ and sent >= server.answered_us:
-            server.late_us, server.late_at = self._longer(max(event.latency_us, self.min_aim_us)), self.now_us
-        if r is None:
-            if status is i.Status.READ:  # read for a request that has ended: nothing may stay pinned
-                self.acts.append(i.Discard(event.request))
+            self.last_loss_us = self.now_us
+        sent_us = self.now_us - event.latency_us
+        if (
+            status is i.Status.TIMEOUT
+            and server.role is i.Role.READ
+            and sent_us >= server.last_answered_send_us
+        ):
+            server.delay_us, server.delay_seen_us = (
+                self._avoidance_time(max(event.latency_us, self.min_aim_us)),
+                self.now_us,
+            )
+        if request is None:
+            if status is i.Status.READ:  # the request has ended: release the state that this read left
+                self.actions.append(i.Discard(event.request))
             return None
-        read = event.attempt in r.out and self._uncount(r, event.attempt)
+        was_read = event.attempt in request.in_flight and self._remove_attempt(request, event.attempt)
         if event.closed:
-            return self._end(r, None)
-        if event.attempt in r.given_up:
-            return None  # its state, if it left one, is let go of with what the request holds at its end
-        if read:
+            return self._end(request, None)
+        if event.attempt in request.cancelled_attempts:
+            return None  # a state that it may have left is released when the request ends
+        if was_read:
             if status is i.Status.READ:
-                self._alive(server, r, sent)
-                self._learn(server, event, r)
-                r.pinned_us = self.now_us
-                return self._next(r)
-            r.avoid.add(event.server)
-            if status is i.Status.CANCELLED and r.place is not None:
-                r.avoid.add(r.place.entry.server)  # one of the two is silent, and nothing tells which
+                self._record_answer(server, request, sent_us)
+                self._record_read(server, event, request)
+                request.held_since_us = self.now_us
+                return self._write_or_wait(request)
+            request.excluded_servers.add(event.server)
+            if status is i.Status.CANCELLED and request.place_writer is not None:
+                # Either the reader or the writer with the place is unresponsive; it is not known which.
+                request.excluded_servers.add(request.place_writer.entry.server)
             if status is i.Status.CONNECT_FAILED and not event.stale:
-                r.unreached.add(server.entry.zone)
-            self._drop_held(r)
-            return self._start(r)
-        if status not in (i.Status.CONNECT_FAILED, i.Status.FULL, i.Status.MOOT):  # it may have run
-            r.ran = True
-            if r.cls.effect is not i.Effect.SAFE:  # keyed ones neither: not worth the risk
-                return self._end(r, "fail")
-        if event.note == 1 or r.reader is None:
-            # No state is left, or it could be held no longer while no word of a writer came: read again.
-            self._drop_held(r)
-            return self._start(r)
-        r.pinned_us = self.now_us
-        r.avoid.add(event.server)
-        return self._next(r)
-
-    def _learn(self, server: Server, event: i.Outcome, r: Open) -> None:  # from the end of a read
-        tokens = max(r.ask.prompt_tokens - event.note, 1.0)
-        if len(server.kept) > KEYS_MOST:
-            server.kept.clear()
-        server.kept |= {r.ask.prefix or "": r.ask.prefix_tokens, r.ask.session or "": r.ask.prompt_tokens}
-        self.usual += SMOOTH * (event.latency_us - self.usual)
-        self.read_tokens += SMOOTH * (r.backlog - self.read_tokens)
+                request.unreachable_zones.add(server.entry.zone)
+            self._release_held(request)
+            return self._start_read(request)
+        if status not in (i.Status.CONNECT_FAILED, i.Status.FULL, i.Status.MOOT):
+            request.may_have_run = True
+            # Keyed requests are not repeated either: not worth the risk.
+            if request.cls.effect is not i.Effect.SAFE:
+                return self._end(request, "fail")
+        if event.note == 1 or request.reader is None:
+            # There is no state left, or it could not be held any longer without an answer from a writer.
+            self._release_held(request)
+            return self._start_read(request)
+        request.held_since_us = self.now_us
+        request.excluded_servers.add(event.server)
+        return self._write_or_wait(request)
+
+    def _record_read(self, server: Server, event: i.Outcome, request: OpenRequest) -> None:
+        """Update cached prefixes, read rate and delays from a completed read."""
+        tokens = max(request.arrival.prompt_tokens - event.note, 1.0)  # note: tokens that were cached
+        if len(server.cached_tokens) > MAX_KEYS:
+            server.cached_tokens.clear()
+        server.cached_tokens |= {
+            request.arrival.prefix or "": request.arrival.prefix_tokens,
+            request.arrival.session or "": request.arrival.prompt_tokens,
+        }
+        self.mean_read_us += MEAN_WEIGHT * (event.latency_us - self.mean_read_us)
+        self.mean_backlog_tokens += MEAN_WEIGHT * (request.backlog_tokens - self.mean_backlog_tokens)
         self.max_read_rate = max(self.max_read_rate, tokens / max(event.latency_us, self.settings.tick_us))
-        self.mean_service_us += SMOOTH * (tokens / self.max_read_rate - self.mean_service_us)
-        server.late_us, server.late_at = (
-            self._longer(event.latency_us - tokens / self.max_read_rate),
+        self.mean_service_us += MEAN_WEIGHT * (tokens / self.max_read_rate - self.mean_service_us)
+        server.delay_us, server.delay_seen_us = (
+            self._avoidance_time(event.latency_us - tokens / self.max_read_rate),
             self.now_us,
         )
 
-    def _drop_held(self, r: Open) -> None:  # nothing stays pinned
-        self._unplace(r)
-        self.acts.append(i.Discard(r.ask.request))
-        r.pinned_us = 0
+    def _release_held(self, request: OpenRequest) -> None:
+        """Release every state and place that is held for the request."""
+        self._clear_place(request)
+        self.actions.append(i.Discard(request.arrival.request))
+        request.held_since_us = 0
 
-    def _end(self, r: Open, why: str | None) -> None:
-        """The one exit: answers, releases what is held, forgets."""
-        for seq in list(r.out):
-            r.ran = not self._uncount(r, seq) or r.ran
+    def _end(self, request: OpenRequest, why: str | None) -> None:
+        """End a request: cancel its attempts, answer it (unless `why` is None), release and forget it."""
+        for attempt in list(request.in_flight):
+            request.may_have_run = not self._remove_attempt(request, attempt) or request.may_have_run
             if self.settings.cancel:
-                self.acts.append(i.Cancel(r.ask.request, seq))
+                self.actions.append(i.Cancel(request.arrival.request, attempt))
         if why is not None:
-            if self.now_us >= self.log_us:
-                self.log_us = self.now_us + LOG_US
-                self.acts.append(i.Log(f"giving up requests: {why}"))
-            wait = self.settings.max_retry_after_us if self.settings.retry_after else 0
-            harmless = not r.ran or r.cls.effect is i.Effect.SAFE
-            self.acts.append(i.Refuse(r.ask.request, wait) if harmless else i.Fail(r.ask.request))
-        self._drop_held(r)
-        self.open_requests.pop(r.ask.request, None)
-
-    def _again(self, r: Open) -> None:  # its attempt got lost: another instead
-        seq, server = next(iter(r.out.items()))
-        self.acts.append(i.Cancel(r.ask.request, seq))
-        r.given_up.add(seq)
-        self.lossy_us = self.now_us
-        if self._uncount(r, seq):
-            self._drop_held(r)
-            return self._start(r)
-        r.ran, r.pinned_us = True, self.now_us
-        r.avoid.add(server.entry.server)
-        return self._next(r)
+            if self.now_us >= self.next_log_us:
+                self.next_log_us = self.now_us + LOG_INTERVAL_US
+                self.actions.append(i.Log(f"giving up requests: {why}"))
+            retry_after_us = self.settings.max_retry_after_us if self.settings.retry_after else 0
+            repeatable = not request.may_have_run or request.cls.effect is i.Effect.SAFE
+            self.actions.append(
+                i.Refuse(request.arrival.request, retry_after_us)
+                if repeatable
+                else i.Fail(request.arrival.request)
+            )
+        self._release_held(request)
+        self.open_requests.pop(request.arrival.request, None)
+
+    def _retry_lost(self, request: OpenRequest) -> None:
+        """Cancel an attempt that was lost on the way and make another."""
+        attempt, server = next(iter(request.in_flight.items()))
+        self.actions.append(i.Cancel(request.arrival.request, attempt))
+        request.cancelled_attempts.add(attempt)
+        self.last_loss_us = self.now_us
+        if self._remove_attempt(request, attempt):
+            self._release_held(request)
+            return self._start_read(request)
+        request.may_have_run, request.held_since_us = True, self.now_us
+        request.excluded_servers.add(server.entry.server)
+        return self._write_or_wait(request)
 
     def _sweep(self) -> None:
-        self.sweep_set = False
-        for r in [r for r in self.open_requests.values() if self._overdue(r)]:
-            for server in (s for s in r.out.values() if s.role is i.Role.READ):
-                # Its tokens hardly wait there still: counted on, one lost read kept all others away.
-                server.pending_tokens, r.new = server.pending_tokens - r.new, 0.0
-            if self._lost(r):
-                self._again(r)
-        waiting = [r for r in self.open_requests.values() if not r.out]
-        for r in sorted(waiting, key=lambda r: -r.cls.worth):  # the scarce room to the most worth
-            if self.now_us >= r.ask.expires_us - 2 * SWEEP_US:
-                self._end(r, "time")
-            elif r.pinned_us and self.now_us - r.pinned_us < self.settings.release_us / 2:
-                self._next(r)
-            elif self.now_us - r.waits_us > WAIT_AIM_PART * r.aim_us and not r.ask.resumed:
-                # The rest of a broken stream is waited for: refused, the part that was written is lost too,
-                # and when a router ends all its streams come to the others at one moment.
-                self._end(r, "late")
+        """Check overdue attempts, then retry or give up the requests that wait."""
+        self.sweep_pending = False
+        for request in [request for request in self.open_requests.values() if self._overdue(request)]:
+            for server in (s for s in request.in_flight.values() if s.role is i.Role.READ):
+                # Its tokens are hardly still queued there; while they counted, one lost read kept all others
+                # away.
+                server.pending_tokens, request.uncached_tokens = (
+                    server.pending_tokens - request.uncached_tokens,
+                    0.0,
+                )
+            if self._attempt_lost(request):
+                self._retry_lost(request)
+        waiting = [request for request in self.open_requests.values() if not request.in_flight]
+        # The most valuable requests get the scarce capacity first.
+        for request in sorted(waiting, key=lambda request: -request.cls.worth):
+            if self.now_us >= request.arrival.expires_us - 2 * SWEEP_INTERVAL_US:
+                self._end(request, "time")
+            elif request.held_since_us and self.now_us - request.held_since_us < self.settings.release_us / 2:
+                self._write_or_wait(request)
+            elif (
+                self.now_us - request.waiting_since_us > MAX_WAIT_AIM_FRACTION * request.aim_us
+                and not request.arrival.resumed
+            ):
+                # The remainder of a broken stream waits instead: refusing it also loses the part that was
+                # written, and when a router ends, all its streams reach the other routers at the same moment.
+                self._end(request, "late")
             else:
-                if r.pinned_us:
-                    self._drop_held(r)
-                self._start(r)
+                if request.held_since_us:
+                    self._release_held(request)
+                self._start_read(request)
--- a/yardspindle/policy/servers.py
+++ b/yardspindle/policy/servers.py
@@ -1,4 +1,4 @@
-"""Membership and health: who serves, what a cell is given, who is paused, who is cold."""
+"""Server membership and health: the server list, outlier ejection, and the share of reads per cell."""
 
 from __future__ import annotations
 
@@ -7,101 +7,134 @@
 
 from yardspindle import interface as i
 from yardspindle.policy.slow_start import SlowStart
-from yardspindle.policy.state import KEY_SPAN_US, LONG_AGO_US, TRIAL_US, Open, Server
+from yardspindle.policy.state import BASE_EJECTION_US, KEY_WINDOW_US, LONG_AGO_US, OpenRequest, Server
 
-LIST_LATE_US = 6_000_000  # after so long at the latest what discovery has counts as told
-START_MOVED_US = 100_000  # two starts of a server are farther apart; a planner's and an edge's clocks differ
-PULL_MOST = 1.1  # a reader in a cell with many writers gets at most so many times its even part of the keys
-PULL_ROUNDS = 8  # in which the parts of the cells come to add up to one
+# Longest delay until a change that discovery knows of has reached this router.
+MAX_LIST_DELAY_US = 6_000_000
+# Reported start times that differ by less are the same start: the clocks of a planner and an edge differ, and
+# two starts of one server are farther apart.
+START_TOLERANCE_US = 100_000
+# A reader in a cell with many writers gets at most this multiple of its even share of the keys.
+MAX_CELL_WEIGHT = 1.1
+CELL_WEIGHT_ITERATIONS = 8  # enough for the cells' shares of the reads to add up to one
 
 
-class Hosts(SlowStart):
-    """What this router knows of each server, and whether a request may go there."""
+class ServerHealth(SlowStart):
+    """Keeps what this router knows of each server and decides whether a request may go there."""
 
-    def _members(self, event: i.Members) -> None:
+    def _update_servers(self, event: i.Members) -> None:
+        """Apply a message of the server list."""
         if not self.settings.list_pushed and event.list_kind in (i.ListKind.STALE, i.ListKind.FAILED):
-            self.acts.append(i.Watch(True))  # at the start, and again when the subscription is lost
-        self.orders.clear()
-        named = {entry.server for entry in event.entries}
+            self.actions.append(i.Watch(True))  # at the start, and again when the subscription is lost
+        self.reader_orders.clear()
+        listed = {entry.server for entry in event.entries}
         for entry, kind in ((e, self.kinds[e.kind]) for e in event.entries if e.kind in self.kinds):
             known = self.servers.setdefault(
                 entry.server,
-                Server(entry, kind.role, kind.memory_tokens, self._since(entry), lot=self.lots.random()),
+                Server(
+                    entry,
+                    kind.role,
+                    kind.memory_tokens,
+                    self._start_time(entry),
+                    share_draw=self.server_random.random(),
+                ),
             )
-            moved_us = abs(entry.up_since_us - known.entry.up_since_us)
-            if entry.up_since_us and moved_us > START_MOVED_US:  # restarted: what we held against it is void
-                known.failures, known.ejected_until_us, known.started_us = 0, 0, self._since(entry)
-                known.refused = 0
-                known.full.clear()
-                known.kept.clear()
+            start_change_us = abs(entry.up_since_us - known.entry.up_since_us)
+            if entry.up_since_us and start_change_us > START_TOLERANCE_US:
+                # The server has restarted: earlier failures and cached prefixes no longer apply.
+                known.failures, known.ejected_until_us, known.started_us = 0, 0, self._start_time(entry)
+                known.connect_failures = 0
+                known.full_by_tenant.clear()
+                known.cached_tokens.clear()
             known.entry = entry if entry.units > 0 else replace(entry, units=1e-9)
-            known.inactive, known.gone_us = entry.state is not i.State.SERVING, self.now_us
+            known.inactive, known.inactive_since_us = entry.state is not i.State.SERVING, self.now_us
         if event.list_kind not in (i.ListKind.STALE, i.ListKind.FAILED):
-            self.listed_us = self.now_us
+            self.last_list_us = self.now_us
         if event.list_kind in (i.ListKind.COMPLETE, i.ListKind.STALE):
-            for server in [s for n, s in self.servers.items() if n not in named and not s.inactive]:
-                server.inactive, server.gone_us = True, self.now_us
-        # Where servers are replaced by new ones all day, what is known of the old must not pile up.
+            for server in [s for n, s in self.servers.items() if n not in listed and not s.inactive]:
+                server.inactive, server.inactive_since_us = True, self.now_us
+        # Drop servers that were removed long ago; where servers are replaced all day they would pile up.
         self.servers = {
             n: s
             for n, s in self.servers.items()
-            if not s.inactive or s.out or s.streams or n in named or self.now_us - s.gone_us < KEY_SPAN_US
+            if not s.inactive
+            or s.in_flight
+            or s.streams
+            or n in listed
+            or self.now_us - s.inactive_since_us < KEY_WINDOW_US
         }
-        self.listed = Counter(s.role for s in self.servers.values() if not s.inactive)
-        self._weigh([s for s in self.servers.values() if not s.inactive])
+        self.serving_by_role = Counter(s.role for s in self.servers.values() if not s.inactive)
+        self._update_cell_weights([s for s in self.servers.values() if not s.inactive])
 
-    def _since(self, entry: i.Entry) -> int:
-        """When a server that is listed with this start began to serve, by our clock.
+    def _start_time(self, entry: i.Entry) -> int:
+        """Return when a listed server started, by this router's clock.
 
-        Clocks of machines are stepped: a start that the list before did not tell came after that list, or
-        while it was on its way, and before now. One that tells another time may have come this moment.
+        Machine clocks get stepped, so a reported start is checked: a start that the previous list did not
+        show happened after that list, or while it was on its way, and before now. If the reported time is
+        outside this range, the server is taken to have started now.
         """
         if not entry.up_since_us:
             return LONG_AGO_US
-        likely = self.listed_us - LIST_LATE_US <= entry.up_since_us <= self.now_us
-        return entry.up_since_us if likely else self.now_us
+        plausible = self.last_list_us - MAX_LIST_DELAY_US <= entry.up_since_us <= self.now_us
+        return entry.up_since_us if plausible else self.now_us
 
-    def _weigh(self, serving: list[Server]) -> None:  # a cell's part of the reads follows its writers
-        units = {s.entry.cell: [0.0, 0.0] for s in serving}
+    def _update_cell_weights(self, serving: list[Server]) -> None:
+        """Set each cell's share of the reads by its share of the writers, so that few states leave it."""
+        units = {s.entry.cell: [0.0, 0.0] for s in serving}  # read and write capacity of each cell
         for s in serving:
-            for at, other in enumerate((i.Role.WRITE, i.Role.READ)):
-                units[s.entry.cell][at] += s.entry.units * (s.role is not other)
-        total = [max(sum(column), 1e-9) for column in zip(*units.values(), strict=True)]
-        parts = {c: (max(r, 1e-9) / total[0], w / total[1]) for c, (r, w) in units.items()}
+            for column, other_role in enumerate((i.Role.WRITE, i.Role.READ)):
+                units[s.entry.cell][column] += s.entry.units * (s.role is not other_role)
+        total = [max(sum(values), 1e-9) for values in zip(*units.values(), strict=True)]
+        shares = {c: (max(read, 1e-9) / total[0], write / total[1]) for c, (read, write) in units.items()}
         scale = 1.0
-        for _ in range(PULL_ROUNDS):
-            self.pull = {c: min(scale * w / r, PULL_MOST) for c, (r, w) in parts.items()}
-            even = sum(r * self.pull[c] for c, (r, _) in parts.items())
-            scale /= max(even, 1e-9)
-        # Cells with writers may be too few to read for all: the others read the rest, else a few readers
-        # jam while the many in cells that have no writers, or have lost them, idle. Costs moves out of cells.
-        rest = max(1 - even, 0.0) / max(PULL_MOST - even, 1e-9)
-        self.pull = {c: pull + rest * (PULL_MOST - pull) for c, pull in self.pull.items()}
-        self.cells = {c: (r * self.pull[c], w) for c, (r, w) in parts.items()}
-        self.spare = [max(w - r, 0.0) for r, w in self.cells.values()]
+        for _ in range(CELL_WEIGHT_ITERATIONS):
+            self.cell_weights = {
+                c: min(scale * write / read, MAX_CELL_WEIGHT) for c, (read, write) in shares.items()
+            }
+            assigned = sum(read * self.cell_weights[c] for c, (read, _) in shares.items())
+            scale /= max(assigned, 1e-9)
+        # The readers in cells with writers may be too few for all reads. The others then get the rest:
+        # otherwise a few readers jam while the many in cells without writers, or whose writers failed, are
+        # idle. The price is that states move between cells.
+        rest = max(1 - assigned, 0.0) / max(MAX_CELL_WEIGHT - assigned, 1e-9)
+        self.cell_weights = {
+            c: weight + rest * (MAX_CELL_WEIGHT - weight) for c, weight in self.cell_weights.items()
+        }
+        self.cell_shares = {c: (read * self.cell_weights[c], write) for c, (read, write) in shares.items()}
+        self.spare_write_capacity = [max(write - read, 0.0) for read, write in self.cell_shares.values()]
 
-    def _eject(self, server: Server, why: str) -> None:  # pause it, then let single trials through
+    def _eject(self, server: Server, why: str) -> None:
+        """Eject a server for a time that doubles with each failure; trial requests go there afterwards."""
         server.failures += 1
-        server.refused += why == i.Status.CONNECT_FAILED.value
+        server.connect_failures += why == i.Status.CONNECT_FAILED.value
         if server.failures == 1:
-            server.failed_us = self.now_us
-            self.acts.append(i.Log(f"ejected {server.entry.server}: {why}"))
-        server.ejected_until_us = self.now_us + TRIAL_US * (1 << min(server.failures - 1, 3))
+            server.first_failure_us = self.now_us
+            self.actions.append(i.Log(f"ejected {server.entry.server}: {why}"))
+        server.ejected_until_us = self.now_us + BASE_EJECTION_US * (1 << min(server.failures - 1, 3))
 
-    def _alive(self, server: Server, r: Open, sent: int | None) -> None:  # lives, and takes the tenant's work
-        # It was down, so it restarted, and the list, seconds late, has not told yet. Connections that broke
-        # on the way are no restart: taken for one, a few resets had most of a warm fleet count as cold.
-        if server.refused and (sent or self.now_us) >= server.failed_us:
+    def _record_answer(self, server: Server, request: OpenRequest, sent_us: int | None) -> None:
+        """Clear the failures of a server that answered, and its pause for the request's tenant."""
+        # An answer after failed connects means that the server restarted: the list is seconds late and does
+        # not show it yet. Connections that broke later don't count as a restart: when they did, a few resets
+        # made most of a warm fleet count as cold.
+        if server.connect_failures and (sent_us or self.now_us) >= server.first_failure_us:
             server.started_us = self.now_us
-        server.failures = server.refused = 0
-        server.answered_us = max(server.answered_us, sent or LONG_AGO_US)
-        server.full.pop(r.ask.tenant, None)
+        server.failures = server.connect_failures = 0
+        server.last_answered_send_us = max(server.last_answered_send_us, sent_us or LONG_AGO_US)
+        server.full_by_tenant.pop(request.arrival.tenant, None)
 
-    def _usable(self, server: Server, r: Open) -> bool:  # not shut (for the tenant), no trial out
-        shut = max(server.ejected_until_us, server.full.get(r.ask.tenant, (0, 0))[0])
+    def _usable(self, server: Server, request: OpenRequest) -> bool:
+        """Return whether the server is serving, not paused, without a recent trial and not excluded."""
+        paused_until = max(
+            server.ejected_until_us, server.full_by_tenant.get(request.arrival.tenant, (0, 0))[0]
+        )
         return (
             not server.inactive
-            and self.now_us >= shut
-            and not (server.failures and server.out and self.now_us - max(server.out.values()) < TRIAL_US)
-            and server.entry.server not in r.avoid
+            and self.now_us >= paused_until
+            and not (
+                server.failures
+                and server.in_flight
+                and self.now_us - max(server.in_flight.values()) < BASE_EJECTION_US
+            )
+            and server.entry.server not in request.excluded_servers
         )
--- a/yardspindle/policy/slow_start.py
+++ b/yardspindle/policy/slow_start.py
@@ -1,18 +1,18 @@
-"""Slow start: which requests a cold server may get, as one sum over routers that know only themselves.
-
-A server that has just started bears, from all routers together, `fall_multiple` times what it can do then.
-Each router therefore bounds its own part by what it knows from its first moment, and by nothing that it sees
-fail:
-
-- A request may go to its home, the one cold server of a stage that it would have if all that are listed
-  served. So the requests that can reach a server are its even part, however many others are full, dead or
-  cold.
-- Beyond that a router sends a cold server half as much again at most, counted one by one over `fall_us`, of
-  what usually comes. Where that is less than one, a part of the routers may send one, by a draw that holds
-  while the server is listed.
-- A request goes there once: what was turned away, or failed, has been sent all the same.
-- Of those requests a part is let through: what the server has surely regained (a line: the ramp is not told).
-- When requests come faster than usual (clients that come again, routers that died), the part shrinks as much.
+"""Slow start: limits what all routers together send to a cold server; each knows its own traffic only.
+
+A server that has just started fails if all routers together send it more than `fall_multiple` times its
+current capacity within `fall_us`. Each router therefore limits its own share, by what it knows from its start
+on and never by failures that it observes:
+
+- A request may go to its home: the one server of each stage that it would get if every listed server could
+  serve. The home requests of a server are thus its even share, however many others are full, dead or cold.
+- Beyond those, a router sends a cold server at most half of its even share of the usual arrivals, counted
+  request by request over `fall_us`. Where that is less than one request, only a fraction of the routers may
+  send one, by a random draw that holds while the server is listed.
+- A request goes to each cold server at most once, as attempts that are refused or fail load it too.
+- Of the remaining requests a fraction is admitted, according to the capacity that the server has regained for
+  certain; as the real ramp is unknown, a linear one is assumed.
+- When arrivals surge (client retries, routers that died), the fraction shrinks in proportion.
 """
 
 from __future__ import annotations
@@ -20,92 +20,98 @@
 import math
 
 from yardspindle import interface as i
-from yardspindle.policy.state import Open, Server, State
+from yardspindle.policy.state import OpenRequest, PolicyState, Server
 
-OTHERS = 0.5  # even parts of what usually comes that a cold server may be sent beyond its home requests
-SLOW_START_PART = 0.8  # requests let through for each that a cold server can do: room for chance, uneven keys
-USUAL_SPAN_US = 30_000_000  # over how long the usual rate of requests is taken: storms are shorter
-FIRST_SPAN_US = 4_000_000  # so much of it counts as seen before the start, at the rate that the quotas give
+# Requests that a cold server may be sent beyond its home requests, in even shares of the usual arrivals.
+NON_HOME_SHARE = 0.5
+# Requests admitted per request that a cold server can serve; the rest allows for chance and uneven keys.
+SLOW_START_PART = 0.8
+ARRIVAL_WINDOW_US = 30_000_000  # averaging time of the usual arrival rate; surges are shorter
+PRIOR_WINDOW_US = 4_000_000  # time before the start that is assumed to have had the quotas' arrival rate
 
 
-class SlowStart(State):
-    """The bound on what goes to cold servers."""
+class SlowStart(PolicyState):
+    """Limits the requests that go to cold servers."""
 
-    def _count_arrival(self, ask: i.Request) -> None:
-        """Note a request's arrival for the usual rate and for the rate of the moment."""
+    def _count_arrival(self, arrival: i.Request) -> None:
+        """Count a request for the recent arrival rate and, unless it is a client's retry, the usual one."""
         if self.settings.cold_us <= 0 or self.settings.fall_us <= 0:
             return
-        self.arrivals.append(self.now_us)
-        while self.now_us - self.arrivals[0] > self.settings.fall_us:
-            self.arrivals.popleft()
-        if self.usual_at_us is None:
-            self.usual_at_us = self.now_us
-        faded = math.exp((self.usual_at_us - self.now_us) / USUAL_SPAN_US)
-        self.usual_at_us = self.now_us
-        self.usual_seen = self.usual_seen * faded + (not ask.repeat)
-        self.usual_span_us = self.usual_span_us * faded + USUAL_SPAN_US * (1 - faded)
+        self.recent_arrivals.append(self.now_us)
+        while self.now_us - self.recent_arrivals[0] > self.settings.fall_us:
+            self.recent_arrivals.popleft()
+        if self.decayed_at_us is None:
+            self.decayed_at_us = self.now_us
+        decay = math.exp((self.decayed_at_us - self.now_us) / ARRIVAL_WINDOW_US)
+        self.decayed_at_us = self.now_us
+        self.decayed_arrivals = self.decayed_arrivals * decay + (not arrival.repeat)
+        self.decayed_span_us = self.decayed_span_us * decay + ARRIVAL_WINDOW_US * (1 - decay)
 
     def _surge(self) -> float:
-        """How many times what servers bear of their home requests came in the last `fall_us`; 1 at least.
+        """Return the arrivals in the last `fall_us` relative to what cold servers tolerate; at least 1.
 
-        They bear what is left of `fall_multiple` beside the requests of others. One request is never too
-        many: where hundreds of routers see little each, most come alone.
+        The home requests of a server may take what `fall_multiple` leaves beside the non-home requests. A
+        single request is always tolerated: among hundreds of routers, most see no more than one in `fall_us`.
         """
-        bears = max(self.settings.fall_multiple / SLOW_START_PART - OTHERS, 1.0)
-        return max(len(self.arrivals) / max(bears * self._usual(), 1.0), 1.0)
+        tolerated = max(self.settings.fall_multiple / SLOW_START_PART - NON_HOME_SHARE, 1.0)
+        return max(len(self.recent_arrivals) / max(tolerated * self._expected_arrivals(), 1.0), 1.0)
 
-    def _usual(self) -> float:
-        """How many requests usually come in `fall_us`."""
+    def _expected_arrivals(self) -> float:
+        """Return how many requests usually arrive in `fall_us`."""
         quotas = sum(tenant.quota_per_s for tenant in self.settings.tenants) / self.settings.instances / 1e6
-        rate = (self.usual_seen + quotas * FIRST_SPAN_US) / (self.usual_span_us + FIRST_SPAN_US)
+        rate = (self.decayed_arrivals + quotas * PRIOR_WINDOW_US) / (self.decayed_span_us + PRIOR_WINDOW_US)
         return rate * self.settings.fall_us
 
     def _warmth(self, server: Server) -> float:
-        """What part of its capacity a server has surely regained; its ramp is not told: take a line."""
-        age = (
-            0 if server.refused else self.now_us - server.started_us
-        )  # refused: it may be back, freshly started
+        """Return the fraction of its capacity that a server has regained, by a linear ramp from its start."""
+        # After failed connects the server may be up again at any moment, freshly started.
+        age = 0 if server.connect_failures else self.now_us - server.started_us
         start = self.settings.start_capacity
         return start + (1 - start) * min(max(age, 0) / max(self.settings.cold_us, 1), 1.0)
 
-    def _admits(self, r: Open, server: Server, home: Server | None) -> bool:
-        """Whether a request may go to a server: to any warm one, its home, now and then another cold one."""
+    def _admits(self, request: OpenRequest, server: Server, home: Server | None) -> bool:
+        """Return whether slow start lets a request go to a server.
+
+        A warm server takes any request, a cold one its home requests and few others.
+        """
         warmth = self._warmth(server)
         if warmth >= 1:
             return True
-        part = SLOW_START_PART * warmth
+        fraction = SLOW_START_PART * warmth
         admitted = (
-            r.draw < part
-            and server.entry.server not in r.cold_tried
-            and (server is home or self._bears_another(server, part))
+            request.admission_draw < fraction
+            and server.entry.server not in request.cold_servers_tried
+            and (server is home or self._allows_non_home(server, fraction))
         )
         self.slow_start_withheld += not admitted
         return admitted
 
-    def _bears_another(self, server: Server, part: float) -> bool:
-        """Whether a cold server may be sent one more request whose home it is not."""
-        while server.other_sends and self.now_us - server.other_sends[0] > self.settings.fall_us:
-            server.other_sends.popleft()
-        others = OTHERS * part * self._usual() / max(self.listed[server.role], 1)
-        return len(server.other_sends) < math.floor(others + server.lot)
+    def _allows_non_home(self, server: Server, fraction: float) -> bool:
+        """Return whether a cold server may be sent one more request that has another home."""
+        while server.non_home_sends and self.now_us - server.non_home_sends[0] > self.settings.fall_us:
+            server.non_home_sends.popleft()
+        allowance = (
+            NON_HOME_SHARE * fraction * self._expected_arrivals() / max(self.serving_by_role[server.role], 1)
+        )
+        return len(server.non_home_sends) < math.floor(allowance + server.share_draw)
 
-    def _note_send(self, r: Open, server: Server, home: Server | None) -> None:
-        """An attempt goes out; one to a cold server is its only one there, and is told in the log."""
+    def _record_send(self, request: OpenRequest, server: Server, home: Server | None) -> None:
+        """Count and log an attempt that is sent to a cold server."""
         warmth = self._warmth(server)
         if warmth >= 1:
             return
-        r.cold_tried.add(server.entry.server)
+        request.cold_servers_tried.add(server.entry.server)
         if server is not home:
-            server.other_sends.append(self.now_us)
+            server.non_home_sends.append(self.now_us)
         self.slow_start_sent += 1
-        age = "unknown" if server.refused else f"{(self.now_us - server.started_us) // 1_000} ms"
-        self.acts.append(
+        age = "unknown" if server.connect_failures else f"{(self.now_us - server.started_us) // 1_000} ms"
+        self.actions.append(
             i.Log(
-                f"slow start: request {r.ask.request}, attempt {r.attempts}, to "
+                f"slow start: request {request.arrival.request}, attempt {request.attempts}, to "
                 f"{server.entry.server}, age {age}, warmth {warmth:.2f}"
             )
         )
 
     def counts(self) -> dict[str, int]:
-        """Counts since the start, by name, for a line of a log."""
+        """Return the counters of slow start since the policy was created, by name, for a log line."""
         return {"slow_start_sent": self.slow_start_sent, "slow_start_withheld": self.slow_start_withheld}
--- a/yardspindle/policy/state.py
+++ b/yardspindle/policy/state.py
@@ -1,4 +1,4 @@
-"""The state of one router's decisions: settings, servers, open requests. Types: yardspindle/interface.py."""
+"""State of one router's policy: settings, servers, open requests. Types: yardspindle/interface.py."""
 
 from __future__ import annotations
 
@@ -8,100 +8,118 @@
 
 from yardspindle import interface as i
 
-SWEEP_US = 20_000  # how often waiting requests and silent servers are looked at; far under any release time
-TRIAL_US = 250_000  # a suspect's first pause; doubled for each further failure, as its cause may last
-LATE_AIM_PART = 0.4  # part of the aim that others' reads may take before ours; past it at all, it waits
-KEY_SPAN_US = 30_000_000  # how long a key is counted: a few seconds show a router little
-KEYS_MOST = 10_000  # keys counted and ordered: memory has to end somewhere
-LONG_AGO_US = -(1 << 60)  # before any time of the clock
+# How often waiting requests and unanswered attempts are checked; far under any release time.
+SWEEP_INTERVAL_US = 20_000
+# First ejection time of a failed server; doubled for each further failure, as its cause may last.
+BASE_EJECTION_US = 250_000
+# Fraction of the latency target (aim) that other requests' work at a server may take before ours. A server
+# with a longer expected delay is passed over, and the request waits if all are.
+MAX_DELAY_AIM_FRACTION = 0.4
+# Window for counting requests by key: one router sees too little traffic in a few seconds. Also how long a
+# lost attempt has an effect, and how long removed servers are remembered.
+KEY_WINDOW_US = 30_000_000
+MAX_KEYS = 10_000  # bound on counted keys, and on cached prefixes per server, to limit memory
+LONG_AGO_US = -(1 << 60)  # before any clock reading
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """What this router knows of a server, from the list and from its own attempts."""
+    """What this router knows of one server, from the server list and from its own attempts."""
 
     entry: i.Entry
     role: i.Role
-    memory: float
-    started_us: int  # when it last started, as listed or as its answer after failed connections shows
-    inactive: bool = False
-    gone_us: int = 0  # since when
-    out: dict[tuple[int, int], int] = field(default_factory=dict)  # attempts without an answer yet: sent when
-    pending_tokens: float = 0.0  # own prompt tokens waiting at the reader
-    streams: int = 0  # own answers and places at the writer
-    failures: int = 0  # failed connections since it last answered
-    failed_us: int = 0  # when the first of them was seen
-    refused: int = 0  # those of them that were never made
+    memory_tokens: float
+    started_us: int  # last start: from the list, or inferred from an answer after failed connections
+    inactive: bool = False  # draining or removed
+    inactive_since_us: int = 0
+    # Send times of our attempts that have not been answered yet, by (request, attempt).
+    in_flight: dict[tuple[int, int], int] = field(default_factory=dict)
+    pending_tokens: float = 0.0  # our prompt tokens waiting at the reader
+    streams: int = 0  # our answers and places at the writer
+    failures: int = 0  # failed connections since the server last answered
+    first_failure_us: int = 0  # when the first of these failures was seen
+    connect_failures: int = 0  # those failures where no connection was established
     ejected_until_us: int = 0
-    full: dict[str | None, tuple[int, int]] = field(default_factory=dict)  # by tenant: shut until, times full
-    kept: dict[str, float] = field(default_factory=dict)  # texts it has read for us: tokens
-    late_us: float = 0.0  # how long a read there last took beyond its own reading, seen when
-    late_at: int = 0
-    answered_us: int = LONG_AGO_US  # when the latest sent attempt that it has answered was sent
-    lot: float = 0.0  # from 0 to 1, drawn: over which part of a request this router may send it one
-    other_sends: deque[int] = field(default_factory=deque)  # when requests of other homes went there
+    # By tenant: until when the server gets none of its requests, and how many times in a row it was full.
+    full_by_tenant: dict[str | None, tuple[int, int]] = field(default_factory=dict)
+    # Tokens of each prefix or session that the server has read for this router.
+    cached_tokens: dict[str, float] = field(default_factory=dict)
+    delay_us: float = 0.0  # how long a read there last took beyond its own service time
+    delay_seen_us: int = 0  # when delay_us was observed
+    last_answered_send_us: int = LONG_AGO_US  # send time of the latest attempt that was answered
+    # Random number from 0 to 1 that rounds this router's fractional allowance of non-home requests up or
+    # down.
+    share_draw: float = 0.0
+    non_home_sends: deque[int] = field(default_factory=deque)  # send times of requests with another home
 
 
 @dataclass(slots=True)
-class Open:
-    """The one state of a request."""
+class OpenRequest:
+    """State of one request from its arrival to its final answer."""
 
-    ask: i.Request
+    arrival: i.Request
     cls: i.RequestClass
-    aim_us: float
-    key: str  # by which its reader is chosen
-    draw: float  # from 0 to 1, over the surge of the moment: which part of the requests it belongs to
-    new: float = 1.0  # tokens that its reader must read, by what it has read for us before
-    backlog: float = 0.0  # our tokens at the reader when it was sent there
-    waits_us: int = 0  # since when it waits
+    aim_us: float  # latency target
+    key: str  # routing key by which the reader is chosen
+    # Random number from 0 to 1 times the surge at arrival: a cold server admits requests with low numbers.
+    admission_draw: float
+    uncached_tokens: float = 1.0  # tokens that the reader must read beyond those it has cached
+    backlog_tokens: float = 0.0  # our tokens at the reader, this request's included, when it was sent there
+    waiting_since_us: int = 0  # 0 while the request has not had to wait
     attempts: int = 0
-    out: dict[int, Server] = field(default_factory=dict)
-    reader: Server | None = None  # holds the state, or is reading it
-    place: Server | None = None  # writer where a place is asked or held
-    pinned_us: int = 0  # since when a state or place is held with no attempt out; 0 when none
-    ran: bool = False  # an attempt at a writer may have run
-    avoid: set[int] = field(default_factory=set)
-    unreached: set[str] = field(default_factory=set)  # zones in which a reader could not be connected to
-    given_up: set[int] = field(default_factory=set)  # attempts called off; their outcomes are still to come
-    home_reader: Server | None = None  # that it would have if all that are listed served
-    home_writer: Server | None = None  # as well
-    cold_tried: set[int] = field(default_factory=set)  # cold servers that it was sent to
-    asked: set[int] = field(default_factory=set)  # writers that had no place for it
+    in_flight: dict[int, Server] = field(default_factory=dict)  # by attempt
+    reader: Server | None = None  # holds the state, or is reading the prompt
+    place_writer: Server | None = None  # writer at which a place is requested or held
+    held_since_us: int = 0  # since when a state or place is held with no attempt in flight; 0 if none is
+    may_have_run: bool = False  # an attempt at a writer may have run
+    excluded_servers: set[int] = field(default_factory=set)
+    unreachable_zones: set[str] = field(default_factory=set)  # zones where connecting to a reader failed
+    cancelled_attempts: set[int] = field(default_factory=set)  # their outcomes have not arrived yet
+    # Home servers: those that the request would get if every listed server could serve.
+    home_reader: Server | None = None
+    home_writer: Server | None = None
+    cold_servers_tried: set[int] = field(default_factory=set)
+    full_writers: set[int] = field(default_factory=set)  # writers that refused a place for it
 
 
-class State:
-    """What all decisions rest on, and the actions of the event at hand."""
+class PolicyState:
+    """Everything that the policy's decisions depend on, and the actions for the current event."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
-        """Start with nothing but the settings."""
+        """Start without servers and requests; equal seeds and events give equal decisions."""
         self.settings, self.now_us, self.random = settings, 0, random.Random(seed)
-        self.lots = random.Random(f"lots {seed}")  # of servers: apart from what requests draw
+        # A separate generator for servers, so that their draws and those of requests don't affect each other.
+        self.server_random = random.Random(f"lots {seed}")
         self.kinds = {kind.name: kind for kind in settings.kinds}
         self.classes = {cls.name: cls for cls in settings.classes}
         self.servers: dict[int, Server] = {}
-        self.open_requests: dict[int, Open] = {}
-        self.orders: dict[str, list[Server]] = {}  # readers in a key's order; void when the list changes
-        self.pull: dict[int, float] = {}  # how readily a cell's readers draw keys
-        self.spare: list[float] = []  # what part of the writing each cell has to spare
-        self.cells: dict[int, tuple[float, float]] = {}  # a cell's part of the reads and of the writing
-        self.links: dict[int, tuple[float, int]] = {}  # how long a state last took out of a cell, seen when
-        self.key_counts: dict[str, float] = {}  # requests of a key; in all; since when
-        self.key_count_total, self.keys_us = 0.0, 0
-        self.usual = 0.0  # running mean time of a read
-        self.max_read_rate = 0.0  # tokens a microsecond that a reader read when nothing was in its way
-        self.mean_service_us = 0.0  # running mean time of a read with nothing in its way
-        self.read_tokens = 0.0  # running mean of our tokens ahead of a read and its own
+        self.open_requests: dict[int, OpenRequest] = {}
+        # Cached order of readers by key; cleared when the list changes.
+        self.reader_orders: dict[str, list[Server]] = {}
+        self.cell_weights: dict[int, float] = {}  # hash weight of a cell's readers, per unit of capacity
+        self.spare_write_capacity: list[float] = []  # fraction of all writes that each cell has to spare
+        self.cell_shares: dict[int, tuple[float, float]] = {}  # each cell's share of the reads and the writes
+        # Delay of the last state that was moved out of each cell, and when it was observed.
+        self.cell_delays: dict[int, tuple[float, int]] = {}
+        self.key_counts: dict[str, float] = {}  # requests by key, decayed
+        self.key_count_total, self.keys_aged_us = 0.0, 0  # sum of key_counts; when they were last decayed
+        self.mean_read_us = 0.0  # running mean duration of a read
+        self.max_read_rate = 0.0  # highest read rate seen, in tokens per microsecond: without queueing
+        self.mean_service_us = 0.0  # running mean duration of a read without queueing
+        self.mean_backlog_tokens = 0.0  # running mean of OpenRequest.backlog_tokens
         self.min_aim_us = min(cls.aim_us for cls in settings.classes)
-        self.log_us = 0
-        self.lossy_us = LONG_AGO_US  # when a break last said nothing of its server, or a request got lost
-        self.last_place_refused_us = LONG_AGO_US  # when a writer last had no place for us
-        self.held = 0.0  # own tokens that take up writers' memory
-        self.arrivals: deque[int] = deque()  # of requests in the last `fall_us`
-        self.listed: Counter[i.Role] = Counter()  # how many servers of a role are listed and serve
-        self.listed_us = LONG_AGO_US  # when the latest list in force was taken
-        self.usual_seen, self.usual_span_us = 0.0, 0.0  # requests that came, and in what time; both fade
-        self.usual_at_us: int | None = None  # when they last did
-        self.slow_start_sent = 0  # attempts that were sent to cold servers
-        self.slow_start_withheld = 0  # times that a request was kept away from a cold server
-        self.sweep_set = False
-        self.acts: list[i.Action] = []
+        self.next_log_us = 0  # earliest time of the next log line on requests given up
+        # When an attempt was last lost, or a connection last broke in a way that says nothing of its server.
+        self.last_loss_us = LONG_AGO_US
+        self.last_place_refused_us = LONG_AGO_US  # when a writer last refused a place to this router
+        self.held_tokens = 0.0  # tokens of our requests that occupy writers' memory
+        self.recent_arrivals: deque[int] = deque()  # arrival times in the last `fall_us`
+        self.serving_by_role: Counter[i.Role] = Counter()  # number of serving servers by role
+        self.last_list_us = LONG_AGO_US  # when the latest server list that is not stale was received
+        # Arrivals and the time over which they were counted, with the same exponential decay.
+        self.decayed_arrivals, self.decayed_span_us = 0.0, 0.0
+        self.decayed_at_us: int | None = None  # when the decay was last applied
+        self.slow_start_sent = 0  # attempts sent to cold servers
+        self.slow_start_withheld = 0  # times that a cold server was not admitted for a request
+        self.sweep_pending = False  # the sweep timer is set
+        self.actions: list[i.Action] = []
--- a/yardspindle/policy/writers.py
+++ b/yardspindle/policy/writers.py
@@ -1,53 +1,79 @@
-"""The choice of writer: fewest of our streams, in the reader's cell if that has one."""
+"""Choice of the writer: the least loaded one, preferably in the reader's cell."""
 
 from __future__ import annotations
 
 from yardspindle import interface as i
-from yardspindle.policy.readers import Readers
-from yardspindle.policy.state import LATE_AIM_PART, Open, Server
+from yardspindle.policy.readers import ReaderSelection
+from yardspindle.policy.state import MAX_DELAY_AIM_FRACTION, OpenRequest, Server
 
-SPARE_TIMES = 2.0  # our part of the writers' memory that we may use while no place is refused
-MEMORY_PART = 0.9  # part of a writer's memory that counts as room; answers grow after they start
-SHORT_AIMS = 4.0  # so many aims after a refused place writers count as full: a router hears of few
+# While no place is refused, this router may use this multiple of its even share of the writers' memory.
+MEMORY_OVERCOMMIT = 2.0
+MEMORY_FRACTION = 0.9  # usable fraction of a writer's memory; answers grow after they start
+# After a refused place, writers count as full for this multiple of the shortest latency target: one router
+# learns of few refusals.
+MEMORY_FULL_AIMS = 4.0
 
 
-class Writers(Readers):
-    """Where an answer is written."""
+class WriterSelection(ReaderSelection):
+    """Chooses the server that writes an answer."""
 
-    def _writer(self, r: Open) -> Server | None:
-        """The writer with fewest of our streams, of the reader's cell if that has one."""
-        known = [s for s in self.servers.values() if s.role is not i.Role.READ and not s.inactive]
-        # Our even part of all: of each writer it may be under one prompt. Where others died we carry more.
-        part = MEMORY_PART * sum(s.memory for s in known) / self.settings.instances
-        part *= 1 if self.now_us - self.last_place_refused_us < SHORT_AIMS * self.min_aim_us else SPARE_TIMES
-        if self.held and self.held + r.ask.prompt_tokens > part > 0:
+    def _choose_writer(self, request: OpenRequest) -> Server | None:
+        """Return the least loaded writer, of the reader's cell if possible; None while memory is used up."""
+        writers = [s for s in self.servers.values() if s.role is not i.Role.READ and not s.inactive]
+        # Even share of the total: the share of a single writer may be smaller than one prompt. Routers carry
+        # more than their share when others have died.
+        limit = MEMORY_FRACTION * sum(s.memory_tokens for s in writers) / self.settings.instances
+        limit *= (
+            1
+            if self.now_us - self.last_place_refused_us < MEMORY_FULL_AIMS * self.min_aim_us
+            else MEMORY_OVERCOMMIT
+        )
+        if self.held_tokens and self.held_tokens + request.arrival.prompt_tokens > limit > 0:
             return None
-        home = r.reader.entry.cell if r.reader is not None else None
-        for cell in () if home is None else (self._cell(r, home), home):
-            near = [s for s in known if s.entry.cell == cell]
-            if (writer := self._least(near, r)) is not None:
+        reader_cell = request.reader.entry.cell if request.reader is not None else None
+        for cell in () if reader_cell is None else (self._writer_cell(request, reader_cell), reader_cell):
+            near = [s for s in writers if s.entry.cell == cell]
+            if (writer := self._least_loaded(near, request)) is not None:
                 return writer
-        return self._least(known, r)
+        return self._least_loaded(writers, request)
 
-    def _home_writer(self, r: Open) -> Server | None:
-        """The writer that it would have if all that are listed served: by chance, near its home reader."""
+    def _choose_home_writer(self, request: OpenRequest) -> Server | None:
+        """Return a random writer near the request's home reader, out of all that are listed as serving."""
         listed = [s for s in self.servers.values() if s.role is not i.Role.READ and not s.inactive]
-        readers = self._reader_order(r.key)
-        cell = self._cell(r, readers[0].entry.cell) if readers else None
+        readers = self._reader_order(request.key)
+        cell = self._writer_cell(request, readers[0].entry.cell) if readers else None
         near = [s for s in listed if s.entry.cell == cell] or listed
         return self.random.choices(near, [s.entry.units for s in near])[0] if near else None
 
-    def _least(self, known: list[Server], r: Open) -> Server | None:  # for what each can do now
-        usable = [s for s in known if self._usable(s, r) and s.entry.server not in r.asked]
-        if any(self._warmth(s) < 1 for s in usable) and (r.home_writer is None or r.home_writer.inactive):
-            r.home_writer = self._home_writer(r)
-        fit = [s for s in usable if self._admits(r, s, r.home_writer)]
-        loads = [(s.streams + 1 + self.random.expovariate(1)) / s.entry.units / self._warmth(s) for s in fit]
-        return fit[loads.index(min(loads))] if loads else None
-
-    def _cell(self, r: Open, home: int) -> int:  # where a state read in a cell is written
-        # Else a cell's few writers fill while others idle, and no router sees it from its own streams.
-        read, write = self.cells.get(home, (0.0, 0.0))
-        away = self.random.random() * read > write and any(self.spare)
-        away = away and not (write and self._slow(home) > LATE_AIM_PART * r.aim_us)
-        return self.random.choices(list(self.cells), self.spare)[0] if away else home
+    def _least_loaded(self, writers: list[Server], request: OpenRequest) -> Server | None:
+        """Return a usable writer with few of our streams for its current capacity, ties broken at random."""
+        usable = [
+            s for s in writers if self._usable(s, request) and s.entry.server not in request.full_writers
+        ]
+        if any(self._warmth(s) < 1 for s in usable) and (
+            request.home_writer is None or request.home_writer.inactive
+        ):
+            request.home_writer = self._choose_home_writer(request)
+        admitted = [s for s in usable if self._admits(request, s, request.home_writer)]
+        loads = [
+            (s.streams + 1 + self.random.expovariate(1)) / s.entry.units / self._warmth(s) for s in admitted
+        ]
+        return admitted[loads.index(min(loads))] if loads else None
+
+    def _writer_cell(self, request: OpenRequest, reader_cell: int) -> int:
+        """Return the cell in which a state read in `reader_cell` is written.
+
+        Reads beyond the cell's share of the writes are written in cells with spare capacity. Otherwise the
+        few writers of a cell fill up while others are idle, which no router sees from its own streams. A cell
+        with writers keeps its states while moving them out is slow.
+        """
+        read_share, write_share = self.cell_shares.get(reader_cell, (0.0, 0.0))
+        elsewhere = self.random.random() * read_share > write_share and any(self.spare_write_capacity)
+        elsewhere = elsewhere and not (
+            write_share and self._cell_delay(reader_cell) > MAX_DELAY_AIM_FRACTION * request.aim_us
+        )
+        return (
+            self.random.choices(list(self.cell_shares), self.spare_write_capacity)[0]
+            if elsewhere
+            else reader_cell
+        )
