--- a/yardspindle/drill.py
+++ b/yardspindle/drill.py
@@ -1,4 +1,8 @@
-"""The adapter: speaks the bench's wire and hosts policy instances. It decides nothing."""
+"""Adapter to the operators' simulator: runs policy instances over its line protocol on stdin and stdout.
+
+It only translates between lines and the types of yardspindle/interface.py. Input comes in frames; the reply to each
+frame ends with `yield`.
+"""
 
 from __future__ import annotations
 
@@ -11,6 +15,7 @@
 from yardspindle.policy import Policy
 from yardspindle.settings_map import parse_settings
 
+# Codes of the protocol, and its names of the values in load reports.
 STATUS = {
     "S": i.Status.SERVED,
     "E": i.Status.ERROR,
@@ -34,8 +39,8 @@
     "x0": "x0",
     "x1": "x1",
 }
-# Fields of each message after its name; a line with another number of fields is malformed.
-FIELDS = {
+# Number of fields after the name of each message; a line with any other number is malformed.
+FIELD_COUNTS = {
     "view": 4,
     "submit": 12,
     "flowing": 5,
@@ -50,57 +55,57 @@
 
 
 class Malformed(Exception):
-    """The input does not follow the wire."""
+    """The input violates the simulator's protocol."""
 
 
-def absent(text: str) -> str | None:
-    """A text value, or None where the wire has `-`."""
+def optional_text(text: str) -> str | None:
+    """Parse a text field; `-` and an empty field mean None."""
     return None if text in ("-", "") else text
 
 
 def number(text: str) -> float:
-    """A number, 0 where the wire has `-`."""
+    """Parse a number; `-` means 0."""
     return 0.0 if text == "-" else float(text)
 
 
-def whole(text: str) -> int:
-    """A whole number, 0 where the wire has `-`."""
+def integer(text: str) -> int:
+    """Parse an integer; `-` means 0."""
     return 0 if text == "-" else int(text)
 
 
 def load(text: str) -> dict[str, float] | None:
-    """A load report; names that are not known are passed over."""
+    """Parse a load report, `name:value` pairs; unknown names are ignored."""
     if text in ("-", ""):
         return None
     pairs = (part.split(":", 1) for part in text.split(","))
     return {LOAD[name]: float(value) for name, value in pairs if name in LOAD}
 
 
-class Host:
-    """The instances of this process and the lists that view events name."""
+class Instances:
+    """The policy instances of this process, and the server lists that `view` events refer to by number."""
 
     def __init__(self) -> None:
-        """Start with no instance."""
+        """Start with no instance and no list."""
         self.policies: dict[int, Policy] = {}
         self.lists: dict[int, tuple[i.Entry, ...]] = {}
-        self.read: dict[str, Callable[[list[str]], i.Event]] = {
-            "view": lambda f: i.Members(LISTS[f[1]], whole(f[2]), () if f[1] == "X" else self.lists[int(f[3])]),
-            "submit": self.submit,
-            "flowing": lambda f: i.First(int(f[1]), int(f[2]), int(f[3]), whole(f[4])),
+        self.parsers: dict[str, Callable[[list[str]], i.Event]] = {
+            "view": lambda f: i.Members(LISTS[f[1]], integer(f[2]), () if f[1] == "X" else self.lists[int(f[3])]),
+            "submit": self.parse_request,
+            "flowing": lambda f: i.First(int(f[1]), int(f[2]), int(f[3]), integer(f[4])),
             "resolved": lambda f: i.Outcome(
-                int(f[1]), int(f[2]), int(f[3]), STATUS[f[4]], whole(f[5]), f[6] == "1", int(number(f[7])), load(f[8])
+                int(f[1]), int(f[2]), int(f[3]), STATUS[f[4]], integer(f[5]), f[6] == "1", int(number(f[7])), load(f[8])
             ),
             "hangup": lambda f: i.Hangup(int(f[1])),
             "due": lambda f: i.Timer(int(f[1])),
-            "probe_result": lambda f: i.Probed(int(f[3]), STATUS[f[1]], whole(f[2]), load(f[4])),
+            "probe_result": lambda f: i.Probed(int(f[3]), STATUS[f[1]], integer(f[2]), load(f[4])),
             "memo": lambda f: i.PeerMessage(int(f[1]), b"" if f[2] == "-" else bytes.fromhex(f[2])),
             "reserved": lambda f: i.Note(int(f[1]), int(f[2]), int(f[3]), f[4] == "1"),
         }
 
     @staticmethod
-    def submit(f: list[str]) -> i.Request:
-        """Read a request."""
-        flags = whole(f[4])
+    def parse_request(f: list[str]) -> i.Request:
+        """Parse a request; flags: 1 it has a hint, 2 the client repeats it, 16 it resumes a broken stream."""
+        flags = integer(f[4])
         return i.Request(
             request=int(f[1]),
             cls=f[6],
@@ -110,115 +115,115 @@
             max_out=number(f[2]),
             tenant=None if f[9] in ("-", "0") else f[9],
             prefix=None if f[10] in ("-", "0") else f[10],
-            session=absent(f[11]),
+            session=optional_text(f[11]),
             hint_us=number(f[7]) if flags & 1 else None,
             repeat=bool(flags & 2),
             resumed=bool(flags & 16),
         )
 
-    def event(self, now: int, name: str, rest: str) -> list[str]:
-        """Hand one event to its instance and give back the reply's lines."""
+    def handle(self, now_us: int, name: str, rest: str) -> list[str]:
+        """Pass a message to its instance and return the reply lines."""
         if name == "spawn":
-            who, seed, setup = rest.split(" ", 2)
-            self.policies[int(who)] = Policy(parse_settings(json.loads(setup)), int(seed))
+            spawned, seed, setup = rest.split(" ", 2)
+            self.policies[int(spawned)] = Policy(parse_settings(json.loads(setup)), int(seed))
             return []
-        if name not in FIELDS:
+        if name not in FIELD_COUNTS:
             raise Malformed(f"unknown message {name!r}")
         fields = rest.split(" ")
-        if len(fields) != FIELDS[name]:
-            raise Malformed(f"{name} has {len(fields)} fields, {FIELDS[name]} expected")
-        who_is = int(fields[0])
-        if who_is not in self.policies:
-            raise Malformed(f"{name} for instance {who_is}, which was not spawned")
+        if len(fields) != FIELD_COUNTS[name]:
+            raise Malformed(f"{name} has {len(fields)} fields, {FIELD_COUNTS[name]} expected")
+        instance = int(fields[0])
+        if instance not in self.policies:
+            raise Malformed(f"{name} for instance {instance}, which was not spawned")
         if name == "crash_now":
-            del self.policies[who_is]
+            del self.policies[instance]
             return []
-        event = self.read[name](fields)
+        event = self.parsers[name](fields)
         try:
-            return [wire(who_is, action) for action in self.policies[who_is].handle(now, event)]
-        except Exception as fault:  # noqa: BLE001 - whatever broke in the policy is reported, not hidden
-            return [f"fatal {who_is} {type(fault).__name__}: {' '.join(str(fault).split())}"]
+            return [format_action(instance, action) for action in self.policies[instance].handle(now_us, event)]
+        except Exception as error:  # noqa: BLE001 - any fault of the policy is reported to the simulator
+            return [f"fatal {instance} {type(error).__name__}: {' '.join(str(error).split())}"]
 
 
-def wire(who: int, action: i.Action) -> str:
-    """One action as a line of the wire."""
+def format_action(instance: int, action: i.Action) -> str:
+    """Format an action as a line of the protocol."""
     match action:
         case i.Send(request, server, timeout):
-            return f"attempt {who} {request} {server} {timeout}"
+            return f"attempt {instance} {request} {server} {timeout}"
         case i.Ahead(request, server):
-            return f"claim_writer {who} {request} {server}"
+            return f"claim_writer {instance} {request} {server}"
         case i.Discard(request):
-            return f"discard {who} {request}"
+            return f"discard {instance} {request}"
         case i.Refuse(request, wait):
-            return f"decline {who} {request} {wait}"
+            return f"decline {instance} {request} {wait}"
         case i.Fail(request):
-            return f"drop_request {who} {request}"
+            return f"drop_request {instance} {request}"
         case i.Cancel(request, attempt):
-            return f"drop_attempt {who} {request} {attempt}"
+            return f"drop_attempt {instance} {request} {attempt}"
         case i.Move(request):
-            return f"evict {who} {request}"
+            return f"evict {instance} {request}"
         case i.SetTimer(due, token):
-            return f"wake_me {who} {due} {token}"
+            return f"wake_me {instance} {due} {token}"
         case i.Probe(server):
-            return f"test {who} {server}"
+            return f"test {instance} {server}"
         case i.CloseIdle(server):
-            return f"let_go {who} {server}"
+            return f"let_go {instance} {server}"
         case i.Tell(peer, data):
-            return f"say {who} {'all' if peer is None else peer} {data.hex() or '-'}"
+            return f"say {instance} {'all' if peer is None else peer} {data.hex() or '-'}"
         case i.Watch(on):
-            return f"watch {who} {int(on)}"
+            return f"watch {instance} {int(on)}"
         case i.FetchList():
-            return f"list_all {who}"
+            return f"list_all {instance}"
         case i.Log(text):
-            return f"print {who} {' '.join(text.split())}"
+            return f"print {instance} {' '.join(text.split())}"
 
 
 def entry(line: str) -> i.Entry:
-    """One line of the server list."""
+    """Parse a line of a server list."""
     name, *f = line.split(" ")
     if name != "entry" or len(f) != 7:
         raise Malformed("an entry with 7 fields expected")
-    return i.Entry(int(f[0]), f[1], f[2], int(f[3]), STATE[f[4]], number(f[5]), whole(f[6]))
+    return i.Entry(int(f[0]), f[1], f[2], int(f[3]), STATE[f[4]], number(f[5]), integer(f[6]))
 
 
-def batches(lines: Iterator[str], host: Host) -> Iterator[list[str]]:
-    """Answer batch after batch until the input ends."""
+def frames(lines: Iterator[str], instances: Instances) -> Iterator[list[str]]:
+    """Yield the reply lines to each frame until the input ends."""
     for line in lines:
         name, _, rest = line.partition(" ")
         if name != "frame":
             raise Malformed(f"frame expected, not {name!r}")
-        now, reply = int(rest), []
+        now_us, reply = int(rest), []
         for line in lines:
             name, _, rest = line.partition(" ")
             if name == "eob":
                 break
             if name == "page":
-                number_of, count = (int(part) for part in rest.split(" "))
-                host.lists[number_of] = tuple(entry(next(lines, "")) for _ in range(count))
+                list_number, count = (int(part) for part in rest.split(" "))
+                instances.lists[list_number] = tuple(entry(next(lines, "")) for _ in range(count))
             else:
-                reply += host.event(now, name, rest)
+                reply += instances.handle(now_us, name, rest)
         else:
             raise Malformed("the input ends inside a frame")
         yield reply
 
 
 def main(source: TextIO = sys.stdin, target: TextIO = sys.stdout) -> int:
-    """Read the wire from source, write the replies to target."""
-    at = 0
+    """Read frames from `source` and write the replies to `target`; return the exit code."""
+    line_number = 0
 
     def numbered() -> Iterator[str]:
-        nonlocal at
+        nonlocal line_number
         for line in source:
-            at += 1
+            line_number += 1
             yield line.rstrip("\r\n")
 
     try:
-        for reply in batches((line for line in numbered() if line), Host()):
+        for reply in frames((line for line in numbered() if line), Instances()):
             target.write("\n".join([*reply, "yield\n"]))
             target.flush()
-    except (Malformed, ValueError, KeyError, TypeError, IndexError) as fault:
-        what = f"no such value: {fault}" if isinstance(fault, KeyError) else str(fault)
-        print(f"line {at}: {what}", file=sys.stderr)
+    except (Malformed, ValueError, KeyError, TypeError, IndexError) as error:
+        reason = f"no such value: {error}" if isinstance(error, KeyError) else str(error)
+        print(f"line {line_number}: {reason}", file=sys.stderr)
         return 2
     return 0
 
--- a/yardspindle/interface.py
+++ b/yardspindle/interface.py
@@ -1,4 +1,4 @@
-"""The interface of the decision module: settings, events and actions. Nothing here decides anything."""
+"""Types exchanged with the routing policy: its settings, the events it receives, the actions it returns."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Role(Enum):
-    """What a server does."""
+    """The stages that a server runs: read (prefill), write (decode) or both."""
 
     READ = "read"
     WRITE = "write"
@@ -16,7 +16,7 @@
 
 
 class Effect(Enum):
-    """What a repeat of a request may do."""
+    """Whether a request may be repeated after it may have run: always, only under an idempotency key, or never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -24,7 +24,7 @@
 
 
 class State(Enum):
-    """What the server list says of a server."""
+    """State of a server in the server list."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -32,7 +32,7 @@
 
 
 class ListKind(Enum):
-    """What a message of the server list holds."""
+    """Kind of a server list message: changes, a complete or stale list, or the report that fetching it failed."""
 
     CHANGES = "changes"
     COMPLETE = "complete"
@@ -41,7 +41,7 @@
 
 
 class Status(Enum):
-    """How an attempt ended."""
+    """How an attempt or a probe ended."""
 
     SERVED = "served"
     ERROR = "error"
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests and what it asks for."""
+    """A class of requests: latency targets (aim), time limit, repeatability and value."""
 
     name: str
     aim_us: float
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer: its part of the service and its quota over all instances."""
+    """A customer: its share of the service and its request quota over all router instances."""
 
     name: str
     share: float
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A machine kind."""
+    """A kind of server machine; `memory_tokens` is 0 where unknown."""
 
     name: str
     role: Role
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What an instance is told at its start."""
+    """Settings of one router instance, fixed for its lifetime."""
 
     me: int
     instances: int
@@ -125,8 +125,8 @@
     tick_us: int = 1_000
 
     def __post_init__(self) -> None:
-        """Refuse settings that cannot hold, naming the field."""
-        least = {
+        """Reject invalid settings with a message that names the field."""
+        minimums = {
             "me": 0,
             "instances": 1,
             "max_attempts": 1,
@@ -138,25 +138,25 @@
             "max_retry_after_us": 0,
             "tick_us": 1,
         }
-        for field, low in least.items():
-            if getattr(self, field) < low:
-                raise ValueError(f"{field}: {getattr(self, field)} is under {low}")
+        for field, minimum in minimums.items():
+            if getattr(self, field) < minimum:
+                raise ValueError(f"{field}: must be at least {minimum}, is {getattr(self, field)}")
         if self.me >= self.instances:
-            raise ValueError(f"me: {self.me} is not under instances ({self.instances})")
+            raise ValueError(f"me: must be less than instances ({self.instances}), is {self.me}")
         if not 0 < self.start_capacity <= 1:
-            raise ValueError(f"start_capacity: {self.start_capacity} is not above 0 and at most 1")
+            raise ValueError(f"start_capacity: must be greater than 0 and at most 1, is {self.start_capacity}")
         for field, rows in (("classes", self.classes), ("kinds", self.kinds)):
             names = [row.name for row in rows]
             if not names or len(set(names)) < len(names):
-                raise ValueError(f"{field}: empty, or a name comes twice")
+                raise ValueError(f"{field}: empty, or a name occurs twice")
         for row in self.classes:
             if not 0 < row.aim_us <= row.give_up_us:
-                raise ValueError(f"classes: aim_us of {row.name} is not above 0 and at most give_up_us")
+                raise ValueError(f"classes: aim_us of {row.name} must be greater than 0 and at most give_up_us")
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A line of the server list."""
+    """A server in the server list."""
 
     server: int
     zone: str
@@ -169,7 +169,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Members:
-    """News of the server list."""
+    """Event: the server list, a change of it, or a failure to get it."""
 
     list_kind: ListKind
     version: int
@@ -178,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request has come."""
+    """Event: a client's request has arrived."""
 
     request: int
     cls: str
@@ -192,12 +192,12 @@
     hint_us: float | None = None
     repeat: bool = False
     resumed: bool = False
-    kept: Mapping[int, float] | None = None  # by reader: prompt tokens known to be kept there
+    kept: Mapping[int, float] | None = None  # by reader: prompt tokens that are known to be cached there
 
 
 @dataclass(frozen=True, slots=True)
 class First:
-    """The answer of an attempt has begun."""
+    """Event: the first bytes of an attempt's answer have arrived."""
 
     request: int
     attempt: int
@@ -207,7 +207,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """Whether the place asked for is held."""
+    """Event: the answer to the request for a place; `held` if it is reserved. `server` is the reader."""
 
     request: int
     attempt: int
@@ -217,7 +217,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """An attempt has ended."""
+    """Event: an attempt has ended; `closed` if the request has thereby its final answer.
+
+    `note` of a read: prompt tokens that were cached. Of a write: 1 if its state is no longer held, so that the
+    prompt must be read again.
+    """
 
     request: int
     attempt: int
@@ -227,26 +231,26 @@
     closed: bool
     note: int = 0
     load: Mapping[str, float] | None = None
-    stale: bool = False  # a kept connection, or one being made, was reset: that says little of the server
+    stale: bool = False  # reset of a pooled connection or during connect: says little about the server
 
 
 @dataclass(frozen=True, slots=True)
 class Hangup:
-    """The client has left."""
+    """Event: the client has disconnected."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """A timer is due."""
+    """Event: a timer has expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probed:
-    """What a probe found."""
+    """Event: the result of a probe."""
 
     server: int
     status: Status
@@ -256,7 +260,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message of another instance."""
+    """Event: a message from another router instance."""
 
     sender: int
     data: bytes
@@ -267,7 +271,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send the request to a server; timeout 0 means until the client leaves."""
+    """Send the request to a server; timeout 0 means until the client disconnects."""
 
     request: int
     server: int
@@ -276,7 +280,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ahead:
-    """Ask a place for the request at a writer."""
+    """Request a place for the request at a writer, ahead of its write."""
 
     request: int
     server: int
@@ -284,14 +288,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Discard:
-    """Let go of every state and place that is held for the request."""
+    """Release every state and place that is held for the request."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: trying again is harmless, best after this wait."""
+    """Final answer: refused; the client may safely retry, preferably after this time."""
 
     request: int
     retry_after_us: int = 0
@@ -299,14 +303,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer that promises nothing."""
+    """Final answer: failed; the request may have run."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     request: int
     attempt: int
@@ -314,14 +318,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """End a running stream in good order; its client comes again."""
+    """End a running stream cleanly so that its client reconnects."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a timer."""
+    """Set a timer."""
 
     due_us: int
     token: int
@@ -329,14 +333,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Check on a server."""
+    """Probe a server."""
 
     server: int
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdle:
-    """Shut the idle connections to a server."""
+    """Close the idle connections to a server."""
 
     server: int
 
@@ -351,19 +355,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Ask for changes of the server list, or stop asking."""
+    """Subscribe to changes of the server list, or unsubscribe."""
 
     on: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchList:
-    """Ask for the complete server list once."""
+    """Request the complete server list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the staff."""
+    """Write a log line for the operators."""
 
     text: str
 
--- a/yardspindle/settings_map.py
+++ b/yardspindle/settings_map.py
@@ -1,19 +1,21 @@
-"""The users' settings, as the simulator's first message and the platform's configuration give them, for the policy.
+"""Maps settings in the users' format to the policy's settings.
 
-Both the bench's adapter and the dispatcher on the platform read them here. Standard library only.
+Both the simulator adapter and the dispatcher on the platform use this mapping: the format is that of the simulator's
+first message and of the platform's configuration. Standard library only.
 
-What is absent means, and no figure of any deployment stands in for it:
+Defaults for absent keys are neutral and never a figure of some deployment:
 
-- what may be done (`holds-allowed`, `read-in-place`, `resume`, `second-copies`, `cancel`, `probes`, `peers`,
-  `retry-after`, `max-retry-after-us`): it may not;
-- what is granted (`drain-grace-us`, `answer-slack-us`, `ask-within-us`): nothing;
-- what bounds (`let-go-by-us`, `most-tries`): no bound; the request's own time remains;
-- what a class may do on a repeat (`idempotency`): harm, so it is not repeated once it may have run;
-- what is priced or weighed (`prices`, `transfer-price`, `late-worth`, `fraction`, `quota-per-s`): nothing; `worth` and
-  `over-share-worth`: 1, all alike;
-- what starts cold (`cold-us`, `start-capacity`, `fall-us`, `fall-multiple`): nothing does;
-- what a kind does (`duty-by-kind`): both; what it holds (`memory-tokens`): not known, 0;
-- `membership-mode`: lists are pushed; `zone`: none; `group`: all together; `tick-us`: the clock's own, 1.
+- permissions (`holds-allowed`, `read-in-place`, `resume`, `second-copies`, `cancel`, `probes`, `peers`,
+  `retry-after`, `max-retry-after-us`): not permitted;
+- allowances (`drain-grace-us`, `answer-slack-us`, `ask-within-us`): none;
+- bounds (`let-go-by-us`, `most-tries`): unbounded; the request's own time limit remains;
+- `idempotency` of a class: unsafe, so a request is not repeated once it may have run;
+- prices and weights (`prices`, `transfer-price`, `late-worth`, `fraction`, `quota-per-s`): 0; `worth` and
+  `over-share-worth`: 1, the same for all;
+- cold start (`cold-us`, `start-capacity`, `fall-us`, `fall-multiple`): servers start warm;
+- `duty-by-kind`, the role of a machine kind: both stages; its `memory-tokens`: 0, unknown;
+- `membership-mode`: server lists are pushed; `zone`: none; `group`: one for all classes; `tick-us`: 1, the clock's
+  resolution.
 """
 
 from __future__ import annotations
@@ -23,18 +25,18 @@
 from yardspindle import interface as i
 
 EFFECT = {"free": i.Effect.SAFE, "guarded": i.Effect.KEYED, "single_shot": i.Effect.UNSAFE}
-NO_BOUND_US = 10_000_000_000_000  # over a hundred days: the longest time that settings may give
-NO_BOUND = 1 << 20
+UNBOUNDED_US = 10_000_000_000_000  # over a hundred days: the longest time that settings may give
+UNBOUNDED_ATTEMPTS = 1 << 20
 ROLE = {"read": i.Role.READ, "write": i.Role.WRITE, "both": i.Role.BOTH}
 
 
 def parse_settings(raw: dict[str, Any]) -> i.Settings:
-    """Map the wire's settings to the interface's; keys that are not known are passed over."""
+    """Return the policy's settings for decoded JSON; unknown keys are ignored."""
     info, allowed, rules, prices = (raw.get(key) or {} for key in ("family-info", "allowed", "obligations", "prices"))
 
-    def nth(key: str, at: int) -> float:
+    def nth_value(key: str, index: int) -> float:
         values = info.get(key) or []
-        return float(values[at]) if at < len(values) else 0.0
+        return float(values[index]) if index < len(values) else 0.0
 
     roles = info.get("duty-by-kind") or []
     classes = tuple(
@@ -47,14 +49,14 @@
             window_us=row.get("window-us", 0),
             worth=row.get("worth", 1.0),
             late_worth=row.get("late-worth", 0.0),
-            aim_us_per_1000_prompt_tokens=nth("aim-us-per-1000-prompt-tokens", at),
-            token_aim_us=nth("token-aim-us", at),
+            aim_us_per_1000_prompt_tokens=nth_value("aim-us-per-1000-prompt-tokens", index),
+            token_aim_us=nth_value("token-aim-us", index),
         )
-        for at, row in enumerate(raw["services"])
+        for index, row in enumerate(raw["services"])
     )
     kinds = tuple(
-        i.Kind(name, ROLE[roles[at]] if at < len(roles) else i.Role.BOTH, nth("memory-tokens", at))
-        for at, name in enumerate(raw["shapes"])
+        i.Kind(name, ROLE[roles[index]] if index < len(roles) else i.Role.BOTH, nth_value("memory-tokens", index))
+        for index, name in enumerate(raw["shapes"])
     )
     tenants = tuple(
         i.Tenant(row["name"], row.get("fraction", 0.0), row.get("quota-per-s", 0.0)) for row in raw.get("realms") or []
@@ -69,7 +71,7 @@
         ahead=info.get("holds-allowed", False),
         writers_read=info.get("read-in-place", False),
         resume=info.get("resume", False),
-        release_us=info.get("let-go-by-us", NO_BOUND_US),
+        release_us=info.get("let-go-by-us", UNBOUNDED_US),
         drain_grace_us=rules.get("drain-grace-us", 0),
         cold_us=rules.get("cold-us", 0),
         start_capacity=rules.get("start-capacity", 1.0),
@@ -77,7 +79,7 @@
         fall_us=rules.get("fall-us", 0),
         answer_slack_us=rules.get("answer-slack-us", 0),
         ask_within_us=rules.get("ask-within-us", 0),
-        max_attempts=allowed.get("most-tries", NO_BOUND),
+        max_attempts=allowed.get("most-tries", UNBOUNDED_ATTEMPTS),
         second_copies=allowed.get("second-copies", False),
         cancel=allowed.get("cancel", False),
         probes=allowed.get("probes", False),
