--- a/yardspindle/interface.py
+++ b/yardspindle/interface.py
@@ -50,7 +50,7 @@
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    MOOT = "moot"  # not sent in full, so it has not run
     READ = "read"
 
 
@@ -59,14 +59,14 @@
     """A class of requests: latency targets (aim), time limit, repeatability and value."""
 
     name: str
-    aim_us: float
-    give_up_us: float
+    aim_us: float  # latency target
+    give_up_us: float  # time after which the client no longer waits
     effect: Effect = Effect.SAFE
     group: str = "all"
     window_us: float = 0
-    worth: float = 1.0
-    late_worth: float = 0.0
-    aim_us_per_1000_prompt_tokens: float = 0.0
+    worth: float = 1.0  # value of an answer in time, relative to other classes
+    late_worth: float = 0.0  # value of a late answer
+    aim_us_per_1000_prompt_tokens: float = 0.0  # added to aim_us for long prompts
     token_aim_us: float = 0.0
 
 
@@ -92,37 +92,37 @@
 class Settings:
     """Settings of one router instance, fixed for its lifetime."""
 
-    me: int
-    instances: int
+    me: int  # index of this instance, from 0
+    instances: int  # number of router instances in the fleet
     zone: str
     classes: tuple[RequestClass, ...]
     kinds: tuple[Kind, ...]
     tenants: tuple[Tenant, ...] = ()
-    ahead: bool = True
-    writers_read: bool = False
-    resume: bool = False
-    release_us: int = 500_000
-    drain_grace_us: int = 1_000_000
-    cold_us: int = 0
-    start_capacity: float = 1.0
-    fall_multiple: float = 1.0
+    ahead: bool = True  # places may be requested at writers ahead of the write
+    writers_read: bool = False  # writers may read prompts themselves
+    resume: bool = False  # clients can continue a broken stream with a new request
+    release_us: int = 500_000  # time within which unused states and places must be released
+    drain_grace_us: int = 1_000_000  # time in which a draining server may still be sent requests
+    cold_us: int = 0  # time until a freshly started server has its full capacity; 0: at once
+    start_capacity: float = 1.0  # fraction of its capacity at the start
+    fall_multiple: float = 1.0  # a cold server fails at this multiple of its capacity within fall_us
     fall_us: int = 0
-    answer_slack_us: int = 0
+    answer_slack_us: int = 0  # time after a request's expiry in which its final answer is still on time
     ask_within_us: int = 0
     max_attempts: int = 5
     second_copies: bool = False
     cancel: bool = False
     probes: bool = False
     peers: bool = False
-    retry_after: bool = False
+    retry_after: bool = False  # refusals may advise a time to retry after
     max_retry_after_us: int = 0
-    list_pushed: bool = True
+    list_pushed: bool = True  # the server list is sent without a subscription
     over_share_worth: float = 1.0
     late_fail_price: float = 0.0
     waste_price: float = 0.0
-    cross_zone_price: float = 0.0
+    cross_zone_price: float = 0.0  # cost of an attempt in another zone
     far_price: float = 0.0
-    tick_us: int = 1_000
+    tick_us: int = 1_000  # resolution of the clock
 
     def __post_init__(self) -> None:
         """Reject invalid settings with a message that names the field."""
@@ -182,16 +182,16 @@
 
     request: int
     cls: str
-    expires_us: int
+    expires_us: int  # when the client gives up, by the router's clock
     prompt_tokens: float
-    prefix_tokens: float = 0.0
-    max_out: float = 0.0
+    prefix_tokens: float = 0.0  # length of the prefix that it shares with other prompts
+    max_out: float = 0.0  # largest number of output tokens
     tenant: str | None = None
     prefix: str | None = None
     session: str | None = None
     hint_us: float | None = None
-    repeat: bool = False
-    resumed: bool = False
+    repeat: bool = False  # the client's retry of an earlier request
+    resumed: bool = False  # the rest of a broken stream
     kept: Mapping[int, float] | None = None  # by reader: prompt tokens that are known to be cached there
 
 
