--- a/yardspindle/policy/readers.py
+++ b/yardspindle/policy/readers.py
@@ -174,7 +174,7 @@
             )
         request.home_reader = order[0] if order else None
         # Whole zones fail, and a router learns of it host by host: six refusals within milliseconds used up a
-        # request's attempts in a zone that was gone. The next read is tried in another zone first.
+        # request's attempts in a failed zone. The next read is tried in another zone first.
         order = sorted(
             (s for s in order if self._usable(s, request)),
             key=lambda s: s.entry.zone in request.unreachable_zones,
--- a/yardspindle/policy/servers.py
+++ b/yardspindle/policy/servers.py
@@ -94,8 +94,8 @@
             assigned = sum(read * self.cell_weights[c] for c, (read, _) in shares.items())
             scale /= max(assigned, 1e-9)
         # The readers in cells with writers may be too few for all reads. The others then get the rest:
-        # otherwise a few readers jam while the many in cells without writers, or whose writers failed, are
-        # idle. The price is that states move between cells.
+        # otherwise a few readers are overloaded while the many in cells without writers, or whose writers
+        # failed, are idle. The price is that states move between cells.
         rest = max(1 - assigned, 0.0) / max(MAX_CELL_WEIGHT - assigned, 1e-9)
         self.cell_weights = {
             c: weight + rest * (MAX_CELL_WEIGHT - weight) for c, weight in self.cell_weights.items()
