--- a/tests/crossing_planted.py
+++ b/tests/crossing_planted.py
@@ -82,15 +82,15 @@
             (
                 RequestCompletion,
                 "_release_all",
-                "c.ReleaseAll(r.request.request, r.may_hold_later)",
-                "c.ReleaseAll(r.request.request, False)",
+                "c.ReleaseAll(record.request.request, record.may_hold_later)",
+                "c.ReleaseAll(record.request.request, False)",
             ),
         ),
         "was held",
         53_680,
     ),
     "a word that was not heard counts as heard": one(
-        RequestReleases, "settled", "if not heard:", "if heard and not heard:", "was held", 4_052
+        RequestReleases, "settled", "if not confirmed:", "if confirmed and not confirmed:", "was held", 4_052
     ),
     "a read that was called off left nothing": Planted(
         (
@@ -98,8 +98,8 @@
             (
                 RequestCompletion,
                 "_abort",
-                "r.may_hold_later = True  # it may end well just as it is called off\n"
-                "                self._hold(now_us, r)",
+                "record.may_hold_later = True  # the read may succeed at the moment of the abort\n"
+                "                self._mark_held(now_us, record)",
                 "pass",
             ),
         ),
@@ -166,8 +166,8 @@
     "the time left is not looked at when an attempt goes out": one(
         Lifecycle,
         "remaining_ms",
-        "(r.attempt.deadline_us - now_us)",
-        "(r.attempt.deadline_us - r.attempt.sent_us)",
+        "(record.attempt.deadline_us - now_us)",
+        "(record.attempt.deadline_us - record.attempt.sent_us)",
         "more than is left",
         40,
     ),
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -234,7 +234,7 @@
         def settled(self: ReleaseQueues, now: int, owed: Any, heard: bool) -> None:
             real(self, now, owed, heard)
             if not heard:
-                self._lines[(owed.server.host, owed.server.port)].out += 1
+                self._queues[(owed.server.host, owed.server.port)].in_flight += 1
 
         return settled
 
--- a/tests/planted_crossings.py
+++ b/tests/planted_crossings.py
@@ -72,7 +72,7 @@
     ),
     "nothing_is_let_go_of": Plant(
         "core/request/completion.py",
-        "self._commands.append(c.ReleaseAll(r.request.request, r.may_hold_later))",
+        "self._commands.append(c.ReleaseAll(record.request.request, record.may_hold_later))",
         "pass",
         lambda stage: clients.leaving_between(stage, "close"),
         "with no attempt out",
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -82,7 +82,7 @@
         executor, timers = node.executor, platform.sim.scheduler.timers
         before = len(timers)
         for due_us in (90_000, 80_000, 70_000, 60_000):  # each due before what is set
-            executor._session._later(node.world.now_us() + due_us, 1)
+            executor._session._set_timer(node.world.now_us() + due_us, 1)
             executor.perform([])
         assert len(timers) == before + 1
 
--- a/yardspindle/core/request/__init__.py
+++ b/yardspindle/core/request/__init__.py
@@ -1,1 +1,1 @@
-"""One request's life: taken, sent, answered, let go of."""
+"""The edge's handling of a request, without I/O: accepted, sent, answered, released."""
--- a/yardspindle/core/request/answer.py
+++ b/yardspindle/core/request/answer.py
@@ -1,12 +1,12 @@
-"""What a writer's stream of events means, and how an answer ends for the client.
+"""Interprets a writer's stream of events and maps final answers to HTTP.
 
-`AnswerState` looks at each event once and says what goes on to the client and when the answer is whole: a
-`finish_reason` for every choice begun, then `[DONE]`. An engine that says `error`, or stops before that, has broken
-its stream. Events go on unchanged; only the usage that the edge itself asked for is kept from a client that did
-not ask. Most events are recognised without being parsed.
+`AnswerTracker` inspects each event once and decides what is forwarded to the client and when the answer is complete: a
+`finish_reason`, then `[DONE]`. An engine that sends `error`, or stops before that, has broken its stream. Events are
+forwarded unchanged, except the usage event that the edge asked for, which is dropped if the client did not ask for it.
+Most events are recognised without being parsed.
 
-`http_of` gives each final answer its status. The official clients repeat a 5xx by themselves unless told not to;
-for a request that may have run they are told (`x-should-retry: false`).
+`http_error` gives each final answer its status. The official clients retry a 5xx by themselves unless told not to;
+for a request that may have run, `x-should-retry: false` tells them.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class TokenCounts:
-    """What an engine counted for one answer."""
+    """Token counts that an engine reports for one answer."""
 
     prompt: int = 0
     completion: int = 0
@@ -35,7 +35,7 @@
 
 
 class AnswerTracker:
-    """Follows one answer's events."""
+    """Tracks one answer's events: what to forward, whether it is complete, and its token counts."""
 
     __slots__ = ("_usage_wanted", "_finished", "done", "error", "counts", "events")
 
@@ -50,11 +50,11 @@
 
     @property
     def complete(self) -> bool:
-        """Whether the answer ended as answers do."""
+        """Whether the answer ended regularly: with a `finish_reason`, `[DONE]` and no error."""
         return self.done and self._finished and not self.error
 
     def forward(self, data: bytes) -> bool:
-        """Take an event's data; whether the client gets it. After `done` or `error` nothing is forwarded."""
+        """Process an event's data; returns whether to forward it. After `done` or `error` nothing is."""
         if self.done or self.error:
             return False
         if data == DONE:
@@ -69,6 +69,7 @@
         return self._forward_usage(data) if USAGE.search(data) else True
 
     def _forward_usage(self, data: bytes) -> bool:
+        """Read the counts of an event with usage; forward it if it holds choices or the client wants usage."""
         try:
             event: Any = msgspec.json.decode(data)
         except msgspec.DecodeError:
@@ -90,39 +91,39 @@
 
 
 class CollectedAnswer:
-    """An answer in one piece for a client that did not ask for a stream, put together from its events.
+    """Assembles the events of an answer into one body, for a client that did not ask for a stream.
 
-    Deltas join by the rule that clients use: texts follow each other, lists join by their `index`, objects
-    field by field, and of anything else the last counts. So fields that are new to us pass too.
+    Deltas are merged by the rule that clients use: strings are concatenated, lists merged by `index`, objects field by
+    field, and of anything else the last value wins. So fields unknown to this code pass too.
     """
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """No events yet."""
         self._top: dict[str, Any] = {}
         self._choices: dict[int, dict[str, Any]] = {}
 
     def add(self, data: bytes) -> None:
-        """Take an event's data. Raises msgspec.DecodeError or ValueError when it is no chunk."""
+        """Merge an event's data. Raises msgspec.DecodeError or ValueError if it is not a chunk."""
         event: Any = msgspec.json.decode(data)
         if not isinstance(event, dict):
-            raise ValueError("an event is no object")
+            raise ValueError("event is not an object")
         for name, value in event.items():
             if name != "choices" and value is not None:
                 self._top[name] = value
         for row in event.get("choices") or []:
             if not isinstance(row, dict) or not isinstance(row.get("index", 0), int):
-                raise ValueError("a choice is malformed")
+                raise ValueError("malformed choice")
             choice = self._choices.setdefault(row.get("index", 0), {"message": {}})
             for name, value in row.items():
                 if name == "delta":
-                    _join(choice["message"], value or {})
+                    _merge(choice["message"], value or {})
                 elif name == "logprobs" and value:
-                    _join(choice.setdefault(name, {}) or {}, value)
+                    _merge(choice.setdefault(name, {}) or {}, value)
                 elif value is not None or name not in choice:
                     choice[name] = value if name != "logprobs" else {}
 
     def body(self) -> bytes:
-        """The whole answer as `chat.completion`."""
+        """The complete answer as a `chat.completion` object."""
         choices = [self._choices[index] for index in sorted(self._choices)]
         for choice in choices:
             choice["message"].setdefault("role", "assistant")
@@ -134,26 +135,27 @@
         return msgspec.json.encode({**self._top, "object": "chat.completion", "choices": choices})
 
 
-def _join(whole: dict[str, Any], delta: dict[str, Any]) -> None:
+def _merge(target: dict[str, Any], delta: dict[str, Any]) -> None:
+    """Merge a delta into what is assembled so far."""
     for name, value in delta.items():
-        known = whole.get(name)
+        known = target.get(name)
         if known is None or name in ("role", "type", "id", "index"):
-            if value is not None or name not in whole:
-                whole[name] = value
+            if value is not None or name not in target:
+                target[name] = value
         elif isinstance(known, str) and isinstance(value, str):
-            whole[name] = known + value
+            target[name] = known + value
         elif isinstance(known, dict) and isinstance(value, dict):
-            _join(known, value)
+            _merge(known, value)
         elif isinstance(known, list) and isinstance(value, list):
             for item in value:
                 index = item.get("index") if isinstance(item, dict) else None
                 match = next((k for k in known if isinstance(k, dict) and k.get("index") == index), None)
                 if index is not None and match is not None:
-                    _join(match, item)
+                    _merge(match, item)
                 else:
                     known.append(item)
         elif value is not None:
-            whole[name] = value
+            target[name] = value
 
 
 MESSAGES = {
@@ -170,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpError:
-    """A final answer before any token, in HTTP."""
+    """A final answer as an HTTP error, for a request of which no token was sent."""
 
     status: int
     code: str
@@ -180,7 +182,7 @@
 
 
 def http_error(answer: Answer, unsafe: bool) -> HttpError:
-    """Status, error and headers of a refusal or failure. Raises ValueError for a served one."""
+    """Status, error and headers of a refusal or failure. Raises ValueError for a served answer."""
     message = MESSAGES.get(answer.code, answer.code)
     if answer.final is Final.REFUSED:
         wait_ms = max(answer.retry_after_us // 1_000, 1)
@@ -196,7 +198,7 @@
             ),
         )
     if answer.final is Final.SERVED:
-        raise ValueError("a served answer is no error")
+        raise ValueError("a served answer is not an error")
     status = 504 if answer.code in ("deadline", "gave_up") else 502
     retry = ((b"x-should-retry", b"false"),) if unsafe else ()
     return HttpError(status, answer.code, message, "server_error", retry)
--- a/yardspindle/core/request/commands.py
+++ b/yardspindle/core/request/commands.py
@@ -1,4 +1,4 @@
-"""What the edge's core tells its I/O to do. Plain data; nothing here decides."""
+"""Commands from the edge's core to its I/O. Plain data without logic."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """Start an attempt at a reader, given up at `until_us`."""
+    """Start an attempt at a reader; it times out at `deadline_us`."""
 
     request: int
     attempt: int
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReservePlace:
-    """Ask a writer to hold a place; `place` numbers the asking within the request."""
+    """Ask a writer to hold a place; `place` is the number of this call within the request."""
 
     request: int
     place: int
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AbortPlace:
-    """Stop waiting for the answer to a place that was asked: close its connection; nothing more is heard of it."""
+    """Abort an unanswered call for a place: close its connection and report nothing more of it."""
 
     request: int
     place: int
@@ -64,9 +64,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TrackUnreadCall:
-    """A call that was written to a server may lie unread there, and be acted on later.
+    """Track a call that a server may have received but not read, and may act on later.
 
-    `silent`: its connection brought nothing for longer than a server that reads it takes, whatever others bring.
+    `silent`: its connection was unresponsive for longer than a server that reads takes, whatever others bring.
     """
 
     request: int
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseState:
-    """Let go of the state that an attempt's read left at a reader, or may yet leave."""
+    """Release the state that an attempt left at a reader, or may still leave."""
 
     request: int
     attempt: int
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleasePlace:
-    """Let go of a place at a writer."""
+    """Release a place at a writer."""
 
     request: int
     place: int
@@ -94,14 +94,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseAll:
-    """Let go of every state and place that any engine holds for a request; `again`: more may come to be held."""
+    """Release all states and places held for a request; `repeat`: more may come to be held afterwards."""
 
     request: int
     repeat: bool
 
 
 class AbortReason(Enum):
-    """Why an attempt is called off before its end."""
+    """Why an attempt is aborted."""
 
     REQUEST_OVER = "its request is over"
     POLICY = "the policy called it off"
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Abort:
-    """Stop an attempt: close its connection; nothing more is heard of it."""
+    """Abort an attempt: close its connection and report nothing more of it."""
 
     request: int
     attempt: int
@@ -123,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FlushStream:
-    """Pass on what has already come of a stream, then say that nothing more lies there (`last_said`)."""
+    """Pass on what has already arrived of a stream, then report that with `stream_flushed`."""
 
     request: int
     attempt: int
@@ -131,32 +131,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The one final answer. A served one has been streamed; this ends it."""
+    """The final answer of a request. For a served one, it ends the stream."""
 
     request: int
     final: Final
     code: str
     retry_after_us: int = 0
-    streamed: bool = False  # tokens have gone to the client
+    streamed: bool = False  # tokens were sent to the client
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdle:
-    """Shut the idle connections to a server."""
+    """Close the idle connections to a server."""
 
     server: Server
 
 
 @dataclass(frozen=True, slots=True)
 class NotifyPlanner:
-    """An event for the policy."""
+    """Send an event to the policy in the planner."""
 
     event: i.Event
 
 
 @dataclass(frozen=True, slots=True)
 class Warn:
-    """A rule would have been broken; the thing asked for was not done."""
+    """An interlock stopped an action that would have broken a rule: log and count it."""
 
     request: int
     rule: str
@@ -164,14 +164,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SendRelease:
-    """Tell an engine to let go of something, and report whether it heard."""
+    """Send a release of one state or place to an engine, and report whether it confirmed."""
 
     release: PendingRelease
 
 
 @dataclass(frozen=True, slots=True)
 class SendRequestRelease:
-    """Ask an engine to let go of all that is held for a request anywhere, and report whether it heard."""
+    """Ask an engine to release all that any engine holds for a request, and report whether it confirmed."""
 
     release: RequestRelease
     server: Server
@@ -179,7 +179,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportViolation:
-    """The watch found a rule broken: for the log and the metrics."""
+    """The rule checker found a violation: log and count it."""
 
     rule: str
     request: int
--- a/yardspindle/core/request/edge_core.py
+++ b/yardspindle/core/request/edge_core.py
@@ -1,7 +1,7 @@
-"""The edge's whole core: life cycles, the watch on the rules, and what engines are still to let go of.
+"""The edge's core: request life cycles, the rule checker and the pending releases.
 
-The edge's I/O calls this and nothing else of the core for a request's life. Every command passes the watch before
-it goes out; releases become what is owed to each engine and come out as that engine can be told.
+The edge's I/O handles requests through this class alone. Every command passes the rule checker before it goes out;
+releases are queued and go out as engines can be reached.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 
 class EdgeCore:
-    """One edge's core. Every method takes the time and gives the commands to carry out, in order."""
+    """One edge's core. Events come in with the current time; commands come back, to be carried out in order."""
 
     def __init__(self, rules: EdgeRules, seed: int = 0) -> None:
-        """Start without a planner; the seed is for what all edges must not choose alike."""
+        """Start without a planner; the seed makes edges differ where they must not all choose alike."""
         self.lifecycle = Lifecycle(rules)
         self.rule_checker = RuleChecker(rules)
         self.engine_releases = ReleaseQueues()
@@ -32,21 +32,21 @@
 
     @property
     def epoch(self) -> int:
-        """The planner that decides; 0: none."""
+        """Epoch of the planner in charge; 0: none."""
         return self.lifecycle.epoch
 
     @property
     def busy(self) -> bool:
-        """Whether a request is open or a release is owed."""
+        """Whether a request is open or a release is pending."""
         return bool(self.lifecycle.requests or self.engine_releases.pending or self.request_releases.pending)
 
     @property
     def needs_tick(self) -> bool:
-        """Whether time has to be looked at."""
+        """Whether `tick` has to be called."""
         return self.busy or bool(self.unread_calls.requests)
 
     def counts(self) -> dict[str, int]:
-        """What was taken, how it ended, what was stopped by itself, and the rules found broken, since the start."""
+        """Requests accepted and how they ended, interlocks, expired releases and rule violations since the start."""
         broken = {
             f"broken_{rule.replace(' ', '_')}": count
             for rule, count in sorted(self.rule_checker.violation_counts.items())
@@ -55,23 +55,23 @@
         return self.lifecycle.counts.as_dict() | releases | {"violations": sum(broken.values())} | broken
 
     def planner_up(self, now_us: int, epoch: int) -> list[c.Command]:
-        """A planner decides from now on."""
+        """A planner takes over."""
         return self._out(now_us, self.lifecycle.planner_up(now_us, epoch))
 
     def planner_down(self, now_us: int) -> list[c.Command]:
-        """No planner decides."""
+        """No planner is connected."""
         return self._out(now_us, self.lifecycle.planner_down(now_us))
 
     def shut_down(self, now_us: int) -> list[c.Command]:
-        """This program is about to end."""
+        """The process is about to exit."""
         return self._out(now_us, self.lifecycle.shut_down(now_us))
 
     def stream_flushed(self, now_us: int, request: int) -> list[c.Command]:
-        """What had come of a stream when this program was about to end was passed on."""
+        """All that had arrived of a stream at shutdown is passed on."""
         return self._out(now_us, self.lifecycle.stream_flushed(now_us, request))
 
     def update_servers(self, now_us: int, listed: list[Server]) -> list[c.Command]:
-        """The planner's list of servers."""
+        """Apply the planner's list of servers."""
         commands = self.lifecycle.update_servers(now_us, listed)
         self.request_releases.retain_servers(self.lifecycle.directory.servers)
         self.unread_calls.retain_servers(
@@ -80,28 +80,28 @@
         return self._out(now_us, commands)
 
     def request_arrived(self, now_us: int, request: i.Request, buffered: bool = False) -> list[c.Command]:
-        """A client's request; `whole`: it sees nothing of its answer before the last token."""
+        """A client's request; `buffered`: it gets its answer in one piece, after the last token."""
         self.rule_checker.request_arrived(now_us, request, buffered)
         return self._out(now_us, self.lifecycle.request_arrived(now_us, request, buffered))
 
     def client_disconnected(self, now_us: int, request: int) -> list[c.Command]:
-        """The client hung up."""
+        """The client disconnected."""
         self.rule_checker.client_disconnected(now_us, request)
         return self._out(now_us, self.lifecycle.client_disconnected(now_us, request))
 
     def apply_action(self, now_us: int, epoch: int, action: i.Action) -> list[c.Command]:
-        """An action of a planner's start."""
+        """Carry out an action of the planner with this epoch."""
         return self._out(now_us, self.lifecycle.apply_action(now_us, epoch, action))
 
     def place_answered(
         self, now_us: int, request: int, number: int, server: Server, held: bool | None
     ) -> list[c.Command]:
-        """A writer said yes or no to a place, or (None) was not heard."""
+        """A writer granted or declined a place, or (None) did not answer."""
         self.rule_checker.place_answered(now_us, request, number, server.name, held)
         return self._out(now_us, self.lifecycle.place_answered(now_us, request, number, server, held))
 
     def first_token(self, now_us: int, request: int, number: int) -> tuple[bool, list[c.Command]]:
-        """The answer begins; whether the request is still there for it."""
+        """The answer begins; returns whether its request is still open, and the commands."""
         begun = self.lifecycle.first_token(now_us, request, number)
         if begun:
             self.rule_checker.stream_began(request)
@@ -117,17 +117,17 @@
         state: Any = None,
         stale: bool = False,
     ) -> list[c.Command]:
-        """An attempt ended by itself or by its time-out."""
+        """An attempt ended or timed out."""
         if status is i.Status.TIMEOUT and self.lifecycle.is_unwritten(request, number):
-            status = i.Status.MOOT  # its time was up before its last byte was written: nothing of it has run
+            status = i.Status.MOOT  # timed out before its last byte was written: nothing of it has run
         self.rule_checker.attempt_ended(now_us, request, number, status, note)
         return self._out(now_us, self.lifecycle.attempt_ended(now_us, request, number, status, note, state, stale))
 
     def start_sending(self, now_us: int, request: int, number: int) -> int:
-        """An attempt's first byte is about to be written: the milliseconds that it may tell, 0 if it must not go out.
+        """An attempt's first byte is about to be written: the milliseconds left for it, 0 if it must not be sent.
 
-        None goes out while a release of its request is owed (`owes`): the release would take what the attempt needs,
-        and left out it would stay unsaid for as long as the attempt lies unread somewhere.
+        None is sent while a release of its request is pending: the release would take what the attempt needs, and
+        could not be sent itself for as long as the attempt lies unread at some server.
         """
         left_ms, server = self.lifecycle.remaining_ms(now_us, request, number), self.lifecycle.listed_server(request)
         if not left_ms or not self.rule_checker.may_send(
@@ -137,15 +137,15 @@
         return left_ms
 
     def release_pending(self, request: int) -> bool:
-        """Whether some engine is still to let go of what an earlier attempt of a request left."""
+        """Whether no engine has confirmed yet that it released what earlier attempts of a request left."""
         return request in self.request_releases.pending
 
     def may_reserve_place(self, request: int, number: int, read_attempt: int) -> bool:
-        """Whether a place is still to be asked for: its read is out, and its writer takes new work."""
+        """Whether a place is still wanted: its read is in flight and its writer accepts new work."""
         return self.lifecycle.may_reserve_place(request, number, read_attempt)
 
     def place_requested(self, now_us: int, request: int, number: int, server: Server) -> bool:
-        """The call for a place is about to be written; whether it may be. From now on the place may be held."""
+        """The call for a place is about to be written; returns whether it may be. The place may be held from now on."""
         if not self.rule_checker.may_reserve_place(
             now_us, request, number, self.lifecycle.directory.servers.get(server.number)
         ):
@@ -154,70 +154,76 @@
         return True
 
     def server_answered(self, now_us: int, server: int) -> None:
-        """A server answered something."""
+        """A server answered a call."""
         self.request_releases.server_answered(now_us, server)
         self.unread_calls.server_answered(now_us, server)
 
     def server_unresponsive(self, now_us: int, server: int) -> None:
-        """A server did not come up, broke off, or did not answer."""
+        """A server could not be reached, broke a connection or did not answer."""
         self.request_releases.server_unresponsive(now_us, server)
 
     def tracks_release(self, request: int) -> bool:
-        """Whether a release of a request is owed, or will be said again."""
+        """Whether a release of a request is pending or will be repeated."""
         return request in self.request_releases.pending or request in self.unread_calls.requests
 
-    def may_send_release(self, room: RequestRelease) -> bool:
-        """Whether a release whose first byte is about to be written is owed, and takes nothing from an attempt."""
-        return self.request_releases.pending.get(room.request) is room and self.rule_checker.may_release(room.request)
+    def may_send_release(self, release: RequestRelease) -> bool:
+        """Whether a release that is about to be written is still pending and takes nothing from an attempt."""
+        return self.request_releases.pending.get(release.request) is release and self.rule_checker.may_release(
+            release.request
+        )
 
     def attempt_written(self, request: int, number: int) -> None:
-        """An attempt's last byte is written: from now on it is out."""
+        """An attempt's last byte is written: it may run from now on."""
         self.lifecycle.attempt_written(request, number)
         self.rule_checker.attempt_written(request, number)
 
     def attempt_answered(self, request: int, number: int) -> None:
-        """The first bytes of an attempt's answer came: a running server has it."""
+        """The first bytes of an attempt's answer arrived: a running server has it."""
         self.lifecycle.attempt_answered(request, number)
         self.rule_checker.attempt_answered(request, number)
 
     def tick(self, now_us: int) -> list[c.Command]:
-        """Look at the clock."""
+        """Enforce deadlines and send what is due."""
         for request in self.unread_calls.take_due(now_us, self.lifecycle.requests.keys()):
             self.request_releases.repeat(now_us, request)
         commands = self._out(now_us, self.lifecycle.tick(now_us))
         self.rule_checker.check_time(now_us)
-        for room in self.request_releases.take_overdue(now_us, self.lifecycle.rules.release_us):
-            self.rule_checker.release_overdue(now_us, room.request, room.since_us)
-        return [*commands, *self._broken()]
+        for release in self.request_releases.take_overdue(now_us, self.lifecycle.rules.release_us):
+            self.rule_checker.release_overdue(now_us, release.request, release.since_us)
+        return [*commands, *self._violations()]
 
-    def release_settled(self, now_us: int, owed: PendingRelease, confirmed: bool) -> list[c.Command]:
-        """An engine confirmed a release, or was not heard."""
-        self.engine_releases.settled(now_us, owed, confirmed)
-        return self._due(now_us)
+    def release_settled(self, now_us: int, release: PendingRelease, confirmed: bool) -> list[c.Command]:
+        """An engine confirmed a release of one state or place, or did not."""
+        self.engine_releases.settled(now_us, release, confirmed)
+        return self._due_releases(now_us)
 
     def request_release_settled(
-        self, now_us: int, room: RequestRelease, server: int, heard: bool | None, late: bool = False
+        self, now_us: int, release: RequestRelease, server: int, confirmed: bool | None, late: bool = False
     ) -> list[c.Command]:
-        """An engine let go of all that was held for a request, or was not heard, or (None) not asked; `late`: it had
-        been overdue.
+        """An engine confirmed the release of all that is held for a request, or did not, or (None) was not asked.
+
+        `late`: the call had been reported overdue.
         """
-        if heard:
+        if confirmed:
             self.unread_calls.server_answered(now_us, server)
         if late:
-            self.request_releases.late_call_settled(now_us, room, server, bool(heard))
+            self.request_releases.late_call_settled(now_us, release, server, bool(confirmed))
         else:
-            self.request_releases.settled(now_us, room, server, heard)
-        return self._due(now_us)
-
-    def request_release_overdue(self, now_us: int, room: RequestRelease, server: int) -> tuple[bool, list[c.Command]]:
-        """An engine has not been heard in time. Whether it is waited for on, and who is asked meanwhile."""
-        silent = self.lifecycle.directory.servers.get(server)
-        commands: list[c.Command] = [c.CloseIdle(silent)] if silent is not None else []
-        if not self.request_releases.call_overdue(now_us, room, server):
+            self.request_releases.settled(now_us, release, server, confirmed)
+        return self._due_releases(now_us)
+
+    def request_release_overdue(
+        self, now_us: int, release: RequestRelease, server: int
+    ) -> tuple[bool, list[c.Command]]:
+        """A release call is overdue; returns whether to keep waiting for it, and commands for further calls."""
+        unresponsive = self.lifecycle.directory.servers.get(server)
+        commands: list[c.Command] = [c.CloseIdle(unresponsive)] if unresponsive is not None else []
+        if not self.request_releases.call_overdue(now_us, release, server):
             return False, commands
-        return True, [*commands, *self._due(now_us)]
+        return True, [*commands, *self._due_releases(now_us)]
 
     def _out(self, now_us: int, commands: list[c.Command]) -> list[c.Command]:
+        """Check commands, queue the releases among them, and add the releases that are due."""
         allowed = self.rule_checker.check(now_us, commands)
         if len(allowed) < len(commands):
             for command in commands:
@@ -230,8 +236,8 @@
                     self.engine_releases.add(now_us, server, ResourceKind.STATE, request, attempt)
                 case c.ReleasePlace(request, place, server):
                     self.engine_releases.add(now_us, server, ResourceKind.PLACE, request, place)
-                case c.ReleaseAll(request, again):
-                    self.request_releases.add(now_us, request, again)
+                case c.ReleaseAll(request, repeat):
+                    self.request_releases.add(now_us, request, repeat)
                 case c.TrackUnreadCall(request, server, silent):
                     self.unread_calls.add(now_us, request, server.number, silent)
                 case c.Abort(reason=c.AbortReason.UNANSWERED | c.AbortReason.NOT_CONNECTED):
@@ -239,20 +245,21 @@
                     out.append(command)
                 case _:
                     out.append(command)
-        return [*out, *self._due(now_us), *self._broken()]
+        return [*out, *self._due_releases(now_us), *self._violations()]
 
-    def _due(self, now_us: int) -> list[c.Command]:
+    def _due_releases(self, now_us: int) -> list[c.Command]:
         due: list[c.Command] = []
         if self.engine_releases.pending:
-            due += [c.SendRelease(owed) for owed in self.engine_releases.take_due(now_us)]
+            due += [c.SendRelease(release) for release in self.engine_releases.take_due(now_us)]
         if self.request_releases.pending:
             due += [
-                c.SendRequestRelease(room, server)
-                for room, server in self.request_releases.take_due(now_us, self.lifecycle.directory.servers)
+                c.SendRequestRelease(release, server)
+                for release, server in self.request_releases.take_due(now_us, self.lifecycle.directory.servers)
             ]
         return due
 
-    def _broken(self) -> list[c.Command]:
+    def _violations(self) -> list[c.Command]:
         return [
-            c.ReportViolation(found.rule, found.request, found.text) for found in self.rule_checker.take_violations()
+            c.ReportViolation(violation.rule, violation.request, violation.text)
+            for violation in self.rule_checker.take_violations()
         ]
--- a/yardspindle/core/request/engine_releases.py
+++ b/yardspindle/core/request/engine_releases.py
@@ -1,8 +1,8 @@
-"""What engines are still to let go of: owed until said, said again until heard, given up when it lapsed by itself.
+"""Pending releases of single states and places, queued by engine and retried until confirmed or expired.
 
-A release that is lost leaves memory pinned at an engine until the engine's own time-out. So each one is tried again
-with growing pauses while the engine may still hold the thing, and no longer. An engine that is down must not draw
-a task for everything it ever held: a few releases go to each server at a time, the others wait their turn.
+A lost release leaves memory pinned at an engine until the engine's own time-out. So each one is retried with growing
+pauses for as long as the engine may still hold the resource, and no longer. An engine that is down must not cost a
+task for everything it ever held: a few releases go to each server at a time, the others wait in its queue.
 """
 
 from __future__ import annotations
@@ -13,17 +13,15 @@
 
 from yardspindle.core.hosts.directory import Server
 
-MAX_IN_FLIGHT_PER_SERVER = (
-    4  # releases out to one server: they are small, and a dead server holds each up for its time-out
-)
-PAUSE_FIRST_US = 25_000  # before a second try; a lost connection is usually back at once
-PAUSE_MOST_US = 1_000_000
-EXPIRY_US = 30_000_000  # an engine lets go by itself before this; later tries would be about nothing
-MAX_PENDING = 20_000  # in all; past it the oldest of the fullest server is dropped, as it lapses first
+MAX_IN_FLIGHT_PER_SERVER = 4  # releases are small, and each call to a dead server lasts until its time-out
+INITIAL_PAUSE_US = 25_000  # before the second try; a lost connection is usually back at once
+MAX_PAUSE_US = 1_000_000
+EXPIRY_US = 30_000_000  # an engine releases by itself before this: later tries are useless
+MAX_PENDING = 20_000  # in all; beyond it the oldest of the longest queue is dropped, as it expires first
 
 
 class ResourceKind(Enum):
-    """What is let go of."""
+    """What is released."""
 
     STATE = "state"
     PLACE = "place"
@@ -31,7 +29,7 @@
 
 @dataclass(slots=True)
 class PendingRelease:
-    """A release that an engine has not confirmed. `part` numbers the attempt or the place."""
+    """A release that an engine has not confirmed; `number` is that of the attempt or place."""
 
     server: Server
     kind: ResourceKind
@@ -43,68 +41,73 @@
 
 
 @dataclass(slots=True)
-class _Line:
+class _Queue:
+    """Releases for one server: those waiting, and the number in flight."""
+
     waiting: deque[PendingRelease] = field(default_factory=deque)
-    out: int = 0
+    in_flight: int = 0
 
 
 class ReleaseQueues:
-    """All that is owed, by server."""
+    """All pending releases, by server."""
 
     def __init__(self) -> None:
-        """Nothing is owed."""
-        self._lines: dict[tuple[str, int], _Line] = {}
+        """Nothing is pending."""
+        self._queues: dict[tuple[str, int], _Queue] = {}
         self.pending = 0
         self.expired = 0
         self.dropped = 0
 
     def add(self, now_us: int, server: Server, thing: ResourceKind, request: int, part: int) -> None:
-        """Something is to be let go of; a server without the extension is never told."""
+        """Queue a release, unless the server lacks the extension that knows releases."""
         if not server.places:
             return
-        line = self._lines.setdefault((server.host, server.port), _Line())
-        line.waiting.append(PendingRelease(server, thing, request, part, now_us, due_us=now_us))
+        queue = self._queues.setdefault((server.host, server.port), _Queue())
+        queue.waiting.append(PendingRelease(server, thing, request, part, now_us, due_us=now_us))
         self.pending += 1
         if self.pending > MAX_PENDING:
-            fullest = max(self._lines.values(), key=lambda known: len(known.waiting))
+            fullest = max(self._queues.values(), key=lambda queue: len(queue.waiting))
             fullest.waiting.popleft()
             self.pending -= 1
             self.dropped += 1
 
     def take_due(self, now_us: int) -> list[PendingRelease]:
-        """What to say now; each is then answered for with `settled`."""
+        """The releases to send now; `settled` has to be called for each."""
         due: list[PendingRelease] = []
-        for key, line in list(self._lines.items()):
-            for _ in range(len(line.waiting)):
-                if line.out >= MAX_IN_FLIGHT_PER_SERVER:
+        for key, queue in list(self._queues.items()):
+            for _ in range(len(queue.waiting)):
+                if queue.in_flight >= MAX_IN_FLIGHT_PER_SERVER:
                     break
-                owed = line.waiting.popleft()
-                if now_us - owed.since_us >= EXPIRY_US:
+                release = queue.waiting.popleft()
+                if now_us - release.since_us >= EXPIRY_US:
                     self.expired += 1
                     self.pending -= 1
-                elif owed.due_us > now_us:
-                    line.waiting.append(owed)
+                elif release.due_us > now_us:
+                    queue.waiting.append(release)
                 else:
-                    line.out += 1
-                    due.append(owed)
-            if not line.waiting and not line.out:
-                del self._lines[key]
+                    queue.in_flight += 1
+                    due.append(release)
+            if not queue.waiting and not queue.in_flight:
+                del self._queues[key]
         return due
 
-    def settled(self, now_us: int, owed: PendingRelease, confirmed: bool) -> None:
-        """The engine confirmed, or was not heard: then it is said again later."""
-        line = self._lines[(owed.server.host, owed.server.port)]
-        line.out -= 1
+    def settled(self, now_us: int, release: PendingRelease, confirmed: bool) -> None:
+        """The engine confirmed a release; otherwise it is retried later."""
+        queue = self._queues[(release.server.host, release.server.port)]
+        queue.in_flight -= 1
         if confirmed:
             self.pending -= 1
             return
-        owed.tries += 1
-        owed.due_us = now_us + min(PAUSE_FIRST_US << min(owed.tries - 1, 10), PAUSE_MOST_US)
-        line.waiting.append(owed)
+        release.tries += 1
+        release.due_us = now_us + min(INITIAL_PAUSE_US << min(release.tries - 1, 10), MAX_PAUSE_US)
+        queue.waiting.append(release)
 
     def next_due_us(self) -> int | None:
-        """When the next one is to be said, or None; servers with enough out wait for those."""
+        """When the next release is due, or None; servers with enough in flight are left out."""
         due = [
-            owed.due_us for line in self._lines.values() if line.out < MAX_IN_FLIGHT_PER_SERVER for owed in line.waiting
+            release.due_us
+            for queue in self._queues.values()
+            if queue.in_flight < MAX_IN_FLIGHT_PER_SERVER
+            for release in queue.waiting
         ]
         return min(due, default=None)
--- a/yardspindle/core/request/held_resources.py
+++ b/yardspindle/core/request/held_resources.py
@@ -1,9 +1,9 @@
-"""What engines hold for a request while it has no answer: places asked, and the time in which all of it is let go of.
+"""Places and KV states that engines hold for unanswered requests, and the time limit for releasing them.
 
-What is held is used by an attempt or let go of in the time of the rule. That time stops only while a running server is
-known to have an attempt (`evidence.py`): not while a connection is made, and not because the attempt's bytes were
-written, which a server that has fallen silent never reads. An attempt of which there is no word by `PINNED_PART` of
-the time is called off and what is held let go of; the rest of the time is for the release to be heard.
+What is held must be used by an attempt or released within the configured release time. The clock stops only while a
+running server is known to have an attempt (`evidence.py`): not while a connection is being made, and not once the
+attempt's bytes are written, as an unresponsive server never reads them. An attempt without an answer by
+`RELEASE_FRACTION` of the time is aborted and what is held is released; the rest is for the release to be confirmed.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 from yardspindle.core.request.records import Attempt, Place, RequestRecord, UnansweredPlace
 from yardspindle.core.request.retry_safety import may_have_run
 
-RELEASE_FRACTION = 0.75  # of the release time: after it the edge lets go itself; the policy acts at half
-CONNECTS_WHILE_HELD = 2  # writers that can be tried one after another in that time while a state is held
-PLACE_UNKNOWN_US = 450_000  # a writer that knows no read for a place says so after 0.3 s
-NOTHING_HELD = 1  # the note of an attempt after which no state is held any more
+RELEASE_FRACTION = 0.75  # of the release time: the edge then releases by itself; the policy acts at half
+CONNECTS_WHILE_HELD = 2  # writers that can be tried one after another within that time while a state is held
+PLACE_ANSWER_LIMIT_US = 450_000  # a writer that has seen no read for the place says so after 0.3 s
+NOTE_NOTHING_HELD = 1  # note of an attempt after which no state is held any more
 
 
 class HeldResources(RequestCompletion):
-    """Places and states of the requests of one edge."""
+    """Reserves places for an edge's requests and enforces the time limit on what is held."""
 
     @property
     def held_connect_timeout_us(self) -> int | None:
-        """In what time a write's connection has to come up, as what is held meanwhile counts as held."""
+        """Connect time-out of a write, as the state stays held meanwhile; None without releases by request."""
         return (
             round(RELEASE_FRACTION * self.rules.release_us / CONNECTS_WHILE_HELD)
             if self.rules.release_by_request
@@ -36,130 +36,146 @@
 
     # --- places
 
-    def _ahead(self, ahead: i.Ahead) -> None:
-        r = self.requests.get(ahead.request)
-        if r is None or r.epoch != self.epoch or r.final is not None or r.streaming:
+    def _reserve_place(self, ahead: i.Ahead) -> None:
+        record = self.requests.get(ahead.request)
+        if record is None or record.epoch != self.epoch or record.final is not None or record.streaming:
             return
-        self._release_place(r)
+        self._release_place(record)
         server = self.directory.servers.get(ahead.server)
-        if r.attempt is None or r.attempt.server.role is not i.Role.READ or server is None:
+        if record.attempt is None or record.attempt.server.role is not i.Role.READ or server is None:
             return
         if server.closed_us is not None or not server.places:
-            return  # asked nowhere: as at a writer that cannot be heard, no note comes
-        r.place_count += 1
-        r.place = Place(r.place_count, server)
+            return  # no call is made and the policy gets no note, as with a writer that cannot be reached
+        record.place_count += 1
+        record.place = Place(record.place_count, server)
         self._commands.append(
             c.ReservePlace(
-                ahead.request, r.place_count, server, r.request.prompt_tokens, r.attempt.server, r.attempt.number
+                ahead.request,
+                record.place_count,
+                server,
+                record.request.prompt_tokens,
+                record.attempt.server,
+                record.attempt.number,
             )
         )
 
     def may_reserve_place(self, request: int, number: int, read_attempt: int) -> bool:
-        """Whether a place whose asking is about to be written is still wanted there: the read for it is out."""
-        r = self.requests.get(request)
-        if r is None or r.final is not None or r.place is None or r.place.number != number:
+        """Whether a call for a place that is about to be written is still wanted: its read is in flight."""
+        record = self.requests.get(request)
+        if record is None or record.final is not None or record.place is None or record.place.number != number:
             return False
-        if r.attempt is None or r.attempt.number != read_attempt or not r.attempt.written:
+        if record.attempt is None or record.attempt.number != read_attempt or not record.attempt.written:
             return False
-        server = self.directory.servers.get(r.place.server.number)
-        return server is not None and server.closed_us is None and self._as_connected(server, r.place.server)
+        server = self.directory.servers.get(record.place.server.number)
+        return server is not None and server.closed_us is None and self._same_address(server, record.place.server)
 
     def place_requested(self, now_us: int, request: int, number: int, server: Server) -> None:
-        """The call for a place is being written: from now on it may be held, whatever is answered."""
-        r = self.requests.get(request)
-        if r is not None:
-            r.unanswered_places[number] = UnansweredPlace(server, now_us)
-            self._hold(now_us, r)
+        """The call for a place is being written: from now on it may be held, whatever the answer."""
+        record = self.requests.get(request)
+        if record is not None:
+            record.unanswered_places[number] = UnansweredPlace(server, now_us)
+            self._mark_held(now_us, record)
 
     def place_answered(
         self, now_us: int, request: int, number: int, server: Server, held: bool | None
     ) -> list[c.Command]:
-        """A writer said yes or no to a place, or (None) was not heard; a place nobody wants is let go."""
-        r = self.requests.get(request)
+        """A writer granted or declined a place, or (None) did not answer; a place no longer wanted is released."""
+        record = self.requests.get(request)
         if held is None and self.rules.release_by_request:
-            asked = r.unanswered_places.get(number) if r is not None else None
-            silent = asked is None or now_us - asked.sent_us > PLACE_UNKNOWN_US
+            asked = record.unanswered_places.get(number) if record is not None else None
+            silent = asked is None or now_us - asked.sent_us > PLACE_ANSWER_LIMIT_US
             self._commands.append(c.TrackUnreadCall(request, server, silent))
-        place = r.place if r is not None else None
-        if r is not None:
-            r.unanswered_places.pop(number, None)
-        if r is None or place is None or place.number != number:
-            self._place_too_late(now_us, r, request, number, server, held)
+        place = record.place if record is not None else None
+        if record is not None:
+            record.unanswered_places.pop(number, None)
+        if record is None or place is None or place.number != number:
+            self._late_place_answer(now_us, record, request, number, server, held)
             return self._take_commands()
         if held is None and self.rules.release_by_request:
-            return self._take_commands()  # it may be held: a write there will take it, and the end lets go of it
+            return (
+                self._take_commands()
+            )  # it may be held: a write there uses it, and the end of the request releases it
         if held is None:
-            self._release_place(r)
+            self._release_place(record)
             self._commands.append(c.ReleasePlace(request, number, server))
             return self._take_commands()
         place.held = held
         if not held:
-            r.place = None
-        if r.attempt is not None and r.attempt.server.role is i.Role.READ:
-            self._read_is_known(r.attempt)
-            self._tell(r, i.Note(request, r.attempt.number, r.attempt.server.number, held))
+            record.place = None
+        if record.attempt is not None and record.attempt.server.role is i.Role.READ:
+            self._mark_read_accepted(record.attempt)
+            self._notify(record, i.Note(request, record.attempt.number, record.attempt.server.number, held))
         return self._take_commands()
 
-    def _place_too_late(
-        self, now_us: int, r: RequestRecord | None, request: int, number: int, server: Server, held: bool | None
+    def _late_place_answer(
+        self, now_us: int, record: RequestRecord | None, request: int, number: int, server: Server, held: bool | None
     ) -> None:
+        """Release a place that was granted, or may have been, after it was no longer wanted."""
         if held is False:
             return
         if not self.rules.release_by_request:
             self._commands.append(c.ReleasePlace(request, number, server))
-        elif r is None:
+        elif record is None:
             self._commands.append(c.ReleaseAll(request, False))
-        else:  # the word that let go may have come before the asking
-            self._hold(now_us, r)
-            if r.state_server is None:
-                self._release(r)
+        else:  # an earlier release may have arrived before the call for the place
+            self._mark_held(now_us, record)
+            if record.state_server is None:
+                self._release(record)
 
-    def _read_is_known(self, read: Attempt) -> None:
-        """A writer's yes or no to a place: it gives either only if a read of the request runs somewhere."""
+    def _mark_read_accepted(self, read: Attempt) -> None:
+        """A writer's answer to a call for a place: it sends one only if a read of the request is running."""
         if read.written:
             read.evidence = Evidence.ACCEPTED
 
-    def _as_connected(self, listed: Server | None, connected: Server) -> bool:
+    def _same_address(self, listed: Server | None, connected: Server) -> bool:
         return listed is not None and (listed.host, listed.port) == (connected.host, connected.port)
 
-    # --- time
+    # --- time limit
 
-    def _look_at_what_is_held(self, now_us: int, r: RequestRecord) -> None:
-        """Let go of what is held for too long, and call off the attempt that no running server is known to have."""
-        held = r.held or r.state_server is not None or r.place is not None
-        if not held or now_us - r.held_since_us <= RELEASE_FRACTION * self.rules.release_us:
+    def _check_held(self, now_us: int, record: RequestRecord) -> None:
+        """Release what has been held for too long, and abort an attempt that no running server is known to have."""
+        held = record.held or record.state_server is not None or record.place is not None
+        if not held or now_us - record.held_since_us <= RELEASE_FRACTION * self.rules.release_us:
             return
-        if r.attempt is None:
-            self._interlock(r, "held too long")
-            self._release(r)
-        elif not r.attempt.accepted and not r.streaming and (r.held or r.state_server is not None):
-            self._call_off(now_us, r, r.attempt)
-
-    def _call_off(self, now_us: int, r: RequestRecord, out: Attempt) -> None:
-        """An attempt that may never have come to a running server must not keep what is held any longer."""
-        self._interlock(r, "held while unanswered" if out.written else "held while connecting")
-        reason = c.AbortReason.UNANSWERED if out.written else c.AbortReason.NOT_CONNECTED
-        self._commands.append(c.Abort(r.request.request, out.number, out.server, reason))
-        if out.written:  # what else is kept open to a silent server may be as silent: the next call takes a new one
-            self._commands.append(c.CloseIdle(out.server))
-            if r.place is not None and not r.place.held:
-                self._commands.append(c.CloseIdle(r.place.server))
-        r.attempt = None
-        self._may_lie_unread(r, out, silent=True)
-        status = i.Status.TIMEOUT if out.written else i.Status.CONNECT_FAILED
-        if out.server.role is i.Role.READ:
-            r.may_hold_later = r.may_hold_later or out.written  # it may end well just as it is called off
-            status = i.Status.CANCELLED  # the server that is silent may be the place's: no blame for either
+        if record.attempt is None:
+            self._interlock(record, "held too long")
+            self._release(record)
+        elif not record.attempt.accepted and not record.streaming and (record.held or record.state_server is not None):
+            self._abort_unconfirmed(now_us, record, record.attempt)
+
+    def _abort_unconfirmed(self, now_us: int, record: RequestRecord, attempt: Attempt) -> None:
+        """Abort an attempt that may never have reached a running server, and release what it kept held."""
+        self._interlock(record, "held while unanswered" if attempt.written else "held while connecting")
+        reason = c.AbortReason.UNANSWERED if attempt.written else c.AbortReason.NOT_CONNECTED
+        self._commands.append(c.Abort(record.request.request, attempt.number, attempt.server, reason))
+        if attempt.written:  # idle connections to an unresponsive server may be dead too: the next call opens a new one
+            self._commands.append(c.CloseIdle(attempt.server))
+            if record.place is not None and not record.place.held:
+                self._commands.append(c.CloseIdle(record.place.server))
+        record.attempt = None
+        self._track_unread(record, attempt, silent=True)
+        status = i.Status.TIMEOUT if attempt.written else i.Status.CONNECT_FAILED
+        if attempt.server.role is i.Role.READ:
+            record.may_hold_later = (
+                record.may_hold_later or attempt.written
+            )  # it may succeed at the moment of the abort
+            status = i.Status.CANCELLED  # the unresponsive server may be the one with the place: neither is blamed
         else:
-            r.may_have_run = r.may_have_run or may_have_run(out.server.role, status)
-        self._unconfirmed_write(now_us, r, out)
-        self._stop_asking(r)
-        self._release(r)
-        self._tell(
-            r,
+            record.may_have_run = record.may_have_run or may_have_run(attempt.server.role, status)
+        self._unconfirmed_write(now_us, record, attempt)
+        self._abort_unanswered_places(record)
+        self._release(record)
+        self._notify(
+            record,
             i.Outcome(
-                r.request.request, out.number, out.server.number, status, now_us - out.sent_us, False, NOTHING_HELD
+                record.request.request,
+                attempt.number,
+                attempt.server.number,
+                status,
+                now_us - attempt.sent_us,
+                False,
+                NOTE_NOTHING_HELD,
             ),
         )
-        if not r.epoch:
-            self._give_up(r, "planner_lost")
+        if not record.epoch:
+            self._give_up(record, "planner_lost")
--- a/yardspindle/core/request/intake.py
+++ b/yardspindle/core/request/intake.py
@@ -1,18 +1,18 @@
-"""What the router makes of a client's request: its class, tenant, session, shared opening, size and deadline.
+"""Derives what the policy needs from a client's request: class, tenant, session, shared prefix, size and deadline.
 
-Every front maps to the same `Intake`, so that a request moved from one front to another is decided on alike. A
-client names these things in documented fields; what it does not name is found in the conversation itself:
+Every API maps to the same `Intake`, so that a request is treated alike whichever API it uses. A client states these
+values in documented fields; what it does not state is derived from the conversation:
 
-- *shared opening*: what sessions share at the start. `metadata.shared_opening`, else `prompt_cache_key`, else a
-  hash of the tools and the leading system and developer messages, if they are long enough to be worth keeping;
-- *session*: `metadata.session` or the header `X-Session-Id`, else a hash through the first message that is not
-  the opening: a later turn of the conversation begins with the same;
+- *shared prefix*: what sessions share at the start. `metadata.shared_opening`, else `prompt_cache_key`, else a
+  hash of the tools and the leading system and developer messages, if they are long enough to be worth caching;
+- *session*: `metadata.session` or the header `X-Session-Id`, else a hash up to the first message after the
+  shared prefix: a later turn of the conversation starts with the same;
 - *class*: `metadata.class` or `X-Request-Class`, else the configured default, else the first safe class;
-- *deadline*: `X-Request-Timeout-Ms`, `metadata.timeout_ms`, or the read time-out that OpenAI's clients state,
-  each only ever earlier than the class's own. It bounds the first token of a streamed answer and the last of a
-  whole one, which gets the time of its longest length on top.
+- *deadline*: `X-Request-Timeout-Ms`, `metadata.timeout_ms`, or the read time-out that OpenAI's clients send,
+  none later than the class's own. It bounds the first token of a streamed answer and the last of a buffered one,
+  which gets additional time for its maximum length.
 
-Names that clients give are kept apart by tenant; hashes of texts are not, as the same text is the same state.
+Names that clients give are scoped by tenant; hashes of prompts are not, as the same prompt has the same state.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 from yardspindle.core.config import Config, microseconds
 from yardspindle.core.request.estimate import TokenEstimate
 
-OPENING_TOKENS_LEAST = 64.0  # a shorter opening saves less than one step of a reader
-NAME_CHARS_MOST = 512
-TIMEOUT_MS_LEAST = 1.0
-WHOLE_TOKEN_MS = 60.0  # for each token of a whole answer, where the class states no pace
+MIN_PREFIX_TOKENS = 64.0  # a shorter prefix saves less than one step of a reader
+MAX_NAME_CHARS = 512
+MIN_TIMEOUT_MS = 1.0
+BUFFERED_TOKEN_MS = 60.0  # per token of a buffered answer, if the class sets no time per token
 
 
 class IntakeError(Exception):
-    """The client's fields cannot be taken; `param` names the field."""
+    """A field of the request is invalid; `param` names it."""
 
     def __init__(self, param: str, reason: str) -> None:
-        """Keep both."""
+        """`reason` is for the client."""
         super().__init__(f"{param}: {reason}")
         self.param = param
         self.reason = reason
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFields:
-    """What a front found in a request; sizes in bytes of UTF-8."""
+    """What an API read from a request; sizes in bytes of UTF-8."""
 
     tenant: str | None
     cls: str | None = None
@@ -53,11 +53,11 @@
     timeout_ms: float | None = None
     client_timeout_ms: float | None = None
     prefix_parts: tuple[bytes, ...] = ()  # tools, and leading system and developer messages
-    first_message: bytes = b""  # the first message after the opening
+    first_message: bytes = b""  # the first message after the prefix
     size: int = 0  # of all messages and tools
     max_out: int | None = None
-    buffered: bool = False  # the answer is to come in one piece
-    messages: tuple[tuple[str, bytes], ...] = ()  # role and text of each
+    buffered: bool = False  # the client wants the answer in one piece
+    messages: tuple[tuple[str, bytes], ...] = ()  # role and text of each message
     tools: bytes = b""
 
 
@@ -71,10 +71,10 @@
 
 
 class Intake:
-    """Turns what clients say into requests."""
+    """Turns the fields of clients' requests into requests for the policy."""
 
     def __init__(self, config: Config) -> None:
-        """Take classes and limits from the configuration."""
+        """Classes and limits come from the configuration."""
         self._classes = {row.name: row for row in config.classes}
         safe = [row.name for row in config.classes if row.effect == "safe"]
         self.default_class = config.edge.default_class or (safe or [config.classes[0].name])[0]
@@ -82,26 +82,26 @@
         self._max_out = config.edge.default_max_tokens
         self.estimate = TokenEstimate()
 
-    def accept(self, now_us: int, number: int, said: RequestFields) -> AcceptedRequest:
-        """The request numbered `number`. Raises IntakeError."""
-        cls = self._classes.get(said.cls or self.default_class)
+    def accept(self, now_us: int, number: int, fields: RequestFields) -> AcceptedRequest:
+        """Build the request numbered `number`. Raises IntakeError."""
+        cls = self._classes.get(fields.cls or self.default_class)
         if cls is None:
             raise IntakeError("metadata.class", f"no such class; there are {', '.join(self._classes)}")
-        kind = f"{said.tenant or ''} {cls.name}"
-        # Whole tokens: the policy adds and subtracts them, and what fractions leave over makes an idle reader busy.
-        tokens = float(round(self.estimate.tokens(kind, said.size)))
-        opening_size = sum(len(part) for part in said.prefix_parts)
-        opening_tokens = min(float(round(self.estimate.tokens(kind, opening_size))), tokens) if opening_size else 0.0
-        prefix = self._opening(said, opening_tokens)
+        kind = f"{fields.tenant or ''} {cls.name}"
+        # Rounded: the policy adds and subtracts tokens, and left-over fractions would make an idle reader look busy.
+        tokens = float(round(self.estimate.tokens(kind, fields.size)))
+        prefix_size = sum(len(part) for part in fields.prefix_parts)
+        prefix_tokens = min(float(round(self.estimate.tokens(kind, prefix_size))), tokens) if prefix_size else 0.0
+        prefix = self._prefix_hash(fields, prefix_tokens)
         limit_ms = cls.give_up_ms
-        if said.buffered:  # the class's time is to the first token; a whole answer is seen after the last
-            limit_ms += (said.max_out or self._max_out) * (cls.token_aim_ms or WHOLE_TOKEN_MS)
+        if fields.buffered:  # the class limits the time to the first token; a buffered answer is seen after the last
+            limit_ms += (fields.max_out or self._max_out) * (cls.token_aim_ms or BUFFERED_TOKEN_MS)
         give_up_us = microseconds(limit_ms)
-        for param, value in (("timeout_ms", said.timeout_ms), ("x-stainless-read-timeout", said.client_timeout_ms)):
+        for param, value in (("timeout_ms", fields.timeout_ms), ("x-stainless-read-timeout", fields.client_timeout_ms)):
             if value is None:
                 continue
-            if not math.isfinite(value) or value < TIMEOUT_MS_LEAST:
-                raise IntakeError(param, f"not a time of at least {TIMEOUT_MS_LEAST:g} ms")
+            if not math.isfinite(value) or value < MIN_TIMEOUT_MS:
+                raise IntakeError(param, f"not a time of at least {MIN_TIMEOUT_MS:g} ms")
             give_up_us = min(give_up_us, microseconds(min(value, limit_ms)))
         return AcceptedRequest(
             i.Request(
@@ -109,43 +109,43 @@
                 cls=cls.name,
                 expires_us=now_us + max(give_up_us - self._margin_us, 1),
                 prompt_tokens=tokens,
-                prefix_tokens=opening_tokens if prefix is not None else 0.0,
-                max_out=float(said.max_out or self._max_out),
-                tenant=said.tenant,
+                prefix_tokens=prefix_tokens if prefix is not None else 0.0,
+                max_out=float(fields.max_out or self._max_out),
+                tenant=fields.tenant,
                 prefix=prefix,
-                session=self._session(said),
+                session=self._session(fields),
             ),
             kind,
-            said.size,
+            fields.size,
         )
 
-    def learn(self, taken: AcceptedRequest, prompt_tokens: int) -> None:
-        """An engine counted the prompt."""
-        self.estimate.learn(taken.text_kind, taken.size, prompt_tokens)
+    def learn(self, accepted: AcceptedRequest, prompt_tokens: int) -> None:
+        """Learn from an engine's count of the prompt."""
+        self.estimate.learn(accepted.text_kind, accepted.size, prompt_tokens)
 
-    def _opening(self, said: RequestFields, tokens: float) -> str | None:
-        if said.shared_prefix is not None:
-            return _named(said.tenant, "metadata.shared_opening", said.shared_prefix)
-        if tokens < OPENING_TOKENS_LEAST:
+    def _prefix_hash(self, fields: RequestFields, tokens: float) -> str | None:
+        if fields.shared_prefix is not None:
+            return _name_hash(fields.tenant, "metadata.shared_opening", fields.shared_prefix)
+        if tokens < MIN_PREFIX_TOKENS:
             return None
-        return _hash(said.prefix_parts)
+        return _content_hash(fields.prefix_parts)
 
-    def _session(self, said: RequestFields) -> str | None:
-        if said.session is not None:
-            return _named(said.tenant, "metadata.session", said.session)
-        return _hash((*said.prefix_parts, said.first_message)) if said.first_message else None
+    def _session(self, fields: RequestFields) -> str | None:
+        if fields.session is not None:
+            return _name_hash(fields.tenant, "metadata.session", fields.session)
+        return _content_hash((*fields.prefix_parts, fields.first_message)) if fields.first_message else None
 
 
-def _named(tenant: str | None, param: str, name: str) -> str:
-    if not name or len(name) > NAME_CHARS_MOST:
-        raise IntakeError(param, f"not of 1 to {NAME_CHARS_MOST} characters")
-    owned = f"{tenant or ''}\0{name}"
-    return f"n{xxhash.xxh3_128_hexdigest(owned.encode())}"
+def _name_hash(tenant: str | None, param: str, name: str) -> str:
+    if not name or len(name) > MAX_NAME_CHARS:
+        raise IntakeError(param, f"not of 1 to {MAX_NAME_CHARS} characters")
+    scoped = f"{tenant or ''}\0{name}"
+    return f"n{xxhash.xxh3_128_hexdigest(scoped.encode())}"
 
 
-def _hash(parts: tuple[bytes, ...]) -> str:
+def _content_hash(parts: tuple[bytes, ...]) -> str:
     digest = xxhash.xxh3_128()
-    for part in parts:  # each with its length, so that moving a border changes the hash
+    for part in parts:  # each with its length, so that moving a boundary changes the hash
         digest.update(len(part).to_bytes(8))
         digest.update(part)
     return f"t{digest.hexdigest()}"
--- a/yardspindle/core/request/planning.py
+++ b/yardspindle/core/request/planning.py
@@ -1,8 +1,8 @@
-"""One edge's policy in the planner: its clock, its timers, and what happens when the policy itself breaks.
+"""Hosts one edge's policy in the planner: its clock, its timers and the handling of exceptions that it raises.
 
-The policy lives on the edge's clock: events carry the edge's time, and what happens here (timers, list news) is
-put on that clock by the difference seen at the greeting. The difference is fixed for the session, since start
-times of servers are put on the edge's clock by it and must not seem to move.
+The policy runs on the edge's clock: events carry the edge's time, and what happens in the planner (timers, list
+updates) is converted with the clock offset measured at the handshake. The offset is fixed for the session, since start
+times of servers are converted with it and must not appear to move.
 """
 
 from __future__ import annotations
@@ -14,10 +14,12 @@
 from yardspindle import interface as i
 from yardspindle.core.hosts.server_list import ServerList
 
+RETRY_US = 20_000  # until a timer whose event raised an exception fires again
+
 
 @dataclass(slots=True)
 class Decisions:
-    """What an edge is to do, what people are to read, what broke."""
+    """What the policy returned: actions for the edge, lines for the log, and errors that it raised."""
 
     actions: list[i.Action] = field(default_factory=list)
     logs: list[str] = field(default_factory=list)
@@ -25,70 +27,70 @@
 
 
 class PlanningSession:
-    """Hosts the policy of one edge."""
+    """Runs one edge's policy for one connection of the edge."""
 
     def __init__(self, policy: Callable[[i.Event, int], list[i.Action]], edge_now_us: int, now_us: int) -> None:
-        """`policy` is called with an event and the edge's time; the clocks are those at the greeting."""
+        """`policy` takes an event and the edge's time; the two times are those of both clocks at the handshake."""
         self._policy = policy
         self.offset_us = edge_now_us - now_us
         self._last_us = edge_now_us
         self._timers: list[tuple[int, int, int]] = []
-        self._set = 0
+        self._timer_count = 0
         self.events = 0
 
-    def update_members(self, now_us: int, roster: ServerList) -> Decisions:
-        """News of the server list."""
-        reply = Decisions()
-        self._handle(now_us + self.offset_us, roster.members(self.offset_us), reply)
-        return reply
+    def update_members(self, now_us: int, server_list: ServerList) -> Decisions:
+        """Pass a change of the server list to the policy."""
+        decisions = Decisions()
+        self._handle(now_us + self.offset_us, server_list.members(self.offset_us), decisions)
+        return decisions
 
     def handle_events(self, edge_now_us: int, events: list[i.Event]) -> Decisions:
-        """Events of one frame, in order; the timers due before them come first."""
-        reply = Decisions()
-        self._due(edge_now_us, reply)
+        """Pass on the events of one frame in order, after the timers that are due before them."""
+        decisions = Decisions()
+        self._fire_due(edge_now_us, decisions)
         for event in events:
-            self._handle(edge_now_us, event, reply)
-        return reply
+            self._handle(edge_now_us, event, decisions)
+        return decisions
 
     def next_due_us(self) -> int | None:
         """When the next timer is due, on the planner's clock."""
         return self._timers[0][0] - self.offset_us if self._timers else None
 
     def tick(self, now_us: int) -> Decisions:
-        """Let the timers that are due fire."""
-        reply = Decisions()
-        self._due(now_us + self.offset_us, reply)
-        return reply
+        """Fire the timers that are due."""
+        decisions = Decisions()
+        self._fire_due(now_us + self.offset_us, decisions)
+        return decisions
 
-    def _due(self, edge_now_us: int, reply: Decisions) -> None:
+    def _fire_due(self, edge_now_us: int, decisions: Decisions) -> None:
         while self._timers and self._timers[0][0] <= edge_now_us:
             due_us, _, token = heapq.heappop(self._timers)
-            self._handle(max(edge_now_us, due_us), i.Timer(token), reply)
+            self._handle(max(edge_now_us, due_us), i.Timer(token), decisions)
 
-    def _handle(self, edge_now_us: int, event: i.Event, reply: Decisions) -> None:
-        self._last_us = max(self._last_us, edge_now_us)  # frames and timers meet here: time never goes back
+    def _handle(self, edge_now_us: int, event: i.Event, decisions: Decisions) -> None:
+        self._last_us = max(self._last_us, edge_now_us)  # frames and timers are merged here: time must not go back
         self.events += 1
         try:
             actions = self._policy(event, self._last_us)
-        except Exception as fault:  # the one request fails, the others go on
-            reply.errors.append(f"{type(event).__name__}: {type(fault).__name__}: {fault}")
+        except Exception as error:  # only this request fails
+            decisions.errors.append(f"{type(event).__name__}: {type(error).__name__}: {error}")
             request = getattr(event, "request", None)
             if isinstance(request, int):
-                reply.actions.append(i.Fail(request))
+                decisions.actions.append(i.Fail(request))
             elif isinstance(event, i.Timer):
-                self._later(self._last_us + 20_000, event.token)  # the sweep must go on
+                self._set_timer(self._last_us + RETRY_US, event.token)  # a periodic timer must go on
             return
         for action in actions:
             match action:
                 case i.SetTimer(due_us, token):
-                    self._later(due_us, token)
+                    self._set_timer(due_us, token)
                 case i.Log(text):
-                    reply.logs.append(text)
+                    decisions.logs.append(text)
                 case i.Watch() | i.FetchList() | i.Tell() | i.Probe():
-                    pass  # the list is pushed, and there are neither peers nor probes
+                    pass  # not used here: the list is pushed, and there are no peers or probes
                 case _:
-                    reply.actions.append(action)
+                    decisions.actions.append(action)
 
-    def _later(self, due_us: int, token: int) -> None:
-        self._set += 1
-        heapq.heappush(self._timers, (due_us, self._set, token))
+    def _set_timer(self, due_us: int, token: int) -> None:
+        self._timer_count += 1
+        heapq.heappush(self._timers, (due_us, self._timer_count, token))
--- a/yardspindle/core/request/records.py
+++ b/yardspindle/core/request/records.py
@@ -1,4 +1,4 @@
-"""What the edge knows of each request that was taken, and the figures that its interlocks go by."""
+"""Records of the edge's open requests, and the settings of its interlocks."""
 
 from __future__ import annotations
 
@@ -13,45 +13,45 @@
 
 @dataclass(frozen=True, slots=True)
 class EdgeRules:
-    """What the edge's interlocks need of the settings; times in microseconds."""
+    """Settings of the edge's interlocks; times in microseconds."""
 
     effects: dict[str, i.Effect]
     release_us: int
     drain_grace_us: int
     answer_slack_us: int
-    retry_after_us: int  # advice with a refusal that the edge makes by itself
+    retry_after_us: int  # sent with refusals that the edge makes without a planner
     max_attempts: int
     max_open_requests: int
     writers_read: bool = False
-    resume: bool = False  # clients ask for the rest of a stream that was broken off
-    release_by_request: bool = False  # engines let go of all that is held for a request together, and of nothing less
+    resume: bool = False  # clients resume a stream that was cut
+    release_by_request: bool = False  # engines release all that is held for a request at once, nothing less
 
 
 @dataclass(slots=True)
 class Attempt:
-    """An attempt that is out."""
+    """An attempt in flight."""
 
     number: int
     server: Server
     sent_us: int
-    deadline_us: int  # when it is given up
+    deadline_us: int  # then it times out
     evidence: Evidence
-    place: int | None = None  # that a write is to take
+    place: int | None = None  # number of the place that a write uses
 
     @property
     def written(self) -> bool:
-        """Whether its last byte was: until then nothing of it can have run."""
+        """Whether its last byte is written; until then it cannot have run."""
         return self.evidence >= Evidence.WRITTEN
 
     @property
     def accepted(self) -> bool:
-        """Whether a running server is known to have it: until then the time of what is held runs on."""
+        """Whether a running server is known to have it; until then the time limit on what is held runs."""
         return self.evidence >= Evidence.ACCEPTED
 
 
 @dataclass(slots=True)
 class Place:
-    """A place asked at a writer, and whether the writer has said yes."""
+    """A place requested at a writer, and whether the writer has granted it."""
 
     number: int
     server: Server
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnansweredPlace:
-    """A call for a place that was written, and is not answered."""
+    """A call for a place that was written and is not answered yet."""
 
     server: Server
     sent_us: int
@@ -68,52 +68,48 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """A request that was taken and is not done with."""
+    """An accepted request that is not finished."""
 
     request: i.Request
     effect: i.Effect
-    epoch: int  # of the planner that knows it; 0 when none does any more
-    buffered: bool = False  # the client sees nothing before the last token: its time runs on after the first
+    epoch: int  # of the planner that knows it; 0 if none does any more
+    buffered: bool = False  # answered in one piece: the deadline is for the last token
     attempt_count: int = 0
     attempt: Attempt | None = None
     streaming: bool = False
-    may_have_run: bool = False
-    final: c.Final | None = None  # also set (to FAILED) when the client left: nothing may follow
+    may_have_run: bool = False  # an attempt of it may have had an effect
+    final: c.Final | None = None  # also set (to FAILED) when the client disconnects: no answer may follow
     state: Any = None
     state_attempt: int = 0
     state_server: Server | None = None
     place: Place | None = None
     place_count: int = 0
-    unanswered_places: dict[int, UnansweredPlace] = field(
-        default_factory=dict
-    )  # places asked for, whose answers are awaited
-    held: bool = False  # `release_whole`: a state or place may be held for it somewhere
-    may_hold_later: bool = (
-        False  # and a read's connection was closed without its word: its state may come after a release
-    )
-    held_since_us: int = 0  # since when what is held waits for an attempt that a running server is known to have
-
-
-def phase(r: RequestRecord) -> str:
-    """Where a request stands, in a few words: for pages, traces and the count of transitions."""
-    if r.final is not None:
-        return "settling" if r.attempt is not None else "over"
-    if r.streaming:
+    unanswered_places: dict[int, UnansweredPlace] = field(default_factory=dict)  # by place number
+    held: bool = False  # with `release_by_request`: an engine may hold a state or place for it
+    may_hold_later: bool = False  # a call was aborted unanswered: it may leave a state or place after a release
+    held_since_us: int = 0  # start of the time limit on what is held; reset when an accepted attempt ends
+
+
+def phase(record: RequestRecord) -> str:
+    """A short description of a request's progress, for status pages, traces and counts of transitions."""
+    if record.final is not None:
+        return "settling" if record.attempt is not None else "over"
+    if record.streaming:
         at = "streaming"
-    elif r.attempt is None:
-        at = "read" if r.state_server is not None else "waiting"
-    elif r.attempt.server.role is i.Role.READ:
+    elif record.attempt is None:
+        at = "read" if record.state_server is not None else "waiting"
+    elif record.attempt.server.role is i.Role.READ:
         at = "reading"
     else:
         at = "writing"
-    if r.place is not None:
-        at += ", place held" if r.place.held else ", place asked"
-    return at if r.epoch else f"{at}, no planner"
+    if record.place is not None:
+        at += ", place held" if record.place.held else ", place asked"
+    return at if record.epoch else f"{at}, no planner"
 
 
 @dataclass(slots=True)
 class RequestCounts:
-    """Counts for the metrics."""
+    """Counts of accepted requests, their ends and triggered interlocks, for the metrics."""
 
     taken: int = 0
     served: int = 0
@@ -123,6 +119,6 @@
     interlocks: dict[str, int] = field(default_factory=dict)
 
     def as_dict(self) -> dict[str, int]:
-        """The counts by name, for a line of a log."""
-        finals = {name: getattr(self, name) for name in ("taken", "served", "refused", "failed", "left")}
-        return finals | {rule.replace(" ", "_"): count for rule, count in sorted(self.interlocks.items())}
+        """The counts by name, for a log line."""
+        totals = {name: getattr(self, name) for name in ("taken", "served", "refused", "failed", "left")}
+        return totals | {rule.replace(" ", "_"): count for rule, count in sorted(self.interlocks.items())}
--- a/yardspindle/core/request/request_releases.py
+++ b/yardspindle/core/request/request_releases.py
@@ -1,13 +1,15 @@
-"""What is held for a request anywhere, where one word to any engine lets go of all of it.
-
-A release is owed by request, not by engine: any engine that lives passes it on, so one that does not come up is no
-excuse. The engine heard last is asked first, and several others at once when it does not answer: where a part of the
-fleet is cut off, most of those heard last are silent. One that was silent comes last for every other request too, and
-those of which nothing is known come in an order of each edge's own, or a fleet would ask one engine, dead or not, at
-the same moment. A read whose connection
-was closed may still leave its state after the word came, so that one is said once more a little later. A word that
-comes while a newer attempt of the request runs would take that attempt's state or place, and an attempt that lies
-unread at a silent engine would keep the word from being said: so no attempt is written while one is owed.
+"""Pending releases by request, where one message to any engine releases all that any engine holds for the request.
+
+Any live engine forwards such a release, so an engine that is down does not excuse a missing one. The engine that
+answered last is asked first; if it does not answer, several others are asked at once, since in a partition most of
+those that answered last are unreachable. An engine that did not answer is asked last for all other requests too. Those
+of which nothing is known are asked in an order of each edge's own, or a whole fleet would ask one engine, dead or not,
+at the same moment.
+
+A read whose connection was closed may still leave its state after the release, which is therefore repeated a little
+later. A release that arrives while a newer attempt of its request runs would take that attempt's state or place, and an
+attempt that lies unread at an unresponsive engine would block the release: so no attempt is written while a release of
+its request is pending.
 """
 
 from __future__ import annotations
@@ -20,37 +22,37 @@
 from yardspindle.core.hosts.directory import Server
 from yardspindle.interface import State
 
-MAX_IN_FLIGHT = 64  # words out at a time, so that a dead fleet does not draw a task for each request
-PRECAUTIONS_MOST = 8  # of the words out: those for calls that may lie unread must not keep others waiting
-MAX_LATE_CALLS = 16  # calls that others are asked beside: a host may be slow to accept, but a dead fleet says nothing
-REPEAT_DELAY_US = 120_000  # a read's end that crossed with our closing has come by then, and the rule's time has not
-RETRY_FANOUT = 3  # engines asked together once one was silent: with half of them cut off one in eight fails
-IMMEDIATE_TRIES = 10  # engines asked without a pause, in four rounds; the rule gives 300 ms in all
+MAX_IN_FLIGHT = 64  # calls at a time, so that a dead fleet does not cost a task for each request
+MAX_PRECAUTIONARY = 8  # of those; releases for calls that may lie unread must not delay others
+MAX_LATE_CALLS = 16  # overdue calls still awaited: a host may be slow to accept, but a dead fleet never answers
+REPEAT_DELAY_US = 120_000  # by then a read that ended while its connection was closed is over, but not the release time
+RETRY_FANOUT = 3  # engines asked at once after one did not answer: with half unreachable, one round in eight fails
+IMMEDIATE_TRIES = 10  # engines asked without a pause, in four rounds; the rule allows 300 ms in all
 RETRY_PAUSE_US = 100_000
-EXPIRY_US = 10_000_000  # engines let go by themselves; a day later nobody could be told anyway
+EXPIRY_US = 10_000_000  # engines release by themselves; a day later no engine could be told anyway
 
 
 @dataclass(slots=True)
 class RequestRelease:
-    """What may be held for one request."""
+    """The pending release of all that is held for one request."""
 
     request: int
     since_us: int
     due_us: int
     repeat: bool
-    in_flight: set[int] = field(default_factory=set)  # engines that are being asked
-    failed: list[int] = field(default_factory=list)  # engines that did not answer, in order
-    confirmed: bool = False  # an engine has let go at least once
-    confirmations: int = 0  # how many times an engine has
-    precautionary: bool = False  # nothing is known to be held: a call that lies unread may come to hold something
-    overdue_reported: bool = False  # and this was told, as none had in time
+    in_flight: set[int] = field(default_factory=set)  # engines that are being asked now
+    failed: list[int] = field(default_factory=list)  # engines that did not answer, in order; may repeat
+    confirmed: bool = False  # an engine has confirmed at least once
+    confirmations: int = 0  # how many times that was
+    precautionary: bool = False  # nothing is known to be held, but a call that lies unread may come to hold something
+    overdue_reported: bool = False  # that no engine confirmed in time was reported
 
 
 class RequestReleases:
-    """All that is owed, by request."""
+    """All pending releases, by request, and what is known of the engines to ask."""
 
     def __init__(self, seed: int = 0) -> None:
-        """Nothing is owed; the seed orders the engines of which nothing is known."""
+        """Nothing is pending; the seed orders the engines of which nothing is known."""
         self.pending: dict[int, RequestRelease] = {}
         self.expired = 0
         self._seed = seed
@@ -60,22 +62,22 @@
         self._last_failure_us: dict[int, int] = {}
 
     def server_answered(self, now_us: int, server: int) -> None:
-        """An engine answered something."""
+        """An engine answered a call."""
         self._last_answer_us[server] = now_us
         self._last_failure_us.pop(server, None)
 
     def server_unresponsive(self, now_us: int, server: int) -> None:
-        """An engine did not come up, broke off, or did not answer."""
+        """An engine could not be reached, broke a connection or did not answer."""
         self._last_answer_us.pop(server, None)
         self._last_failure_us[server] = now_us
 
     def retain_servers(self, servers: Mapping[int, Server]) -> None:
-        """Forget the engines that are known no more."""
+        """Forget the engines that are no longer known."""
         self._last_answer_us = {number: at for number, at in self._last_answer_us.items() if number in servers}
         self._last_failure_us = {number: at for number, at in self._last_failure_us.items() if number in servers}
 
     def add(self, now_us: int, request: int, again: bool) -> None:
-        """All that is held for a request is to be let go of."""
+        """Queue the release of all that is held for a request; `repeat`: release once more a little later."""
         known = self.pending.get(request)
         if known is None:
             self.pending[request] = RequestRelease(request, now_us, now_us, again)
@@ -83,124 +85,125 @@
         if known.precautionary:
             known.precautionary, known.since_us = False, now_us
         if known.in_flight:
-            known.repeat = True  # the word that is out may have come before what is meant now
+            known.repeat = True  # the release in flight may arrive before what is to be released now
         else:
             known.due_us, known.repeat = now_us, known.repeat or again
 
     def repeat(self, now_us: int, request: int) -> None:
-        """A release is said once more, as a call may have been read since."""
+        """Repeat a release as a precaution, as an unread call may have been read since the first."""
         if request not in self.pending:
             self.pending[request] = RequestRelease(request, now_us, now_us, repeat=False, precautionary=True)
 
     def take_overdue(self, now_us: int, limit_us: int) -> list[RequestRelease]:
-        """Those that no engine has heard for so long, each once."""
+        """The releases that no engine has confirmed within the limit, each reported once."""
         late = [
-            room
-            for room in self.pending.values()
-            if not room.confirmed
-            and not room.overdue_reported
-            and not room.precautionary
-            and now_us - room.since_us > limit_us
+            release
+            for release in self.pending.values()
+            if not release.confirmed
+            and not release.overdue_reported
+            and not release.precautionary
+            and now_us - release.since_us > limit_us
         ]
-        for room in late:
-            room.overdue_reported = True
+        for release in late:
+            release.overdue_reported = True
         return late
 
     def take_due(self, now_us: int, servers: Mapping[int, Server]) -> list[tuple[RequestRelease, Server]]:
-        """What to say now, and to whom; each is answered for with `settled`."""
+        """The calls to make now; `settled` has to be called for each."""
         due: list[tuple[RequestRelease, Server]] = []
-        precautions = sum(len(room.in_flight) for room in self.pending.values() if room.precautionary)
-        for room in sorted(self.pending.values(), key=lambda room: room.precautionary):
-            if room.in_flight or room.due_us > now_us:
+        precautionary = sum(len(release.in_flight) for release in self.pending.values() if release.precautionary)
+        for release in sorted(self.pending.values(), key=lambda release: release.precautionary):
+            if release.in_flight or release.due_us > now_us:
                 continue
-            if room.precautionary:
-                if precautions >= PRECAUTIONS_MOST:
+            if release.precautionary:
+                if precautionary >= MAX_PRECAUTIONARY:
                     break
-                precautions += 1
-            if now_us - room.since_us >= EXPIRY_US:
-                del self.pending[room.request]
+                precautionary += 1
+            if now_us - release.since_us >= EXPIRY_US:
+                del self.pending[release.request]
                 self.expired += 1
                 continue
             if self._in_flight >= MAX_IN_FLIGHT:
                 break
-            asked = self._ask(room, servers)
-            room.in_flight = {server.number for server in asked}
+            asked = self._ask(release, servers)
+            release.in_flight = {server.number for server in asked}
             self._in_flight += len(asked)
-            due += [(room, server) for server in asked]
+            due += [(release, server) for server in asked]
         return due
 
-    def _ask(self, room: RequestRelease, servers: Mapping[int, Server]) -> list[Server]:
-        """Whom to ask now: one, or some that are unlike each other and those that did not answer.
+    def _ask(self, release: RequestRelease, servers: Mapping[int, Server]) -> list[Server]:
+        """The engines to ask now: one, or after a failure several that differ from each other and from the failed ones.
 
-        Servers fall silent by role or by zone. Those that were heard last may all be of the part that just did, and
-        each round costs a quarter of the rule's time.
+        Servers fail by role or by zone. Those that answered last may all be of the part that just failed, and each
+        round takes a quarter of the release time.
         """
         known = [server for server in servers.values() if server.state is not State.GONE]
-        alike = Counter[object]()
-        for number in room.failed:
+        used_domains = Counter[object]()
+        for number in release.failed:
             if number in servers:
-                alike.update(_parts(servers[number]))
+                used_domains.update(_failure_domains(servers[number]))
         chosen: list[Server] = []
-        for _ in range(min(RETRY_FANOUT if room.failed else 1, len(known))):
-            server = min((s for s in known if s not in chosen), key=lambda s: self._order(room, alike, s))
+        for _ in range(min(RETRY_FANOUT if release.failed else 1, len(known))):
+            server = min((s for s in known if s not in chosen), key=lambda s: self._order(release, used_domains, s))
             chosen.append(server)
-            alike.update(_parts(server))
+            used_domains.update(_failure_domains(server))
         return chosen
 
-    def _order(self, room: RequestRelease, alike: Counter[object], server: Server) -> tuple[object, ...]:
-        """In which order servers are asked: first those that did not fail us, of parts that did not."""
+    def _order(self, release: RequestRelease, used_domains: Counter[object], server: Server) -> tuple[object, ...]:
+        """Sort key: fewest failures for this release, oldest failure, other roles and zones, most recent answer."""
         return (
-            room.failed.count(server.number),
+            release.failed.count(server.number),
             self._last_failure_us.get(server.number, 0),
-            sum(alike[part] for part in _parts(server)),
+            sum(used_domains[domain] for domain in _failure_domains(server)),
             -self._last_answer_us.get(server.number, 0),
             blake2b(b"%d %d" % (self._seed, server.number), digest_size=8).digest(),
         )
 
-    def settled(self, now_us: int, room: RequestRelease, server: int, heard: bool | None) -> None:
-        """An engine let go, or was not heard; None: it was not asked, for want of a descriptor."""
+    def settled(self, now_us: int, release: RequestRelease, server: int, confirmed: bool | None) -> None:
+        """An engine confirmed, or did not; None: it was not asked, for lack of a file descriptor."""
         self._in_flight -= 1
-        if heard:
+        if confirmed:
             self.server_answered(now_us, server)
-        if self.pending.get(room.request) is not room or server not in room.in_flight:
-            return  # not owed any more, or another engine has already taken the word
-        room.in_flight.discard(server)
-        if heard is None:
-            room.due_us = now_us
-        elif not heard:
+        if self.pending.get(release.request) is not release or server not in release.in_flight:
+            return  # no longer pending, or another engine has already confirmed
+        release.in_flight.discard(server)
+        if confirmed is None:
+            release.due_us = now_us
+        elif not confirmed:
             self.server_unresponsive(now_us, server)
-            room.failed.append(server)
-            room.due_us = now_us + (0 if len(room.failed) < IMMEDIATE_TRIES else RETRY_PAUSE_US)
+            release.failed.append(server)
+            release.due_us = now_us + (0 if len(release.failed) < IMMEDIATE_TRIES else RETRY_PAUSE_US)
         else:
-            self._said(now_us, room)
+            self._confirmed(now_us, release)
 
-    def call_overdue(self, now_us: int, room: RequestRelease, server: int) -> bool:
-        """An engine has not been heard in time: others are asked. Whether it is waited for on."""
-        if self._late_calls >= MAX_LATE_CALLS or room.precautionary:
+    def call_overdue(self, now_us: int, release: RequestRelease, server: int) -> bool:
+        """A call is overdue: others are asked. Returns whether to keep waiting for it."""
+        if self._late_calls >= MAX_LATE_CALLS or release.precautionary:
             return False
         self._late_calls += 1
-        self.settled(now_us, room, server, False)
+        self.settled(now_us, release, server, False)
         return True
 
-    def late_call_settled(self, now_us: int, room: RequestRelease, server: int, heard: bool) -> None:
-        """An engine that was overdue let go, or was not heard."""
+    def late_call_settled(self, now_us: int, release: RequestRelease, server: int, confirmed: bool) -> None:
+        """An overdue call ended: the engine confirmed, or did not."""
         self._late_calls -= 1
-        if heard:
+        if confirmed:
             self.server_answered(now_us, server)
-            if self.pending.get(room.request) is room and server in room.failed:  # else another has taken the word
-                self._said(now_us, room)
-
-    def _said(self, now_us: int, room: RequestRelease) -> None:
-        room.confirmed = True
-        room.confirmations += 1
-        if room.repeat:
-            room.repeat, room.due_us = False, now_us + REPEAT_DELAY_US
-            room.in_flight.clear()
-            room.failed.clear()
+            # Otherwise another engine has confirmed.
+            if self.pending.get(release.request) is release and server in release.failed:
+                self._confirmed(now_us, release)
+
+    def _confirmed(self, now_us: int, release: RequestRelease) -> None:
+        release.confirmed = True
+        release.confirmations += 1
+        if release.repeat:
+            release.repeat, release.due_us = False, now_us + REPEAT_DELAY_US
+            release.in_flight.clear()
+            release.failed.clear()
         else:
-            del self.pending[room.request]
+            del self.pending[release.request]
 
 
-def _parts(server: Server) -> tuple[object, ...]:
-    """What a server may fail with: its role, its zone."""
+def _failure_domains(server: Server) -> tuple[object, ...]:
+    """What servers may fail together with: role and zone."""
     return server.role, server.zone
--- a/yardspindle/core/request/rule_checker.py
+++ b/yardspindle/core/request/rule_checker.py
@@ -1,9 +1,9 @@
-"""The five rules, checked on every command that leaves the edge's core. Always on.
+"""Checks the five rules on every command that leaves the edge's core. Always on.
 
-`Lifecycle` is written to keep the rules; this watches that it does, with a record of its own that shares no state
-with it: what was taken, what is out, what may have run, what is held, what was answered. A break is counted and
-logged with the request, and the command that would do harm is withheld where withholding is safe: a second
-answer, an attempt that must not be made. The property tests and the virtual clock read the same record.
+`Lifecycle` is written to keep the rules; this checks that it does, on records of its own that share nothing with it:
+what was accepted, is in flight, may have run, is held, was answered. A violation is counted and logged with its
+request, and a harmful command is withheld where that is safe: a second answer, a forbidden attempt. The property tests
+and the simulations on the virtual clock read the same records.
 """
 
 from __future__ import annotations
@@ -18,45 +18,47 @@
 from yardspindle.core.request.records import EdgeRules
 from yardspindle.core.request.retry_safety import PROVES_NOT_RUN
 
-LATE_TICK_US = 40_000  # the core looks at its clock every 20 ms; a busy loop may be one look late
-PINNED = "nothing left pinned"
-KEPT_ENDED = 2_000  # ended requests that are remembered, to catch what comes after an end
+LATE_TICK_US = 40_000  # the core ticks every 20 ms; a busy loop may miss one tick
+NOTHING_PINNED = "nothing left pinned"
+MAX_ENDED = 2_000  # ended requests remembered, to check what follows their end
 
 
 @dataclass(slots=True)
 class CheckedRequest:
-    """What this record knows of a request."""
+    """The checker's own record of a request."""
 
     expires_us: int
     effect: i.Effect
     buffered: bool = False
-    in_flight: dict[int, tuple[bool, str]] = field(default_factory=dict)  # attempt: is a write, server
+    in_flight: dict[int, tuple[bool, str]] = field(
+        default_factory=dict
+    )  # by attempt: whether it is a write, its server
     may_have_run: bool = False
     streaming: bool = False
     answered: bool = False
-    left: bool = False
-    state: tuple[int, str] | None = None  # the read's attempt, server
+    disconnected: bool = False
+    state: tuple[int, str] | None = None  # attempt of the read, its server
     places: dict[int, str] = field(default_factory=dict)
-    riding: dict[int, tuple[int, str]] = field(default_factory=dict)  # by write: the place it is to take
-    asked: dict[int, int] = field(default_factory=dict)  # by place: the read with which it was asked
-    held_since_us: int = 0  # since when what is held waits for an attempt that a running server is known to have
-    unwritten: set[int] = field(default_factory=set)  # attempts whose last byte is not written: nothing has run
-    accepted: set[int] = field(default_factory=set)  # attempts that a running server is known to have
+    write_places: dict[int, tuple[int, str]] = field(default_factory=dict)  # by write: the place that it uses
+    place_reads: dict[int, int] = field(default_factory=dict)  # by place: the read during which it was requested
+    held_since_us: int = 0  # start of the time limit on what is held; reset when an accepted attempt ends
+    unwritten: set[int] = field(default_factory=set)  # attempts whose last byte is not written: they have not run
+    accepted: set[int] = field(default_factory=set)  # attempts that a running server is record to have
 
     @property
-    def under_way(self) -> bool:
-        """The client sees its answer come: no deadline runs."""
+    def stream_visible(self) -> bool:
+        """The client receives its stream: no deadline applies any more."""
         return self.streaming and not self.buffered
 
     @property
-    def over(self) -> bool:
-        """Nothing more is owed to the client."""
-        return self.answered or self.left
+    def finished(self) -> bool:
+        """The client has its answer, or has disconnected."""
+        return self.answered or self.disconnected
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that was broken, or would have been."""
+    """A rule that was broken, or would have been without the checker."""
 
     rule: str
     request: int
@@ -64,10 +66,10 @@
 
 
 class RuleChecker:
-    """Checks the commands of one edge."""
+    """Checks one edge's commands and reports violations."""
 
     def __init__(self, rules: EdgeRules) -> None:
-        """Nothing taken yet."""
+        """No requests yet."""
         self._rules = rules
         self.requests: dict[int, CheckedRequest] = {}
         self._ended: dict[int, CheckedRequest] = {}
@@ -75,249 +77,257 @@
         self.violation_counts: Counter[str] = Counter()  # by rule, since the start
         self.last_violation: Violation | None = None
 
-    # --- what comes in
+    # --- events
 
-    def request_arrived(self, now_us: int, ask: i.Request, whole: bool) -> None:
-        """A request was taken; `whole`: its client sees nothing before the last token."""
-        self.requests[ask.request] = CheckedRequest(
-            ask.expires_us, self._rules.effects[ask.cls], whole, held_since_us=now_us
+    def request_arrived(self, now_us: int, request: i.Request, buffered: bool) -> None:
+        """A request was accepted; `buffered`: its client gets the answer in one piece."""
+        self.requests[request.request] = CheckedRequest(
+            request.expires_us, self._rules.effects[request.cls], buffered, held_since_us=now_us
         )
 
     def client_disconnected(self, now_us: int, request: int) -> None:
-        """Its client is gone."""
-        if (known := self.requests.get(request)) is not None:
-            known.left = True
-            self._forget(request, known)
+        """The client disconnected."""
+        if (record := self.requests.get(request)) is not None:
+            record.disconnected = True
+            self._forget(request, record)
 
     def stream_began(self, request: int) -> None:
-        """Its stream has begun."""
-        if (known := self.requests.get(request)) is not None:
-            known.streaming = True
-            known.state = None
+        """The stream to the client has begun."""
+        if (record := self.requests.get(request)) is not None:
+            record.streaming = True
+            record.state = None
             if self._rules.release_by_request:
-                known.places.clear()
+                record.places.clear()
 
     def attempt_ended(self, now_us: int, request: int, attempt: int, status: i.Status, note: int) -> None:
-        """An attempt ended by itself."""
-        known = self._known(request)
-        if known is None or attempt not in known.in_flight:
+        """An attempt ended or timed out."""
+        record = self._find(request)
+        if record is None or attempt not in record.in_flight:
             return
-        write, server = known.in_flight.pop(attempt)
-        self._over(now_us, known, attempt, status in PROVES_ACCEPTED)
+        write, server = record.in_flight.pop(attempt)
+        self._attempt_over(now_us, record, attempt, status in PROVES_ACCEPTED)
         if status not in (i.Status.SERVED, i.Status.FULL):
-            self._untaken(now_us, known, attempt)
+            self._unconfirmed_write(now_us, record, attempt)
         if write and status not in PROVES_NOT_RUN:
-            known.may_have_run = True
+            record.may_have_run = True
         if status is i.Status.READ:
-            self._holds(now_us, known)
-            known.state = attempt, server
+            self._start_hold_time(now_us, record)
+            record.state = attempt, server
         elif write and (note == 1 or status is i.Status.SERVED):
-            known.state = None
+            record.state = None
 
     def may_reserve_place(self, now_us: int, request: int, place: int, listed: Server | None) -> bool:
-        """The call for a place is about to be written: it may be held from now on. Whether it may be asked."""
-        known = self.requests.get(request)
-        if known is None or known.over or listed is None or not self._takes(now_us, listed):
-            return self._broken("drains kept" if known else "one final answer", request, "a call for a place")
-        self._holds(now_us, known)
-        known.places[place] = listed.name
+        """The call for a place is about to be written; returns whether it may be. It may be held from now on."""
+        record = self.requests.get(request)
+        if record is None or record.finished or listed is None or not self._accepts_work(now_us, listed):
+            return self._violation("drains kept" if record else "one final answer", request, "a call for a place")
+        self._start_hold_time(now_us, record)
+        record.places[place] = listed.name
         return True
 
     def place_answered(self, now_us: int, request: int, place: int, server: str, held: bool | None) -> None:
-        """A writer holds a place for a request, or does not, or (None) nothing is known."""
-        known = self._known(request)
-        if known is None:
+        """A writer holds a place for a request, or does not, or (None) did not answer."""
+        record = self._find(request)
+        if record is None:
             return
-        read = known.asked.pop(place, None)
-        if held is not None and read in known.in_flight and read not in known.unwritten:
-            known.accepted.add(read)
+        read = record.place_reads.pop(place, None)
+        if held is not None and read in record.in_flight and read not in record.unwritten:
+            record.accepted.add(read)
         if held is False:
-            known.places.pop(place, None)
-        elif held and not (known.over and not known.in_flight):
-            self._holds(now_us, known)
-            known.places[place] = server
+            record.places.pop(place, None)
+        elif held and not (record.finished and not record.in_flight):
+            self._start_hold_time(now_us, record)
+            record.places[place] = server
 
     def attempt_written(self, request: int, attempt: int) -> None:
         """An attempt's last byte is written."""
-        if (known := self._known(request)) is not None:
-            known.unwritten.discard(attempt)
+        if (record := self._find(request)) is not None:
+            record.unwritten.discard(attempt)
 
     def attempt_answered(self, request: int, attempt: int) -> None:
-        """The first bytes of an attempt's answer came."""
-        if (known := self._known(request)) is not None and attempt in known.in_flight:
-            known.unwritten.discard(attempt)
-            known.accepted.add(attempt)
+        """The first bytes of an attempt's answer arrived."""
+        if (record := self._find(request)) is not None and attempt in record.in_flight:
+            record.unwritten.discard(attempt)
+            record.accepted.add(attempt)
 
-    # --- what goes out
+    # --- commands
 
     def check(self, now_us: int, commands: list[c.Command]) -> list[c.Command]:
-        """The commands that may be carried out; breaks are noted."""
+        """The commands that may be carried out; violations are recorded."""
         return [command for command in commands if self._allowed(now_us, command)]
 
     def _allowed(self, now_us: int, command: c.Command) -> bool:
         match command:
             case c.Read() | c.Write():
-                return self._attempt(now_us, command)
+                return self._check_attempt(now_us, command)
             case c.Abort(request, attempt):
-                known = self._known(request)
-                if known is not None and attempt in known.in_flight:
-                    write, _ = known.in_flight.pop(attempt)
-                    self._untaken(now_us, known, attempt)
-                    known.may_have_run = known.may_have_run or write and attempt not in known.unwritten
-                    self._over(now_us, known, attempt, False)
-                    self._forget(request, known)
+                record = self._find(request)
+                if record is not None and attempt in record.in_flight:
+                    write, _ = record.in_flight.pop(attempt)
+                    self._unconfirmed_write(now_us, record, attempt)
+                    record.may_have_run = record.may_have_run or write and attempt not in record.unwritten
+                    self._attempt_over(now_us, record, attempt, False)
+                    self._forget(request, record)
             case c.ReservePlace():
-                if (known := self.requests.get(command.request)) is not None:
-                    known.asked[command.place] = command.read_attempt
+                if (record := self.requests.get(command.request)) is not None:
+                    record.place_reads[command.place] = command.read_attempt
             case c.ReleaseState(request, attempt):
-                known = self._known(request)
-                if known is not None and known.state is not None and known.state[0] == attempt:
-                    known.state = None
+                record = self._find(request)
+                if record is not None and record.state is not None and record.state[0] == attempt:
+                    record.state = None
             case c.ReleasePlace(request, place):
-                known = self._known(request)
-                if known is not None:
-                    known.places.pop(place, None)
+                record = self._find(request)
+                if record is not None:
+                    record.places.pop(place, None)
             case c.ReleaseAll(request):
-                known = self._known(request)
-                if known is not None:
-                    known.state = None
-                    known.places.clear()
+                record = self._find(request)
+                if record is not None:
+                    record.state = None
+                    record.places.clear()
             case c.Answer():
-                return self._answer(now_us, command)
+                return self._check_answer(now_us, command)
             case _:
                 pass
         return True
 
-    def _attempt(self, now_us: int, command: c.Read | c.Write) -> bool:
-        known = self.requests.get(command.request)
+    def _check_attempt(self, now_us: int, command: c.Read | c.Write) -> bool:
+        record = self.requests.get(command.request)
         write = isinstance(command, c.Write)
-        if known is None or known.over:
-            return self._broken("one final answer", command.request, "an attempt after the end")
-        if known.in_flight:
-            return self._broken("no effect twice", command.request, "a second attempt while one is out")
-        if known.may_have_run and known.effect is not i.Effect.SAFE:
-            return self._broken("no effect twice", command.request, "an attempt though one may have run")
-        if not self._takes(now_us, command.server):
-            return self._broken("drains kept", command.request, f"an attempt at {command.server.name}")
-        known.in_flight[command.attempt] = write, command.server.name
+        if record is None or record.finished:
+            return self._violation("one final answer", command.request, "an attempt after the end")
+        if record.in_flight:
+            return self._violation("no effect twice", command.request, "a second attempt while one is in flight")
+        if record.may_have_run and record.effect is not i.Effect.SAFE:
+            return self._violation("no effect twice", command.request, "an attempt though one may have run")
+        if not self._accepts_work(now_us, command.server):
+            return self._violation("drains kept", command.request, f"an attempt at {command.server.name}")
+        record.in_flight[command.attempt] = write, command.server.name
         if self._rules.release_by_request:
-            known.unwritten.add(command.attempt)
+            record.unwritten.add(command.attempt)
         else:
-            known.accepted.add(command.attempt)  # it is not told there
-        if write and self._rules.release_by_request:  # a send to another writer gives a place up
-            known.places = {n: at for n, at in known.places.items() if at == command.server.name}
+            record.accepted.add(command.attempt)  # no progress is reported in that mode
+        if write and self._rules.release_by_request:  # a send to another writer abandons the place
+            record.places = {n: at for n, at in record.places.items() if at == command.server.name}
         if isinstance(command, c.Write) and command.place is not None:
-            known.places.pop(command.place, None)
-            known.riding[command.attempt] = command.place, command.server.name
+            record.places.pop(command.place, None)
+            record.write_places[command.attempt] = command.place, command.server.name
         return True
 
     def may_send(
         self, now_us: int, request: int, attempt: int, listed: Server | None, release_pending: bool = False
     ) -> bool:
-        """An attempt's first byte is about to be written, to a server as it is listed now; whether that may be.
+        """An attempt's first byte is about to be written to `listed`, the server's present entry; whether it may be.
 
-        `owed`: a release of what an earlier attempt left is not heard yet.
+        `release_pending`: a release of what an earlier attempt left is not confirmed yet.
         """
-        known = self.requests.get(request)
-        if known is None or known.over or attempt not in known.in_flight:
-            return self._broken("one final answer", request, "a first byte of an attempt that was called off")
-        name = known.in_flight[attempt][1]
-        if listed is None or listed.name != name or not self._takes(now_us, listed):
-            return self._broken("drains kept", request, f"a first byte to {name}")
+        record = self.requests.get(request)
+        if record is None or record.finished or attempt not in record.in_flight:
+            return self._violation("one final answer", request, "a first byte of an aborted attempt")
+        name = record.in_flight[attempt][1]
+        if listed is None or listed.name != name or not self._accepts_work(now_us, listed):
+            return self._violation("drains kept", request, f"a first byte to {name}")
         if release_pending:
-            return self._broken(PINNED, request, f"a first byte to {name} while a release is owed")
+            return self._violation(NOTHING_PINNED, request, f"a first byte to {name} while a release is pending")
         return True
 
-    def _takes(self, now_us: int, server: Server) -> bool:
+    def _accepts_work(self, now_us: int, server: Server) -> bool:
+        """Whether the server serves, or its drain is within the grace period."""
         return server.closed_us is None or now_us <= server.closed_us + self._rules.drain_grace_us
 
-    def _answer(self, now_us: int, answer: c.Answer) -> bool:
-        known = self.requests.get(answer.request)
-        if known is None or known.over:
-            return self._broken("one final answer", answer.request, f"a second one: {answer.code}")
-        harmless = known.effect is i.Effect.SAFE or not (
-            known.may_have_run or any(write for write, _ in known.in_flight.values())
+    def _check_answer(self, now_us: int, answer: c.Answer) -> bool:
+        record = self.requests.get(answer.request)
+        if record is None or record.finished:
+            return self._violation("one final answer", answer.request, f"a second one: {answer.code}")
+        harmless = record.effect is i.Effect.SAFE or not (
+            record.may_have_run or any(write for write, _ in record.in_flight.values())
         )
         if answer.final is c.Final.REFUSED and not harmless:
-            self._broken("no effect twice", answer.request, "a refusal though it may have run")
-        late_us = now_us - known.expires_us - self._rules.answer_slack_us - LATE_TICK_US
-        if late_us > 0 and not known.under_way:
-            self._broken("one final answer", answer.request, f"{late_us} us late")
-        known.answered = True
-        self._forget(answer.request, known)
+            self._violation("no effect twice", answer.request, "a refusal though it may have run")
+        late_us = now_us - record.expires_us - self._rules.answer_slack_us - LATE_TICK_US
+        if late_us > 0 and not record.stream_visible:
+            self._violation("one final answer", answer.request, f"{late_us} us late")
+        record.answered = True
+        self._forget(answer.request, record)
         return True
 
     def check_time(self, now_us: int) -> None:
-        """What only time breaks: an answer overdue, a state or place held with nothing out."""
-        for request, known in list(self.requests.items()):
-            if not known.under_way and now_us > known.expires_us + self._rules.answer_slack_us + LATE_TICK_US:
-                self._broken("one final answer", request, "none in time")
-                known.left = True
-                self._forget(request, known)
-        for request, known in (*self.requests.items(), *self._ended.items()):
-            held = known.state is not None or known.places
-            taken = known.in_flight.keys() & known.accepted
-            if held and not taken and now_us - known.held_since_us > self._rules.release_us:
-                self._broken(PINNED, request, f"{_what(known)} held with no attempt known to be at a running server")
-                known.state = None
-                known.places.clear()
+        """Check time limits: overdue answers, and states or places held without an accepted attempt."""
+        for request, record in list(self.requests.items()):
+            if not record.stream_visible and now_us > record.expires_us + self._rules.answer_slack_us + LATE_TICK_US:
+                self._violation("one final answer", request, "none in time")
+                record.disconnected = True
+                self._forget(request, record)
+        for request, record in (*self.requests.items(), *self._ended.items()):
+            held = record.state is not None or record.places
+            accepted = record.in_flight.keys() & record.accepted
+            if held and not accepted and now_us - record.held_since_us > self._rules.release_us:
+                self._violation(
+                    NOTHING_PINNED,
+                    request,
+                    f"{_describe_held(record)} held with no attempt known to be at a running server",
+                )
+                record.state = None
+                record.places.clear()
 
     def may_release(self, request: int) -> bool:
-        """A release's first byte is about to be written; whether it takes nothing from an attempt that may run."""
-        known = self._known(request)
-        written = known.in_flight.keys() - known.unwritten if known is not None else set()
-        return not written or self._broken(PINNED, request, f"a release under attempts {sorted(written)}")
+        """A release is about to be written; whether it takes nothing from an attempt that may run."""
+        record = self._find(request)
+        written = record.in_flight.keys() - record.unwritten if record is not None else set()
+        return not written or self._violation(NOTHING_PINNED, request, f"a release under attempts {sorted(written)}")
 
     def release_overdue(self, now_us: int, request: int, since_us: int) -> None:
-        """A release was asked for and no server is known to have heard it, though the time of what is held is up."""
-        self._broken(PINNED, request, f"a release not heard for {(now_us - since_us) // 1_000} ms")
-
-    def _over(self, now_us: int, known: CheckedRequest, attempt: int, answered: bool) -> None:
-        """An attempt is out no more: the time of what is held begins anew if a running server surely had it."""
-        if answered or attempt in known.accepted:
-            known.held_since_us = now_us
-        known.accepted.discard(attempt)
-        known.unwritten.discard(attempt)
-
-    def _holds(self, now_us: int, known: CheckedRequest) -> None:
-        if known.state is None and not known.places:
-            known.held_since_us = now_us
-
-    def _untaken(self, now_us: int, known: CheckedRequest, attempt: int) -> None:
-        """Without the writer's word a write's place may still be held."""
-        if not known.streaming and attempt in known.riding:
-            place, server = known.riding.pop(attempt)
-            self._holds(now_us, known)
-            known.places[place] = server
-
-    def _broken(self, rule: str, request: int, text: str) -> bool:
+        """No server has confirmed a release within the time limit on what is held."""
+        self._violation(NOTHING_PINNED, request, f"a release not confirmed for {(now_us - since_us) // 1_000} ms")
+
+    def _attempt_over(self, now_us: int, record: CheckedRequest, attempt: int, answered: bool) -> None:
+        """An attempt is no longer in flight: the time limit restarts if a running server certainly had it."""
+        if answered or attempt in record.accepted:
+            record.held_since_us = now_us
+        record.accepted.discard(attempt)
+        record.unwritten.discard(attempt)
+
+    def _start_hold_time(self, now_us: int, record: CheckedRequest) -> None:
+        """Start the time limit when the first state or place comes to be held."""
+        if record.state is None and not record.places:
+            record.held_since_us = now_us
+
+    def _unconfirmed_write(self, now_us: int, record: CheckedRequest, attempt: int) -> None:
+        """Without the writer's confirmation, a write's place may still be held."""
+        if not record.streaming and attempt in record.write_places:
+            place, server = record.write_places.pop(attempt)
+            self._start_hold_time(now_us, record)
+            record.places[place] = server
+
+    def _violation(self, rule: str, request: int, text: str) -> bool:
+        """Record a violation; returns False, to withhold the command."""
         self.last_violation = Violation(rule, request, text)
         self.new_violations.append(self.last_violation)
         self.violation_counts[rule] += 1
         return False
 
-    def _known(self, request: int) -> CheckedRequest | None:
+    def _find(self, request: int) -> CheckedRequest | None:
         return self.requests.get(request) or self._ended.get(request)
 
-    def _forget(self, request: int, known: CheckedRequest) -> None:
-        if known.over and request in self.requests:
+    def _forget(self, request: int, record: CheckedRequest) -> None:
+        """Move a finished request to those that ended."""
+        if record.finished and request in self.requests:
             del self.requests[request]
-            self._ended[request] = known
-            while len(self._ended) > KEPT_ENDED:
+            self._ended[request] = record
+            while len(self._ended) > MAX_ENDED:
                 del self._ended[next(iter(self._ended))]
 
     def take_violations(self) -> list[Violation]:
-        """The breaks since the last call."""
-        taken, self.new_violations = self.new_violations, []
-        return taken
-
-
-def _what(known: CheckedRequest) -> str:
-    """What is held, and the attempts that are out, with how far each is known to have come."""
-    held = [f"a state at {known.state[1]}"] if known.state else []
-    held += [f"a place at {server}" for server in known.places.values()]
-    out = [
-        f"{'write' if write else 'read'} {'unwritten' if attempt in known.unwritten else 'written'} at {server}"
-        for attempt, (write, server) in known.in_flight.items()
+        """The violations since the last call."""
+        violations, self.new_violations = self.new_violations, []
+        return violations
+
+
+def _describe_held(record: CheckedRequest) -> str:
+    """Describes what is held and the attempts in flight, and whether each is written."""
+    held = [f"a state at {record.state[1]}"] if record.state else []
+    held += [f"a place at {server}" for server in record.places.values()]
+    in_flight = [
+        f"{'write' if write else 'read'} {'unwritten' if attempt in record.unwritten else 'written'} at {server}"
+        for attempt, (write, server) in record.in_flight.items()
     ]
-    return ", ".join(held) + (f" ({', '.join(out)})" if out else "")
+    return ", ".join(held) + (f" ({', '.join(in_flight)})" if in_flight else "")
