--- a/yardspindle/core/request/edge_core.py
+++ b/yardspindle/core/request/edge_core.py
@@ -137,7 +137,7 @@
         return left_ms
 
     def release_pending(self, request: int) -> bool:
-        """Whether no engine has confirmed yet that it released what earlier attempts of a request left."""
+        """Whether a release of what earlier attempts of a request left is pending."""
         return request in self.request_releases.pending
 
     def may_reserve_place(self, request: int, number: int, read_attempt: int) -> bool:
--- a/yardspindle/core/request/engine_releases.py
+++ b/yardspindle/core/request/engine_releases.py
@@ -58,12 +58,12 @@
         self.expired = 0
         self.dropped = 0
 
-    def add(self, now_us: int, server: Server, thing: ResourceKind, request: int, part: int) -> None:
+    def add(self, now_us: int, server: Server, kind: ResourceKind, request: int, number: int) -> None:
         """Queue a release, unless the server lacks the extension that knows releases."""
         if not server.places:
             return
         queue = self._queues.setdefault((server.host, server.port), _Queue())
-        queue.waiting.append(PendingRelease(server, thing, request, part, now_us, due_us=now_us))
+        queue.waiting.append(PendingRelease(server, kind, request, number, now_us, due_us=now_us))
         self.pending += 1
         if self.pending > MAX_PENDING:
             fullest = max(self._queues.values(), key=lambda queue: len(queue.waiting))
--- a/yardspindle/core/request/held_resources.py
+++ b/yardspindle/core/request/held_resources.py
@@ -92,9 +92,7 @@
             self._late_place_answer(now_us, record, request, number, server, held)
             return self._take_commands()
         if held is None and self.rules.release_by_request:
-            return (
-                self._take_commands()
-            )  # it may be held: a write there uses it, and the end of the request releases it
+            return self._take_commands()  # if held, a write there uses it, or the end of the request releases it
         if held is None:
             self._release_place(record)
             self._commands.append(c.ReleasePlace(request, number, server))
@@ -156,9 +154,8 @@
         self._track_unread(record, attempt, silent=True)
         status = i.Status.TIMEOUT if attempt.written else i.Status.CONNECT_FAILED
         if attempt.server.role is i.Role.READ:
-            record.may_hold_later = (
-                record.may_hold_later or attempt.written
-            )  # it may succeed at the moment of the abort
+            # The read may succeed at the moment of the abort.
+            record.may_hold_later = record.may_hold_later or attempt.written
             status = i.Status.CANCELLED  # the unresponsive server may be the one with the place: neither is blamed
         else:
             record.may_have_run = record.may_have_run or may_have_run(attempt.server.role, status)
--- a/yardspindle/core/request/lifecycle.py
+++ b/yardspindle/core/request/lifecycle.py
@@ -79,7 +79,7 @@
     def stream_flushed(self, now_us: int, request: int) -> list[c.Command]:
         """All that had arrived of a stream at shutdown is passed on: cut it."""
         if (record := self.requests.get(request)) is not None:
-            self._break_off_stream(now_us, record)
+            self._cut_stream(now_us, record)
         return self._take_commands()
 
     def update_servers(self, now_us: int, listed: list[Server]) -> list[c.Command]:
@@ -134,7 +134,7 @@
             case i.Cancel():
                 self._with_record(action.request, lambda record: self._cancel(now_us, record, action.attempt))
             case i.Move() if self.rules.resume:
-                self._with_record(action.request, lambda record: self._break_off_stream(now_us, record))
+                self._with_record(action.request, lambda record: self._cut_stream(now_us, record))
             case i.CloseIdle() if (server := self.directory.servers.get(action.server)) is not None:
                 self._commands.append(c.CloseIdle(server))
             case _:
@@ -164,9 +164,8 @@
         deadline_us = record.request.expires_us
         if send.timeout_us:
             deadline_us = min(deadline_us, now_us + send.timeout_us)
-        evidence = (
-            Evidence.DECIDED if self.rules.release_by_request else Evidence.ACCEPTED
-        )  # no progress is reported in that mode
+        # Without `release_by_request` the I/O does not report progress.
+        evidence = Evidence.DECIDED if self.rules.release_by_request else Evidence.ACCEPTED
         record.attempt = Attempt(number, server, now_us, deadline_us, evidence)
         if server.role is i.Role.READ:
             if not self.rules.release_by_request:  # else released together with what this read leaves
@@ -208,7 +207,7 @@
             self._interlock(record, "refused though it may have run")
             self._answer(now_us, record, c.Final.FAILED, "may_have_run")
 
-    def _break_off_stream(self, now_us: int, record: RequestRecord) -> None:
+    def _cut_stream(self, now_us: int, record: RequestRecord) -> None:
         """Cut a running stream, whose client resumes it elsewhere. A request that does not stream yet is left alone."""
         if record.final is None and record.streaming:
             self._final(record, c.Final.FAILED, "moved")
--- a/yardspindle/core/request/request_releases.py
+++ b/yardspindle/core/request/request_releases.py
@@ -77,7 +77,7 @@
         self._last_failure_us = {number: at for number, at in self._last_failure_us.items() if number in servers}
 
     def add(self, now_us: int, request: int, again: bool) -> None:
-        """Queue the release of all that is held for a request; `repeat`: release once more a little later."""
+        """Queue the release of all that is held for a request, optionally repeated a little later."""
         known = self.pending.get(request)
         if known is None:
             self.pending[request] = RequestRelease(request, now_us, now_us, again)
--- a/yardspindle/core/request/rule_checker.py
+++ b/yardspindle/core/request/rule_checker.py
@@ -30,9 +30,7 @@
     expires_us: int
     effect: i.Effect
     buffered: bool = False
-    in_flight: dict[int, tuple[bool, str]] = field(
-        default_factory=dict
-    )  # by attempt: whether it is a write, its server
+    in_flight: dict[int, tuple[bool, str]] = field(default_factory=dict)  # by attempt: is it a write, its server
     may_have_run: bool = False
     streaming: bool = False
     answered: bool = False
@@ -43,7 +41,7 @@
     place_reads: dict[int, int] = field(default_factory=dict)  # by place: the read during which it was requested
     held_since_us: int = 0  # start of the time limit on what is held; reset when an accepted attempt ends
     unwritten: set[int] = field(default_factory=set)  # attempts whose last byte is not written: they have not run
-    accepted: set[int] = field(default_factory=set)  # attempts that a running server is record to have
+    accepted: set[int] = field(default_factory=set)  # attempts that a running server is known to have
 
     @property
     def stream_visible(self) -> bool:
@@ -205,7 +203,7 @@
         if self._rules.release_by_request:
             record.unwritten.add(command.attempt)
         else:
-            record.accepted.add(command.attempt)  # no progress is reported in that mode
+            record.accepted.add(command.attempt)  # the I/O does not report progress in that mode
         if write and self._rules.release_by_request:  # a send to another writer abandons the place
             record.places = {n: at for n, at in record.places.items() if at == command.server.name}
         if isinstance(command, c.Write) and command.place is not None:
--- a/yardspindle/core/request/unread_calls.py
+++ b/yardspindle/core/request/unread_calls.py
@@ -12,7 +12,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-AFTER_HEARD_US = 120_000  # by then a server that answers again has read what lay in its other connections
+AFTER_ANSWER_US = 120_000  # by then a server that answers again has read what lay in its other connections
 EXPIRY_US = 6_000_000  # a machine that is unresponsive for longer is taken to be gone
 MAX_TRACKED = 5_000  # requests; beyond it the oldest is evicted
 PERIOD_FRACTION = 0.75  # of the release time limit, from one release to the next
@@ -48,7 +48,7 @@
             if call.servers.get(server) is False:
                 del call.servers[server]
                 if not call.servers:
-                    call.due_us = now_us + AFTER_HEARD_US
+                    call.due_us = now_us + AFTER_ANSWER_US
 
     def retain_servers(self, listed: Collection[int]) -> None:
         """Forget requests whose servers are all no longer listed: they are gone, with all that they held."""
