--- a/yardspindle/core/config.py
+++ b/yardspindle/core/config.py
@@ -215,17 +215,17 @@
         ("planner.listen", config.planner.listen),
         ("planner.metrics", config.planner.metrics),
     ):
-        if address is not None and not _in_range(address):
+        if address is not None and not _address_in_range(address):
             raise ConfigError(f"{file}: {key}: not an address with a port up to 65535: {address}")
     return config
 
 
 def _check_fleet(file: str, fleet: FleetConfig) -> None:
     """Validates the fleet section. Raises ConfigError."""
-    for place in fleet.store:
-        address = place.removeprefix("http://")
-        if address != place and (re.fullmatch(ADDRESS, address) is None or not _in_range(address)):
-            raise ConfigError(f"{file}: fleet.store: not http:// with an address and a port: {place}")
+    for location in fleet.store:
+        address = location.removeprefix("http://")
+        if address != location and (re.fullmatch(ADDRESS, address) is None or not _address_in_range(address)):
+            raise ConfigError(f"{file}: fleet.store: not http:// with an address and a port: {location}")
     if len(fleet.store) > 1 and any(place.startswith("file:") for place in fleet.store):
         raise ConfigError(f"{file}: fleet.store: a file: store must be the only entry")
     if 4 * fleet.call_ms > fleet.ttl_ms:
@@ -270,7 +270,7 @@
             raise ConfigError(f"{file}: {key}: {name} comes twice")
 
 
-def _in_range(address: str) -> bool:
+def _address_in_range(address: str) -> bool:
     host, port = split_address(address)
     numbers = host.split(".") if ":" not in host else []
     return port <= 65_535 and all(int(n) <= 255 for n in numbers)
--- a/yardspindle/engine/vllm.py
+++ b/yardspindle/engine/vllm.py
@@ -27,10 +27,8 @@
 STATES = b"/v1/yardspindle/states"
 PLACE_HEADER = b"x-yardspindle-place"
 HOLDS = b"/v1/yardspindle/holds"
-DUTY_HEADER, FENCE_HEADER = (
-    b"x-yardspindle-duty",
-    b"x-yardspindle-fence",
-)  # identify a steward that acts for the whole fleet
+# Sent by a steward that acts for the whole fleet: its duty and fencing token.
+DUTY_HEADER, FENCE_HEADER = b"x-yardspindle-duty", b"x-yardspindle-fence"
 JSON_HEADERS: http1.Headers = [(b"content-type", b"application/json")]
 MAX_ERROR_BYTES = 65_536
 READ_PARAMS = {
@@ -167,7 +165,7 @@
 
 
 class EngineClient:
-    """Calls to any engine of the server list. Only the caller's deadlines limit how long a call may take."""
+    """Calls to any engine of the server list. The caller sets the deadline of each call."""
 
     def __init__(self, http: HttpClient, id_prefix: str) -> None:
         """`id_prefix` distinguishes the ids of this run of the edge from all others."""
