--- a/yardspindle/core/config.py
+++ b/yardspindle/core/config.py
@@ -226,7 +226,7 @@
         address = location.removeprefix("http://")
         if address != location and (re.fullmatch(ADDRESS, address) is None or not _address_in_range(address)):
             raise ConfigError(f"{file}: fleet.store: not http:// with an address and a port: {location}")
-    if len(fleet.store) > 1 and any(place.startswith("file:") for place in fleet.store):
+    if len(fleet.store) > 1 and any(location.startswith("file:") for location in fleet.store):
         raise ConfigError(f"{file}: fleet.store: a file: store must be the only entry")
     if 4 * fleet.call_ms > fleet.ttl_ms:
         raise ConfigError(
