--- a/tests/crossing_planted.py
+++ b/tests/crossing_planted.py
@@ -71,8 +71,8 @@
     "nothing is let go of": one(
         ReleaseTasks,
         "_release",
-        "heard = self._hosts.release(server, self._ids[room.request], ready)",
-        "heard = True",
+        "acknowledged = self._hosts.release(server, self._ids[release.request], late_headers)",
+        "acknowledged = True",
         "was held",
         7,
     ),
@@ -111,7 +111,7 @@
     ),
     "a silent agent is waited for": one(
         DiscoveryClient,
-        "_ask",
+        "_fetch",
         "wait_us + timeouts.AGENT_RESPONSE_US",
         "wait_us + 60_000_000",
         "after its drain was told",
@@ -161,7 +161,11 @@
         4,
     ),
     "attempts are told more time": one(
-        Executor, "_ready", "self._left_ms(command))]", "(self._left_ms(command) + 200))]", "more than is left"
+        Executor,
+        "_late_headers",
+        "self._remaining_ms(command))]",
+        "(self._remaining_ms(command) + 200))]",
+        "more than is left",
     ),
     "the time left is not looked at when an attempt goes out": one(
         Lifecycle,
@@ -188,10 +192,10 @@
     ),
     "an attempt waits when all has been looked at": one(
         Executor,
-        "_ready",
-        'return [(b"req-deadline-ms", b"%d" % self._left_ms(command))]',
-        "left_ms = self._left_ms(command); self._world.sleep_until(self._world.now_us() + 250_000)\n"
-        '                return [(b"req-deadline-ms", b"%d" % left_ms)]',
+        "_late_headers",
+        'return [(b"req-deadline-ms", b"%d" % self._remaining_ms(command))]',
+        "remaining_ms = self._remaining_ms(command); self._world.sleep_until(self._world.now_us() + 250_000)\n"
+        '                return [(b"req-deadline-ms", b"%d" % remaining_ms)]',
         "more than is left",
     ),
     "an attempt that was written has not run": one(
--- a/tests/planted_crossings.py
+++ b/tests/planted_crossings.py
@@ -44,7 +44,7 @@
 PLANTS = {
     "nobody_hears_that_a_client_has_gone": Plant(
         "node/app.py",
-        "exchange.on_disconnect = self._gone(run)",
+        "exchange.on_disconnect = self._on_disconnect(running)",
         "pass",
         lambda stage: clients.flood(stage, "close", 0),
         "after its client left",
@@ -79,8 +79,8 @@
     ),
     "a_release_is_taken_as_heard": Plant(
         "node/release_tasks.py",
-        "heard = self._hosts.release(server, self._ids[room.request], ready)",
-        "heard = True",
+        "acknowledged = self._hosts.release(server, self._ids[release.request], late_headers)",
+        "acknowledged = True",
         lambda stage: clients.leaving_between(stage, "fin"),
         "with no attempt out",
     ),
@@ -100,7 +100,7 @@
     ),
     "more_time_is_told_than_is_left": Plant(
         "node/executor.py",
-        "return left_ms",
+        "return remaining_ms",
         "return 5_000",
         lambda stage: clients.first_token_and_deadline(stage, "ask", "first"),
         "was told 5000 ms",
@@ -124,8 +124,8 @@
     ),
     "an_early_answer_is_not_lingered_for": Plant(
         "api/serving.py",
-        "left = LINGER_BYTES",
-        "left = 0",
+        "remaining = LINGER_BYTES",
+        "remaining = 0",
         lambda stage: clients.early_answer(stage, "first", "class"),
         "reset under a request",
     ),
--- a/tests/test_node_handover.py
+++ b/tests/test_node_handover.py
@@ -122,14 +122,14 @@
     def main(platform: Platform, node: Node) -> None:
         platform.ask(b"warm")
         platform.sleep(100_000)
-        ready = node.executor._ready
+        late_headers = node.executor._late_headers
 
-        def slowly(command: Any, run: Any) -> http1.Headers:
-            headers = ready(command, run)
+        def slowly(command: Any, running: Any) -> http1.Headers:
+            headers = late_headers(command, running)
             node.world.sleep_until(node.world.now_us() + 20_000)
             return headers
 
-        node.executor._ready = slowly  # type: ignore[method-assign]
+        node.executor._late_headers = slowly  # type: ignore[method-assign]
         for near in list(platform.sim.network.streams):
             if near.world.name in ("reads-0", "reads-1", "writes-2", "writes-3", "writes-4"):
                 platform.clients.spawn("speaks", near.write, plain(202, b'{"cached_tokens":999}'))
--- a/tests/test_node_more.py
+++ b/tests/test_node_more.py
@@ -242,7 +242,7 @@
 @pytest.mark.parametrize(
     ("data", "named"),
     [
-        (b"{", "no JSON"),
+        (b"{", "invalid JSON"),
         (b"{}", "settings"),
         (b'{"settings":{}}', "settings"),
         (b'{"settings":3}', "settings"),
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -168,8 +168,8 @@
     "none": "No such file or directory",
     "folder": "Is a directory",
     "endless": "over 16777216 bytes",
-    "pipe": "no JSON: Input data was truncated",
-    "empty": "no JSON: Input data was truncated",
+    "pipe": "invalid JSON: Input data was truncated",
+    "empty": "invalid JSON: Input data was truncated",
 }
 
 
--- a/yardspindle/api/__init__.py
+++ b/yardspindle/api/__init__.py
@@ -1,1 +1,1 @@
-"""Fronts: HTTP serving, the OpenAI-style chat API, mapping to the interface's requests."""
+"""HTTP server and OpenAI-compatible chat API: request validation, responses and error replies."""
--- a/yardspindle/api/chat.py
+++ b/yardspindle/api/chat.py
@@ -1,7 +1,7 @@
-"""The chat API by OpenAI's public reference: checks a request's fields and finds what the router needs in it.
+"""OpenAI-compatible chat API: validates a request and extracts what the router needs to route it.
 
-Only the fields that the router acts on are decoded. All others, known or not, stay the bytes that the client sent
-and go to the engine so.
+Only the fields that the router acts on are decoded. Every other field, known or unknown, is forwarded to the engine
+as the bytes that the client sent.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 COMPLETIONS_PATH = b"/v1/chat/completions"
 MODELS_PATH = b"/v1/models"
-OPENING_ROLES = ("system", "developer")
+SYSTEM_ROLES = ("system", "developer")
 CountField = Annotated[int, Meta(ge=1, le=10_000_000)]
 
 
@@ -34,7 +34,7 @@
 
 
 class _Fields(Struct):
-    """The fields that the router acts on."""
+    """The request fields that the router acts on."""
 
     model: str
     messages: Annotated[list[_Message], Meta(min_length=1)]
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class ChatRequest:
-    """A checked request."""
+    """A validated request; `fields` holds every top-level field as raw JSON."""
 
     fields: dict[str, msgspec.Raw]
     stream: bool
@@ -63,44 +63,44 @@
 
 
 class ApiKeys:
-    """API keys and their tenants."""
+    """Maps API keys to tenants."""
 
     def __init__(self, config: Config) -> None:
-        """With no tenants any key is accepted, and none."""
+        """With no tenants configured, every request is accepted, with or without a key."""
         self._tenants = {key.encode(): row.name for row in config.tenants for key in row.keys}
 
     def authenticate(self, head: http1.RequestHead) -> str | None:
-        """The tenant of a request. Raises ApiError."""
+        """Return the tenant whose key the request carries; None if no tenants are configured. Raises ApiError."""
         if not self._tenants:
             return None
-        scheme, _, given = (head.get(b"authorization") or b"").partition(b" ")
-        found: str | None = None
-        for key, tenant in self._tenants.items():  # all are compared: the time tells nothing of a key
-            if hmac.compare_digest(key, given.strip()) and scheme.lower() == b"bearer":
-                found = tenant
-        if found is None:
+        scheme, _, credentials = (head.get(b"authorization") or b"").partition(b" ")
+        matched: str | None = None
+        for key, tenant in self._tenants.items():  # all are compared, so that timing reveals nothing
+            if hmac.compare_digest(key, credentials.strip()) and scheme.lower() == b"bearer":
+                matched = tenant
+        if matched is None:
             raise ApiError(
                 401,
                 "invalid_api_key",
                 "No valid API key was given in the Authorization header.",
                 headers=[(b"www-authenticate", b"Bearer")],
             )
-        return found
+        return matched
 
 
 def check_head(head: http1.RequestHead) -> None:
-    """What can be said before the body. Raises ApiError."""
+    """Check method, content type and encoding, before the body is read. Raises ApiError."""
     if head.method != b"POST":
         raise ApiError(405, "method_not_allowed", "Use POST here.", headers=[(b"allow", b"POST")])
-    kind = (head.get(b"content-type") or b"application/json").split(b";")[0].strip().lower()
-    if kind != b"application/json":
+    media_type = (head.get(b"content-type") or b"application/json").split(b";")[0].strip().lower()
+    if media_type != b"application/json":
         raise ApiError(415, "unsupported_media_type", "The body must be application/json.")
     if head.get(b"content-encoding") not in (None, b"identity"):
         raise ApiError(415, "unsupported_media_type", "The body must not be compressed.")
 
 
 def parse_request(body: bytes, head: http1.RequestHead, tenant: str | None, model: str) -> ChatRequest:
-    """Check a body. Raises ApiError."""
+    """Validate a request body. Raises ApiError."""
     try:
         raw = _raw_decoder.decode(body)
         fields = _fields_decoder.decode(body)
@@ -120,15 +120,17 @@
         raw,
         bool(fields.stream),
         bool(fields.stream_options and fields.stream_options.include_usage),
-        _said(fields, raw, head, tenant),
+        _request_fields(fields, raw, head, tenant),
     )
 
 
-def _said(fields: _Fields, raw: dict[str, msgspec.Raw], head: http1.RequestHead, tenant: str | None) -> RequestFields:
+def _request_fields(
+    fields: _Fields, raw: dict[str, msgspec.Raw], head: http1.RequestHead, tenant: str | None
+) -> RequestFields:
     texts = [_text(message) for message in fields.messages]
     tools = bytes(raw["tools"]) if fields.tools else b""
     leading = 0
-    while leading < len(texts) and fields.messages[leading].role in OPENING_ROLES:
+    while leading < len(texts) and fields.messages[leading].role in SYSTEM_ROLES:
         leading += 1
     metadata = fields.metadata or {}
     return RequestFields(
@@ -153,7 +155,7 @@
 
 
 def _text(message: _Message) -> bytes:
-    """A message's text; parts that are no text (images) are not counted as bytes of it."""
+    """The text of a message; parts that are not text (images) are left out and do not count towards its size."""
     if isinstance(message.content, str):
         return message.content.encode()
     parts = (part.get("text") for part in message.content or [])
@@ -171,11 +173,11 @@
     try:
         return float(value) * unit_ms
     except ValueError:
-        if param == "x-stainless-read-timeout":  # a client's own note, not meant for us
+        if param == "x-stainless-read-timeout":  # for the client's own use: an invalid one is ignored
             return None
         raise ApiError(400, "invalid_value", f"{param}: not a number of milliseconds", param) from None
 
 
 def model_object(model: str) -> dict[str, Any]:
-    """A model as the list has it."""
+    """The entry of a model in the list of models."""
     return {"id": model, "object": "model", "created": 0, "owned_by": "yardspindle"}
--- a/yardspindle/api/errors.py
+++ b/yardspindle/api/errors.py
@@ -1,4 +1,4 @@
-"""OpenAI's error objects."""
+"""Error replies in OpenAI's format."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class ApiError(Exception):
-    """A request that is not taken, with what the client is told."""
+    """A rejected request, with the status and error object that the client receives."""
 
     def __init__(
         self, status: int, code: str, message: str, param: str | None = None, headers: http1.Headers | None = None
     ) -> None:
-        """Keep all of it."""
+        """`param` names the request field at fault; `headers` are added to the reply."""
         super().__init__(message)
         self.status = status
         self.code = code
@@ -27,20 +27,20 @@
         self.headers = headers or []
 
     def reply(self) -> Reply:
-        """The whole answer."""
-        kind = ERROR_TYPES.get(self.status, "invalid_request_error" if self.status < 500 else "server_error")
+        """The reply that reports this error."""
+        error_type = ERROR_TYPES.get(self.status, "invalid_request_error" if self.status < 500 else "server_error")
         return Reply(
-            self.status, [JSON_CONTENT_TYPE, *self.headers], error_body(self.code, self.message, kind, self.param)
+            self.status, [JSON_CONTENT_TYPE, *self.headers], error_body(self.code, self.message, error_type, self.param)
         )
 
 
 def error_body(code: str, message: str, error_type: str, param: str | None = None) -> bytes:
-    """An error object."""
+    """An encoded error object."""
     return msgspec.json.encode({"error": {"message": message, "type": error_type, "param": param, "code": code}})
 
 
 def final_reply(final: HttpError, request_id: bytes) -> Reply:
-    """A refusal or failure before the first token."""
+    """The reply to a request that was refused or failed before its first token."""
     return Reply(
         final.status,
         [JSON_CONTENT_TYPE, (b"x-request-id", request_id), *final.headers],
--- a/yardspindle/api/exchange.py
+++ b/yardspindle/api/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a client and the answering of it, as the server gives it to whoever answers."""
+"""One request of a client and its response, as the HTTP server passes it to a handler."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: http1.Headers
@@ -21,74 +21,74 @@
 
 
 class Exchange:
-    """One request and the answering of it."""
+    """One request and its response, which is sent complete (`reply`) or in chunks (`start`, `send`, `finish`)."""
 
-    def __init__(self, world: World, stream: Stream, head: http1.RequestHead, keep: Callable[[], bool]) -> None:
-        """Made by the server."""
+    def __init__(self, world: World, stream: Stream, head: http1.RequestHead, keep_alive: Callable[[], bool]) -> None:
+        """`keep_alive` tells whether the connection stays open; it is called when the response head is written."""
         self._world = world
         self.stream = stream
         self.head = head
         self.body = b""
-        self.received_us = 0  # its last byte
+        self.received_us = 0  # when the last byte of the request arrived
         self.peer = stream.peer
         self.disconnected = False
         self.on_disconnect: Callable[[], None] | None = None
         self.started = False
         self.ended = False
-        self.keep_alive = keep
+        self.keep_alive = keep_alive
         self.writing_since_us = 0
 
     @property
     def closes_connection(self) -> bool:
-        """Whether the answer said that its connection closes, or breaks off with it."""
-        return self.keep_alive is _never
+        """Whether the connection closes after this response, or instead of its end."""
+        return self.keep_alive is _no_keep_alive
 
     def client_disconnected(self) -> None:
-        """The client is gone."""
+        """Note that the client disconnected; calls `on_disconnect` once, unless the response has ended."""
         if not self.disconnected:
             self.disconnected = True
             if self.on_disconnect is not None and not self.ended:
                 self.on_disconnect()
 
     def reply(self, reply: Reply) -> None:
-        """Answer whole."""
+        """Send a complete response. Raises StreamError."""
         self.started = self.ended = True
         closing = reply.close or not self.keep_alive()
         headers = [*reply.headers, (b"connection", b"close")] if closing else reply.headers
         body = b"" if self.head.method == b"HEAD" else reply.body
         self._write(http1.write_response(reply.status, headers, body))
         if closing:
-            self.keep_alive = _never
+            self.keep_alive = _no_keep_alive
 
     def start(self, status: int, headers: http1.Headers) -> bytes:
-        """The head of an answer in pieces, to be sent with the first of them by `send_raw`."""
+        """Return the head of a chunked response, for `send` to write together with the first chunk."""
         self.started = True
         if not self.keep_alive():
-            headers, self.keep_alive = [*headers, (b"connection", b"close")], _never
-        if self.head.minor == 0:  # no chunks in HTTP/1.0: the body ends with the connection
-            self.keep_alive = _never
+            headers, self.keep_alive = [*headers, (b"connection", b"close")], _no_keep_alive
+        if self.head.minor == 0:  # HTTP/1.0 has no chunks: the close ends the body
+            self.keep_alive = _no_keep_alive
             return http1.write_head(
                 b"HTTP/1.1 %d %s" % (status, http1.REASONS[status]), [*headers, (b"connection", b"close")]
             )
         return http1.write_response(status, headers, None)
 
     def send(self, data: bytes, head: bytes = b"") -> None:
-        """A piece of the body, after `before` (a head) as it is. Raises StreamError."""
+        """Send a chunk of the body, after `head` as returned by `start`. Raises StreamError."""
         self._write(head + (http1.write_chunk(data) if self.head.minor else data))
 
     def finish(self, data: bytes = b"") -> None:
-        """The last piece. Raises StreamError."""
+        """Send the last chunk. Raises StreamError."""
         self.ended = True
         self._write(http1.write_chunk(data) + http1.LAST_CHUNK if self.head.minor else data)
 
     def abort(self) -> None:
-        """Close without an end: the client must not take the answer for whole."""
+        """Close without ending the response, so that the client cannot take it for complete."""
         self.ended = True
-        self.keep_alive = _never
+        self.keep_alive = _no_keep_alive
 
     def _write(self, data: bytes) -> None:
         if self.disconnected:
-            raise StreamError("the client left")
+            raise StreamError("client disconnected")
         self.writing_since_us = self._world.now_us()
         try:
             self.stream.write(data)
@@ -98,18 +98,18 @@
         self.writing_since_us = 0
 
 
-def _never() -> bool:
+def _no_keep_alive() -> bool:
     return False
 
 
 class Handler(Protocol):
-    """What answers requests."""
+    """Answers the requests of a server."""
 
     def early_reply(self, head: http1.RequestHead) -> Reply | None:
-        """An answer that needs no body (not found, not allowed, too large), or None."""
+        """A reply that needs no request body (not found, method not allowed, too large), or None."""
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer; StreamError may pass out of it."""
+        """Answer a request. A StreamError that it raises closes the connection and is not reported."""
 
     def malformed(self, error: http1.ProtocolError) -> Reply:
-        """The answer to bytes that are no request."""
+        """The reply to input that is not a valid request."""
--- a/yardspindle/node/__init__.py
+++ b/yardspindle/node/__init__.py
@@ -1,1 +1,1 @@
-"""The dispatcher on the users' platform: its protocol in and out, edge core and policy in one process."""
+"""The node program: a dispatcher that speaks the platform's protocol, with edge core and policy in one process."""
--- a/yardspindle/node/__main__.py
+++ b/yardspindle/node/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m yardspindle.node`: one dispatcher on the users' platform, told by `ROUTER_*` what it is."""
+"""`python -m yardspindle.node`: runs one dispatcher, configured by the `ROUTER_*` environment variables."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 def main() -> int:
-    """Run until a signal."""
+    """Run until a signal stops it; returns the exit status."""
     world = RealWorld()
     try:
-        told = required_variables(os.environ)
-        world.run("node", lambda: run(world, told))
+        variables = required_variables(os.environ)
+        world.run("node", lambda: run(world, variables))
     except ConfigError as error:
         print(error, file=sys.stderr)
         return 2
@@ -30,16 +30,16 @@
     return 0
 
 
-def run(world: RealWorld, told: dict[str, str]) -> None:
-    """The first task: signals, start, and the end.
+def run(world: RealWorld, variables: dict[str, str]) -> None:
+    """The main task: handle signals, start, wait for a stop signal, drain.
 
-    Signals are heard before the file is read: what SIGHUP announces is then in what is read, or is read anew. Until
-    then the command that the deploy file gives has SIGHUP ignored.
+    Signal handlers are installed before the configuration file is read, so that a change announced by SIGHUP is either
+    in what is read or causes a reload. Until then SIGHUP is ignored by the start command in the deploy file.
     """
 
     def reload() -> None:
         try:
-            node.reload(read_config(world.read_file, told))
+            node.reload(read_config(world.read_file, variables))
         except ConfigError as error:
             log.write("the new configuration is not taken", fault=error)
 
@@ -49,7 +49,7 @@
 
     world.scheduler.on_crash = log_crash
     world.on_signals({signal.SIGTERM: stop, signal.SIGINT: stop, signal.SIGHUP: reload})
-    node = Node(world, read_config(world.read_file, told))
+    node = Node(world, read_config(world.read_file, variables))
     node.start()
     if not world.stop.is_set:
         gc.collect()
@@ -60,7 +60,7 @@
 
 
 def log_crash(task: Task, error: BaseException) -> None:
-    """A task's own error ends that task alone."""
+    """Log an uncaught error of a task; it ends that task only."""
     log.write("a task failed", task=task.name, fault=f"{type(error).__name__}: {error}")
 
 
--- a/yardspindle/node/app.py
+++ b/yardspindle/node/app.py
@@ -1,4 +1,4 @@
-"""The dispatcher on the platform: its front, the core's clock, discovery's news, restarts and new configurations."""
+"""The dispatcher on the platform: its HTTP front, timers, server list updates, restarts and configuration reloads."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.world import StreamError, World
 
-TICK_INTERVAL_US = 20_000  # how often the core's own deadlines are looked at; as often as the policy's
+TICK_INTERVAL_US = 20_000  # how often the core's deadlines are checked; the same as for the policy's
 HOUSEKEEPING_INTERVAL_US = 1_000_000
-COUNTS_LOG_INTERVAL_US = 30_000_000  # between lines of the log that tell the counts so far
+COUNTS_LOG_INTERVAL_US = 30_000_000  # between log lines with the counters so far
 HEALTH_PATH = b"/up"
 CLIENT_LIMITS = http1.Limits(line=8_192, head=16_384, headers=64, body=262_144)
 
 
 class Node:
-    """One dispatcher."""
+    """One dispatcher: serves the clients of the platform and connects core, policy and discovery."""
 
     def __init__(self, world: World, config: NodeConfig) -> None:
-        """Nothing is opened before `start`."""
+        """Opens nothing; `start` does."""
         self.world = world
         self.config = config
         self.core = EdgeCore(config.rules, config.seed)
@@ -48,32 +48,34 @@
         session = PlanningSession(lambda event, at_us: policy.handle(at_us, event), now, now)
         self.policy = policy
         self.host_list = HostList(config.roles)
-        self.shares = ResourceBudget(min(config.limits.sockets, world.descriptors()), config.limits.memory_mb)
+        self.resources = ResourceBudget(min(config.limits.sockets, world.descriptors()), config.limits.memory_mb)
         idle_us = round(config.idle_us * timeouts.IDLE_REUSE_FRACTION)
         self.http = HttpClient(
             world,
             config.connect_us,
             idle_us,
-            self.shares.idle_per_host,
+            self.resources.idle_per_host,
             RESPONSE_LIMITS,
             idle_limit=IdleLimit(idle_us),
             head_us=timeouts.RESPONSE_HEAD_US,
         )
         world.relieve = self.http.close_oldest
         self.executor = Executor(world, self.core, session, HostClient(self.http))
-        self._settled = world.signal()  # discovery was heard, or the process is told to end: no more is waited for
-        self.discovery = DiscoveryClient(world, config.discovery, self.host_list, self._on_list_change, self._settled)
+        self._discovery_settled = world.signal()  # discovery answered, or the process is to stop
+        self.discovery = DiscoveryClient(
+            world, config.discovery, self.host_list, self._on_list_change, self._discovery_settled
+        )
         self._open_ids: set[bytes] = set()
         self._requests = 0
         self._server: Server | None = None
         self._ready = False
-        self._told_us: int | None = None  # when the process was told to end
-        self._refuse_us: int | None = None  # since when a request that comes is refused: the process is ending
+        self._stop_us: int | None = None  # when `stop` was called
+        self._refuse_from_us: int | None = None  # while stopping: requests received from then on are refused
 
     # --- program
 
     def start(self) -> None:
-        """Listen, take the list that is known, and serve once discovery was heard or is silent. Raises OSError."""
+        """Listen, apply the configured list, be ready once discovery answered or timed out. Raises OSError."""
         config = self.config
         listener = self.world.listen(*config.listen)
         limits = ServingLimits(
@@ -83,10 +85,10 @@
             write_stall_us=timeouts.STALLED_CLIENT_US,
             first_byte_us=timeouts.CLIENT_REQUEST_US,
             body_us=timeouts.CLIENT_REQUEST_US,
-            max_connections=self.shares.client_connections,
-            max_body_bytes=self.shares.body_bytes,
+            max_connections=self.resources.client_connections,
+            max_body_bytes=self.resources.body_bytes,
         )
-        self._server = Server(self.world, listener, self, limits, _fault)
+        self._server = Server(self.world, listener, self, limits, _log_handler_error)
         self.executor.perform(self.core.planner_up(self.world.now_us(), EPOCH))
         self.host_list.restore(config.known)
         self._on_list_change()
@@ -95,31 +97,31 @@
         self.world.spawn("tick", self._tick)
         try:
             with self.world.deadline(self.world.now_us() + timeouts.FIRST_LIST_US):
-                self._settled.wait()
+                self._discovery_settled.wait()
         except DeadlineExceeded:
             log.write("discovery has not answered yet", known=len(self.host_list))
-        self._ready = self._told_us is None
+        self._ready = self._stop_us is None
 
     def stop(self) -> None:
-        """Told to end: never up again from now on, and the first list is waited for no longer."""
-        if self._told_us is None:
-            self._told_us = self.world.now_us()
+        """Begin to stop: not ready from now on, and no longer waiting for the first server list."""
+        if self._stop_us is None:
+            self._stop_us = self.world.now_us()
         self._ready = False
-        self._settled.set()
+        self._discovery_settled.set()
 
     def reload(self, config: NodeConfig) -> None:
-        """A new configuration file: what may change while running is where discovery is."""
+        """Apply a reloaded configuration; only the address of discovery can change while running."""
         log.write("new configuration", discovery=f"{config.discovery[0]}:{config.discovery[1]}")
         self.discovery.change_address(config.discovery)
 
     def drain(self) -> None:
-        """A planned restart: say so, serve what still comes, answer what was taken, then leave."""
+        """Shut down gracefully: report it, serve what still arrives, answer what was accepted, then return."""
         self.stop()
-        assert self._server is not None and self._told_us is not None
+        assert self._server is not None and self._stop_us is not None
         log.write("draining", open=len(self.executor.running))
         longest_us = max(round(cls.give_up_us) for cls in self.config.settings.classes)
-        times = shutdown_times(self._told_us, longest_us, self.config.rules.resume)
-        self._refuse_us = times.refuse_us
+        times = shutdown_times(self._stop_us, longest_us, self.config.rules.resume)
+        self._refuse_from_us = times.refuse_us
         self.world.sleep_until(times.close_idle_us)
         self._server.close_idle()
         self.world.call_at(times.stop_us, self._leave)
@@ -131,27 +133,29 @@
         log.write("counts", **self.core.counts(), **self.policy.counts())
 
     def _leave(self) -> None:
-        """The process is about to be killed: every request gets its answer now."""
+        """Give every open request its final answer now: the process is about to be killed."""
         log.write("leaving", open=len(self.executor.running))
         self.executor.perform(self.core.shut_down(self.world.now_us()))
 
     def _tick(self) -> None:
-        kept_us = counted_us = self.world.now_us()
+        """Check the core's deadlines; at longer intervals, close old connections and log the counters."""
+        housekept_us = logged_us = self.world.now_us()
         while True:
             now = self.world.now_us()
             self.world.sleep_until(now + TICK_INTERVAL_US)
             if self.core.needs_tick:
                 self.executor.perform(self.core.tick(self.world.now_us()))
-            if now - kept_us > HOUSEKEEPING_INTERVAL_US:
-                kept_us = now
+            if now - housekept_us > HOUSEKEEPING_INTERVAL_US:
+                housekept_us = now
                 self.http.close_expired()
                 for number in list(self.executor.request_ids):
                     self.executor.forget(number)
-            if now - counted_us > COUNTS_LOG_INTERVAL_US:
-                counted_us = now
+            if now - logged_us > COUNTS_LOG_INTERVAL_US:
+                logged_us = now
                 log.write("counts", **self.core.counts(), **self.policy.counts())
 
     def _on_list_change(self) -> None:
+        """Pass the changed server list to the core and the policy."""
         now = self.world.now_us()
         for member in self.host_list.started:
             log.write(
@@ -164,86 +168,94 @@
         self.executor.perform(self.core.update_servers(now, self.host_list.servers()))
         self.executor.update_members(self.host_list.members())
 
-    # --- front
+    # --- HTTP front
 
     def early_reply(self, head: http1.RequestHead) -> Reply | None:
-        """See Handler: all that the head alone shows to be wrong, before a byte of the body is read."""
+        """See Handler: refuses what the head alone shows to be wrong, before the body is read."""
         if head.target == HEALTH_PATH and head.method in (b"GET", b"HEAD"):
             return Reply(200 if self._ready else 503, [], b"")
         try:
-            self._asked(head)
+            self._read_request(head)
         except request.Refused as refused:
-            return _error(refused.status, refused.reason)
+            return _error_reply(refused.status, refused.reason)
         return None
 
-    def _asked(self, head: http1.RequestHead) -> request.ClientRequest:
-        asked = request.read_head(head, self.core.lifecycle.rules.effects)
-        if asked.id in self._open_ids:
+    def _read_request(self, head: http1.RequestHead) -> request.ClientRequest:
+        client_request = request.read_head(head, self.core.lifecycle.rules.effects)
+        if client_request.id in self._open_ids:
             raise request.Refused(409, "Req-Id: open already")
-        return asked
+        return client_request
 
     def malformed(self, error: http1.ProtocolError) -> Reply:
         """See Handler."""
-        return _error(error.status, error.reason)
+        return _error_reply(error.status, error.reason)
 
     def handle(self, exchange: Exchange) -> None:
         """See Handler."""
-        came_us = exchange.received_us
+        received_us = exchange.received_us
         try:
-            asked = self._asked(exchange.head)  # once more: the id may have come meanwhile
+            client_request = self._read_request(exchange.head)  # again: the id may have been opened meanwhile
             request.check_body(exchange.body)
-            if self._refuse_us is not None and came_us >= self._refuse_us:
+            if self._refuse_from_us is not None and received_us >= self._refuse_from_us:
                 raise request.Refused(503, "draining")
         except request.Refused as refused:
-            exchange.reply(_error(refused.status, refused.reason))
+            exchange.reply(_error_reply(refused.status, refused.reason))
             return
         self._requests += 1
         number = self._requests
-        ask = request.policy_request(asked, number, came_us, len(exchange.body))
-        run = RunningRequest(ask, asked.id, exchange, self.world.signal(), trace=RequestTrace(came_us))
-        self._open_ids.add(asked.id)
-        self.executor.running[number], self.executor.request_ids[number] = run, asked.id
+        policy_request = request.policy_request(client_request, number, received_us, len(exchange.body))
+        running = RunningRequest(
+            policy_request, client_request.id, exchange, self.world.signal(), trace=RequestTrace(received_us)
+        )
+        self._open_ids.add(client_request.id)
+        self.executor.running[number], self.executor.request_ids[number] = running, client_request.id
         try:
-            exchange.on_disconnect = self._gone(run)
-            self.executor.perform(self.core.request_arrived(self.world.now_us(), ask))
-            run.done.wait()
-            self._finish(run)
+            exchange.on_disconnect = self._on_disconnect(running)
+            self.executor.perform(self.core.request_arrived(self.world.now_us(), policy_request))
+            running.done.wait()
+            self._end_response(running)
         finally:
-            if run.answer is None:  # however this ends, the core must hear of it
+            if running.answer is None:  # the core must learn of every end
                 self.executor.perform(self.core.client_disconnected(self.world.now_us(), number))
             del self.executor.running[number]
-            self._open_ids.discard(asked.id)
+            self._open_ids.discard(client_request.id)
             self.executor.forget(number)
-            end = "left" if run.answer is None else run.answer.code
-            log.write("request", id=asked.id.decode(), **run.trace.log_fields(self.world.now_us(), ask, end))
+            end = "left" if running.answer is None else running.answer.code
+            log.write(
+                "request",
+                id=client_request.id.decode(),
+                **running.trace.log_fields(self.world.now_us(), policy_request, end),
+            )
 
-    def _gone(self, run: RunningRequest) -> Callable[[], None]:
-        def gone() -> None:
-            if run.answer is None:
-                self.executor.perform(self.core.client_disconnected(self.world.now_us(), run.request.request))
-            run.done.set()
+    def _on_disconnect(self, running: RunningRequest) -> Callable[[], None]:
+        def on_disconnect() -> None:
+            if running.answer is None:
+                self.executor.perform(self.core.client_disconnected(self.world.now_us(), running.request.request))
+            running.done.set()
 
-        return gone
+        return on_disconnect
 
-    def _finish(self, run: RunningRequest) -> None:
-        answer, exchange = run.answer, run.exchange
+    def _end_response(self, running: RunningRequest) -> None:
+        answer, exchange = running.answer, running.exchange
         if answer is None:
-            raise StreamError("the client left")
+            raise StreamError("client disconnected")
         if answer.final is c.Final.SERVED:
             exchange.finish()
         elif answer.streamed:
             exchange.abort()
         elif answer.final is c.Final.REFUSED:
-            after = b"%d.%03d" % divmod(max(answer.retry_after_us, 0) // 1_000, 1_000)
-            exchange.reply(_error(503, answer.code, [(b"retry-after", after)] if answer.retry_after_us else []))
+            retry_after = b"%d.%03d" % divmod(max(answer.retry_after_us, 0) // 1_000, 1_000)
+            exchange.reply(
+                _error_reply(503, answer.code, [(b"retry-after", retry_after)] if answer.retry_after_us else [])
+            )
         else:
-            exchange.reply(_error(http_error(answer, unsafe=False).status, answer.code))
+            exchange.reply(_error_reply(http_error(answer, unsafe=False).status, answer.code))
 
 
-def _error(status: int, reason: str, headers: http1.Headers | None = None) -> Reply:
+def _error_reply(status: int, reason: str, headers: http1.Headers | None = None) -> Reply:
     return Reply(status, [(b"content-type", b"text/plain"), *(headers or [])], reason.encode() + b"\n")
 
 
-def _fault(error: BaseException) -> None:
+def _log_handler_error(error: BaseException) -> None:
     if not isinstance(error, (StreamError, DeadlineExceeded)):
         log.write("a request's handler failed", fault=f"{type(error).__name__}: {error}")
--- a/yardspindle/node/config.py
+++ b/yardspindle/node/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a dispatcher: four variables, and a file that says all of it and more."""
+"""Configuration of a dispatcher: four environment variables, and a file that may override three of them."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from yardspindle.settings_map import parse_settings
 
 VARIABLES = ("ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_CONFIG")
-MAX_CONFIG_BYTES = 16_777_216  # the list of a hundred thousand hosts; more is no configuration
-MAX_REASON_CHARS = 300  # characters: one line, whatever a file holds
+MAX_CONFIG_BYTES = 16_777_216  # room for a list of a hundred thousand hosts
+MAX_REASON_CHARS = 300  # keeps an error to one line, whatever the file holds
 
 
 class MachineLimits(Struct, frozen=True):
-    """What the machine gives."""
+    """Resources of the machine."""
 
     cores: float = 1.0
     memory_mb: Annotated[int, Meta(gt=0)] = 2048
@@ -33,6 +33,8 @@
 
 
 class _File(Struct, frozen=True):
+    """The configuration file."""
+
     settings: dict[str, Any]
     name: str | None = None
     listen: str | None = None
@@ -44,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
-    """A dispatcher's configuration, checked. Times in microseconds."""
+    """Checked configuration of a dispatcher. Times in microseconds."""
 
     name: str
     listen: tuple[str, int]
@@ -59,12 +61,12 @@
 
     @property
     def roles(self) -> dict[str, i.Role]:
-        """What each kind of host does."""
+        """The role of each kind of host."""
         return {kind.name: kind.role for kind in self.settings.kinds}
 
 
 def required_variables(environment: Mapping[str, str]) -> dict[str, str]:
-    """The platform's variables. Raises ConfigError."""
+    """Return the platform's variables. Raises ConfigError if one is not set."""
     for name in VARIABLES:
         if not environment.get(name):
             raise ConfigError(f"{name}: not set")
@@ -72,39 +74,39 @@
 
 
 def parse_config(variables: Mapping[str, str], data: bytes) -> NodeConfig:
-    """The configuration file's bytes, beside the variables. Raises ConfigError naming file, field and reason."""
+    """Parse and check the configuration file. Raises ConfigError, which names file, field and reason."""
     file = variables["ROUTER_CONFIG"]
     if len(data) > MAX_CONFIG_BYTES:
         raise ConfigError(f"{file}: over {MAX_CONFIG_BYTES} bytes")
     try:
-        read = msgspec.json.decode(data, type=_File)
+        contents = msgspec.json.decode(data, type=_File)
     except msgspec.ValidationError as error:
-        raise _wrong(file, error) from None
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:  # the last: nested without end
-        raise ConfigError(f"{file}: no JSON: {_line(error)}") from None
+        raise _validation_error(file, error) from None
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:  # the last: nested too deeply
+        raise ConfigError(f"{file}: invalid JSON: {_one_line(error)}") from None
     try:
-        validate(read.known)
+        validate(contents.known)
     except ValueError as error:
-        raise ConfigError(f"{file}: known: {_line(error)}") from None
-    raw = read.settings
+        raise ConfigError(f"{file}: known: {_one_line(error)}") from None
+    raw = contents.settings
     try:
         settings_schema.check(raw)
     except msgspec.ValidationError as error:
-        raise _wrong(file, error, "settings") from None
+        raise _validation_error(file, error, "settings") from None
     try:
         mapped = parse_settings(raw)
     except KeyError as error:
-        raise ConfigError(f"{file}: settings: no such value: {_line(error)}") from None
+        raise ConfigError(f"{file}: settings: no such value: {_one_line(error)}") from None
     except (ValueError, TypeError, AttributeError, IndexError, OverflowError) as error:
-        raise ConfigError(f"{file}: settings: {_line(error)}") from None
+        raise ConfigError(f"{file}: settings: {_one_line(error)}") from None
     allowed = raw.get("allowed") or {}
     return NodeConfig(
-        name=read.name or variables["ROUTER_NAME"],
-        listen=_address(file, "listen", read.listen, variables["ROUTER_LISTEN"]),
-        discovery=_address(file, "discovery", read.discovery, variables["ROUTER_DISCOVERY"]),
-        seed=int(read.seed, 16),
-        limits=read.limits,
-        known=read.known,
+        name=contents.name or variables["ROUTER_NAME"],
+        listen=_address(file, "listen", contents.listen, variables["ROUTER_LISTEN"]),
+        discovery=_address(file, "discovery", contents.discovery, variables["ROUTER_DISCOVERY"]),
+        seed=int(contents.seed, 16),
+        limits=contents.limits,
+        known=contents.known,
         settings=mapped,
         rules=EdgeRules(
             effects={row.name: row.effect for row in mapped.classes},
@@ -123,18 +125,18 @@
     )
 
 
-def _wrong(file: str, error: msgspec.ValidationError, part: str = "") -> ConfigError:
+def _validation_error(file: str, error: msgspec.ValidationError, part: str = "") -> ConfigError:
     reason, _, where = str(error).partition(" - at `$")
     field = ".".join(filter(None, (part, where.strip("`."))))
-    return ConfigError(f"{file}: {_line(field or 'the whole')}: {_line(reason)}")
+    return ConfigError(f"{file}: {_one_line(field or 'top level')}: {_one_line(reason)}")
 
 
-def _line(text: object) -> str:
+def _one_line(text: object) -> str:
     return " ".join(str(text).split())[:MAX_REASON_CHARS]
 
 
 def read_config(read_file: Callable[[str, int], bytes], variables: Mapping[str, str]) -> NodeConfig:
-    """The configuration as its file stands now. Raises ConfigError."""
+    """Read and check the configuration file. Raises ConfigError."""
     path = variables["ROUTER_CONFIG"]
     try:
         data = read_file(path, MAX_CONFIG_BYTES + 1)
@@ -148,4 +150,4 @@
         return ipv4_address(variable if text is None else text)
     except ValueError as error:
         where = f"ROUTER_{field.upper()}" if text is None else f"{file}: {field}"
-        raise ConfigError(f"{where}: {_line(error)}") from None
+        raise ConfigError(f"{where}: {_one_line(error)}") from None
--- a/yardspindle/node/discovery.py
+++ b/yardspindle/node/discovery.py
@@ -1,7 +1,7 @@
-"""Follows discovery: the whole list, then watches, each asked for as soon as the last one is answered.
+"""Client of the discovery agent: fetches the whole host list, then watches for changes, one call after the other.
 
-An agent that is silent past the wait it was given, that cannot be reached or that says what cannot be read or believed
-is asked anew, for the whole list, on a new connection; the list in force stays until then.
+If the agent does not answer within the wait it was given, cannot be reached, or sends an answer that is malformed or
+implausible, the whole list is fetched again on a new connection; the list in force stays until then.
 """
 
 from __future__ import annotations
@@ -23,25 +23,25 @@
 
 
 class DiscoveryClient:
-    """One dispatcher's subscription."""
+    """Keeps the host list of a dispatcher up to date."""
 
     def __init__(
         self, world: World, address: tuple[str, int], hosts: HostList, on_change: Callable[[], None], answered: Signal
     ) -> None:
-        """`news` is called when the list has changed; `answered` is set at each answer that can be read."""
+        """`on_change` is called when the list has changed; `answered` is set at each answer that can be parsed."""
         self._world = world
         self._address = address
         self._hosts = hosts
-        self._news = on_change
+        self._on_change = on_change
         self._task: Task | None = None
         self._answered = answered
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start the task that makes the calls."""
         self._task = self._world.spawn("discovery", self._run, self._address)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Follow at another address from now on; before the start, from then on."""
+        """Switch to an agent at another address; before `start`, it takes effect then."""
         if address != self._address:
             self._address = address
             self._hosts.discovery_moved(self._world.now_us())
@@ -51,40 +51,40 @@
 
     def _run(self, address: tuple[str, int]) -> None:
         client = HttpClient(self._world, CONNECT_TIMEOUT_US, 60_000_000, limits=RESPONSE_LIMITS)
-        calls = DiscoverySchedule()
+        schedule = DiscoverySchedule()
         try:
             while True:
-                pause_us = self._call(client, address, calls)
+                pause_us = self._poll(client, address, schedule)
                 if pause_us:
                     self._world.sleep_until(self._world.now_us() + pause_us)
         except Cancelled:
             client.close_all()
             raise
 
-    def _call(self, client: HttpClient, address: tuple[str, int], calls: DiscoverySchedule) -> int:
-        """One call and what comes of it; the pause before the next."""
+    def _poll(self, client: HttpClient, address: tuple[str, int], schedule: DiscoverySchedule) -> int:
+        """Make one call and apply its result; returns the pause before the next call."""
         began_us = self._world.now_us()
         try:
-            changed = self._ask(client, address, calls.full_list)
+            changed = self._fetch(client, address, schedule.full_list)
         except (ConnectError, ExchangeBroken, DeadlineExceeded, ValueError) as error:
-            pause_us, told = calls.failed(self._world.now_us())
-            if told:
+            pause_us, worth_logging = schedule.failed(self._world.now_us())
+            if worth_logging:
                 log.write("discovery is not heard", fault=f"{type(error).__name__}: {error}")
             return pause_us
         if changed:
-            self._news()
+            self._on_change()
         self._answered.set()
         if self._hosts.rejection:
-            pause_us, told = calls.rejected(self._world.now_us())
-            if told:
+            pause_us, worth_logging = schedule.rejected(self._world.now_us())
+            if worth_logging:
                 log.write("discovery's list is not taken", fault=self._hosts.rejection, held=self._hosts.revision)
             return pause_us
-        return calls.applied(began_us, self._world.now_us(), changed)
+        return schedule.applied(began_us, self._world.now_us(), changed)
 
-    def _ask(self, client: HttpClient, address: tuple[str, int], whole: bool) -> bool:
-        """One call; whether the list changed. Raises ValueError for what cannot be read."""
+    def _fetch(self, client: HttpClient, address: tuple[str, int], full_list: bool) -> bool:
+        """Make one call; returns whether the list changed. Raises ValueError for a malformed answer."""
         target, wait_us = HOSTS_PATH, 0
-        if whole:
+        if full_list:
             client.close_all()
         else:
             wait_us = timeouts.WATCH_WAIT_US
@@ -92,30 +92,30 @@
         with self._world.deadline(self._world.now_us() + wait_us + timeouts.AGENT_RESPONSE_US):
             response = client.request(*address, b"GET", target, [])
         try:
-            body = self._body(response)
+            body = self._read_body(response)
         finally:
             response.close()
         if response.head.status != 200:
             raise ValueError(f"status {response.head.status}")
         answer = parse_answer(body)
-        if whole and not answer.complete:
-            raise ValueError("changes, where the whole list was asked for")
-        return self._hosts.apply(answer, self._world.now_us(), requested_full=whole)
+        if full_list and not answer.complete:
+            raise ValueError("got changes where the whole list was requested")
+        return self._hosts.apply(answer, self._world.now_us(), requested_full=full_list)
 
-    def _body(self, response: Response) -> bytes:
-        """The whole body, in however small pieces it comes. Raises ValueError when it does not end in time."""
+    def _read_body(self, response: Response) -> bytes:
+        """Read the whole body, however small its pieces. Raises ValueError if it does not end in time."""
         body = bytearray()
         now = self._world.now_us()
         end_us, slice_us = now + timeouts.LIST_BODY_US, now + timeouts.LIST_SLICE_US
         while True:
             with self._world.deadline(min(now + timeouts.LIST_CHUNK_US, end_us)):
-                piece = response.read()
-            if piece is None:
+                chunk = response.read()
+            if chunk is None:
                 return bytes(body)
-            body += piece
+            body += chunk
             now = self._world.now_us()
             if now >= end_us:
-                raise ValueError("an answer that does not end")
+                raise ValueError("response body did not end in time")
             if now >= slice_us:
                 self._world.sleep_until(now)
                 slice_us = self._world.now_us() + timeouts.LIST_SLICE_US
--- a/yardspindle/node/host_client.py
+++ b/yardspindle/node/host_client.py
@@ -1,4 +1,4 @@
-"""The client side of a model host: what the platform's protocol says, and what each answer proves."""
+"""Client of the model hosts: the platform's protocol, and what each answer means for an attempt and its host."""
 
 from __future__ import annotations
 
@@ -16,53 +16,53 @@
 from yardspindle.runtime.world import ConnectReset, NoDescriptor, StreamError
 
 ROOMS_PATH = b"/bootstrap/rooms/"
-MAX_BODY_BYTES = 262_144  # of a whole body, and of a chunk of a stream
+MAX_BODY_BYTES = 262_144  # of a complete body, and of a chunk of a stream
 RESPONSE_LIMITS = http1.Limits(line=8_192, head=16_384, headers=64, body=MAX_BODY_BYTES)
 CACHED_TOKENS = re.compile(rb'"cached_tokens"\s*:\s*([0-9]{1,9})')
-EVENT_PREFIX, EVENT_ENDS = b"data:", (b"\n\n", b"\n\r\n")  # a line may end in either way
-BeforeWrite = Callable[[], http1.Headers]  # see HttpClient.request; may raise CalledOff
+EVENT_PREFIX, EVENT_ENDS = b"data:", (b"\n\n", b"\n\r\n")  # lines may end in LF or CRLF
+LateHeaders = Callable[[], http1.Headers]  # see HttpClient.request; may raise CallCancelled
 
 
 class CallCancelled(Exception):
-    """Raised where a call's first byte is about to be written: it must not go out any more. Nothing was sent."""
+    """Raised just before a call's first byte is written, as the call is no longer wanted. Nothing was sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended; `note` is what the policy is told with it."""
+    """How an attempt ended; `note` is passed to the policy with it."""
 
     status: Status
     note: int = 0
     detail: str = ""
-    stale: bool = False  # the connection was reset in a way that says little of the host
-    no_descriptor: bool = False  # for want of a descriptor: that says nothing of it
+    stale: bool = False  # the connection was reset in a way that says little about the host
+    no_descriptor: bool = False  # no file descriptor was free, which says nothing about the host
 
 
 class ResponseStream:
-    """An answer under way. Reads raise ExchangeBroken; ProtocolError says that it is spoilt."""
+    """A streamed response. Reads raise ExchangeBroken, and ProtocolError if it is malformed."""
 
     def __init__(self, response: Response) -> None:
-        """Take over the body from the response's parser."""
+        """Take over the body, with the bytes already received, from the response's parser."""
         self._response = response
         self._connection = response.connection
         self._world = response.client.world
         parser = response.connection.parser
         self._chunks = ChunkReader(MAX_BODY_BYTES)
-        self._left = bytes(parser.buffer)
+        self._unparsed = bytes(parser.buffer)
         self._chunked = http1.is_chunked(response.head.headers, response.head.minor)
         parser.buffer.clear()
 
     def read(self, hold_us: int = 0) -> bytes | None:
-        """The chunks that have come whole since, or None at the end. Raises ExchangeBroken and ProtocolError.
+        """Return the chunks completed since the last call; None at the end. Raises ExchangeBroken and ProtocolError.
 
-        `hold_us`: how long whole events are held that are part of a chunk which does not get whole; 0: till it does.
+        `hold_us`: how long complete events are held back while their chunk is incomplete; 0: until it is complete.
         """
         if not self._chunked:
-            raise http1.ProtocolError("a stream that is not in chunks")
+            raise http1.ProtocolError("stream is not chunked")
         due_us = 0
         while True:
-            if self._left:
-                data, self._left = self._left, b""
+            if self._unparsed:
+                data, self._unparsed = self._unparsed, b""
                 contents = self._chunks.feed(data)
                 if contents:
                     return contents
@@ -70,24 +70,24 @@
                 return None
             if hold_us and self._chunks.rest:
                 due_us = due_us or self._world.now_us() + hold_us
-                if not self._comes_by(due_us):
+                if not self._input_by(due_us):
                     due_us = 0
                     if events := self.complete_events():
                         return events
                     continue
             try:
                 data = self._connection.stream.read()
-            except StreamError as error:  # the host's, and not to be taken for the client's
+            except StreamError as error:  # an error of the host, not to be confused with one of the client
                 raise ExchangeBroken(str(error)) from None
             if not data:
                 raise ExchangeBroken("closed inside the stream")
-            self._left = data
+            self._unparsed = data
 
     def complete_events(self) -> bytes:
-        """The whole events of a chunk that is not whole; they are not given out again."""
+        """Take the complete events of an incomplete chunk; they are not returned again."""
         return self._chunks.early(EVENT_ENDS)
 
-    def _comes_by(self, due_us: int) -> bool:
+    def _input_by(self, due_us: int) -> bool:
         limit = self._world.deadline(due_us)
         try:
             with limit:
@@ -98,26 +98,26 @@
         return self._world.now_us() < due_us
 
     def quiet(self) -> bool:
-        """Whether nothing has come that was not read."""
+        """Whether no unread bytes have arrived."""
         return self._connection.stream.quiet()
 
     def close(self) -> None:
-        """Keep the connection if the stream came to its end and nothing lies behind it, else reset it."""
+        """Pool the connection if the stream ended and no bytes follow it; else reset it."""
         self._response.ended = self._chunks.ended
         self._connection.parser.buffer += self._chunks.rest
         self._connection.parser.stage = http1.RESTING
         self._response.close()
 
     def abort(self) -> None:
-        """Break it off: a read that waits ends with an error."""
+        """Abort the connection: a pending read raises an error."""
         self._connection.stream.abort()
 
 
 class HostClient:
-    """Calls to model hosts."""
+    """Makes the calls to model hosts."""
 
     def __init__(self, http: HttpClient) -> None:
-        """Connections are kept by `http`."""
+        """`http` holds the connection pool."""
         self.http = http
 
     def send(
@@ -126,13 +126,13 @@
         target: bytes,
         headers: http1.Headers,
         body: bytes,
-        written: Callable[[], None],
-        acknowledged: Callable[[], None],
-        before_write: BeforeWrite,
+        on_written: Callable[[], None],
+        on_first_byte: Callable[[], None],
+        late_headers: LateHeaders,
         connect_us: int | None,
-        rest_us: int,
+        min_idle_us: int,
     ) -> AttemptResult | ResponseStream:
-        """Send the request to a reader or writer and wait for what it says, or for the head of its stream."""
+        """Send a request to a reader or writer; returns its result, or its stream once the head has arrived."""
         try:
             response = self.http.request(
                 server.host,
@@ -141,11 +141,11 @@
                 target,
                 headers,
                 body,
-                written,
-                before_write,
+                on_written,
+                late_headers,
                 connect_us,
-                rest_us,
-                on_first_byte=acknowledged,
+                min_idle_us,
+                on_first_byte=on_first_byte,
             )
         except ConnectError as error:
             return AttemptResult(
@@ -172,7 +172,7 @@
         except DeadlineExceeded:
             if not limit.passed:
                 raise
-            return AttemptResult(Status.ERROR, detail="the body does not end")
+            return AttemptResult(Status.ERROR, detail="response body did not end in time")
         finally:
             response.close()
         declined = head.get(b"srv-declined") == b"1"
@@ -184,22 +184,25 @@
             return AttemptResult(Status.FULL)
         return AttemptResult(Status.ERROR, detail=f"status {head.status}")
 
-    def ask_place(self, server: Server, request_id: bytes, ready: BeforeWrite) -> bool | None:
-        """Whether a writer holds a place now; None when it is not known."""
+    def reserve_place(self, server: Server, request_id: bytes, late_headers: LateHeaders) -> bool | None:
+        """Ask a writer to hold a place; returns whether it does, or None if that is unknown."""
         try:
-            return {200: True, 409: False}.get(self._call(server, b"POST", request_id, ready, None))
+            return {200: True, 409: False}.get(self._call(server, b"POST", request_id, late_headers, None))
         except NoDescriptor:
-            return False  # it was never asked
+            return False  # nothing was sent
 
-    def release(self, server: Server, request_id: bytes, ready: BeforeWrite) -> bool | None:
-        """Let go of all that is held for a request anywhere; whether the host heard. None: see Rooms.settled."""
+    def release(self, server: Server, request_id: bytes, late_headers: LateHeaders) -> bool | None:
+        """Ask a host to release all that is held for a request anywhere; returns whether it acknowledged.
+
+        None: no descriptor was free and nothing was sent, see RequestReleases.settled.
+        """
         try:
-            return self._call(server, b"DELETE", request_id, ready, timeouts.RELEASE_DESCRIPTOR_US) == 204
+            return self._call(server, b"DELETE", request_id, late_headers, timeouts.RELEASE_DESCRIPTOR_US) == 204
         except NoDescriptor:
             return None
 
     def _call(
-        self, server: Server, method: bytes, request_id: bytes, ready: BeforeWrite, descriptor_us: int | None
+        self, server: Server, method: bytes, request_id: bytes, late_headers: LateHeaders, descriptor_us: int | None
     ) -> int:
         try:
             response = self.http.request(
@@ -208,7 +211,7 @@
                 method,
                 ROOMS_PATH + request_id,
                 [],
-                late_headers=ready,
+                late_headers=late_headers,
                 descriptor_us=descriptor_us,
             )
         except NoDescriptor:
@@ -225,6 +228,6 @@
 
 
 def cached_tokens(data: bytes) -> int:
-    """The prompt tokens that a host says it found kept; 0 where it says nothing readable."""
-    found = CACHED_TOKENS.search(data)
-    return int(found[1]) if found else 0
+    """The prompt tokens that a host reports as found in its cache; 0 if it reports nothing valid."""
+    match = CACHED_TOKENS.search(data)
+    return int(match[1]) if match else 0
--- a/yardspindle/node/log.py
+++ b/yardspindle/node/log.py
@@ -1,4 +1,4 @@
-"""The dispatcher's log: a line of text for each thing worth reading, on standard error."""
+"""The dispatcher's log: one line of text for each event, on standard error."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 MAX_LINE_CHARS = 400
 
 
-def write(what: str, **fields: object) -> None:
-    """Write one line."""
-    text = " ".join([what, *(f"{name}={value}" for name, value in fields.items())])
-    with contextlib.suppress(OSError, ValueError):  # a log that cannot be written must not end what it tells of
+def write(event: str, **fields: object) -> None:
+    """Write one line: the event, then its fields as `name=value`."""
+    text = " ".join([event, *(f"{name}={value}" for name, value in fields.items())])
+    with contextlib.suppress(OSError, ValueError):  # a log that cannot be written must not end its caller
         sys.stderr.write(" ".join(text.split())[:MAX_LINE_CHARS] + "\n")
 
 
-def run_guarded(step: Callable[[], None]) -> None:
-    """Run a step that the loop itself calls: an error is told, and must not end the loop."""
+def run_guarded(callback: Callable[[], None]) -> None:
+    """Run a timer callback: an error in it is logged and does not end the event loop."""
     try:
-        step()
+        callback()
     except Exception as fault:
         write("a timer failed", fault=f"{type(fault).__name__}: {fault}")
--- a/yardspindle/node/release_tasks.py
+++ b/yardspindle/node/release_tasks.py
@@ -1,4 +1,4 @@
-"""Releases on their way: each call that asks a model host to let go of what is held for a request is a task here."""
+"""Release calls: each asks a model host to free what is held for a request, in a task of its own."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 @dataclass(slots=True)
 class ReleaseCall:
-    """A call that is out."""
+    """A call in flight."""
 
-    written: bool = False  # it may be, by now
-    late: bool = False  # other hosts are asked beside it
+    written: bool = False  # its bytes may have been sent
+    late: bool = False  # it is overdue, and other hosts are asked as well
 
 
 class ReleaseTasks:
-    """The calls that are out, by request."""
+    """The calls in flight, by request."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         perform: Callable[[list[c.Command]], None],
         forget: Callable[[int], None],
     ) -> None:
-        """`ids`: of all requests for which something may be held; `forget` is told when one is done with."""
+        """`ids`: of all requests for which something may be held; `forget` is called at the end of each call."""
         self._world = world
         self._core = core
         self._hosts = hosts
@@ -46,72 +46,74 @@
         self._forget = forget
         self.running: dict[int, dict[Task, ReleaseCall]] = {}
 
-    def start(self, room: RequestRelease, server: Server) -> None:
-        """Ask one host to let go of all that is held for a request."""
-        task = self._world.spawn("release", self._release, room, server)
-        self.running.setdefault(room.request, {})[task] = ReleaseCall()
+    def start(self, release: RequestRelease, server: Server) -> None:
+        """Ask one host to release all that is held for a request."""
+        task = self._world.spawn("release", self._release, release, server)
+        self.running.setdefault(release.request, {})[task] = ReleaseCall()
 
     def in_flight(self, request: int) -> bool:
-        """Whether a call that may be written is out, also one that another host's answer has made needless."""
+        """Whether a call that may have been written is in flight, even if another host's answer made it needless."""
         return any(call.written for call in self.running.get(request, {}).values())
 
-    def _release(self, room: RequestRelease, server: Server) -> None:
-        heard: bool | None = False
-        task, tasks = self._world.current(), self.running[room.request]
+    def _release(self, release: RequestRelease, server: Server) -> None:
+        acknowledged: bool | None = False
+        task, tasks = self._world.current(), self.running[release.request]
         call = tasks[task]
 
-        def ready() -> http1.Headers:
-            if not self._core.may_send_release(room):
-                raise CallCancelled  # another host has let go meanwhile
+        def late_headers() -> http1.Headers:
+            if not self._core.may_send_release(release):
+                raise CallCancelled  # another host has released it meanwhile
             call.written = True
             return []
 
         def overdue() -> None:
-            if not self._core.release_pending(room.request):
-                task.cancel()  # another host has let go, and a newer attempt may wait for this call's end
+            if not self._core.release_pending(release.request):
+                task.cancel()  # another host has released it, and a newer attempt may wait for this call to end
                 return
-            call.late, commands = self._core.request_release_overdue(self._world.now_us(), room, server.number)
+            call.late, commands = self._core.request_release_overdue(self._world.now_us(), release, server.number)
             if not call.late:
                 task.cancel()
             self._perform(commands)
 
-        stop_watch = self._world.call_at(
+        cancel_timer = self._world.call_at(
             self._world.now_us() + timeouts.RELEASE_CALL_US, lambda: log.run_guarded(overdue)
         )
         try:
-            if self._core.may_send_release(room):
+            if self._core.may_send_release(release):
                 with self._world.deadline(self._world.now_us() + timeouts.LATE_RELEASE_CALL_US):
-                    heard = self._hosts.release(server, self._ids[room.request], ready)
+                    acknowledged = self._hosts.release(server, self._ids[release.request], late_headers)
         except (CallCancelled, DeadlineExceeded):
             pass
         finally:
-            stop_watch()
+            cancel_timer()
             del tasks[task]
             if not tasks:
-                del self.running[room.request]
-            if heard:
-                self._call_off_late(tasks)
+                del self.running[release.request]
+            if acknowledged:
+                self._cancel_late_calls(tasks)
             self._perform(
-                self._core.request_release_settled(self._world.now_us(), room, server.number, heard, call.late)
+                self._core.request_release_settled(
+                    self._world.now_us(), release, server.number, acknowledged, call.late
+                )
             )
-            self._log_release(room, server, heard)
-            self._forget(room.request)
+            self._log_release(release, server, acknowledged)
+            self._forget(release.request)
 
-    def _call_off_late(self, tasks: dict[Task, ReleaseCall]) -> None:
-        """A host has let go: what lies unread at one that was late must not come to it under a newer attempt."""
+    def _cancel_late_calls(self, tasks: dict[Task, ReleaseCall]) -> None:
+        """Cancel late calls after another host's release: read later, they could hit what a newer attempt leaves."""
         for task, call in list(tasks.items()):
             if call.late and call.written:
                 task.cancel()
 
-    def _log_release(self, room: RequestRelease, server: Server, heard: bool | None) -> None:
-        """Tell of a release that did not get through at once."""
-        if not heard or room.failed:
+    def _log_release(self, release: RequestRelease, server: Server, acknowledged: bool | None) -> None:
+        """Log a release that was not acknowledged at the first try."""
+        if not acknowledged or release.failed:
             log.write(
                 "release",
-                id=self._ids.get(room.request, b"?").decode(),
+                id=self._ids.get(release.request, b"?").decode(),
                 at=server.name,
-                heard=heard,
-                tries=len(room.failed),
-                ms=(self._world.now_us() - room.since_us) // 1_000,
-                said=room.confirmations,
+                heard=acknowledged,
+                tries=len(release.failed),
+                ms=(self._world.now_us() - release.since_us) // 1_000,
+                said=release.confirmations,
             )
--- a/yardspindle/node/request.py
+++ b/yardspindle/node/request.py
@@ -1,6 +1,6 @@
-"""A client's request in the platform's headers: checked, and mapped to what the policy is asked.
+"""Checks a client's request, which the platform states in headers, and maps it to the policy's request.
 
-What cannot be read is told to the client here, before the core or a model host hears of it.
+A malformed request is refused here, before it reaches the core or a model host.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 class Refused(Exception):
-    """The request cannot be taken: status and reason for its client."""
+    """The request is refused, with the status and reason that the client receives."""
 
     def __init__(self, status: int, reason: str) -> None:
-        """Keep both."""
+        """`reason` becomes the body of the reply."""
         super().__init__(reason)
         self.status = status
         self.reason = reason
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A request as its head states it; the body is not looked into."""
+    """A request as its head states it; the body is not parsed."""
 
     id: bytes
     cls: str
@@ -51,30 +51,30 @@
         raise Refused(404, "there is nothing at this path")
     if head.method != b"POST":
         raise Refused(405, "only POST here")
-    number = _one(head, b"req-id")
-    if REQUEST_ID.fullmatch(number) is None:
+    request_id = _single_header(head, b"req-id")
+    if REQUEST_ID.fullmatch(request_id) is None:
         raise Refused(400, "Req-Id: missing or malformed")
-    cls = _text(head, b"req-kind")
+    cls = _text_header(head, b"req-kind")
     if cls not in classes:
         raise Refused(400, "Req-Kind: no such class")
-    deadline = _one(head, b"req-deadline-ms")
+    deadline = _single_header(head, b"req-deadline-ms")
     if MILLISECONDS.fullmatch(deadline) is None or float(deadline) <= 0:
         raise Refused(400, "Req-Deadline-Ms: not a time")
-    retry = _one(head, b"req-retry")
+    retry = _single_header(head, b"req-retry")
     return ClientRequest(
-        number,
+        request_id,
         cls,
         round(float(deadline) * 1_000),
-        _text(head, b"req-owner") or None,
-        _text(head, b"req-key") or None,
-        _extra(_one(head, b"req-extra")),
+        _text_header(head, b"req-owner") or None,
+        _text_header(head, b"req-key") or None,
+        _parse_extra(_single_header(head, b"req-extra")),
         retry == b"1",
         retry == b"again",
     )
 
 
 def check_body(body: bytes) -> None:
-    """The body is one JSON object. Raises Refused."""
+    """Check that the body is one JSON object. Raises Refused."""
     if not body.lstrip()[:1] == b"{":
         raise Refused(400, "the body is no JSON object")
     try:
@@ -83,41 +83,41 @@
         raise Refused(400, "the body is no JSON object") from None
 
 
-def policy_request(asked: ClientRequest, number: int, came_us: int, body_size: int) -> i.Request:
-    """The request as the policy is asked it."""
-    prefix = asked.extra.get("prefix") or None
+def policy_request(client_request: ClientRequest, number: int, received_us: int, body_size: int) -> i.Request:
+    """Map a request to the policy's."""
+    prefix = client_request.extra.get("prefix") or None
     return i.Request(
         request=number,
-        cls=asked.cls,
-        expires_us=came_us + asked.deadline_us,
-        prompt_tokens=float(asked.extra.get("prompt_len") or body_size // CHARS_PER_TOKEN),
-        prefix_tokens=float(asked.extra.get("prefix_len") or 0.0) if prefix else 0.0,
-        max_out=float(asked.extra.get("max_out") or 0.0),
-        tenant=asked.tenant,
+        cls=client_request.cls,
+        expires_us=received_us + client_request.deadline_us,
+        prompt_tokens=float(client_request.extra.get("prompt_len") or body_size // CHARS_PER_TOKEN),
+        prefix_tokens=float(client_request.extra.get("prefix_len") or 0.0) if prefix else 0.0,
+        max_out=float(client_request.extra.get("max_out") or 0.0),
+        tenant=client_request.tenant,
         prefix=prefix,
-        session=asked.session,
-        repeat=asked.repeat,
-        resumed=asked.resumed,
+        session=client_request.session,
+        repeat=client_request.repeat,
+        resumed=client_request.resumed,
     )
 
 
-def _one(head: RequestHead, name: bytes) -> bytes:
+def _single_header(head: RequestHead, name: bytes) -> bytes:
     values = [value for known, value in head.headers if known == name]
     if len(values) > 1:
         raise Refused(400, f"{name.decode()}: comes twice")
     return values[0] if values else b""
 
 
-def _text(head: RequestHead, name: bytes) -> str:
-    """A name as the settings write it: in UTF-8, or in the older way of headers where that cannot be."""
-    value = _one(head, name)
+def _text_header(head: RequestHead, name: bytes) -> str:
+    """Decode a name as UTF-8, as the settings have it, or else as Latin-1, the older encoding of headers."""
+    value = _single_header(head, name)
     try:
         return value.decode()
     except UnicodeDecodeError:
         return value.decode("latin-1")
 
 
-def _extra(value: bytes) -> dict[str, str]:
+def _parse_extra(value: bytes) -> dict[str, str]:
     extra: dict[str, str] = {}
     for part in value.decode("latin-1").split(","):
         name, _, text = part.strip().partition("=")
--- a/yardspindle/node/running_request.py
+++ b/yardspindle/node/running_request.py
@@ -1,4 +1,4 @@
-"""A request that runs here: its client's exchange, its attempts and its stream."""
+"""A request in progress: its client's exchange, its attempts and its stream."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class RunningRequest:
-    """A request's I/O."""
+    """I/O state of a request in progress."""
 
     request: i.Request
     request_id: bytes
@@ -22,11 +22,9 @@
     done: Signal
     answer: c.Answer | None = None
     attempts: dict[int, Task] = field(default_factory=dict)
-    places: dict[int, Task] = field(default_factory=dict)  # asked, not answered
-    stream: ResponseStream | None = None  # that goes to its client
-    read_written: dict[int, Signal] = field(default_factory=dict)  # reads: set once the last byte is written
+    places: dict[int, Task] = field(default_factory=dict)  # calls for a place, without an answer yet
+    stream: ResponseStream | None = None  # that is relayed to the client
+    read_written: dict[int, Signal] = field(default_factory=dict)  # by read attempt: set once its last byte is written
     written_attempts: set[int] = field(default_factory=set)  # attempts whose last byte is written
-    awaiting_host_since_us: int = (
-        0  # since when the running stream brings nothing; 0: its client is waited for, not its host
-    )
+    awaiting_host_since_us: int = 0  # since when the stream has brought nothing; 0: it waits for its client
     trace: RequestTrace = field(default_factory=lambda: RequestTrace(0))
--- a/yardspindle/node/settings_schema.py
+++ b/yardspindle/node/settings_schema.py
@@ -1,7 +1,7 @@
-"""The types that the platform's settings must have, so that a wrong one is named before anything is built on it.
+"""Types of the platform's settings, checked first so that an error names the field at fault.
 
-Keys that are not known are passed over. What the values mean is the settings' map's, also of those that are absent: a
-default here says only that the key may be. Bounds between fields are the interface's.
+Unknown keys are ignored. yardspindle.settings_map says what the values mean, and what applies where one is absent: a
+default here only makes the key optional. Bounds between fields are checked by yardspindle.interface.
 """
 
 from __future__ import annotations
@@ -10,10 +10,12 @@
 
 from msgspec import Meta, Struct, convert
 
-Time = Annotated[float, Meta(ge=0, le=1e13)]  # microseconds; over a hundred days is no time
+Time = Annotated[float, Meta(ge=0, le=1e13)]  # microseconds; more than a hundred days is not plausible
 Count = Annotated[int, Meta(ge=1, le=1 << 31)]
 Amount = Annotated[float, Meta(ge=0, le=1e15)]
-Name = Annotated[str, Meta(pattern=r"^[^\x00-\x20\x7f]([^\x00-\x1f\x7f]*[^\x00-\x20\x7f])?\Z")]  # a header's value
+Name = Annotated[
+    str, Meta(pattern=r"^[^\x00-\x20\x7f]([^\x00-\x1f\x7f]*[^\x00-\x20\x7f])?\Z")
+]  # valid as the value of a header
 
 
 class _Class(Struct, rename="kebab"):
@@ -91,5 +93,5 @@
 
 
 def check(raw: dict[str, Any]) -> None:
-    """Raises msgspec.ValidationError, which names the field, for settings of a wrong shape."""
+    """Check the types of the settings. Raises msgspec.ValidationError, which names the field."""
     convert(raw, _Settings)
--- a/yardspindle/node/trace.py
+++ b/yardspindle/node/trace.py
@@ -1,4 +1,4 @@
-"""What one request went through, as one line of the log when it is over; `benchmarks/stages.py` reads it."""
+"""Record of one request, logged as one line at its end; `benchmarks/stages.py` reads that line."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 
 @dataclass(slots=True)
 class RequestTrace:
-    """Times are the program's, in microseconds; 0: it never came to that."""
+    """Attempts, servers and times of one request. Times are of the program's clock, in microseconds; 0: not reached."""
 
     received_us: int
     reads: int = 0
     writes: int = 0
-    places_asked: int = 0  # places
+    places_requested: int = 0  # calls for a place
     places_refused: int = 0
     reader: Server | None = None
     writer: Server | None = None
-    cached_tokens: int = 0  # prompt tokens that the last read found kept
+    cached_tokens: int = 0  # prompt tokens that the last read found in the cache
     read_written_us: int = 0  # the last read's last byte was written
-    read_answered_us: int = 0  # its answer came
+    read_answered_us: int = 0  # its answer arrived
     write_written_us: int = 0  # the last write's last byte was written
-    first_event_us: int = 0  # its first event came
+    first_event_us: int = 0  # its first event arrived
 
     def attempt_written(self, now_us: int, server: Server, read: bool) -> None:
-        """An attempt's last byte is written."""
+        """Record that the last byte of an attempt was written."""
         if read:
             self.reads, self.reader, self.read_written_us, self.read_answered_us = self.reads + 1, server, now_us, 0
         else:
             self.writes, self.writer, self.write_written_us = self.writes + 1, server, now_us
 
-    def read_ended(self, now_us: int, kept: int) -> None:
-        """A read ended well."""
-        self.read_answered_us, self.cached_tokens = now_us, kept
+    def read_ended(self, now_us: int, cached_tokens: int) -> None:
+        """Record a successful read."""
+        self.read_answered_us, self.cached_tokens = now_us, cached_tokens
 
-    def log_fields(self, now_us: int, ask: i.Request, end: str) -> dict[str, object]:
-        """The line's fields; stages in milliseconds, of the last attempts alone."""
+    def log_fields(self, now_us: int, request: i.Request, end: str) -> dict[str, object]:
+        """The fields of the log line; stages in milliseconds, of the last attempts only."""
         times = {
             "wait": (self.received_us, self.read_written_us),
             "prefill": (self.read_written_us, self.read_answered_us),
@@ -47,19 +47,19 @@
         }
         stages = ",".join(f"{name}:{(to - since) / 1_000:.0f}" for name, (since, to) in times.items() if since and to)
         return {
-            "cls": ask.cls,
-            "tenant": ask.tenant,
+            "cls": request.cls,
+            "tenant": request.tenant,
             "end": end,
-            "prompt": f"{ask.prompt_tokens:.0f}",
-            "prefix": f"{ask.prefix or '-'}:{ask.prefix_tokens:.0f}",
-            "session": ask.session,
+            "prompt": f"{request.prompt_tokens:.0f}",
+            "prefix": f"{request.prefix or '-'}:{request.prefix_tokens:.0f}",
+            "session": request.session,
             "kept": self.cached_tokens,
-            "tries": f"{self.reads},{self.writes},{self.places_asked},{self.places_refused}",
-            "at": f"{_where(self.reader)},{_where(self.writer)}",
+            "tries": f"{self.reads},{self.writes},{self.places_requested},{self.places_refused}",
+            "at": f"{_location(self.reader)},{_location(self.writer)}",
             "came": self.received_us // 1_000,
             "ms": stages,
         }
 
 
-def _where(server: Server | None) -> str:
+def _location(server: Server | None) -> str:
     return f"{server.name}/{server.zone}/{server.cell}" if server is not None else "-"
