--- a/yardspindle/api/errors.py
+++ b/yardspindle/api/errors.py
@@ -39,10 +39,10 @@
     return msgspec.json.encode({"error": {"message": message, "type": error_type, "param": param, "code": code}})
 
 
-def final_reply(final: HttpError, request_id: bytes) -> Reply:
+def final_reply(error: HttpError, request_id: bytes) -> Reply:
     """The reply to a request that was refused or failed before its first token."""
     return Reply(
-        final.status,
-        [JSON_CONTENT_TYPE, (b"x-request-id", request_id), *final.headers],
-        error_body(final.code, final.message, final.error_type),
+        error.status,
+        [JSON_CONTENT_TYPE, (b"x-request-id", request_id), *error.headers],
+        error_body(error.code, error.message, error.error_type),
     )
--- a/yardspindle/api/request_queue.py
+++ b/yardspindle/api/request_queue.py
@@ -121,6 +121,7 @@
         self.budget.head_bytes += size
 
     def _handle_event(self, now_us: int, event: http1.Event) -> None:
+        """Add a parsed head, piece of a body or end of a request; raises ProtocolError beyond the queue's bounds."""
         if isinstance(event, http1.RequestHead):
             self._head, self._keep_body = event, True
         elif isinstance(event, http1.Data):
--- a/yardspindle/node/config.py
+++ b/yardspindle/node/config.py
@@ -20,7 +20,7 @@
 from yardspindle.settings_map import parse_settings
 
 VARIABLES = ("ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_CONFIG")
-MAX_CONFIG_BYTES = 16_777_216  # room for a list of a hundred thousand hosts
+MAX_CONFIG_BYTES = 16_777_216  # room for a list of a hundred thousand hosts; a larger file is an error
 MAX_REASON_CHARS = 300  # keeps an error to one line, whatever the file holds
 
 
@@ -33,7 +33,7 @@
 
 
 class _File(Struct, frozen=True):
-    """The configuration file."""
+    """The configuration file; `known` is the host list to start with until discovery answers."""
 
     settings: dict[str, Any]
     name: str | None = None
--- a/yardspindle/node/executor.py
+++ b/yardspindle/node/executor.py
@@ -160,6 +160,7 @@
     # --- attempts
 
     def _attempt(self, command: c.Read | c.Write, running: RunningRequest) -> None:
+        """The task of an attempt: make it, log a failure, and report its result to the core."""
         try:
             result = self._run_attempt(command, running)
         finally:
@@ -284,6 +285,7 @@
     def _relay(
         self, command: c.Read | c.Write, running: RunningRequest, stream: ResponseStream, first_event: bytes
     ) -> AttemptResult | None:
+        """Relay a stream to the client until it ends; returns None if the request was over before the first token."""
         started, commands = self._core.first_token(self._world.now_us(), command.request, command.attempt)
         self.perform(commands)
         if not started:
@@ -337,6 +339,7 @@
     # --- places and releases
 
     def _reserve_place(self, command: c.ReservePlace, running: RunningRequest) -> None:
+        """The task of a call for a place: once its read attempt is written, ask, and report the answer to the core."""
         read_written = running.read_written.get(command.read_attempt)
         held: bool | None = False  # nothing was sent
         requested, began_us = False, self._world.now_us()
--- a/yardspindle/node/host_client.py
+++ b/yardspindle/node/host_client.py
@@ -88,6 +88,7 @@
         return self._chunks.early(EVENT_ENDS)
 
     def _input_by(self, due_us: int) -> bool:
+        """Wait for input; returns whether it arrived before `due_us`."""
         limit = self._world.deadline(due_us)
         try:
             with limit:
@@ -204,6 +205,7 @@
     def _call(
         self, server: Server, method: bytes, request_id: bytes, late_headers: LateHeaders, descriptor_us: int | None
     ) -> int:
+        """Make a call about a place or release; returns the status, or 0 if there was no complete answer."""
         try:
             response = self.http.request(
                 server.host,
--- a/yardspindle/node/release_tasks.py
+++ b/yardspindle/node/release_tasks.py
@@ -56,6 +56,7 @@
         return any(call.written for call in self.running.get(request, {}).values())
 
     def _release(self, release: RequestRelease, server: Server) -> None:
+        """The task of a call: make it unless the release is done already, and report the result to the core."""
         acknowledged: bool | None = False
         task, tasks = self._world.current(), self.running[release.request]
         call = tasks[task]
--- a/yardspindle/node/settings_schema.py
+++ b/yardspindle/node/settings_schema.py
@@ -13,9 +13,7 @@
 Time = Annotated[float, Meta(ge=0, le=1e13)]  # microseconds; more than a hundred days is not plausible
 Count = Annotated[int, Meta(ge=1, le=1 << 31)]
 Amount = Annotated[float, Meta(ge=0, le=1e15)]
-Name = Annotated[
-    str, Meta(pattern=r"^[^\x00-\x20\x7f]([^\x00-\x1f\x7f]*[^\x00-\x20\x7f])?\Z")
-]  # valid as the value of a header
+Name = Annotated[str, Meta(pattern=r"^[^\x00-\x20\x7f]([^\x00-\x1f\x7f]*[^\x00-\x20\x7f])?\Z")]  # a header value
 
 
 class _Class(Struct, rename="kebab"):
