--- a/tests/planted.py
+++ b/tests/planted.py
@@ -184,7 +184,7 @@
 
         return take
 
-    swap(ServerList, "take", make)
+    swap(ServerList, "apply", make)
 
 
 @plant
@@ -197,7 +197,7 @@
 
         return take
 
-    swap(ServerList, "take", make)
+    swap(ServerList, "apply", make)
 
 
 @plant
@@ -209,7 +209,7 @@
 
         return take
 
-    swap(ServerList, "take", make)
+    swap(ServerList, "apply", make)
 
 
 @plant
@@ -378,7 +378,7 @@
         good[0] = f"count = {len(good) - 1}\n"
         return real(file, "[[servers]]".join(good).encode(), config)
 
-    swap(file_source, "parse_list", lambda real: lambda file, data, config: parse(real, file, data, config))
+    swap(file_source, "parse_server_list", lambda real: lambda file, data, config: parse(real, file, data, config))
 
 
 def find(name: str, seeds: int) -> tuple[str, int, str]:
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -144,8 +144,8 @@
     )
     assert done.stdout.strip() == (
         "[] ['yardspindle', 'yardspindle.drill', 'yardspindle.interface', 'yardspindle.policy', "
-        "'yardspindle.policy.decide', 'yardspindle.policy.servers', 'yardspindle.policy.request_lifecycle', "
-        "'yardspindle.policy.readers', 'yardspindle.policy.slow_start', 'yardspindle.policy.state', "
+        "'yardspindle.policy.decide', 'yardspindle.policy.readers', 'yardspindle.policy.request_lifecycle', "
+        "'yardspindle.policy.servers', 'yardspindle.policy.slow_start', 'yardspindle.policy.state', "
         "'yardspindle.policy.writers', "
         "'yardspindle.settings_map']"
     )
--- a/tests/test_release_rounds.py
+++ b/tests/test_release_rounds.py
@@ -42,7 +42,7 @@
     for at, number in enumerate(sorted(servers, key=lambda n: (silent(servers[n]), n))):
         rooms.server_answered(at, number)
     now = 1_000 * MS
-    rooms.add(now, 7, again=False)
+    rooms.add(now, 7, repeat=False)
     for _ in range(ROUNDS_MOST):
         asked = rooms.take_due(now, servers)
         assert asked
--- a/yardspindle/core/request/request_releases.py
+++ b/yardspindle/core/request/request_releases.py
@@ -76,18 +76,18 @@
         self._last_answer_us = {number: at for number, at in self._last_answer_us.items() if number in servers}
         self._last_failure_us = {number: at for number, at in self._last_failure_us.items() if number in servers}
 
-    def add(self, now_us: int, request: int, again: bool) -> None:
+    def add(self, now_us: int, request: int, repeat: bool) -> None:
         """Queue the release of all that is held for a request, optionally repeated a little later."""
         known = self.pending.get(request)
         if known is None:
-            self.pending[request] = RequestRelease(request, now_us, now_us, again)
+            self.pending[request] = RequestRelease(request, now_us, now_us, repeat)
             return
         if known.precautionary:
             known.precautionary, known.since_us = False, now_us
         if known.in_flight:
             known.repeat = True  # the release in flight may arrive before what is to be released now
         else:
-            known.due_us, known.repeat = now_us, known.repeat or again
+            known.due_us, known.repeat = now_us, known.repeat or repeat
 
     def repeat(self, now_us: int, request: int) -> None:
         """Repeat a release as a precaution, as an unread call may have been read since the first."""
