--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -357,7 +357,7 @@
             todo = list(again)
             continue
         if isinstance(command, u.SaveState):
-            state = u.with_changes(state, saved=command.memory)
+            state = u.with_changes(state, saved=command.saved)
             continue
         log.append(command.what)
         state, more = u.step(state, now, u.CommandEnded(command.what, 0))
--- a/yardspindle/core/fleet/__init__.py
+++ b/yardspindle/core/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What the processes of a fleet know of each other, and who acts for all."""
+"""Fleet coordination without I/O: store schema, duty ownership, unit permits, releases, clock and liveness checks."""
--- a/yardspindle/core/fleet/clock_skew.py
+++ b/yardspindle/core/fleet/clock_skew.py
@@ -1,7 +1,7 @@
-"""Whose clock is out: offsets from asking each member's page, against the middle of all.
+"""Detects members with a skewed clock: offsets measured by polling each member's page, relative to the fleet's median.
 
-An answer read between two looks at the own clock bounds the other's offset from both sides. A member is out only when
-its whole interval lies past the bound: a slow answer makes the interval wide, and proves nothing.
+An answer received between two readings of the local clock bounds the remote clock's offset from both sides. A member
+counts as skewed only if its whole interval lies beyond the bound: a slow answer widens the interval and proves nothing.
 """
 
 from __future__ import annotations
@@ -14,29 +14,31 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockOffset:
-    """A member's clock against ours, microseconds: it lies between the two."""
+    """Bounds in microseconds on how far a member's clock is ahead of the local clock."""
 
-    least_us: int
-    most_us: int
+    min_us: int
+    max_us: int
 
     @property
-    def middle_us(self) -> int:
-        """The best guess."""
-        return (self.least_us + self.most_us) // 2
+    def midpoint_us(self) -> int:
+        """The point estimate of the offset."""
+        return (self.min_us + self.max_us) // 2
 
 
-def estimate_offset(before_us: int, theirs_us: int, after_us: int) -> ClockOffset:
-    """What an answer tells that was asked for at one time of ours and came at another."""
-    return ClockOffset(theirs_us - after_us, theirs_us - before_us)
+def estimate_offset(sent_us: int, remote_us: int, received_us: int) -> ClockOffset:
+    """Bounds a remote clock's offset from one exchange; `sent_us` and `received_us` are local clock readings."""
+    return ClockOffset(remote_us - received_us, remote_us - sent_us)
 
 
-def find_skewed_clocks(samples: dict[str, ClockOffset], epochs: dict[str, str], bound_us: int) -> ClockReport:
-    """Offsets against the middle, and who is out by more than the bound. By member; our own sample among them."""
-    if not samples:
+def find_skewed_clocks(offsets: dict[str, ClockOffset], epochs: dict[str, str], bound_us: int) -> ClockReport:
+    """Reports offsets from the median, and epochs beyond the bound. Keyed by member; includes the local member."""
+    if not offsets:
         return ClockReport()
-    middle = median_low(row.middle_us for row in samples.values())
-    out = [
-        name for name, row in samples.items() if row.least_us - middle > bound_us or row.most_us - middle < -bound_us
+    median_us = median_low(offset.midpoint_us for offset in offsets.values())
+    skewed = [
+        name
+        for name, offset in offsets.items()
+        if offset.min_us - median_us > bound_us or offset.max_us - median_us < -bound_us
     ]
-    offsets = {name: row.middle_us - middle for name, row in sorted(samples.items())}
-    return ClockReport(offsets, tuple(sorted(epochs[name] for name in out)))
+    relative = {name: offset.midpoint_us - median_us for name, offset in sorted(offsets.items())}
+    return ClockReport(relative, tuple(sorted(epochs[name] for name in skewed)))
--- a/yardspindle/core/fleet/duty_assignment.py
+++ b/yardspindle/core/fleet/duty_assignment.py
@@ -1,8 +1,9 @@
-"""Who is to take which duty: evenly, the same by everybody's reckoning, and with few moves when one comes or goes.
+"""Assigns duties to candidates: evenly, deterministically, and with few moves when a candidate joins or leaves.
 
-Nobody assigns. A free duty is taken by the candidate that holds fewest, equal ones by a hash of duty and name, so that
-all agree without a word. The next in turn waits a pause for each place it is behind: if the first is dead or slow,
-somebody else takes it. What is held stays where it is, but for the excess of one that holds over its even part.
+There is no coordinator. The candidate with the fewest duties takes a free one; ties are broken by a hash of duty and
+name, so that all candidates compute the same order without exchanging messages. Each candidate delays its attempt in
+proportion to its rank, so that another takes the duty if the first is dead or slow. Held duties stay where they are,
+except that a holder of more than its even share hands over the excess.
 """
 
 from __future__ import annotations
@@ -11,12 +12,12 @@
 from hashlib import blake2b
 
 
-def _draw(duty: str, name: str) -> bytes:
+def _tie_break_hash(duty: str, name: str) -> bytes:
     return blake2b(f"{duty} {name}".encode(), digest_size=8).digest()
 
 
-def counts(holders: Mapping[str, str], candidates: Iterable[str]) -> dict[str, int]:
-    """How many duties each candidate holds. `holders`: duty to name."""
+def duty_counts(holders: Mapping[str, str], candidates: Iterable[str]) -> dict[str, int]:
+    """The number of duties that each candidate holds. `holders` maps duty to name."""
     held = dict.fromkeys(candidates, 0)
     for name in holders.values():
         if name in held:
@@ -24,29 +25,29 @@
     return held
 
 
-def turn(duty: str, holders: Mapping[str, str], candidates: Iterable[str]) -> list[str]:
-    """The candidates for a free duty, the first in turn first."""
-    held = counts(holders, candidates)
-    return sorted(held, key=lambda name: (held[name], _draw(duty, name), name))
+def candidate_order(duty: str, holders: Mapping[str, str], candidates: Iterable[str]) -> list[str]:
+    """The candidates for a free duty, the preferred one first."""
+    held = duty_counts(holders, candidates)
+    return sorted(held, key=lambda name: (held[name], _tie_break_hash(duty, name), name))
 
 
 def candidate_orders(
     free: Iterable[str], holders: Mapping[str, str], candidates: Iterable[str]
 ) -> dict[str, list[str]]:
-    """The turns of all free duties at once: each is reckoned as if the ones before it had been taken in turn."""
-    known, names = dict(holders), list(candidates)
-    turns: dict[str, list[str]] = {}
+    """The candidate order of every free duty, each computed as if its predecessors went to their first candidate."""
+    assumed, names = dict(holders), list(candidates)
+    orders: dict[str, list[str]] = {}
     for duty in sorted(free):
-        turns[duty] = turn(duty, known, names)
-        if turns[duty]:
-            known[duty] = turns[duty][0]
-    return turns
+        orders[duty] = candidate_order(duty, assumed, names)
+        if orders[duty]:
+            assumed[duty] = orders[duty][0]
+    return orders
 
 
 def duty_to_hand_over(name: str, holders: Mapping[str, str], candidates: Iterable[str]) -> str | None:
-    """The duty that this one should hand over, or None: only when another then holds no more than it keeps."""
-    held = counts(holders, candidates)
+    """The duty that a candidate should hand over; None unless it holds at least two more than another candidate."""
+    held = duty_counts(holders, candidates)
     if name not in held or held[name] - min(held.values()) < 2:
         return None
-    mine = [duty for duty, owner in holders.items() if owner == name]
-    return max(mine, key=lambda duty: (_draw(duty, name), duty))
+    own_duties = [duty for duty, owner in holders.items() if owner == name]
+    return max(own_duties, key=lambda duty: (_tie_break_hash(duty, name), duty))
--- a/yardspindle/core/fleet/fences.py
+++ b/yardspindle/core/fleet/fences.py
@@ -1,21 +1,21 @@
-"""Whose orders are obeyed: for each duty the highest fence met, and none lower ever after.
+"""Fencing on the receiving side: for each duty, orders with a fence lower than the highest one seen are rejected.
 
-A receiver that starts anew is told the fences in force (from the store, or from what it wrote down) before it takes its
-first order, else an owner that was replaced long ago would be obeyed once more.
+A receiver that restarts must load the current fences (from the store, or from its own saved copy) before it accepts its
+first order; otherwise it would obey an owner that was replaced long ago.
 """
 
 from __future__ import annotations
 
 
 class FenceRegistry:
-    """The fences that a receiver of orders has met."""
+    """The highest fence that a receiver of orders has seen for each duty."""
 
     def __init__(self, known: dict[str, int] | None = None) -> None:
-        """`known`: those in force at the start, by duty."""
+        """`known`: the fences in force at the start, by duty."""
         self.highest = dict(known or {})
 
     def admits(self, duty: str, fence: int) -> bool:
-        """Whether an order is to be obeyed; it raises what later ones must have."""
+        """Whether an order may be obeyed; if so, its fence becomes the minimum for later orders."""
         if fence < self.highest.get(duty, 0) or fence <= 0:
             return False
         self.highest[duty] = fence
--- a/yardspindle/core/fleet/kv.py
+++ b/yardspindle/core/fleet/kv.py
@@ -1,8 +1,8 @@
-"""Keys and values that processes share, with etcd v3's meaning: revisions, transactions, what a watch is told.
+"""A key-value store with the semantics of etcd v3: revisions, transactions and watch events.
 
-One evaluator serves every store that is ours: the model behind the stand-in, and the embedded one. A store has one
-revision that grows by one with each transaction that writes; a key's `create` is the revision that made it, its
-`mod` the one that last wrote it, its `version` counts writes since it was made.
+One evaluator serves every store implemented here: the in-memory model and the embedded store. A store has a single
+revision that grows by one with each transaction that writes; a key's `create` is the revision that created it, its
+`mod` the revision that last wrote it, and its `version` counts writes since its creation.
 """
 
 from __future__ import annotations
@@ -10,33 +10,33 @@
 from dataclasses import dataclass
 from typing import Literal, Protocol
 
-FIRST_REVISION = 1  # of an empty store, as etcd has it
+FIRST_REVISION = 1  # of an empty store, as in etcd
 
 Target = Literal["version", "create", "mod", "value", "lease"]
 Relation = Literal["equal", "greater", "less", "not_equal"]
 
 
 class Compacted(Exception):
-    """History before `revision` is gone."""
+    """A revision was requested whose history has been compacted."""
 
     def __init__(self, revision: int) -> None:
-        """`revision`: the oldest that can still be read."""
+        """`revision`: the oldest that is still available."""
         super().__init__(f"compacted up to revision {revision}")
         self.revision = revision
 
 
 class BadRequest(Exception):
-    """The store refuses the request as such; nothing of it was done. `code`: gRPC's number."""
+    """The store rejected the request and applied none of it. `code`: the gRPC status code."""
 
     def __init__(self, code: int, text: str) -> None:
-        """`text` as etcd words it."""
+        """`text`: the error message that etcd uses."""
         super().__init__(text)
         self.code = code
 
 
 @dataclass(frozen=True, slots=True)
 class KeyValue:
-    """A key as it stands. `lease`: 0 for none."""
+    """A key's current value and metadata. `lease`: 0 for none."""
 
     key: bytes
     value: bytes
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Compare:
-    """A condition on one key; a key that is not there has zeros and an empty value."""
+    """A condition on one key; an absent key has zeros and no value."""
 
     key: bytes
     target: Target
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Get:
-    """Read a key, or the keys from it up to `end` (not included)."""
+    """Reads a key, or the keys from it up to `end` (exclusive)."""
 
     key: bytes
     end: bytes = b""
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """Write a key; with a lease it is gone when the lease ends."""
+    """Writes a key; if a lease is given, the key is deleted when the lease ends."""
 
     key: bytes
     value: bytes
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delete:
-    """Remove a key, or the keys from it up to `end` (not included)."""
+    """Deletes a key, or the keys from it up to `end` (exclusive)."""
 
     key: bytes
     end: bytes = b""
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Txn:
-    """If every condition holds, `then`, else `otherwise`: at one revision, or not at all."""
+    """Applies `then` if every condition holds, else `otherwise`; atomically, at a single revision."""
 
     compare: tuple[Compare, ...] = ()
     then: tuple[Op, ...] = ()
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RangeResult:
-    """What a read found, with the store's revision when it was made."""
+    """The rows that a read found, and the store's revision at that time."""
 
     revision: int
     rows: tuple[KeyValue, ...]
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TxnResult:
-    """Which branch was taken, and what each of its operations found (a Get's rows; none for the others)."""
+    """Which branch was applied, and the rows returned by each of its operations (empty unless it is a Get)."""
 
     revision: int
     succeeded: bool
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A key was written, or removed (then only `key` and `mod` of `row` count)."""
+    """A key was written or removed; if removed, only `key` and `mod` of `row` are meaningful."""
 
     row: KeyValue
     removed: bool = False
@@ -120,75 +120,75 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """What a watch is told at once: all changes up to a revision."""
+    """One batch of watch events: all changes up to a revision."""
 
     revision: int
     changes: tuple[Change, ...] = ()
 
 
 def prefix_end(prefix: bytes) -> bytes:
-    """The end of the range that holds every key with the prefix."""
-    for at in range(len(prefix) - 1, -1, -1):
-        if prefix[at] < 0xFF:
-            return prefix[:at] + bytes([prefix[at] + 1])
-    return b"\0"  # etcd's way to say: to the last key
+    """The exclusive end of the range of all keys with the prefix."""
+    for index in range(len(prefix) - 1, -1, -1):
+        if prefix[index] < 0xFF:
+            return prefix[:index] + bytes([prefix[index] + 1])
+    return b"\0"  # etcd's notation for "up to the last key"
 
 
-def range_contains(key: bytes, end: bytes, one: bytes) -> bool:
-    """Whether a range holds a key."""
+def range_contains(key: bytes, end: bytes, candidate: bytes) -> bool:
+    """Whether `candidate` lies in the range from `key` to `end`; without an end the range is `key` alone."""
     if not end:
-        return one == key
-    return one >= key and (end == b"\0" or one < end)
+        return candidate == key
+    return candidate >= key and (end == b"\0" or candidate < end)
 
 
-class Reader(Protocol):
-    """The rows of a store as they stand."""
+class RowReader(Protocol):
+    """Read access to a store's current rows."""
 
     def rows(self, key: bytes, end: bytes) -> list[KeyValue]:
-        """In the order of their keys."""
+        """The rows of a range, ordered by key."""
 
     def has_lease(self, lease: int) -> bool:
-        """Whether a lease lives."""
+        """Whether a lease exists and has not ended."""
 
 
-def holds(compare: Compare, row: KeyValue | None) -> bool:
-    """Whether a condition holds of a row, or of its absence."""
+def condition_holds(compare: Compare, row: KeyValue | None) -> bool:
+    """Whether a row, or its absence (None), satisfies a condition."""
     if compare.target == "value":
         if row is None:
-            return False  # as etcd: a value cannot be compared where there is none
-        have: int | bytes = row.value
+            return False  # as in etcd, a comparison with an absent value is false
+        actual: int | bytes = row.value
     else:
-        have = 0 if row is None else getattr(row, compare.target)
-    if isinstance(have, bytes) != isinstance(compare.expected, bytes):
+        actual = 0 if row is None else getattr(row, compare.target)
+    if isinstance(actual, bytes) != isinstance(compare.expected, bytes):
         raise BadRequest(3, f"etcdserver: {compare.target} is compared with a value of another kind")
     match compare.relation:
         case "equal":
-            return have == compare.expected
+            return actual == compare.expected
         case "not_equal":
-            return have != compare.expected
+            return actual != compare.expected
         case "greater":
-            return have > compare.expected  # type: ignore[operator]
+            return actual > compare.expected  # type: ignore[operator]
         case "less":
-            return have < compare.expected  # type: ignore[operator]
+            return actual < compare.expected  # type: ignore[operator]
 
 
-def evaluate(txn: Txn, reader: Reader, revision: int) -> tuple[TxnResult, tuple[Change, ...]]:
-    """What a transaction answers and changes, on a store that stands at `revision`. Raises BadRequest."""
-    succeeded = all(holds(c, next(iter(reader.rows(c.key, b"")), None)) for c in txn.compare)
+def evaluate(txn: Txn, reader: RowReader, revision: int) -> tuple[TxnResult, tuple[Change, ...]]:
+    """A transaction's result and changes, given a store at `revision`; applies nothing. Raises BadRequest."""
+    succeeded = all(condition_holds(c, next(iter(reader.rows(c.key, b"")), None)) for c in txn.compare)
     ops = txn.then if succeeded else txn.otherwise
     next_revision = revision + 1
     written: dict[bytes, Change] = {}
-    found: list[tuple[KeyValue, ...]] = []
+    results: list[tuple[KeyValue, ...]] = []
     for op in ops:
         match op:
             case Get(key, end):
                 rows = {row.key: row for row in reader.rows(key, end)}
-                for one, change in written.items():  # a transaction sees what it wrote
-                    if range_contains(key, end, one):
-                        rows.pop(one, None)
+                for written_key, change in written.items():  # a transaction sees its own writes
+                    if range_contains(key, end, written_key):
+                        rows.pop(written_key, None)
                         if not change.removed:
-                            rows[one] = change.row
-                found.append(tuple(rows[one] for one in sorted(rows)))
+                            rows[written_key] = change.row
+                results.append(tuple(rows[row_key] for row_key in sorted(rows)))
             case Put(key, value, lease):
                 if key in written:
                     raise BadRequest(3, "etcdserver: duplicate key given in txn request")
@@ -206,11 +206,11 @@
                     lease,
                 )
                 written[key] = Change(row)
-                found.append(())
+                results.append(())
             case Delete(key, end):
                 for old in reader.rows(key, end):
                     if old.key in written:
                         raise BadRequest(3, "etcdserver: duplicate key given in txn request")
                     written[old.key] = Change(KeyValue(old.key, b"", 0, next_revision, 0), removed=True)
-                found.append(())
-    return TxnResult(next_revision if written else revision, succeeded, tuple(found)), tuple(written.values())
+                results.append(())
+    return TxnResult(next_revision if written else revision, succeeded, tuple(results)), tuple(written.values())
--- a/yardspindle/core/fleet/kv_model.py
+++ b/yardspindle/core/fleet/kv_model.py
@@ -1,7 +1,7 @@
-"""A whole store in memory: what etcd's published interface promises of keys, history, leases and watches.
+"""An in-memory store that follows etcd's published interface for keys, history, leases and watches.
 
-The stand-in serves it over HTTP and the virtual World plays it. Free of I/O: the time comes with each call, and a
-lease that has run out is ended by `expire`, which whoever owns the model calls before anything else.
+Served over HTTP by the etcd stand-in, and used directly in the simulated World. It does no I/O: the time is passed to
+each call, and expired leases are ended by `expire`, which the model's owner calls before any other method.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
     range_contains,
 )
 
-LEAST_TTL_S = 1
+MIN_TTL_S = 1
 
 
 @dataclass(slots=True)
 class Lease:
-    """A lease: its time to live, and when it ends unless it is kept alive."""
+    """A lease: its time to live, when it expires unless kept alive, and the keys attached to it."""
 
     ttl_us: int
     expires_us: int
@@ -37,57 +37,57 @@
 
 
 class StoreModel:
-    """A store."""
+    """The in-memory store."""
 
     def __init__(self) -> None:
-        """Empty."""
+        """Creates an empty store."""
         self.revision = FIRST_REVISION
         self.compacted = 0
         self.leases: dict[int, Lease] = {}
         self._rows: dict[bytes, KeyValue] = {}
-        self._keys: list[bytes] = []  # of the rows, sorted
-        self._history: list[Changes] = []  # since the last compaction, one for each revision that wrote
-        self._base: dict[bytes, KeyValue] = {}  # the rows as they stood at the last compaction
+        self._keys: list[bytes] = []  # the keys of `_rows`, sorted
+        self._history: list[Changes] = []  # one entry per revision since the last compaction
+        self._base: dict[bytes, KeyValue] = {}  # the rows as of the last compaction
         self._next_lease = 1
 
     # --- keys
 
     def rows(self, key: bytes, end: bytes) -> list[KeyValue]:
-        """See kv.Reader."""
+        """See kv.RowReader."""
         if not end:
             row = self._rows.get(key)
             return [] if row is None else [row]
         last = len(self._keys) if end == b"\0" else bisect_left(self._keys, end)
-        return [self._rows[one] for one in self._keys[bisect_left(self._keys, key) : last]]
+        return [self._rows[found] for found in self._keys[bisect_left(self._keys, key) : last]]
 
     def has_lease(self, lease: int) -> bool:
-        """See kv.Reader."""
+        """See kv.RowReader."""
         return lease in self.leases
 
     def range(self, key: bytes, end: bytes = b"", revision: int = 0) -> RangeResult:
-        """The rows as they stand, or as they stood at a revision. Raises Compacted, BadRequest."""
+        """The rows of a range, now or at an earlier revision. Raises Compacted, BadRequest."""
         if not revision or revision == self.revision:
             return RangeResult(self.revision, tuple(self.rows(key, end)))
         if revision > self.revision:
             raise BadRequest(11, "etcdserver: mvcc: required revision is a future revision")
         if revision < self.compacted:
             raise Compacted(self.compacted)
-        then = dict(self._base)
+        past = dict(self._base)
         for changes in self._history:
             if changes.revision > revision:
                 break
             for change in changes.changes:
                 if change.removed:
-                    then.pop(change.row.key, None)
+                    past.pop(change.row.key, None)
                 else:
-                    then[change.row.key] = change.row
+                    past[change.row.key] = change.row
         return RangeResult(
             self.revision,
-            tuple(then[one] for one in sorted(then) if (range_contains(key, end, one) if end else one == key)),
+            tuple(past[found] for found in sorted(past) if (range_contains(key, end, found) if end else found == key)),
         )
 
     def txn(self, txn: Txn) -> TxnResult:
-        """Carry out a transaction. Raises BadRequest, with nothing done."""
+        """Executes a transaction. Raises BadRequest without having changed anything."""
         answer, changes = evaluate(txn, self, self.revision)
         self._commit(changes)
         return answer
@@ -111,7 +111,7 @@
         self._history.append(Changes(self.revision, changes))
 
     def changes_since(self, key: bytes, end: bytes, revision: int) -> Changes:
-        """What a watch from a revision on has missed by now. Raises Compacted."""
+        """The changes in a range from a revision on, as a watch would deliver them. Raises Compacted."""
         if revision <= self.compacted and revision:
             raise Compacted(self.compacted)
         found = [
@@ -124,7 +124,7 @@
         return Changes(self.revision, tuple(found))
 
     def compact(self, revision: int) -> None:
-        """Forget history before a revision. Raises BadRequest, Compacted."""
+        """Discards the history before a revision. Raises BadRequest, Compacted."""
         if revision > self.revision:
             raise BadRequest(11, "etcdserver: mvcc: required revision is a future revision")
         if revision <= self.compacted:
@@ -136,17 +136,17 @@
     # --- leases
 
     def grant(self, now_us: int, ttl_s: int, lease: int = 0) -> int:
-        """A new lease, with a number of the store's choice unless one is asked for. Raises BadRequest."""
+        """Creates a lease, with the given id or else one that the store chooses. Raises BadRequest."""
         if lease and lease in self.leases:
             raise BadRequest(9, "etcdserver: lease already exists")
         while not lease or lease in self.leases:
             lease, self._next_lease = self._next_lease, self._next_lease + 1
-        ttl_us = max(ttl_s, LEAST_TTL_S) * 1_000_000
+        ttl_us = max(ttl_s, MIN_TTL_S) * 1_000_000
         self.leases[lease] = Lease(ttl_us, now_us + ttl_us)
         return lease
 
     def keep_alive(self, now_us: int, lease: int) -> int:
-        """Its time to live in seconds, counted anew from now; 0 when it has ended."""
+        """Renews a lease; gives its time to live in seconds, or 0 if it has ended."""
         known = self.leases.get(lease)
         if known is None:
             return 0
@@ -154,7 +154,7 @@
         return known.ttl_us // 1_000_000
 
     def revoke(self, lease: int) -> None:
-        """End a lease and its keys. Raises BadRequest."""
+        """Ends a lease and deletes its keys. Raises BadRequest."""
         if lease not in self.leases:
             raise BadRequest(5, "etcdserver: requested lease not found")
         keys = sorted(self.leases[lease].keys)
@@ -163,21 +163,21 @@
         del self.leases[lease]
 
     def remaining_ttl_s(self, now_us: int, lease: int) -> int:
-        """Whole seconds; -1 when it has ended."""
+        """The seconds left, rounded down; -1 if the lease has ended."""
         known = self.leases.get(lease)
         return -1 if known is None else max(known.expires_us - now_us, 0) // 1_000_000
 
     def expire(self, now_us: int) -> None:
-        """End the leases whose time is over."""
+        """Ends all leases that have expired."""
         for lease in [number for number, known in self.leases.items() if known.expires_us <= now_us]:
             self.revoke(lease)
 
-    def next_end_us(self) -> int | None:
-        """When the next lease runs out, or None."""
+    def next_expiry_us(self) -> int | None:
+        """When the next lease expires; None if there is none."""
         return min((known.expires_us for known in self.leases.values()), default=None)
 
     def copy(self) -> StoreModel:
-        """A copy as it stands: a backup, to be restored later."""
+        """An independent copy, for use as a backup."""
         other = StoreModel()
         other.revision, other.compacted, other._next_lease = self.revision, self.compacted, self._next_lease
         other.leases = {n: Lease(k.ttl_us, k.expires_us, set(k.keys)) for n, k in self.leases.items()}
--- a/yardspindle/core/fleet/members.py
+++ b/yardspindle/core/fleet/members.py
@@ -1,9 +1,9 @@
-"""What processes say of themselves in the store, and what is known of them from it: never more than they said.
+"""The fleet's records in the store (members, duties, clocks) and a process's view of them.
 
-Under `/yardspindle/FLEET/`: `members/KIND/NAME` lies under its process's lease and names its epoch, one start of one
-process; `epochs/EPOCH` says the same without a lease, so that what an epoch left behind can be looked into after its
-end; `duties/DUTY` lies under its owner's lease; `starts/NAME` counts how often a steward came and went; `clocks` holds
-the last word on whose clock is out.
+Under `/yardspindle/FLEET/`: `members/KIND/NAME` is attached to its process's lease and names its epoch, one start of
+one process; `epochs/EPOCH` has the same value without a lease, so that what an epoch left behind can be cleaned up
+after its end; `duties/DUTY` is attached to its owner's lease; `starts/NAME` counts a steward's recent restarts;
+`clocks` holds the latest report of clock offsets and skewed clocks.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 T = TypeVar("T")
 ROOT = "/yardspindle"
 Kind = Literal["edge", "planner", "steward", "unit"]
-STARTS_SPAN_US = 120_000_000  # a start so long after the one before says nothing of a process that comes and goes
+RECENT_START_US = 120_000_000  # a start this long after the previous one is no sign of a restart loop
 
 
 class Member(Struct, frozen=True):
-    """A process, as it says. `page`: where it answers for itself, for as long as it lives."""
+    """A process's registration. `page`: address of its HTTP page, which it serves for as long as it runs."""
 
     name: str
     kind: Kind
@@ -33,41 +33,41 @@
     page: str = ""
     zone: str = ""
     version: str = ""
-    able: bool = True  # of a steward: whether it would take duties now
-    since_us: int = 0  # by its own clock
+    able: bool = True  # of a steward: whether it can take duties now
+    since_us: int = 0  # start time, by its own clock
 
     @property
     def id(self) -> str:
-        """Its place among the members."""
+        """The member's key within `members/`."""
         return f"{self.kind}/{self.name}"
 
 
 class Owner(Struct, frozen=True):
-    """Who took a duty."""
+    """The owner of a duty."""
 
     name: str
     epoch: str
-    since_us: int = 0  # by its own clock
+    since_us: int = 0  # when it acquired the duty, by its own clock
 
 
 class StartCount(Struct, frozen=True):
-    """How often a process started, each soon after the one before."""
+    """The number of consecutive starts of a process that each followed soon after the previous one."""
 
     count: int = 0
     at_us: int = 0
 
 
 class ClockReport(Struct, frozen=True):
-    """Offsets against the fleet's middle, in microseconds, by member; and the epochs that are out by too much.
+    """Offsets from the fleet's median clock, in microseconds, by member; and the epochs whose clock is skewed.
 
-    Epochs, not names: a process takes its clock at its start, so one that was started again is judged anew."""
+    Epochs, not names: a process reads its clock at its start, so a restarted process is evaluated afresh."""
 
     offsets: dict[str, int] = {}
     out: tuple[str, ...] = ()
 
 
 def decode_row(data: bytes, kind: type[T]) -> T | None:
-    """A value as one of ours; None when it is not: it is left as it is, and nothing rests on it."""
+    """Decodes a stored value; None if it is malformed, in which case the row is ignored and left unchanged."""
     try:
         return msgspec.json.decode(data, type=kind)
     except msgspec.DecodeError:
@@ -75,10 +75,10 @@
 
 
 class FleetKeys:
-    """Where a fleet keeps what."""
+    """The keys of a fleet's records, and the transactions on them."""
 
     def __init__(self, fleet: str) -> None:
-        """`fleet`: its name."""
+        """`fleet`: the fleet's name."""
         self.root = f"{ROOT}/{fleet}/".encode()
         self.members = self.root + b"members/"
         self.epochs = self.root + b"epochs/"
@@ -86,25 +86,25 @@
         self.clocks = self.root + b"clocks"
 
     def member(self, member: Member) -> bytes:
-        """A member's key."""
+        """The key of a member's registration."""
         return self.members + member.id.encode()
 
     def epoch(self, epoch: str) -> bytes:
-        """An epoch's key."""
+        """The key of an epoch's record."""
         return self.epochs + epoch.encode()
 
     def duty(self, duty: str) -> bytes:
-        """A duty's key."""
+        """The key that a duty's owner holds."""
         return self.duties + duty.encode()
 
     def start_count(self, name: str) -> bytes:
-        """The key of a process's starts."""
+        """The key of a process's count of recent starts."""
         return self.root + b"starts/" + name.encode()
 
-    # --- what is asked of the store
+    # --- transactions
 
     def register(self, member: Member, lease: int, known: KeyValue | None) -> Txn:
-        """Register, where `known` is what stands there now: nothing, or what this very process wrote."""
+        """Registers a member. `known`: the current row, which is absent or was written by this same process."""
         key, value = self.member(member), msgspec.json.encode(member)
         return Txn(
             (Compare(key, "mod", "equal", known.mod if known is not None else 0),),
@@ -113,46 +113,46 @@
         )
 
     def acquire(self, duty: str, owner: Owner, lease: int) -> Txn:
-        """Take a duty that nobody holds; else see who does."""
+        """Acquires a duty that has no owner; otherwise reads its owner."""
         key = self.duty(duty)
         return Txn(
             (Compare(key, "create", "equal", 0),), (Put(key, msgspec.json.encode(owner), lease), Get(key)), (Get(key),)
         )
 
     def hand_over(self, duty: str, fence: int) -> Txn:
-        """Let go of a duty that is still held with this fence."""
+        """Releases a duty if it is still held with this fence."""
         key = self.duty(duty)
         return Txn((Compare(key, "create", "equal", fence),), (Delete(key),))
 
     def with_fence(self, duty: str, fence: int, *then: Put | Delete) -> Txn:
-        """Write something on behalf of a duty, if it is still held with this fence."""
+        """Applies writes on behalf of a duty if it is still held with this fence."""
         return Txn((Compare(self.duty(duty), "create", "equal", fence),), then)
 
 
 def may_register(known: KeyValue | None, member: Member) -> bool:
-    """Whether a registration may be put where `known` stands; another process's is left until its lease ends."""
+    """Whether a member may replace the row `known`; another process's registration stays until its lease ends."""
     if known is None:
         return True
-    there = decode_row(known.value, Member)
-    return there is not None and there.epoch == member.epoch
+    registered = decode_row(known.value, Member)
+    return registered is not None and registered.epoch == member.epoch
 
 
 def decode_holder(row: KeyValue) -> Holder | None:
-    """Who holds a duty, by its key."""
+    """The holder of a duty, from the duty's row; its name is "?" if the value is malformed."""
     owner = decode_row(row.value, Owner)
     return Holder(owner.name if owner is not None else "?", row.lease, row.create)
 
 
 def next_start_count(known: KeyValue | None, now_us: int) -> StartCount:
-    """The count that a start now makes."""
-    before = decode_row(known.value, StartCount) if known is not None else None
-    recent = before is not None and abs(now_us - before.at_us) < STARTS_SPAN_US
-    return StartCount(before.count + 1 if recent and before is not None else 0, now_us)
+    """The start count to record for a process that starts now."""
+    previous = decode_row(known.value, StartCount) if known is not None else None
+    recent = previous is not None and abs(now_us - previous.at_us) < RECENT_START_US
+    return StartCount(previous.count + 1 if recent and previous is not None else 0, now_us)
 
 
 @dataclass(slots=True)
 class FleetView:
-    """The fleet as the store told it, row by row."""
+    """A process's copy of the fleet's records, kept current from a store watch."""
 
     keys: FleetKeys
     revision: int = 0
@@ -160,17 +160,17 @@
     epochs: dict[str, Member] = field(default_factory=dict)
     duties: dict[str, Holder] = field(default_factory=dict)
     clocks: ClockReport = field(default_factory=ClockReport)
-    rows: dict[bytes, KeyValue] = field(default_factory=dict)  # what else lies under the root
+    rows: dict[bytes, KeyValue] = field(default_factory=dict)  # all other rows under the root
 
     def reset(self, revision: int, rows: Iterable[KeyValue]) -> None:
-        """All of it, read at a revision."""
+        """Replaces the view by all rows, read at a revision."""
         self.revision = revision
         self.members, self.epochs, self.duties, self.clocks, self.rows = {}, {}, {}, ClockReport(), {}
         for row in rows:
             self._put(row)
 
     def apply(self, revision: int, changes: Iterable[Change]) -> None:
-        """What a watch told; rows read before count as told."""
+        """Applies watch events; skips those already included in what was read."""
         for change in changes:
             if change.row.mod <= self.revision:
                 continue
@@ -189,8 +189,8 @@
             if (member := decode_row(row.value, Member)) is not None:
                 self.epochs[row.key[len(keys.epochs) :].decode()] = member
         elif row.key.startswith(keys.duties):
-            if (held := decode_holder(row)) is not None:
-                self.duties[row.key[len(keys.duties) :].decode()] = held
+            if (holder := decode_holder(row)) is not None:
+                self.duties[row.key[len(keys.duties) :].decode()] = holder
         elif row.key == keys.clocks:
             self.clocks = decode_row(row.value, ClockReport) or ClockReport()
         else:
@@ -198,18 +198,18 @@
 
     def _remove(self, key: bytes) -> None:
         keys = self.keys
-        for start, rows in ((keys.members, self.members), (keys.epochs, self.epochs), (keys.duties, self.duties)):
-            if key.startswith(start):
-                rows.pop(key[len(start) :].decode(), None)
+        for prefix, rows in ((keys.members, self.members), (keys.epochs, self.epochs), (keys.duties, self.duties)):
+            if key.startswith(prefix):
+                rows.pop(key[len(prefix) :].decode(), None)
         if key == keys.clocks:
             self.clocks = ClockReport()
         self.rows.pop(key, None)
 
-    def duty_view(self, wanted: frozenset[str]) -> DutyView:
-        """What ownership rests on."""
-        able = frozenset(m.name for m in self.members.values() if m.kind == "steward" and m.able)
-        return DutyView(self.revision, dict(self.duties), able, wanted)
+    def duty_view(self, required: frozenset[str]) -> DutyView:
+        """The input of duty ownership: holders, candidates and the duties that must be owned."""
+        candidates = frozenset(m.name for m in self.members.values() if m.kind == "steward" and m.able)
+        return DutyView(self.revision, dict(self.duties), candidates, required)
 
     def live_epochs(self) -> set[str]:
-        """Epochs whose registration stands."""
+        """The epochs that are registered."""
         return {member.epoch for member in self.members.values()}
--- a/yardspindle/core/fleet/ownership.py
+++ b/yardspindle/core/fleet/ownership.py
@@ -1,12 +1,12 @@
-"""One owner at a time: what a process that may own duties does next, from what it knows and what has just happened.
+"""The duty ownership protocol: each duty has at most one owner at a time, enforced by leases and fencing tokens.
 
-A duty's key lies under its owner's lease in the store; its fence is the revision at which it was taken. The owner
-counts its lease from before the call that last kept it alive was sent, less a margin, and stops by itself before the
-store gives the duty away. That is a courtesy: a process that sleeps through it and wakes is stopped by the fence,
-which every store write compares and every receiver of orders checks.
+A duty's key in the store is attached to its owner's lease; its fence is the revision at which it was acquired. The
+owner measures its lease from before the last successful renewal was sent, less a margin, and stops on its own before
+the store can give the duty to another. Safety does not depend on that: a process that was suspended past its lease and
+resumes is stopped by the fence, which every store write compares and every receiver of orders checks.
 
-Pure: `step` takes a state, the time on the process's own clock and an event, and gives the next state with what is to
-be done. The program runs it, the seeded worlds play it, and the explicit-state model checks it.
+Pure: `step` maps a state, the time on the process's own clock and an event to the next state and the commands to
+execute. It is run by the steward, by the seeded simulations and by the explicit-state model checker.
 """
 
 from __future__ import annotations
@@ -16,16 +16,19 @@
 
 from yardspindle.core.fleet import duty_assignment
 
-TURN_PART = 0.1  # of the time to live: what each place behind the first in turn waits before it takes a free duty
-SETTLE_PART = 1.0  # of it: how long nothing may have changed hands before excess is handed over
-LOSSES_MOST = 6  # doublings of the pause after lost leases and restarts
-HEALTH_WEIGHT = 0.2  # of the last store call in the running mean of how many succeed
-SICK, WELL = 0.6, 0.9  # under the first a process takes nothing more, until it is back over the second
+TURN_DELAY_FRACTION = 0.1  # of the TTL: delay per rank before a candidate takes a free duty
+SETTLE_FRACTION = 1.0  # of the TTL: how long ownership must be unchanged before excess duties are handed over
+MAX_BACKOFF_DOUBLINGS = 6  # of the delay after lost leases and restarts
+SUCCESS_RATE_WEIGHT = 0.2  # weight of the latest store call in the moving average of successes
+UNHEALTHY_BELOW, HEALTHY_ABOVE = (
+    0.6,
+    0.9,
+)  # success rates; below the first a process takes no duties until it exceeds the second again
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTiming:
-    """Microseconds. `margin_us`: what clocks may drift apart in a time to live, and an order's way to its receiver."""
+    """In microseconds. `margin_us` covers clock drift within one TTL and the delivery time of an order."""
 
     ttl_us: int
     margin_us: int
@@ -33,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """Who holds a duty, by the store."""
+    """The holder of a duty according to the store."""
 
     name: str
     lease: int
@@ -42,42 +45,42 @@
 
 @dataclass(frozen=True, slots=True)
 class DutyView:
-    """What the store told last, at one revision."""
+    """The latest known contents of the store that matter for ownership, at one revision."""
 
     revision: int = 0
     duties: Mapping[str, Holder] = field(default_factory=dict)
     candidates: frozenset[str] = frozenset()
-    wanted: frozenset[str] = frozenset()  # the duties that there are
+    required: frozenset[str] = frozenset()  # the duties that must be owned
 
 
 @dataclass(frozen=True, slots=True)
 class OwnershipState:
-    """One process."""
+    """The protocol state of one process."""
 
     name: str
-    figures: LeaseTiming
+    timing: LeaseTiming
     lease: int = 0
-    until_us: int = 0  # by its own clock it may act before this; 0 with no lease
-    asking: bool = False  # a call for a lease is out
-    held: tuple[tuple[str, int], ...] = ()  # duty, fence
-    open: tuple[str, ...] = ()  # takes whose outcome is not known yet
+    lease_valid_until_us: int = 0  # by its own clock; 0 without a lease
+    lease_requested: bool = False  # a lease request is in flight
+    held: tuple[tuple[str, int], ...] = ()  # duty and fence
+    pending: tuple[str, ...] = ()  # duties with an acquire whose outcome is not known yet
     view: DutyView = field(default_factory=DutyView)
-    free_us: tuple[tuple[str, int], ...] = ()  # duty, since when it is seen free
-    changed_us: int = 0  # when a duty was last seen to change hands
-    losses: int = 0  # leases lost, and starts soon after one another
-    able_us: int = 0  # takes nothing before this
-    health: float = 1.0
-    sick: bool = False
-    clock_skewed: bool = False  # its clock is out by more than leases bear
+    free_since_us: tuple[tuple[str, int], ...] = ()  # duty, and when it was first seen without an owner
+    last_change_us: int = 0  # when a duty last changed owner
+    losses: int = 0  # lost leases plus recent restarts
+    eligible_from_us: int = 0  # acquires no duty before this time
+    store_success_rate: float = 1.0  # moving average
+    store_unhealthy: bool = False
+    clock_skewed: bool = False  # by more than the lease margin tolerates
     leaving: bool = False
 
 
-# --- what happens
+# --- events
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseGranted:
-    """A lease was granted; `sent_us`: the own clock before the call was sent."""
+    """A lease was granted; `sent_us`: local time before the call was sent."""
 
     lease: int
     sent_us: int
@@ -86,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRenewed:
-    """A lease was kept alive; `ttl_us` 0: the store has ended it."""
+    """A lease was renewed; `ttl_us` is 0 if the store has ended it."""
 
     lease: int
     sent_us: int
@@ -97,46 +100,46 @@
 class StoreCallFailed:
     """A store call failed or its answer was lost."""
 
-    granting: bool = False
+    granting: bool = False  # the call was a lease request
 
 
 @dataclass(frozen=True, slots=True)
 class ViewUpdated:
-    """What the store holds now."""
+    """A new view of the store is available."""
 
-    seen: DutyView
+    view: DutyView
 
 
 @dataclass(frozen=True, slots=True)
 class AcquireResult:
-    """A duty as the store has it, after a take whose outcome was lost, or the answer to a take."""
+    """A duty's row after an acquire: from its answer, or read later if the answer was lost."""
 
     duty: str
-    lease: int  # that the take was made under
+    lease: int  # under which it was acquired
     holder: Holder | None
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time went by."""
+    """Periodic event by which time-outs are checked."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClockChecked:
-    """Whether the clock is out by too much."""
+    """Whether the process's clock was reported as skewed."""
 
-    yes: bool
+    skewed: bool
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """The process is to end: hand everything over."""
+    """The process is shutting down and hands over all its duties."""
 
 
 @dataclass(frozen=True, slots=True)
 class Restarted:
-    """This process started again soon after an earlier start, so many times in a row."""
+    """The process has restarted `times` times in quick succession."""
 
     times: int
 
@@ -154,17 +157,17 @@
 )
 
 
-# --- what is to be done
+# --- commands
 
 
 @dataclass(frozen=True, slots=True)
 class RequestLease:
-    """Ask for a lease, and register under it."""
+    """Request a lease, and register under it."""
 
 
 @dataclass(frozen=True, slots=True)
 class AcquireDuty:
-    """Put the duty's key under the lease, if there is none; answer with `Looked`, or look it up when it is unknown."""
+    """Create the duty's key under the lease unless it exists; report an `AcquireResult`, even if the answer is lost."""
 
     duty: str
     lease: int
@@ -172,7 +175,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartDuty:
-    """Act for a duty with this fence."""
+    """Start acting for a duty with this fence."""
 
     duty: str
     fence: int
@@ -180,7 +183,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopDuty:
-    """Act no more for a duty; `hand_over`: then remove its key, if it still has this fence."""
+    """Stop acting for a duty; if `hand_over`, then delete its key, provided that it still has this fence."""
 
     duty: str
     fence: int
@@ -191,88 +194,108 @@
 Command = RequestLease | AcquireDuty | StartDuty | StopDuty
 
 
-def start(name: str, figures: LeaseTiming, now_us: int) -> tuple[OwnershipState, tuple[Command, ...]]:
-    """A process begins."""
-    return OwnershipState(name, figures, asking=True, able_us=now_us), (RequestLease(),)
+def start(name: str, timing: LeaseTiming, now_us: int) -> tuple[OwnershipState, tuple[Command, ...]]:
+    """The initial state and commands of a process."""
+    return OwnershipState(name, timing, lease_requested=True, eligible_from_us=now_us), (RequestLease(),)
 
 
 def may_act(state: OwnershipState, now_us: int, duty: str) -> int | None:
-    """The fence to act with, or None: asked anew before each act."""
-    if now_us >= state.until_us or state.clock_skewed:
+    """The fence to act with, or None if the process may not act; checked again before every action."""
+    if now_us >= state.lease_valid_until_us or state.clock_skewed:
         return None
     return dict(state.held).get(duty)
 
 
 def is_eligible(state: OwnershipState, now_us: int) -> bool:
-    """Whether it may take a duty now; said in its registration, so that others need not wait for it."""
+    """Whether it may acquire duties now; published in its registration, so that others need not wait for it."""
     return (
-        now_us >= state.able_us
-        and not state.sick
+        now_us >= state.eligible_from_us
+        and not state.store_unhealthy
         and not state.clock_skewed
         and not state.leaving
-        and now_us < state.until_us
+        and now_us < state.lease_valid_until_us
     )
 
 
 def step(state: OwnershipState, now_us: int, event: Event) -> tuple[OwnershipState, tuple[Command, ...]]:
-    """The next state, and what is to be done, in order."""
+    """The next state, and the commands to execute in order."""
     commands: list[Command] = []
     state = _expire_lease(state, now_us, commands)
     match event:
         case LeaseGranted(lease, sent_us, ttl_us):
-            if state.asking and sent_us + ttl_us - state.figures.margin_us > now_us:
-                state = replace(state, lease=lease, asking=False, until_us=sent_us + ttl_us - state.figures.margin_us)
-            elif state.asking:  # it came too late to be of use
-                state = replace(state, asking=True)
+            if state.lease_requested and sent_us + ttl_us - state.timing.margin_us > now_us:
+                state = replace(
+                    state,
+                    lease=lease,
+                    lease_requested=False,
+                    lease_valid_until_us=sent_us + ttl_us - state.timing.margin_us,
+                )
+            elif state.lease_requested:  # the grant arrived too late to be used
+                state = replace(state, lease_requested=True)
                 commands.append(RequestLease())
-            state = _heard(state, True)
+            state = _record_store_call(state, True)
         case LeaseRenewed(lease, sent_us, ttl_us) if lease == state.lease:
             if ttl_us:
-                state = replace(state, until_us=max(state.until_us, sent_us + ttl_us - state.figures.margin_us))
-                state = _heard(state, True)
+                state = replace(
+                    state,
+                    lease_valid_until_us=max(state.lease_valid_until_us, sent_us + ttl_us - state.timing.margin_us),
+                )
+                state = _record_store_call(state, True)
             else:
-                state = _lose(state, now_us, commands, "the store has ended its lease")
+                state = _lose_lease(state, now_us, commands, "the store has ended its lease")
         case StoreCallFailed(granting):
-            state = _heard(state, False)
-            if granting and state.asking:
+            state = _record_store_call(state, False)
+            if granting and state.lease_requested:
                 commands.append(RequestLease())
-        case ViewUpdated(seen) if seen.revision >= state.view.revision:
-            state = _told(state, now_us, seen, commands)
+        case ViewUpdated(view) if view.revision >= state.view.revision:
+            state = _apply_view(state, now_us, view, commands)
         case AcquireResult(duty, lease, holder, revision):
             state = _apply_acquire_result(state, now_us, duty, lease, holder, revision, commands)
-        case ClockChecked(yes):
-            if yes and not state.clock_skewed:
-                state = _drop(state, now_us, state.held, commands, True, "its clock is out")
-            state = replace(state, clock_skewed=yes)
+        case ClockChecked(skewed):
+            if skewed and not state.clock_skewed:
+                state = _stop_duties(state, now_us, state.held, commands, True, "its clock is skewed")
+            state = replace(state, clock_skewed=skewed)
         case Restarted(times) if times:
             state = replace(
                 state,
                 losses=state.losses + times,
-                able_us=max(state.able_us, now_us + (state.figures.ttl_us << min(times - 1, LOSSES_MOST))),
+                eligible_from_us=max(
+                    state.eligible_from_us, now_us + (state.timing.ttl_us << min(times - 1, MAX_BACKOFF_DOUBLINGS))
+                ),
             )
         case ShutdownRequested():
-            state = _drop(replace(state, leaving=True), now_us, state.held, commands, True, "it ends")
+            state = _stop_duties(
+                replace(state, leaving=True), now_us, state.held, commands, True, "the process is shutting down"
+            )
         case _:
             pass
-    return _choose(state, now_us, commands), tuple(commands)
+    return _choose_duties(state, now_us, commands), tuple(commands)
 
 
 def _expire_lease(state: OwnershipState, now_us: int, commands: list[Command]) -> OwnershipState:
-    """Its time is over by its own clock: it stops, whatever the store says."""
-    if state.lease and now_us >= state.until_us:
-        return _lose(state, now_us, commands, "its lease could not be kept alive")
+    """Gives up a lease that has expired by the process's own clock, whatever the store says."""
+    if state.lease and now_us >= state.lease_valid_until_us:
+        return _lose_lease(state, now_us, commands, "its lease could not be kept alive")
     return state
 
 
-def _lose(state: OwnershipState, now_us: int, commands: list[Command], why: str) -> OwnershipState:
-    state = _drop(state, now_us, state.held, commands, False, why)
+def _lose_lease(state: OwnershipState, now_us: int, commands: list[Command], why: str) -> OwnershipState:
+    state = _stop_duties(state, now_us, state.held, commands, False, why)
     losses = state.losses + 1
-    pause_us = state.figures.ttl_us << min(losses - 1, LOSSES_MOST)
+    backoff_us = state.timing.ttl_us << min(losses - 1, MAX_BACKOFF_DOUBLINGS)
     commands.append(RequestLease())
-    return replace(state, lease=0, until_us=0, asking=True, open=(), losses=losses, able_us=now_us + pause_us)
+    return replace(
+        state,
+        lease=0,
+        lease_valid_until_us=0,
+        lease_requested=True,
+        pending=(),
+        losses=losses,
+        eligible_from_us=now_us + backoff_us,
+    )
 
 
-def _drop(
+def _stop_duties(
     state: OwnershipState,
     now_us: int,
     duties: tuple[tuple[str, int], ...],
@@ -282,32 +305,40 @@
 ) -> OwnershipState:
     for duty, fence in duties:
         commands.append(StopDuty(duty, fence, hand_over, why))
-    return replace(state, held=tuple(row for row in state.held if row not in duties), changed_us=now_us)
+    return replace(state, held=tuple(entry for entry in state.held if entry not in duties), last_change_us=now_us)
 
 
-def _heard(state: OwnershipState, well: bool) -> OwnershipState:
-    health = state.health + HEALTH_WEIGHT * (well - state.health)
-    return replace(state, health=health, sick=health < (WELL if state.sick else SICK))
+def _record_store_call(state: OwnershipState, succeeded: bool) -> OwnershipState:
+    rate = state.store_success_rate + SUCCESS_RATE_WEIGHT * (succeeded - state.store_success_rate)
+    return replace(
+        state,
+        store_success_rate=rate,
+        store_unhealthy=rate < (HEALTHY_ABOVE if state.store_unhealthy else UNHEALTHY_BELOW),
+    )
 
 
-def _told(state: OwnershipState, now_us: int, seen: DutyView, commands: list[Command]) -> OwnershipState:
-    """What is ours by our books and not by the store's is lost; a duty is free from when it is seen to be."""
+def _apply_view(state: OwnershipState, now_us: int, view: DutyView, commands: list[Command]) -> OwnershipState:
+    """Stops duties that the store no longer assigns to this process, and tracks since when duties are free."""
     lost = tuple(
         (duty, fence)
         for duty, fence in state.held
-        if fence <= seen.revision and seen.duties.get(duty) != Holder(state.name, state.lease, fence)
+        if fence <= view.revision and view.duties.get(duty) != Holder(state.name, state.lease, fence)
+    )
+    state = (
+        _stop_duties(state, now_us, lost, commands, False, "the store no longer names this process as the owner")
+        if lost
+        else state
     )
-    state = _drop(state, now_us, lost, commands, False, "the store has given it away") if lost else state
-    since = dict(state.free_us)
-    free = sorted(duty for duty in seen.wanted if duty not in seen.duties)
+    free_since_us = dict(state.free_since_us)
+    free = sorted(duty for duty in view.required if duty not in view.duties)
     state = replace(
         state,
-        view=seen,
-        free_us=tuple((duty, since.get(duty, now_us)) for duty in free),
-        changed_us=now_us if dict(seen.duties) != dict(state.view.duties) else state.changed_us,
+        view=view,
+        free_since_us=tuple((duty, free_since_us.get(duty, now_us)) for duty in free),
+        last_change_us=now_us if dict(view.duties) != dict(state.view.duties) else state.last_change_us,
     )
-    unwanted = tuple(row for row in state.held if row[0] not in seen.wanted)
-    return _drop(state, now_us, unwanted, commands, True, "there is no such duty any more") if unwanted else state
+    obsolete = tuple(entry for entry in state.held if entry[0] not in view.required)
+    return _stop_duties(state, now_us, obsolete, commands, True, "the duty no longer exists") if obsolete else state
 
 
 def _apply_acquire_result(
@@ -319,47 +350,47 @@
     revision: int,
     commands: list[Command],
 ) -> OwnershipState:
-    if lease != state.lease or duty not in state.open:
-        return state  # taken under a lease that is over: the key goes with it
-    state = replace(state, open=tuple(name for name in state.open if name != duty))
+    if lease != state.lease or duty not in state.pending:
+        return state  # acquired under an ended lease, with which the key is deleted
+    state = replace(state, pending=tuple(name for name in state.pending if name != duty))
     if holder is None or (holder.name, holder.lease) != (state.name, state.lease):
         return state
     if state.leaving or state.clock_skewed:
-        commands.append(StopDuty(duty, holder.fence, True, "it came too late"))
+        commands.append(StopDuty(duty, holder.fence, True, "acquired after the process had become ineligible"))
         return state
     commands.append(StartDuty(duty, holder.fence))
     return replace(
         state,
         held=(*state.held, (duty, holder.fence)),
-        changed_us=now_us,
-        free_us=tuple(row for row in state.free_us if row[0] != duty),
+        last_change_us=now_us,
+        free_since_us=tuple(entry for entry in state.free_since_us if entry[0] != duty),
     )
 
 
-def _holders(state: OwnershipState) -> dict[str, str]:
-    """Duty to name, with what we hold or are about to, which the store's last word may not have yet."""
+def _expected_holders(state: OwnershipState) -> dict[str, str]:
+    """Holder names by duty, including duties acquired or being acquired here that the view may not show yet."""
     holders = {duty: holder.name for duty, holder in state.view.duties.items()}
-    return holders | dict.fromkeys([duty for duty, _ in state.held] + list(state.open), state.name)
+    return holders | dict.fromkeys([duty for duty, _ in state.held] + list(state.pending), state.name)
 
 
-def _choose(state: OwnershipState, now_us: int, commands: list[Command]) -> OwnershipState:
-    """Take what is free and our turn; hand over one of too many."""
+def _choose_duties(state: OwnershipState, now_us: int, commands: list[Command]) -> OwnershipState:
+    """Acquires free duties once this process's turn has come; hands over one duty if it holds too many."""
     if not is_eligible(state, now_us):
         return state
-    holders = _holders(state)
+    holders = _expected_holders(state)
     candidates = state.view.candidates | {state.name}
-    free = {duty: since for duty, since in state.free_us if duty not in holders}
-    pause_us = TURN_PART * state.figures.ttl_us
-    taken: list[str] = []
-    for duty, order in duty_assignment.candidate_orders(free, holders, candidates).items():
-        if now_us - free[duty] >= order.index(state.name) * pause_us:
-            taken.append(duty)
+    free_since_us = {duty: since_us for duty, since_us in state.free_since_us if duty not in holders}
+    turn_us = TURN_DELAY_FRACTION * state.timing.ttl_us
+    acquired: list[str] = []
+    for duty, order in duty_assignment.candidate_orders(free_since_us, holders, candidates).items():
+        if now_us - free_since_us[duty] >= order.index(state.name) * turn_us:
+            acquired.append(duty)
             commands.append(AcquireDuty(duty, state.lease))
-    state = replace(state, open=(*state.open, *taken))
-    settled = now_us - state.changed_us >= SETTLE_PART * state.figures.ttl_us
-    if settled and not free and not state.open:
-        spare = duty_assignment.duty_to_hand_over(state.name, holders, candidates)
-        rows = tuple(row for row in state.held if row[0] == spare)
-        if rows:
-            return _drop(state, now_us, rows, commands, True, "another holds fewer")
+    state = replace(state, pending=(*state.pending, *acquired))
+    settled = now_us - state.last_change_us >= SETTLE_FRACTION * state.timing.ttl_us
+    if settled and not free_since_us and not state.pending:
+        excess = duty_assignment.duty_to_hand_over(state.name, holders, candidates)
+        entries = tuple(entry for entry in state.held if entry[0] == excess)
+        if entries:
+            return _stop_duties(state, now_us, entries, commands, True, "another process holds fewer duties")
     return state
--- a/yardspindle/core/fleet/release_keys.py
+++ b/yardspindle/core/fleet/release_keys.py
@@ -1,4 +1,4 @@
-"""Where the store keeps units, permits, orders and the release, and the transactions on them."""
+"""The store's records of units, permits, orders and the release, and the transactions on them."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from msgspec import Struct
 
 from yardspindle.core.config import Limit
-from yardspindle.core.fleet import permits as p
-from yardspindle.core.fleet import release_plan as r
+from yardspindle.core.fleet import permits as permit_rules
+from yardspindle.core.fleet import release_plan
 from yardspindle.core.fleet.kv import Compare, Delete, KeyValue, Put, Txn
 from yardspindle.core.fleet.members import FleetKeys, decode_row
 
 T = TypeVar("T")
-DUTY = "release"
+RELEASE_DUTY = "release"
 
 
 class DrainRequest(Struct, frozen=True):
-    """An operator wants a unit drained, or back."""
+    """An operator's request to drain a unit, or to undrain it."""
 
     do: Literal["drain", "undrain"]
     by: str
@@ -28,7 +28,7 @@
 
 
 class AuditEntry(Struct, frozen=True):
-    """A line of the audit trail."""
+    """An entry of the audit log."""
 
     at_us: int
     by: str
@@ -38,72 +38,72 @@
 
 @dataclass(slots=True)
 class ReleaseView:
-    """What the store holds of units and the release, by kind."""
+    """The store's records of units and the release, decoded."""
 
-    placements: dict[str, p.UnitPlacement] = field(default_factory=dict)
-    statuses: dict[str, p.UnitStatus] = field(default_factory=dict)
-    permits: dict[str, p.Permit] = field(default_factory=dict)
-    orders: dict[str, r.Order] = field(default_factory=dict)
-    wishes: dict[str, DrainRequest] = field(default_factory=dict)
+    placements: dict[str, permit_rules.UnitPlacement] = field(default_factory=dict)
+    statuses: dict[str, permit_rules.UnitStatus] = field(default_factory=dict)
+    permits: dict[str, permit_rules.Permit] = field(default_factory=dict)
+    orders: dict[str, release_plan.Order] = field(default_factory=dict)
+    drain_requests: dict[str, DrainRequest] = field(default_factory=dict)
     audit_log: dict[str, AuditEntry] = field(default_factory=dict)
-    release: r.Release | None = None
+    release: release_plan.Release | None = None
     release_mod: int = 0
     head_mod: int = 0
     order_mods: dict[str, int] = field(default_factory=dict)
 
-    def snapshot(self, limits: tuple[Limit, ...], age_us: int) -> p.FleetSnapshot:
-        """What permits rest on."""
-        return p.FleetSnapshot(self.placements, self.statuses, self.permits, limits, age_us)
+    def snapshot(self, limits: tuple[Limit, ...], age_us: int) -> permit_rules.FleetSnapshot:
+        """The input of a permit decision."""
+        return permit_rules.FleetSnapshot(self.placements, self.statuses, self.permits, limits, age_us)
 
 
 class UnitKeys:
-    """Under a fleet's root."""
+    """The keys of these records under a fleet's root, and the transactions on them."""
 
     def __init__(self, keys: FleetKeys) -> None:
-        """`keys`: the fleet's."""
+        """`keys`: the fleet's keys."""
         self.root = keys.root
-        self.duty = keys.duty(DUTY)
+        self.duty = keys.duty(RELEASE_DUTY)
         self.head = keys.root + b"permit-head"
         self.release = keys.root + b"release"
 
     def row_key(self, kind: str, unit: str) -> bytes:
-        """A row's key: places, statuses, permits, orders, wishes or log."""
+        """The key of a row; `kind` is places, statuses, permits, orders, wishes or log."""
         return self.root + f"{kind}/{unit}".encode()
 
     def read(self, rows: Mapping[bytes, KeyValue]) -> ReleaseView:
-        """All of it. What is not ours is passed over."""
+        """Decodes all rows; skips malformed and unrelated ones."""
         units = ReleaseView()
         kinds: tuple[tuple[bytes, dict[str, object], type], ...] = (
-            (self.row_key("places", ""), units.placements, p.UnitPlacement),  # type: ignore[assignment]
-            (self.row_key("statuses", ""), units.statuses, p.UnitStatus),
-            (self.row_key("permits", ""), units.permits, p.Permit),
-            (self.row_key("orders", ""), units.orders, r.Order),
-            (self.row_key("wishes", ""), units.wishes, DrainRequest),
+            (self.row_key("places", ""), units.placements, permit_rules.UnitPlacement),  # type: ignore[assignment]
+            (self.row_key("statuses", ""), units.statuses, permit_rules.UnitStatus),
+            (self.row_key("permits", ""), units.permits, permit_rules.Permit),
+            (self.row_key("orders", ""), units.orders, release_plan.Order),
+            (self.row_key("wishes", ""), units.drain_requests, DrainRequest),
             (self.row_key("log", ""), units.audit_log, AuditEntry),
         )
         for key, row in rows.items():
             if key == self.head:
                 units.head_mod = row.mod
             elif key == self.release:
-                units.release, units.release_mod = decode_row(row.value, r.Release), row.mod
-            for start, found, kind in kinds:
-                if key.startswith(start) and (value := decode_row(row.value, kind)) is not None:
-                    name = key[len(start) :].decode()
-                    found[name] = value
-                    if found is units.orders:
+                units.release, units.release_mod = decode_row(row.value, release_plan.Release), row.mod
+            for prefix, decoded, kind in kinds:
+                if key.startswith(prefix) and (value := decode_row(row.value, kind)) is not None:
+                    name = key[len(prefix) :].decode()
+                    decoded[name] = value
+                    if decoded is units.orders:
                         units.order_mods[name] = row.mod
         return units
 
-    # --- transactions of the duty's owner
+    # --- transactions of the release duty's owner
 
-    def _under(self, fence: int, *compare: Compare) -> tuple[Compare, ...]:
+    def _with_fence(self, fence: int, *compare: Compare) -> tuple[Compare, ...]:
         return Compare(self.duty, "create", "equal", fence), *compare
 
-    def grant_permit(self, fence: int, units: ReleaseView, step: r.GrantPermit) -> Txn:
-        """Permit and order at once, if nobody else was let go since the decision was made."""
+    def grant_permit(self, fence: int, units: ReleaseView, step: release_plan.GrantPermit) -> Txn:
+        """Writes a permit and its order, if no other permit was granted or closed since the view was read."""
         order = self.row_key("orders", step.unit)
         return Txn(
-            self._under(
+            self._with_fence(
                 fence,
                 Compare(self.head, "mod", "equal", units.head_mod),
                 Compare(order, "mod", "equal", units.order_mods.get(step.unit, 0)),
@@ -116,21 +116,23 @@
         )
 
     def close_permit(self, fence: int, units: ReleaseView, unit: str) -> Txn:
-        """A permit's end; the unit's wish to be back is done with."""
-        ends: list[Put | Delete] = [Delete(self.row_key("permits", unit)), Put(self.head, unit.encode())]
-        if unit in units.wishes:
-            ends.append(Delete(self.row_key("wishes", unit)))
-        return Txn(self._under(fence, Compare(self.head, "mod", "equal", units.head_mod)), tuple(ends))
-
-    def update_release(self, fence: int, units: ReleaseView, release: r.Release, entry: AuditEntry | None) -> Txn:
-        """The release as it is now; a change of phase is told in the log."""
+        """Deletes a unit's permit, and its drain or undrain request."""
+        writes: list[Put | Delete] = [Delete(self.row_key("permits", unit)), Put(self.head, unit.encode())]
+        if unit in units.drain_requests:
+            writes.append(Delete(self.row_key("wishes", unit)))
+        return Txn(self._with_fence(fence, Compare(self.head, "mod", "equal", units.head_mod)), tuple(writes))
+
+    def update_release(
+        self, fence: int, units: ReleaseView, release: release_plan.Release, entry: AuditEntry | None
+    ) -> Txn:
+        """Writes the release's new state, with an audit entry if there is one."""
         puts = [Put(self.release, msgspec.json.encode(release))]
         if entry is not None:
-            puts.append(self.entry(entry))
-        return Txn(self._under(fence, Compare(self.release, "mod", "equal", units.release_mod)), tuple(puts))
+            puts.append(self.put_audit_entry(entry))
+        return Txn(self._with_fence(fence, Compare(self.release, "mod", "equal", units.release_mod)), tuple(puts))
 
-    def grant_own_permit(self, units: ReleaseView, permit: p.Permit) -> Txn:
-        """A unit's own permit, asked for because it was told to end; if nobody was let go since it looked."""
+    def grant_own_permit(self, units: ReleaseView, permit: permit_rules.Permit) -> Txn:
+        """A permit for a process that was asked to shut down, if no other was granted since the view was read."""
         return Txn(
             (
                 Compare(self.head, "mod", "equal", units.head_mod),
@@ -144,53 +146,62 @@
 
     # --- transactions of an operator
 
-    def entry(self, entry: AuditEntry) -> Put:
-        """A line of the audit trail; two at one microsecond of one operator are the same word."""
+    def put_audit_entry(self, entry: AuditEntry) -> Put:
+        """Writes an audit entry; two by one author in the same microsecond count as the same entry."""
         return Put(self.row_key("log", f"{entry.at_us:020d}-{entry.by}"), msgspec.json.encode(entry))
 
-    def update_release_by_operator(self, units: ReleaseView, release: r.Release, entry: AuditEntry) -> Txn:
-        """An operator's word on the release, if it stands as it was seen."""
+    def update_release_by_operator(self, units: ReleaseView, release: release_plan.Release, entry: AuditEntry) -> Txn:
+        """Writes an operator's change to the release, if it is unchanged since the view was read."""
         return Txn(
             (Compare(self.release, "mod", "equal", units.release_mod),),
-            (Put(self.release, msgspec.json.encode(release)), self.entry(entry)),
+            (Put(self.release, msgspec.json.encode(release)), self.put_audit_entry(entry)),
         )
 
-    def request_drain(self, unit: str, wish: DrainRequest, entry: AuditEntry) -> Txn:
-        """A unit is to be drained, or back."""
-        return Txn(then=(Put(self.row_key("wishes", unit), msgspec.json.encode(wish)), self.entry(entry)))
+    def request_drain(self, unit: str, request: DrainRequest, entry: AuditEntry) -> Txn:
+        """Writes an operator's request to drain or undrain a unit."""
+        return Txn(then=(Put(self.row_key("wishes", unit), msgspec.json.encode(request)), self.put_audit_entry(entry)))
 
 
-def drain_request_steps(units: ReleaseView, fleet: p.FleetSnapshot, now_us: int, fence: int, by: str) -> list[r.Step]:
-    """What operators' wishes ask for next: one unit at a time, by the same permits as releases."""
-    found: list[r.Step] = [
-        r.ClosePermit(unit)
+def drain_request_steps(
+    units: ReleaseView, fleet: permit_rules.FleetSnapshot, now_us: int, fence: int, by: str
+) -> list[release_plan.Step]:
+    """The next step for operators' drain requests: one unit at a time, under the same permits as releases."""
+    found: list[release_plan.Step] = [
+        release_plan.ClosePermit(unit)
         for unit, permit in sorted(units.permits.items())
-        if not permit.release and unit not in units.wishes and p.has_returned(permit, units.statuses.get(unit))
+        if not permit.release
+        and unit not in units.drain_requests
+        and permit_rules.has_returned(permit, units.statuses.get(unit))
     ]
-    for unit, wish in sorted(units.wishes.items()):
+    for unit, request in sorted(units.drain_requests.items()):
         permit, last = units.permits.get(unit), units.orders.get(unit)
         number = (last.number if last is not None else 0) + 1
         status = units.statuses.get(unit)
         epoch = status.epoch if status is not None else ""
         if permit is not None and permit.release:
-            continue  # it is out for a release: that one brings it back
-        if wish.do == "undrain":
-            if permit is None or p.has_returned(permit, status) and last is not None and last.do == "undrain":
-                found.append(r.ClosePermit(unit))
+            continue  # a release has taken it out of service and brings it back
+        if request.do == "undrain":
+            if (
+                permit is None
+                or permit_rules.has_returned(permit, status)
+                and last is not None
+                and last.do == "undrain"
+            ):
+                found.append(release_plan.ClosePermit(unit))
             elif last is None or last.do != "undrain":
                 found.append(
-                    r.GrantPermit(
+                    release_plan.GrantPermit(
                         unit,
-                        r.Order(number, "undrain", "", DUTY, fence, wish.by),
-                        p.Permit(unit, permit.epoch, wish.by, wish.why, "", permit.since_us, number),
+                        release_plan.Order(number, "undrain", "", RELEASE_DUTY, fence, request.by),
+                        permit_rules.Permit(unit, permit.epoch, request.by, request.why, "", permit.since_us, number),
                     )
                 )
-        elif permit is None and p.check_departure(fleet, unit) is None:
+        elif permit is None and permit_rules.check_departure(fleet, unit) is None:
             found.append(
-                r.GrantPermit(
+                release_plan.GrantPermit(
                     unit,
-                    r.Order(number, "drain", "", DUTY, fence, wish.by),
-                    p.Permit(unit, epoch, wish.by, wish.why, "", now_us, 0),
+                    release_plan.Order(number, "drain", "", RELEASE_DUTY, fence, request.by),
+                    permit_rules.Permit(unit, epoch, request.by, request.why, "", now_us, 0),
                 )
             )
     return found[:1]
--- a/yardspindle/core/fleet/release_plan.py
+++ b/yardspindle/core/fleet/release_plan.py
@@ -1,8 +1,8 @@
-"""A release as desired state: waves of units that are to run a version, and the next step from what is seen now.
+"""A release as desired state: waves of units that must run a version, and the next steps given the current state.
 
-Pure: whoever owns the duty `release` reads the release, the units' statuses, permits and limits, and gets what is to be
-written next. Everything that matters is in the store, so another owner goes on where this one died, at any point. The
-way back is a release of the version before over the same units, newest wave first, through the same permits.
+Pure: the owner of the duty `release` passes in the release, the units' statuses, permits and limits, and gets the steps
+to write next. All state is in the store, so that another owner can continue at any point. A rollback installs the
+previous version on the same units, newest wave first, under the same permits.
 """
 
 from __future__ import annotations
@@ -15,29 +15,29 @@
 from msgspec import Meta, Struct
 from msgspec.structs import replace
 
-from yardspindle.core.fleet import permits as p
+from yardspindle.core.fleet import permits
 from yardspindle.core.fleet.canary_analysis import SequentialTest
 
 Phase = Literal["running", "halted", "going back", "done", "back", "abandoned"]
-FIRST_WAVE = 1  # a single unit shows a version that does not start at all
-ZONE_WAVE = 3  # then a few of one zone: what is wrong with the place shows in one place
-CRASHES_MOST = 2  # of one released unit before a release halts: one may be chance
-LAST_WAVES_SHARE = 0.25  # then by share
+FIRST_WAVE_SIZE = 1  # a single unit reveals a version that does not start at all
+ZONE_WAVE_SIZE = 3  # then a few units of the same zone, so that a fault specific to the zone stays in one zone
+CRASHES_TO_HALT = 2  # of one released unit; a single crash may be chance
+LATER_WAVE_FRACTION = 0.25  # size of each later wave, as a fraction of all units
 
 
 class PlanFile(Struct, forbid_unknown_fields=True, frozen=True):
-    """What an operator writes. `units`: names; empty for all of `kind`."""
+    """The operator's release file. `units`: unit names; empty for all units of `kind`."""
 
     version: Annotated[str, Meta(min_length=1)]
-    before: Annotated[str, Meta(min_length=1)]  # the version to go back to
+    before: Annotated[str, Meta(min_length=1)]  # the version to which a rollback returns
     units: tuple[str, ...] = ()
     kind: Literal["dispatcher", "host"] = "dispatcher"
     settle_s: Annotated[float, Meta(ge=0)] = 30.0
-    start_s: Annotated[float, Meta(gt=0)] = 120.0  # in which a unit must be well after its start
+    start_s: Annotated[float, Meta(gt=0)] = 120.0  # time within which a unit must be back and well
 
 
 class Release(Struct, frozen=True):
-    """A release under way."""
+    """The state of a release."""
 
     id: str
     version: str
@@ -48,14 +48,14 @@
     phase: Phase = "running"
     why: str = ""
     wave: int = 0
-    settled_us: int = 0  # since when the present wave is whole, by its owner's clock; 0: it is not
+    settled_us: int = 0  # since when the current wave is complete, by the owner's clock; 0: it is not
     trial: SequentialTest = SequentialTest()
 
 
 class Order(Struct, frozen=True):
-    """What a unit is to do: drained, stopped, started with a version; or let back in as it is."""
+    """An order to a unit: `go` drains, stops and starts it with a version; `drain` and `undrain` leave its version."""
 
-    number: int  # one higher than the last for this unit: each is carried out once
+    number: int  # one higher than the unit's previous order, so that each is carried out once
     do: Literal["go", "undrain", "drain"]
     version: str
     duty: str
@@ -63,46 +63,46 @@
     by: str = ""
 
 
-def waves(places: Mapping[str, p.UnitPlacement], units: list[str]) -> tuple[tuple[str, ...], ...]:
-    """One unit, then a few of its zone, then shares spread over zones and cells."""
-    left = sorted(units)
-    if not left:
+def plan_waves(placements: Mapping[str, permits.UnitPlacement], units: list[str]) -> tuple[tuple[str, ...], ...]:
+    """Divides units into waves: one unit, then a few of its zone, then equal parts spread over zones and cells."""
+    remaining = sorted(units)
+    if not remaining:
         return ()
-    first, left = left[:FIRST_WAVE], left[FIRST_WAVE:]
-    zone = places[first[0]].groups.get("zone", "")
-    near = [unit for unit in left if places[unit].groups.get("zone", "") == zone][:ZONE_WAVE]
-    left = [unit for unit in left if unit not in near]
+    first, remaining = remaining[:FIRST_WAVE_SIZE], remaining[FIRST_WAVE_SIZE:]
+    zone = placements[first[0]].groups.get("zone", "")
+    same_zone = [unit for unit in remaining if placements[unit].groups.get("zone", "") == zone][:ZONE_WAVE_SIZE]
+    remaining = [unit for unit in remaining if unit not in same_zone]
     ranks: dict[tuple[str, str], int] = {}
-    order = []
-    for unit in left:  # the first of each place, then the second of each
-        at = (places[unit].groups.get("zone", ""), places[unit].groups.get("cell", ""))
-        ranks[at] = ranks.get(at, -1) + 1
-        order.append((ranks[at], at, unit))
-    spread = [unit for *_, unit in sorted(order)]
-    size = max(math.ceil(LAST_WAVES_SHARE * len(units)), 1)
-    rest = [tuple(spread[at : at + size]) for at in range(0, len(spread), size)]
-    return tuple(wave for wave in (tuple(first), tuple(near), *rest) if wave)
+    ranked = []
+    for unit in remaining:  # the first unit of each zone and cell, then the second of each, and so on
+        location = (placements[unit].groups.get("zone", ""), placements[unit].groups.get("cell", ""))
+        ranks[location] = ranks.get(location, -1) + 1
+        ranked.append((ranks[location], location, unit))
+    spread = [unit for *_, unit in sorted(ranked)]
+    size = max(math.ceil(LATER_WAVE_FRACTION * len(units)), 1)
+    later = [tuple(spread[start : start + size]) for start in range(0, len(spread), size)]
+    return tuple(wave for wave in (tuple(first), tuple(same_zone), *later) if wave)
 
 
 @dataclass(frozen=True, slots=True)
 class GrantPermit:
-    """Give a unit its permit and its order, in one transaction."""
+    """Give a unit its permit and its order in one transaction."""
 
     unit: str
     order: Order
-    permit: p.Permit
+    permit: permits.Permit
 
 
 @dataclass(frozen=True, slots=True)
 class ClosePermit:
-    """A permit's unit is back."""
+    """End the permit of a unit that is back in service."""
 
     unit: str
 
 
 @dataclass(frozen=True, slots=True)
 class UpdateRelease:
-    """Write the release as it is now."""
+    """Write the release's new state."""
 
     release: Release
 
@@ -111,31 +111,31 @@
 
 
 def target_version(release: Release) -> str:
-    """The version that its units are to run."""
+    """The version that the release's units must run in its current phase."""
     return release.before if release.phase in ("going back", "back") else release.version
 
 
-def order_of_units(release: Release) -> list[tuple[str, ...]]:
-    """The waves to go through: backwards, newest first, on the way back."""
+def wave_sequence(release: Release) -> list[tuple[str, ...]]:
+    """The waves in the order in which they are processed: reversed during a rollback."""
     if release.phase == "going back":
         return [tuple(reversed(wave)) for wave in reversed(release.waves)]
     return list(release.waves)
 
 
 def next_steps(
-    release: Release, fleet: p.FleetSnapshot, orders: Mapping[str, Order], now_us: int, fence: int, by: str
+    release: Release, fleet: permits.FleetSnapshot, orders: Mapping[str, Order], now_us: int, fence: int, by: str
 ) -> list[Step]:
-    """What is to be done next. At most one unit is let go at a time: the next grant sees the one before."""
+    """The steps to take next. At most one unit gets a permit at a time, so that each grant sees the previous one."""
     found: list[Step] = [
         ClosePermit(unit)
         for unit, permit in fleet.permits.items()
-        if permit.release == release.id and p.has_returned(permit, fleet.statuses.get(unit))
+        if permit.release == release.id and permits.has_returned(permit, fleet.statuses.get(unit))
     ]
     if release.phase not in ("running", "going back"):
         return found
     if release.phase == "running" and (why := _halt_reason(release, fleet, now_us)):
         return [*found, UpdateRelease(replace(release, phase="halted", why=why, settled_us=0))]
-    sequence = order_of_units(release)
+    sequence = wave_sequence(release)
     version = target_version(release)
     if release.wave >= len(sequence):
         phase: Phase = "back" if release.phase == "going back" else "done"
@@ -145,11 +145,11 @@
         status, permit = fleet.statuses.get(unit), fleet.permits.get(unit)
         if status is not None and status.version == version and status.standing == "well" and permit is None:
             continue
-        if permit is not None and not _another_way(permit, orders.get(unit), version):
-            continue  # it is on its way
+        if permit is not None and not _needs_new_order(permit, orders.get(unit), version):
+            continue  # the order is in progress
         if status is not None and status.version == version and permit is None and status.standing != "well":
-            continue  # it is out by accident, with the right version: nothing to order
-        if permit is None and p.check_departure(fleet, unit) is not None:
+            continue  # an unplanned outage with the right version: an order would not help
+        if permit is None and permits.check_departure(fleet, unit) is not None:
             return found
         last = orders.get(unit)
         number = (last.number if last is not None else 0) + 1
@@ -160,7 +160,7 @@
             GrantPermit(
                 unit,
                 order,
-                p.Permit(
+                permits.Permit(
                     unit,
                     epoch,
                     by,
@@ -171,8 +171,8 @@
                 ),
             ),
         ]
-    whole = all(unit not in fleet.permits and _runs(fleet, unit, version) for unit in wave)
-    if not whole:
+    complete = all(unit not in fleet.permits and _runs_well(fleet, unit, version) for unit in wave)
+    if not complete:
         return [*found, UpdateRelease(replace(release, settled_us=0))] if release.settled_us else found
     if not release.settled_us:
         return [*found, UpdateRelease(replace(release, settled_us=max(now_us, 1)))]
@@ -181,23 +181,23 @@
     return found
 
 
-def _runs(fleet: p.FleetSnapshot, unit: str, version: str) -> bool:
+def _runs_well(fleet: permits.FleetSnapshot, unit: str, version: str) -> bool:
     status = fleet.statuses.get(unit)
     return status is not None and status.version == version and status.standing == "well"
 
 
-def _another_way(permit: p.Permit, last: Order | None, version: str) -> bool:
-    """Whether a unit that is out was sent after another version than the one that is wanted now."""
+def _needs_new_order(permit: permits.Permit, last: Order | None, version: str) -> bool:
+    """Whether a unit's last order was for another version than the one required now."""
     return last is None or last.version != version
 
 
-def _halt_reason(release: Release, fleet: p.FleetSnapshot, now_us: int) -> str:
-    """Why a release halts by itself, or nothing."""
+def _halt_reason(release: Release, fleet: permits.FleetSnapshot, now_us: int) -> str:
+    """Why a release must be halted automatically; empty if it need not be."""
     if release.trial.shows_harm:
         return f"released units do worse than the others (evidence {release.trial.evidence:.0f} to 1)"
     for unit in (unit for wave in release.waves for unit in wave):
         status = fleet.statuses.get(unit)
-        if status is not None and status.version == release.version and status.crashed >= CRASHES_MOST:
+        if status is not None and status.version == release.version and status.crashed >= CRASHES_TO_HALT:
             return f"{unit} ended by itself {status.crashed} times"
     for unit, permit in fleet.permits.items():
         if permit.release != release.id or unit not in fleet.placements:
@@ -210,18 +210,23 @@
     return ""
 
 
-def create_release(id: str, plan: PlanFile, places: Mapping[str, p.UnitPlacement]) -> Release:
-    """A plan as a release, not started."""
-    units = list(plan.units) or [unit for unit, place in places.items() if place.kind == plan.kind]
+def create_release(id: str, plan: PlanFile, placements: Mapping[str, permits.UnitPlacement]) -> Release:
+    """Creates the initial state of a release from the operator's plan."""
+    units = list(plan.units) or [unit for unit, placement in placements.items() if placement.kind == plan.kind]
     return Release(
-        id, plan.version, plan.before, waves(places, units), round(plan.settle_s * 1e6), round(plan.start_s * 1e6)
+        id,
+        plan.version,
+        plan.before,
+        plan_waves(placements, units),
+        round(plan.settle_s * 1e6),
+        round(plan.start_s * 1e6),
     )
 
 
-def apply_operator_command(release: Release, word: str, why: str) -> Release | str:
-    """What an operator's word makes of a release, or why it cannot be."""
+def apply_operator_command(release: Release, command: str, why: str) -> Release | str:
+    """The release after an operator's command, or an error message if its phase does not allow the command."""
     phase = release.phase
-    match word:
+    match command:
         case "halt" if phase in ("running", "going back"):
             return replace(release, phase="halted", why=why, settled_us=0)
         case "resume" if phase == "halted":
@@ -230,4 +235,4 @@
             return replace(release, phase="going back", why=why, wave=0, settled_us=0)
         case "abandon" if phase in ("running", "halted", "going back"):
             return replace(release, phase="abandoned", why=why)
-    return f"a release that is {phase} cannot {word}"
+    return f"a release that is {phase} cannot {command}"
--- a/yardspindle/core/fleet/sweep.py
+++ b/yardspindle/core/fleet/sweep.py
@@ -1,9 +1,9 @@
-"""What is let go of at engines on behalf of edges that are gone: nothing of one that lives, or may live.
+"""Decides which edges are dead, so that their holds at engines can be released; never those of one that may be alive.
 
-An epoch is gone for good when its registration has ended *and* its page proves it: the machine refuses connections
-there, or another epoch answers. A lease that ended proves nothing by itself: an edge that was cut off from the store
-goes on serving. A page that does not answer proves nothing either: the way to it may be cut, or the process stopped.
-Once gone an epoch cannot come back, so what is proved stays proved.
+An epoch is confirmed dead when its registration has ended *and* its page proves it: the machine refuses connections
+there, or another epoch answers. An expired lease alone proves nothing: an edge that is cut off from the store goes on
+serving. A page that does not answer proves nothing either: the network path may be down, or the process suspended. An
+epoch that has ended cannot start again, so a confirmed death is final.
 """
 
 from __future__ import annotations
@@ -13,86 +13,93 @@
 
 from yardspindle.core.fleet.members import FleetView, Member
 
-FORGET_US = 60_000_000  # after its end engines hold nothing of an epoch any more: twice their own time-out
-ASK_AGAIN_US = 200_000  # a page whose answer was no proof; doubled up to the most
-ASK_MOST_US = 5_000_000
-SWEEP_AGAIN_US = 500_000  # while an epoch is freshly gone: what was under way at an engine may end as a hold
-IDLE_US = 10_000_000  # with nobody freshly gone: holds of epochs whose end this owner has not seen
+EPOCH_RETENTION_US = 60_000_000  # twice the engines' own time-out: by then they hold nothing of a dead epoch
+PROBE_RETRY_US = 200_000  # delay before an inconclusive probe is repeated; doubled up to the maximum
+MAX_PROBE_RETRY_US = 5_000_000
+RECENT_SWEEP_INTERVAL_US = 500_000  # soon after a death: calls still in flight at an engine may turn into holds
+IDLE_SWEEP_INTERVAL_US = 10_000_000  # otherwise: finds holds of epochs whose end this owner has not seen
 
 
 class ProbeResult(Enum):
-    """What became of asking a page."""
+    """Outcome of an attempt to fetch a member's page."""
 
-    REFUSED = "refused"  # by the machine: nobody listens there
+    REFUSED = "refused"  # connection refused by the machine: nothing listens there
     ANSWERED = "answered"
-    NO_ANSWER = "silent"  # no answer in time, or broken off
+    NO_ANSWER = "silent"  # timed out or broken off
 
 
 @dataclass(slots=True)
-class Ended:
-    """An epoch without a registration."""
+class EndedEpoch:
+    """An epoch whose registration has ended."""
 
     member: Member
     since_us: int
-    ask_us: int = 0  # when its page is to be asked
-    pause_us: int = ASK_AGAIN_US
-    gone_us: int = 0  # since when it is proved to be gone; 0: its fate is unknown
+    probe_us: int = 0  # when its page is probed next
+    retry_us: int = PROBE_RETRY_US
+    confirmed_us: int = 0  # when its death was confirmed; 0: unknown whether it is alive
 
 
 @dataclass(slots=True)
 class EndedEpochs:
-    """The epochs that may have left something behind."""
+    """The unregistered edge epochs that may have left holds at engines."""
 
-    ended: dict[str, Ended] = field(default_factory=dict)
+    ended: dict[str, EndedEpoch] = field(default_factory=dict)
 
     def update(self, now_us: int, view: FleetView) -> None:
-        """Take note of registrations that ended, and of epochs that are forgotten."""
-        living = view.live_epochs()
+        """Adds epochs whose registration has ended; drops those registered again or removed from the store."""
+        live = view.live_epochs()
         for epoch, member in view.epochs.items():
-            if member.kind == "edge" and epoch not in living and epoch not in self.ended:
-                self.ended[epoch] = Ended(member, now_us, now_us)
-        for epoch in [e for e in self.ended if e in living or e not in view.epochs]:
-            del self.ended[epoch]  # it registered anew, or everything of it is done
+            if member.kind == "edge" and epoch not in live and epoch not in self.ended:
+                self.ended[epoch] = EndedEpoch(member, now_us, now_us)
+        for epoch in [e for e in self.ended if e in live or e not in view.epochs]:
+            del self.ended[epoch]
 
     def due_probes(self, now_us: int) -> list[tuple[str, Member]]:
-        """Epochs whose page is to be asked now."""
+        """The epochs whose page must be probed now; schedules the next probe of each."""
         due = []
-        for epoch, row in self.ended.items():
-            if not row.gone_us and now_us >= row.ask_us:
-                row.ask_us = now_us + row.pause_us
-                row.pause_us = min(2 * row.pause_us, ASK_MOST_US)
-                due.append((epoch, row.member))
+        for epoch, entry in self.ended.items():
+            if not entry.confirmed_us and now_us >= entry.probe_us:
+                entry.probe_us = now_us + entry.retry_us
+                entry.retry_us = min(2 * entry.retry_us, MAX_PROBE_RETRY_US)
+                due.append((epoch, entry.member))
         return due
 
-    def record_probe(self, now_us: int, epoch: str, answer: ProbeResult, found: str) -> bool:
-        """What asking a page of an ended epoch brought (`found`: the epoch that answered); whether it is gone."""
-        row = self.ended.get(epoch)
-        if row is None:
+    def record_probe(self, now_us: int, epoch: str, result: ProbeResult, found: str) -> bool:
+        """Records a probe of an epoch's page, at which epoch `found` answered; whether the death is confirmed."""
+        entry = self.ended.get(epoch)
+        if entry is None:
             return False
-        proved = answer is ProbeResult.REFUSED or (answer is ProbeResult.ANSWERED and found not in ("", epoch))
-        if proved and not row.gone_us:
-            row.gone_us = now_us
-        return bool(row.gone_us)
+        proved = result is ProbeResult.REFUSED or (result is ProbeResult.ANSWERED and found not in ("", epoch))
+        if proved and not entry.confirmed_us:
+            entry.confirmed_us = now_us
+        return bool(entry.confirmed_us)
 
     def confirmed_dead(self) -> set[str]:
-        """Epochs that are gone for good."""
-        return {epoch for epoch, row in self.ended.items() if row.gone_us}
+        """The epochs whose death is confirmed."""
+        return {epoch for epoch, entry in self.ended.items() if entry.confirmed_us}
 
     def expired(self, now_us: int) -> list[str]:
-        """Epochs gone for so long that nothing of them is held anywhere: their record can go."""
-        return [epoch for epoch, row in self.ended.items() if row.gone_us and now_us - row.gone_us > FORGET_US]
+        """Epochs dead for so long that no engine holds anything of them: their record in the store can be deleted."""
+        return [
+            epoch
+            for epoch, entry in self.ended.items()
+            if entry.confirmed_us and now_us - entry.confirmed_us > EPOCH_RETENTION_US
+        ]
 
     def next_sweep_us(self, now_us: int, last_us: int) -> int:
-        """When engines are to be asked for what they hold, after the last time."""
-        fresh = any(row.gone_us and now_us - row.gone_us < FORGET_US / 10 for row in self.ended.values())
-        return last_us + (SWEEP_AGAIN_US if fresh else IDLE_US)
+        """When the engines' holds must be listed again, given the time of the last sweep."""
+        recent = any(
+            entry.confirmed_us and now_us - entry.confirmed_us < EPOCH_RETENTION_US / 10
+            for entry in self.ended.values()
+        )
+        return last_us + (RECENT_SWEEP_INTERVAL_US if recent else IDLE_SWEEP_INTERVAL_US)
 
 
 def epoch_of(hold: str) -> str:
-    """The epoch whose hold it is, by its id."""
+    """The epoch that owns a hold, taken from the hold's id."""
     return hold.partition("-")[0]
 
 
-def holds_to_release(holds: list[str], gone: set[str]) -> list[str]:
-    """Of an engine's holds, those whose epoch is gone for good."""
-    return [hold for hold in holds if epoch_of(hold) in gone]
+def holds_to_release(holds: list[str], dead: set[str]) -> list[str]:
+    """The holds of an engine that belong to a dead epoch."""
+    return [hold for hold in holds if epoch_of(hold) in dead]
--- a/yardspindle/core/fleet/unit.py
+++ b/yardspindle/core/fleet/unit.py
@@ -1,9 +1,9 @@
-"""What the program beside a unit does next: orders carried out once, in order of drain, stop, start, check.
+"""The unit supervisor's state machine: carries out each order once, in the stages drain, stop, start and check.
 
-Pure: `step` takes the state, the time and an event. What was begun is written down before it is done (`Remember`), so
-that a program that is killed between stop and start goes on with the start and never stops a second time. Orders come
-from the store alone, where each was written under the fence of who gave it; one of a lower fence than one met is passed
-over.
+Pure: `step` maps the state, the time and an event to the next state and commands. Each stage is saved before it begins
+(`SaveState`), so that a supervisor that is killed between stop and start resumes with the start and never stops the
+unit a second time. Orders are read from the store only, where each was written under its issuer's fence; an order with
+a lower fence than one already obeyed is ignored.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 from yardspindle.core.fleet.release_plan import Order
 
 Stage = Literal["idle", "draining", "stopping", "starting", "checking"]
-PAUSE_FIRST_US, PAUSE_MOST_US = 500_000, 60_000_000  # before a crashed unit is started again
+MIN_RESTART_DELAY_US, MAX_RESTART_DELAY_US = 500_000, 60_000_000  # delay before a crashed unit is restarted
 
 
 class UnitFile(Struct, forbid_unknown_fields=True, frozen=True):
-    """`yardspindle unit FILE.toml`: a unit, and the commands that carry out its orders. `{version}` is put in."""
+    """The file of `yardspindle unit FILE.toml`: a unit and its commands, in which `{version}` is substituted."""
 
     name: Name
     kind: Literal["dispatcher", "host"]
-    fleet: Annotated[str, Meta(min_length=1)]  # file with the `[fleet]` section
-    versions: Annotated[tuple[str, ...], Meta(min_length=1)]  # that can be started here
-    run: Annotated[tuple[str, ...], Meta(min_length=1)]  # the unit itself; it is ended by SIGTERM
-    state: Annotated[str, Meta(min_length=1)]  # file in which this program remembers what it has begun
+    fleet: Annotated[str, Meta(min_length=1)]  # path of the file with the `[fleet]` section
+    versions: Annotated[tuple[str, ...], Meta(min_length=1)]  # that can be started on this machine
+    run: Annotated[tuple[str, ...], Meta(min_length=1)]  # starts the unit, which is stopped by SIGTERM
+    state: Annotated[str, Meta(min_length=1)]  # path of the file in which the supervisor saves its progress
     groups: dict[Literal["zone", "cell", "role", "kind", "rack"], str] = {}
-    drain: tuple[str, ...] = ()  # ends when nothing runs in the unit any more; without it SIGTERM has to do
-    check: tuple[str, ...] = ()  # exit code 0: well; 1: cold; else failing
+    drain: tuple[str, ...] = ()  # exits once the unit is idle; if empty, the unit is drained by SIGTERM alone
+    check: tuple[str, ...] = ()  # exit code 0: well, 1: cold, other: failing
     page: Address | None = None
     drain_s: NotNegative = 30.0
     stop_s: Positive = 10.0
@@ -44,47 +44,47 @@
 
 
 class SavedState(Struct, frozen=True):
-    """What outlasts this program."""
+    """The part of the state that survives a restart of the supervisor."""
 
-    version: str  # that is to run
-    number: int = 0  # the last order that was begun
-    done: int = 0  # the last order that was carried out
+    version: str  # the version to run
+    number: int = 0  # of the last order that was begun
+    done: int = 0  # number of the last order that was carried out
     stage: Stage = "starting"
-    fence: int = 0  # the highest obeyed
-    refused: str = ""
-    drained: bool = False  # it stays drained, and is up
-    starts: int = 0  # so many were begun: sets one start apart from every other
-    crashed: int = 0  # times that it ended by itself since the last order
-    pid: int = 0  # what runs
-    born: int = 0  # and when it started, by the machine: a process id comes again
+    fence: int = 0  # the highest fence obeyed
+    refused: str = ""  # why the last order failed
+    drained: bool = False  # the last order was to drain: the unit stays drained, and is not restarted if it exits
+    starts: int = 0  # number of starts begun; distinguishes each start from all others
+    crashed: int = 0  # unexpected exits since the last order
+    pid: int = 0  # of the running unit
+    born: int = 0  # its start time as reported by the machine, because process ids are reused
 
 
 @dataclass(frozen=True, slots=True)
 class UnitState:
-    """A unit's program."""
+    """The state of a unit's supervisor."""
 
     file: UnitFile
     saved: SavedState
-    since_us: int = 0  # of the present stage
-    alive: bool = False
+    stage_since_us: int = 0  # when the current stage began
+    alive: bool = False  # the unit's process is running
     standing: Standing = "stopped"
-    crashes: int = 0
-    again_us: int = 0  # not to be started before
+    crashes: int = 0  # since the unit was last well
+    restart_from_us: int = 0  # no restart before this time
 
 
-# --- what happens
+# --- events
 
 
 @dataclass(frozen=True, slots=True)
 class OrderReceived:
-    """The order as the store has it."""
+    """The unit's current order in the store."""
 
     order: Order
 
 
 @dataclass(frozen=True, slots=True)
 class CommandEnded:
-    """A command ended: `code` None when its time was up."""
+    """A command ended; `code` is None if it timed out."""
 
     what: Literal["drain", "stop", "start", "check"]
     code: int | None
@@ -92,30 +92,30 @@
 
 @dataclass(frozen=True, slots=True)
 class UnitExited:
-    """What ran has ended."""
+    """The unit's process has exited unexpectedly."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time went by."""
+    """Periodic event by which restarts are scheduled."""
 
 
 Event = OrderReceived | CommandEnded | UnitExited | Tick
 
 
-# --- what is to be done
+# --- commands
 
 
 @dataclass(frozen=True, slots=True)
 class SaveState:
-    """Write the memory down before what follows."""
+    """Save the state before the commands that follow are executed."""
 
-    memory: SavedState
+    saved: SavedState
 
 
 @dataclass(frozen=True, slots=True)
 class RunCommand:
-    """Run a command; answered by `Ended`."""
+    """Run one of the unit's commands; its end is reported by `CommandEnded`."""
 
     what: Literal["drain", "stop", "start", "check"]
 
@@ -124,59 +124,60 @@
 
 
 def step(state: UnitState, now_us: int, event: Event) -> tuple[UnitState, tuple[Command, ...]]:
-    """The next state, and what is to be done, in order."""
-    memory = state.saved
+    """The next state, and the commands to execute in order."""
+    saved = state.saved
     match event:
         case OrderReceived(order):
-            return _ordered(state, now_us, order)
-        case CommandEnded("drain", _) if (
-            memory.stage == "draining"
-        ):  # drained, or its time is up: the platform's would be too
-            if memory.drained:
-                return _stay(state, now_us)
-            return _stage(state, now_us, "stopping", RunCommand("stop"))
-        case CommandEnded("stop", _) if memory.stage == "stopping":
-            return _stage(with_changes(state, alive=False), now_us, "starting", RunCommand("start"))
-        case CommandEnded("start", code) if memory.stage == "starting":
+            return _apply_order(state, now_us, order)
+        case CommandEnded("drain", _) if saved.stage == "draining":
+            # A time-out counts as drained: by then the platform would not wait any longer either.
+            if saved.drained:
+                return _remain_drained(state, now_us)
+            return _enter_stage(state, now_us, "stopping", RunCommand("stop"))
+        case CommandEnded("stop", _) if saved.stage == "stopping":
+            return _enter_stage(with_changes(state, alive=False), now_us, "starting", RunCommand("start"))
+        case CommandEnded("start", code) if saved.stage == "starting":
             if code != 0:
-                return _failed(state, now_us, f"version {memory.version} did not start")
-            return _stage(with_changes(state, alive=True, standing="starting"), now_us, "checking", RunCommand("check"))
+                return _record_failed_start(state, now_us, f"version {saved.version} did not start")
+            return _enter_stage(
+                with_changes(state, alive=True, standing="starting"), now_us, "checking", RunCommand("check")
+            )
         case CommandEnded("check", code):
-            return _checked(state, now_us, code)
+            return _apply_check(state, now_us, code)
         case UnitExited():
-            pause_us = min(PAUSE_FIRST_US << min(state.crashes, 10), PAUSE_MOST_US)
-            memory = replace(memory, crashed=memory.crashed + 1)
-            down = with_changes(
+            delay_us = min(MIN_RESTART_DELAY_US << min(state.crashes, 10), MAX_RESTART_DELAY_US)
+            saved = replace(saved, crashed=saved.crashed + 1)
+            exited = with_changes(
                 state,
-                saved=memory,
+                saved=saved,
                 alive=False,
                 standing="stopped",
                 crashes=state.crashes + 1,
-                again_us=now_us + pause_us,
+                restart_from_us=now_us + delay_us,
             )
-            if memory.stage == "checking":
-                return _failed(down, now_us, f"version {memory.version} ended by itself")
-            return down, (SaveState(memory),)
-        case Tick():  # what ended by itself is started again, at growing pauses, whether or not an order went wrong
-            if not state.alive and memory.stage == "idle" and now_us >= state.again_us and not memory.drained:
-                return _stage(state, now_us, "starting", RunCommand("start"))
+            if saved.stage == "checking":
+                return _record_failed_start(exited, now_us, f"version {saved.version} ended by itself")
+            return exited, (SaveState(saved),)
+        case Tick():  # restarts a crashed unit with growing delays, even if the last order failed
+            if not state.alive and saved.stage == "idle" and now_us >= state.restart_from_us and not saved.drained:
+                return _enter_stage(state, now_us, "starting", RunCommand("start"))
     return state, ()
 
 
 def resume(state: UnitState, now_us: int, alive: bool) -> tuple[UnitState, tuple[Command, ...]]:
-    """This program begins, perhaps in the middle of an order; `alive`: what it remembers still runs."""
-    state = with_changes(state, alive=alive, since_us=now_us)
+    """Starts the supervisor, possibly in the middle of an order. `alive`: the process of the saved state still runs."""
+    state = with_changes(state, alive=alive, stage_since_us=now_us)
     match state.saved.stage:
         case "draining":
             return state, (RunCommand("drain"),)
         case "stopping" if alive:
             return state, (RunCommand("stop"),)
         case "starting" if not alive:
-            return state, (RunCommand("start"),)  # the same start: if it was made, it is found by its mark
+            return state, (RunCommand("start"),)  # the same start: an already started process is found by its mark
         case "stopping":
-            return _stage(state, now_us, "starting", RunCommand("start"))
+            return _enter_stage(state, now_us, "starting", RunCommand("start"))
         case "starting" | "checking":
-            return _stage(state, now_us, "checking", RunCommand("check"))
+            return _enter_stage(state, now_us, "checking", RunCommand("check"))
     return state, ()
 
 
@@ -185,41 +186,43 @@
     return dataclasses.replace(state, **changes)
 
 
-def _stage(state: UnitState, now_us: int, stage: Stage, do: RunCommand) -> tuple[UnitState, tuple[Command, ...]]:
-    memory = replace(state.saved, stage=stage, starts=state.saved.starts + (stage == "starting"))
-    return with_changes(state, saved=memory, since_us=now_us), (SaveState(memory), do)
+def _enter_stage(
+    state: UnitState, now_us: int, stage: Stage, command: RunCommand
+) -> tuple[UnitState, tuple[Command, ...]]:
+    saved = replace(state.saved, stage=stage, starts=state.saved.starts + (stage == "starting"))
+    return with_changes(state, saved=saved, stage_since_us=now_us), (SaveState(saved), command)
 
 
-def _stay(state: UnitState, now_us: int) -> tuple[UnitState, tuple[Command, ...]]:
-    memory = replace(state.saved, stage="idle", done=state.saved.number)
-    return with_changes(state, saved=memory, since_us=now_us, standing="draining"), (SaveState(memory),)
+def _remain_drained(state: UnitState, now_us: int) -> tuple[UnitState, tuple[Command, ...]]:
+    saved = replace(state.saved, stage="idle", done=state.saved.number)
+    return with_changes(state, saved=saved, stage_since_us=now_us, standing="draining"), (SaveState(saved),)
 
 
-def _ordered(state: UnitState, now_us: int, order: Order) -> tuple[UnitState, tuple[Command, ...]]:
-    memory = state.saved
-    fences = FenceRegistry({order.duty: memory.fence})
-    if order.number <= memory.number or not fences.admits(order.duty, order.fence):
-        return state, ()  # carried out before, or of an owner who was replaced
-    memory = replace(memory, number=order.number, fence=order.fence, refused="", drained=order.do == "drain", crashed=0)
+def _apply_order(state: UnitState, now_us: int, order: Order) -> tuple[UnitState, tuple[Command, ...]]:
+    saved = state.saved
+    fences = FenceRegistry({order.duty: saved.fence})
+    if order.number <= saved.number or not fences.admits(order.duty, order.fence):
+        return state, ()  # already carried out, or issued by an owner that was replaced
+    saved = replace(saved, number=order.number, fence=order.fence, refused="", drained=order.do == "drain", crashed=0)
     if order.do == "go" and order.version not in state.file.versions:
-        memory = replace(memory, done=order.number, refused=f"version {order.version} is not here")
-        return with_changes(state, saved=memory), (SaveState(memory),)
+        saved = replace(saved, done=order.number, refused=f"version {order.version} is not here")
+        return with_changes(state, saved=saved), (SaveState(saved),)
     if order.do == "undrain":
-        ordered = with_changes(state, saved=memory)
+        ordered = with_changes(state, saved=saved)
         if state.alive:
-            return _stage(ordered, now_us, "checking", RunCommand("check"))
-        return _stage(ordered, now_us, "starting", RunCommand("start"))
+            return _enter_stage(ordered, now_us, "checking", RunCommand("check"))
+        return _enter_stage(ordered, now_us, "starting", RunCommand("start"))
     if order.do == "go":
-        memory = replace(memory, version=order.version)
-    ordered = with_changes(state, saved=memory)
+        saved = replace(saved, version=order.version)
+    ordered = with_changes(state, saved=saved)
     if state.alive:
-        return _stage(with_changes(ordered, standing="draining"), now_us, "draining", RunCommand("drain"))
+        return _enter_stage(with_changes(ordered, standing="draining"), now_us, "draining", RunCommand("drain"))
     if order.do == "go":
-        return _stage(ordered, now_us, "starting", RunCommand("start"))
-    return _stay(ordered, now_us)
+        return _enter_stage(ordered, now_us, "starting", RunCommand("start"))
+    return _remain_drained(ordered, now_us)
 
 
-def _checked(state: UnitState, now_us: int, code: int | None) -> tuple[UnitState, tuple[Command, ...]]:
+def _apply_check(state: UnitState, now_us: int, code: int | None) -> tuple[UnitState, tuple[Command, ...]]:
     standing: Standing = "well" if code == 0 else "cold" if code == 1 else "failing"
     if not state.alive:
         return state, ()
@@ -229,17 +232,19 @@
     if state.saved.stage != "checking":
         return checked, ()
     if code == 0:
-        memory = replace(state.saved, stage="idle", done=state.saved.number, refused="")
-        return with_changes(checked, saved=memory), (SaveState(memory),)
-    if now_us - state.since_us > state.file.start_s * 1e6:
-        return _failed(checked, now_us, f"version {state.saved.version} is not well after {state.file.start_s:g} s")
+        saved = replace(state.saved, stage="idle", done=state.saved.number, refused="")
+        return with_changes(checked, saved=saved), (SaveState(saved),)
+    if now_us - state.stage_since_us > state.file.start_s * 1e6:
+        return _record_failed_start(
+            checked, now_us, f"version {state.saved.version} is not well after {state.file.start_s:g} s"
+        )
     return checked, ()
 
 
-def _failed(state: UnitState, now_us: int, why: str) -> tuple[UnitState, tuple[Command, ...]]:
-    """A start ended badly. That of an order is told, for whoever decides; after a crash it is one more crash."""
-    ordered = state.saved.done < state.saved.number
-    memory = replace(
-        state.saved, stage="idle", done=state.saved.number, refused=why if ordered else state.saved.refused
+def _record_failed_start(state: UnitState, now_us: int, why: str) -> tuple[UnitState, tuple[Command, ...]]:
+    """Ends a failed start. If an order asked for it, the reason is reported; a failed restart after a crash is not."""
+    by_order = state.saved.done < state.saved.number
+    saved = replace(
+        state.saved, stage="idle", done=state.saved.number, refused=why if by_order else state.saved.refused
     )
-    return with_changes(state, saved=memory, since_us=now_us), (SaveState(memory),)
+    return with_changes(state, saved=saved, stage_since_us=now_us), (SaveState(saved),)
--- a/yardspindle/steward/__init__.py
+++ b/yardspindle/steward/__init__.py
@@ -1,1 +1,1 @@
-"""The steward: a program that works on behalf of the whole fleet; no client meets it."""
+"""The steward: runs fleet-wide background tasks (duties); it serves no client requests."""
--- a/yardspindle/steward/clock.py
+++ b/yardspindle/steward/clock.py
@@ -1,4 +1,4 @@
-"""The duty `clock`: asks every member's page for its clock, and tells the fleet whose is out."""
+"""The duty `clock`: compares the clocks of all members through their pages, and reports the skewed ones."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from yardspindle.fleet.store.interface import Store, StoreError
 from yardspindle.runtime.world import World
 
-ROUND_US = 1_000_000  # between two rounds of asking
-SAY_US = 30_000_000  # how often offsets are told though nobody's standing changed
-CONNECT_US, IDLE_US = 300_000, 4_000_000
-AT_ONCE_MOST = 32  # pages asked side by side
+ROUND_INTERVAL_US = 1_000_000  # between two rounds over all members
+REPORT_INTERVAL_US = 30_000_000  # how often offsets are reported while the set of skewed clocks is unchanged
+CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US = 300_000, 4_000_000
+MAX_CONCURRENT = 32  # pages fetched in parallel
 
 log = structlog.get_logger("yardspindle.steward.clock")
 
 
 class ClockDuty:
-    """See Duty."""
+    """The clock duty; see Duty."""
 
     def __init__(
         self,
@@ -36,57 +36,61 @@
         follower: Follower,
         membership: Membership,
         bound_us: int,
-        act: Callable[[], int | None],
+        fence_to_act: Callable[[], int | None],
     ) -> None:
-        """`bound_us`: how far a clock may be off; `act`: the fence to act with now, or None."""
+        """`bound_us`: the largest tolerated offset; `fence_to_act`: the duty's current fence, or None if not owned."""
         self._world, self._store, self._keys, self._follower = world, store, keys, follower
-        self._membership, self._bound_us, self._act = membership, bound_us, act
-        self._http = HttpClient(world, CONNECT_US, IDLE_US)
-        self._said: ClockReport | None = None
-        self._said_us = 0
+        self._membership, self._bound_us, self._fence_to_act = membership, bound_us, fence_to_act
+        self._http = HttpClient(world, CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US)
+        self._reported: ClockReport | None = None
+        self._reported_us = 0
 
     def run(self) -> None:
         """See Duty."""
         while True:
             own = self._membership.member
             epochs = {name: member.epoch for name, member in self._follower.view.members.items()} | {own.id: own.epoch}
-            samples = self._ask_all()
-            word = find_skewed_clocks(
-                {name: row for name, row in samples.items() if name in epochs}, epochs, self._bound_us
+            offsets = self._probe_all()
+            report = find_skewed_clocks(
+                {name: offset for name, offset in offsets.items() if name in epochs}, epochs, self._bound_us
             )
-            now = self._world.now_us()
-            if self._said is None or word.out != self._said.out or now - self._said_us > SAY_US:
-                self._say(now, word)
-            self._world.sleep_until(now + ROUND_US)
+            now_us = self._world.now_us()
+            if (
+                self._reported is None
+                or report.out != self._reported.out
+                or now_us - self._reported_us > REPORT_INTERVAL_US
+            ):
+                self._report(now_us, report)
+            self._world.sleep_until(now_us + ROUND_INTERVAL_US)
 
-    def _ask_all(self) -> dict[str, ClockOffset]:
-        samples = {self._membership.member.id: ClockOffset(0, 0)}
-        waiting = [m for name, m in sorted(self._follower.view.members.items()) if name not in samples and m.page]
+    def _probe_all(self) -> dict[str, ClockOffset]:
+        offsets = {self._membership.member.id: ClockOffset(0, 0)}
+        pending = [m for name, m in sorted(self._follower.view.members.items()) if name not in offsets and m.page]
 
-        def some() -> None:
-            while waiting:
-                self._ask(waiting.pop(), samples)
+        def probe_next() -> None:
+            while pending:
+                self._probe(pending.pop(), offsets)
 
-        for task in [self._world.spawn("ask clocks", some) for _ in range(min(AT_ONCE_MOST, len(waiting)))]:
+        for task in [self._world.spawn("ask clocks", probe_next) for _ in range(min(MAX_CONCURRENT, len(pending)))]:
             task.join()
-        return samples
+        return offsets
 
-    def _ask(self, member: Member, samples: dict[str, ClockOffset]) -> None:
-        before = self._world.now_us()
-        _, word = ask(self._http, member.page)
-        if word is not None and word.member.epoch == member.epoch:
-            samples[member.id] = estimate_offset(before, word.now_us, self._world.now_us())
+    def _probe(self, member: Member, offsets: dict[str, ClockOffset]) -> None:
+        sent_us = self._world.now_us()
+        _, answer = ask(self._http, member.page)
+        if answer is not None and answer.member.epoch == member.epoch:
+            offsets[member.id] = estimate_offset(sent_us, answer.now_us, self._world.now_us())
 
-    def _say(self, now: int, word: ClockReport) -> None:
-        fence = self._act()
+    def _report(self, now_us: int, report: ClockReport) -> None:
+        fence = self._fence_to_act()
         if fence is None:
             return
         try:
             if self._store.txn(
-                self._keys.with_fence("clock", fence, Put(self._keys.clocks, msgspec.json.encode(word)))
+                self._keys.with_fence("clock", fence, Put(self._keys.clocks, msgspec.json.encode(report)))
             ).succeeded:
-                self._said, self._said_us = word, now
-                if word.out:
-                    log.warning("clocks are out", epochs=list(word.out), offsets=word.offsets)
+                self._reported, self._reported_us = report, now_us
+                if report.out:
+                    log.warning("clocks are skewed", epochs=list(report.out), offsets=report.offsets)
         except StoreError as error:
-            log.info("clocks could not be told", reason=str(error))
+            log.info("clock report could not be written", reason=str(error))
--- a/yardspindle/steward/release.py
+++ b/yardspindle/steward/release.py
@@ -1,4 +1,4 @@
-"""The duty `release`: gives permits and orders, moves the release on, and halts it when it does harm."""
+"""The duty `release`: grants permits and orders, advances the release, and halts it if it does harm."""
 
 from __future__ import annotations
 
@@ -8,8 +8,7 @@
 from msgspec.structs import replace
 
 from yardspindle.core.config import Limit
-from yardspindle.core.fleet import permits as p
-from yardspindle.core.fleet import release_plan as r
+from yardspindle.core.fleet import permits, release_plan
 from yardspindle.core.fleet.canary_analysis import OutcomeCounts, add_window
 from yardspindle.core.fleet.kv import Txn, prefix_end
 from yardspindle.core.fleet.members import FleetKeys
@@ -18,14 +17,14 @@
 from yardspindle.fleet.store.interface import Store, StoreError
 from yardspindle.runtime.world import World
 
-LOOK_US = 100_000  # between two looks: a step of a release takes seconds
-WINDOW_US = 2_000_000  # of counts that are compared at once
+POLL_US = 100_000  # between two evaluations; a step of a release takes seconds
+WINDOW_US = 2_000_000  # length of a comparison window
 
 log = structlog.get_logger("yardspindle.steward.release")
 
 
 class ReleaseDuty:
-    """See Duty."""
+    """The release duty; see Duty."""
 
     def __init__(
         self,
@@ -35,95 +34,95 @@
         follower: Follower,
         limits: tuple[Limit, ...],
         name: str,
-        act: Callable[[], int | None],
+        fence_to_act: Callable[[], int | None],
     ) -> None:
-        """`limits`: the fleet's; `act`: the fence to act with now, or None."""
+        """`limits`: the fleet's; `fence_to_act`: the duty's current fence, or None if not owned."""
         self._world, self._store, self._follower = world, store, follower
-        self._keys, self._limits, self._name, self._act = UnitKeys(keys), limits, name, act
-        self._counted: dict[str, p.UnitStatus] = {}  # what each unit had told at the last window
+        self._keys, self._limits, self._name, self._fence_to_act = UnitKeys(keys), limits, name, fence_to_act
+        self._previous: dict[str, permits.UnitStatus] = {}  # each unit's status at the end of the last window
         self._window_us = world.now_us()
 
     def run(self) -> None:
         """See Duty."""
         while True:
-            fence = self._act()
+            fence = self._fence_to_act()
             if fence is not None:
-                self._look(fence)
-            self._world.sleep_until(self._world.now_us() + LOOK_US)
+                self._run_once(fence)
+            self._world.sleep_until(self._world.now_us() + POLL_US)
 
-    def _look(self, fence: int) -> None:
-        now = self._world.now_us()
+    def _run_once(self, fence: int) -> None:
+        now_us = self._world.now_us()
         units = self._keys.read(self._follower.view.rows)
-        steps = self._steps(units, now, now - self._follower.current_us, fence)
-        if any(isinstance(step, r.GrantPermit) for step in steps):
-            # Nobody is let go on what a watch told some time ago: the store is read, and it is decided once more.
+        steps = self._next_steps(units, now_us, now_us - self._follower.current_us, fence)
+        if any(isinstance(step, release_plan.GrantPermit) for step in steps):
+            # The watch may lag: before a permit is granted, the store is read and the steps are computed again.
             try:
                 rows = self._store.range(self._keys.root, prefix_end(self._keys.root)).rows
             except StoreError as error:
-                log.info("nobody is let go without the store's word", reason=str(error))
+                log.info("no permit granted: the store could not be read", reason=str(error))
                 return
-            read_us = now
-            units, now = self._keys.read({row.key: row for row in rows}), self._world.now_us()
-            steps = self._steps(units, now, now - read_us, fence)
+            read_us = now_us
+            units, now_us = self._keys.read({row.key: row for row in rows}), self._world.now_us()
+            steps = self._next_steps(units, now_us, now_us - read_us, fence)
         for step in steps:
-            self._do(now, fence, units, step)
+            self._write_step(now_us, fence, units, step)
 
-    def _steps(self, units: ReleaseView, now: int, age_us: int, fence: int) -> list[r.Step]:
+    def _next_steps(self, units: ReleaseView, now_us: int, age_us: int, fence: int) -> list[release_plan.Step]:
         fleet = units.snapshot(self._limits, age_us)
         release = units.release
-        if release is not None and now - self._window_us >= WINDOW_US:
-            self._window_us = now
-            release = self._compare(units, release)
-        steps: list[r.Step] = []
+        if release is not None and now_us - self._window_us >= WINDOW_US:
+            self._window_us = now_us
+            release = self._add_window(units, release)
+        steps: list[release_plan.Step] = []
         if release is not None:
-            steps = r.next_steps(release, fleet, units.orders, now, fence, self._name)
-            if release is not units.release and not any(isinstance(step, r.UpdateRelease) for step in steps):
-                steps.append(r.UpdateRelease(release))
-        if not any(isinstance(step, r.GrantPermit) for step in steps):
-            steps += drain_request_steps(units, fleet, now, fence, self._name)
+            steps = release_plan.next_steps(release, fleet, units.orders, now_us, fence, self._name)
+            if release is not units.release and not any(isinstance(step, release_plan.UpdateRelease) for step in steps):
+                steps.append(release_plan.UpdateRelease(release))
+        if not any(isinstance(step, release_plan.GrantPermit) for step in steps):
+            steps += drain_request_steps(units, fleet, now_us, fence, self._name)
         return steps
 
-    def _do(self, now: int, fence: int, units: ReleaseView, step: r.Step) -> None:
-        """One step; those after it that rest on the same rows are refused by the store, and decided anew."""
+    def _write_step(self, now_us: int, fence: int, units: ReleaseView, step: release_plan.Step) -> None:
+        """Writes one step. The store rejects later steps based on the same rows; they are then decided again."""
         txn: Txn
         match step:
-            case r.GrantPermit():
+            case release_plan.GrantPermit():
                 txn = self._keys.grant_permit(fence, units, step)
                 log.info(
-                    "unit let go",
+                    "granting permit",
                     unit=step.unit,
                     order=step.order.do,
                     number=step.order.number,
                     version=step.order.version,
                     fence=fence,
                 )
-            case r.ClosePermit(unit):
+            case release_plan.ClosePermit(unit):
                 txn = self._keys.close_permit(fence, units, unit)
-                log.info("unit is back", unit=unit, fence=fence)
-            case r.UpdateRelease(release):
-                was = units.release.phase if units.release is not None else ""
+                log.info("closing permit", unit=unit, fence=fence)
+            case release_plan.UpdateRelease(release):
+                previous_phase = units.release.phase if units.release is not None else ""
                 entry = None
-                if release.phase != was:
-                    entry = AuditEntry(now, self._name, f"release {release.id}: {release.phase}", release.why)
-                    log.warning("release", id=release.id, phase=release.phase, why=release.why)
+                if release.phase != previous_phase:
+                    entry = AuditEntry(now_us, self._name, f"release {release.id}: {release.phase}", release.why)
+                    log.warning("changing release phase", id=release.id, phase=release.phase, why=release.why)
                 txn = self._keys.update_release(fence, units, release, entry)
         try:
             self._store.txn(txn)
-        except StoreError as error:  # unknown or not done: the view tells which, and the next look decides on it
-            log.warning("a step without an answer", reason=str(error))
+        except StoreError as error:  # the view will show whether it was done
+            log.warning("release step was not answered", reason=str(error))
 
-    def _compare(self, units: ReleaseView, release: r.Release) -> r.Release:
-        """The counts of a window, released units against the others."""
-        sums = {True: [0, 0], False: [0, 0]}
+    def _add_window(self, units: ReleaseView, release: release_plan.Release) -> release_plan.Release:
+        """Adds a window of request counts, of released units and of all others, to the release's test."""
+        totals = {True: [0, 0], False: [0, 0]}
         for unit, status in units.statuses.items():
-            before = self._counted.get(unit)
-            if before is None or before.epoch != status.epoch:
-                continue  # it started since: its next window counts
-            both = sums[status.version == release.version]
-            both[0] += max(status.served + status.bad - before.served - before.bad, 0)
-            both[1] += max(status.bad - before.bad, 0)
-        self._counted = dict(units.statuses)
+            previous = self._previous.get(unit)
+            if previous is None or previous.epoch != status.epoch:
+                continue  # restarted during the window; it counts from the next one
+            total = totals[status.version == release.version]
+            total[0] += max(status.served + status.bad - previous.served - previous.bad, 0)
+            total[1] += max(status.bad - previous.bad, 0)
+        self._previous = dict(units.statuses)
         if release.phase != "running":
             return release
-        trial = add_window(release.trial, OutcomeCounts(*sums[True]), OutcomeCounts(*sums[False]))
-        return replace(release, trial=trial) if trial != release.trial else release
+        test = add_window(release.trial, OutcomeCounts(*totals[True]), OutcomeCounts(*totals[False]))
+        return replace(release, trial=test) if test != release.trial else release
--- a/yardspindle/unit/__init__.py
+++ b/yardspindle/unit/__init__.py
@@ -1,1 +1,1 @@
-"""The program beside a dispatcher or model host: carries out the orders of who acts for the fleet."""
+"""The supervisor of a dispatcher or model host: carries out the fleet's orders to drain, restart and upgrade it."""
--- a/yardspindle/unit/app.py
+++ b/yardspindle/unit/app.py
@@ -1,7 +1,7 @@
-"""The unit's program: registers, tells how the unit is, follows its orders, runs the commands of its file.
+"""The unit supervisor: registers the unit, publishes its status, and carries out its orders with its file's commands.
 
-Every decision is `core/fleet/unit.step`. The unit itself outlives this program: after a restart it is found again by
-what was remembered of it.
+All decisions are made by `core/fleet/unit.step`. The unit's process outlives the supervisor, which finds it again after
+a restart by its saved process id and start time.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from msgspec.structs import replace
 
 from yardspindle.core.config import FleetConfig, microseconds, split_address
-from yardspindle.core.fleet import unit as u
+from yardspindle.core.fleet import unit as unit_control
 from yardspindle.core.fleet.kv import Put, Txn
 from yardspindle.core.fleet.members import FleetKeys, decode_row
 from yardspindle.core.fleet.permits import UnitPlacement, UnitStatus
@@ -24,15 +24,15 @@
 from yardspindle.fleet.store.interface import Store, StoreError
 from yardspindle.runtime.world import World
 
-LOOK_US = 200_000  # how often the order is read, and the unit looked at
-CHECK_US = 500_000  # between two checks
-TELL_US = 1_000_000  # how often figures alone are told
+POLL_US = 200_000  # how often the unit's order is read
+CHECK_INTERVAL_US = 500_000  # between two check commands
+FIGURES_INTERVAL_US = 1_000_000  # minimum time between status updates in which only figures differ
 
 log = structlog.get_logger("yardspindle.unit")
 
 
-class Figures(msgspec.Struct, frozen=True):
-    """What a check may print as a line of JSON."""
+class CheckFigures(msgspec.Struct, frozen=True):
+    """The figures that a check command may print as one line of JSON; see `UnitStatus`."""
 
     load: float = 0.0
     room: float = 0.0
@@ -40,48 +40,54 @@
     bad: int = 0
 
 
-class Hands(Protocol):
-    """What runs a unit and its commands."""
+class UnitRunner(Protocol):
+    """Runs a unit's process and its commands."""
 
     def adopt(self, pid: int, born: int) -> None:
-        """What an earlier start of this program left running."""
+        """Take over a process that an earlier run of the supervisor started; nothing if `pid` is 0."""
 
     def id(self) -> tuple[int, int]:
-        """Of what runs: process id and start; zeros for nothing."""
+        """The process id and start time of the unit's process; zeros if there is none."""
 
     def alive(self) -> bool:
-        """Whether it runs."""
+        """Whether the unit's process is running."""
 
     def start(self, version: str, mark: str) -> int:
-        """Start it, unless one with this mark runs; 0 when it was started."""
+        """Start the unit, unless a process with this mark is running; 0 on success."""
 
     def stop(self) -> None:
-        """End it, and wait for its end."""
+        """Stop the unit, and wait until it has exited."""
 
     def drain(self, version: str) -> int | None:
-        """Wait until nothing runs in it; None when the time was up."""
+        """Wait until the unit is idle; None if that took too long."""
 
     def check(self, version: str) -> tuple[int | None, bytes]:
-        """How it is (0 well, 1 cold, else failing), and a line of figures."""
+        """The check's exit code (0: well, 1: cold, other: failing), and its line of figures."""
 
 
 class UnitSupervisor:
-    """One unit's program."""
+    """The supervisor of one unit."""
 
     def __init__(
-        self, world: World, file: u.UnitFile, fleet: FleetConfig, store: Store, version: str, hands: Hands
+        self,
+        world: World,
+        file: unit_control.UnitFile,
+        fleet: FleetConfig,
+        store: Store,
+        version: str,
+        runner: UnitRunner,
     ) -> None:
-        """Nothing is started. Raises ValueError: the state file cannot be read."""
-        self.world, self.file, self.store, self.hands = world, file, store, hands
+        """Starts nothing yet. Raises ValueError if the state file is malformed."""
+        self.world, self.file, self.store, self.runner = world, file, store, runner
         self.keys = UnitKeys(FleetKeys(fleet.name))
         try:
-            memory = msgspec.json.decode(world.read_file(file.state), type=u.SavedState)
+            saved = msgspec.json.decode(world.read_file(file.state), type=unit_control.SavedState)
         except FileNotFoundError:
-            memory = u.SavedState(file.versions[0])
+            saved = unit_control.SavedState(file.versions[0])
         except msgspec.DecodeError as error:
             raise ValueError(f"{file.state}: {error}") from None
-        self.state = u.UnitState(file, memory)
-        hands.adopt(memory.pid, memory.born)
+        self.state = unit_control.UnitState(file, saved)
+        runner.adopt(saved.pid, saved.born)
         self.membership = Membership(
             world,
             fleet,
@@ -91,52 +97,57 @@
             f"{world.random('unit').getrandbits(48):012x}",
             file.groups.get("zone", ""),
             version,
-            Turns(lambda lease, sent, ttl: None, lambda *kept: None, lambda granting: None),
+            Turns(lambda lease, sent, ttl: None, lambda *renewed: None, lambda granting: None),
         )
         self._listen = split_address(file.page or fleet.listen)
         self._call_us = microseconds(fleet.call_ms)
-        self._figures = Figures()
-        self._told: tuple[UnitStatus, int] | None = None
-        self._told_us = 0
-        self._placed = False
+        self._figures = CheckFigures()
+        self._published: tuple[UnitStatus, int] | None = None
+        self._published_us = 0
+        self._placement_published = False
         self._checking = False
 
     def start(self) -> str:
-        """Register and begin. Raises OSError."""
+        """Registers the unit and starts supervising it. Returns the address of its page. Raises OSError."""
         self.membership.start(*self._listen)
-        self._perform(*u.resume(self.state, self.world.now_us(), self.hands.alive()))
-        self.world.spawn("orders", self._orders)
-        self.world.spawn("watch", self._watch)
-        self.world.spawn("tell", self._tell)
+        self._apply(*unit_control.resume(self.state, self.world.now_us(), self.runner.alive()))
+        self.world.spawn("orders", self._poll_orders)
+        self.world.spawn("watch", self._watch_process)
+        self.world.spawn("tell", self._publish_status)
         return self.membership.member.page
 
     def stop(self) -> None:
-        """This program ends; the unit goes on."""
+        """Stops the supervisor; the unit keeps running."""
         self.membership.leave()
 
     # --- events
 
-    def _feed(self, event: u.Event) -> None:
-        self._perform(*u.step(self.state, self.world.now_us(), event))
+    def _handle_event(self, event: unit_control.Event) -> None:
+        self._apply(*unit_control.step(self.state, self.world.now_us(), event))
 
-    def _perform(self, state: u.UnitState, commands: Sequence[u.Command]) -> None:
+    def _apply(self, state: unit_control.UnitState, commands: Sequence[unit_control.Command]) -> None:
         self.state = state
         for command in commands:
             match command:
-                case u.SaveState(memory):
-                    self._remember(memory)
-                case u.RunCommand(what):
-                    log.info("unit", do=what, version=self.state.saved.version, number=self.state.saved.number)
-                    self.world.spawn(what, self._do, what)
-
-    def _remember(self, memory: u.SavedState) -> None:
-        """Written whole or not at all, before what it is about is done."""
-        pid, born = self.hands.id()
-        memory = replace(memory, pid=pid, born=born)
-        self.state = u.with_changes(self.state, saved=memory)
-        self.world.replace_file(self.file.state, msgspec.json.encode(memory))
-
-    def _orders(self) -> None:
+                case unit_control.SaveState(saved):
+                    self._save(saved)
+                case unit_control.RunCommand(what):
+                    log.info(
+                        "running unit command",
+                        do=what,
+                        version=self.state.saved.version,
+                        number=self.state.saved.number,
+                    )
+                    self.world.spawn(what, self._run_command, what)
+
+    def _save(self, saved: unit_control.SavedState) -> None:
+        """Replaces the state file atomically."""
+        pid, born = self.runner.id()
+        saved = replace(saved, pid=pid, born=born)
+        self.state = unit_control.with_changes(self.state, saved=saved)
+        self.world.replace_file(self.file.state, msgspec.json.encode(saved))
+
+    def _poll_orders(self) -> None:
         key = self.keys.row_key("orders", self.file.name)
         while True:
             try:
@@ -144,82 +155,86 @@
                 order = decode_row(rows[0].value, Order) if rows else None
                 if order is not None:
                     if order.number > self.state.saved.number:
-                        log.info("order", number=order.number, do=order.do, version=order.version, fence=order.fence)
-                    self._feed(u.OrderReceived(order))
+                        log.info(
+                            "order received", number=order.number, do=order.do, version=order.version, fence=order.fence
+                        )
+                    self._handle_event(unit_control.OrderReceived(order))
             except StoreError as error:
-                log.debug("no order without the store", reason=str(error))
-            self._feed(u.Tick())
-            self.world.sleep_until(self.world.now_us() + LOOK_US)
+                log.debug("order could not be read from the store", reason=str(error))
+            self._handle_event(unit_control.Tick())
+            self.world.sleep_until(self.world.now_us() + POLL_US)
 
-    def _watch(self) -> None:
-        checked = 0
+    def _watch_process(self) -> None:
+        checked_us = 0
         while True:
-            self.world.sleep_until(self.world.now_us() + LOOK_US // 2)
-            if self.state.alive and not self.hands.alive() and self.state.saved.stage != "stopping":
-                log.warning("the unit ended by itself", pid=self.state.saved.pid)
-                self._feed(u.UnitExited())
-            elif self.state.alive and not self._checking and self.world.now_us() - checked >= CHECK_US:
-                checked = self.world.now_us()
-                self._do("check")
-
-    def _do(self, what: str) -> None:
+            self.world.sleep_until(self.world.now_us() + POLL_US // 2)
+            if self.state.alive and not self.runner.alive() and self.state.saved.stage != "stopping":
+                log.warning("unit exited unexpectedly", pid=self.state.saved.pid)
+                self._handle_event(unit_control.UnitExited())
+            elif self.state.alive and not self._checking and self.world.now_us() - checked_us >= CHECK_INTERVAL_US:
+                checked_us = self.world.now_us()
+                self._run_command("check")
+
+    def _run_command(self, what: str) -> None:
         match what:
             case "check":
                 self._checking = True
                 try:
-                    code, line = self.hands.check(self.state.saved.version)
+                    code, line = self.runner.check(self.state.saved.version)
                 finally:
                     self._checking = False
-                self._figures = decode_row(line, Figures) or self._figures
-                self._feed(u.CommandEnded("check", code))
+                self._figures = decode_row(line, CheckFigures) or self._figures
+                self._handle_event(unit_control.CommandEnded("check", code))
             case "drain":
-                self._feed(u.CommandEnded("drain", self.hands.drain(self.state.saved.version)))
+                self._handle_event(unit_control.CommandEnded("drain", self.runner.drain(self.state.saved.version)))
             case "stop":
-                self.hands.stop()
-                self._feed(u.CommandEnded("stop", 0))
+                self.runner.stop()
+                self._handle_event(unit_control.CommandEnded("stop", 0))
             case "start":
-                code = self.hands.start(self.state.saved.version, self._mark())
+                code = self.runner.start(self.state.saved.version, self._mark())
                 if not code:
-                    self._remember(self.state.saved)
-                self._feed(u.CommandEnded("start", code))
+                    self._save(self.state.saved)
+                self._handle_event(unit_control.CommandEnded("start", code))
 
     def _mark(self) -> str:
-        """Sets this start of the unit apart from every other; the same when it is taken up again after a kill."""
+        """Identifies this start of the unit; unchanged if a killed supervisor repeats the start."""
         return f"{self.file.state} {self.state.saved.starts}"
 
-    # --- what is told
+    # --- status
 
     def status(self) -> UnitStatus:
-        """The unit as it is."""
-        memory, figures = self.state.saved, self._figures
+        """The unit's current status."""
+        saved, figures = self.state.saved, self._figures
         return UnitStatus(
             self.file.name,
-            f"{memory.pid}-{memory.born}",
+            f"{saved.pid}-{saved.born}",
             self.state.standing,
-            memory.version,
-            memory.done,
-            memory.refused,
+            saved.version,
+            saved.done,
+            saved.refused,
             figures.load,
             figures.room,
             figures.served,
             figures.bad,
-            memory.crashed,
+            saved.crashed,
         )
 
-    def _tell(self) -> None:
-        """Under the lease, so that silence shows by itself; what matters at once, figures now and then."""
+    def _publish_status(self) -> None:
+        """Keeps the status in the store, attached to the lease. Changes of figures alone are written less often."""
         while True:
-            self.world.sleep_until(self.world.now_us() + LOOK_US // 4)
-            lease, status, now = self.membership.lease, self.status(), self.world.now_us()
+            self.world.sleep_until(self.world.now_us() + POLL_US // 4)
+            lease, status, now_us = self.membership.lease, self.status(), self.world.now_us()
             if lease <= 0:
                 continue
-            if self._told is not None and self._told[1] == lease:
-                plain = replace(status, load=0.0, room=0.0, served=0, bad=0)
-                before = replace(self._told[0], load=0.0, room=0.0, served=0, bad=0)
-                if plain == before and (status == self._told[0] or now - self._told_us < TELL_US):
+            if self._published is not None and self._published[1] == lease:
+                current = replace(status, load=0.0, room=0.0, served=0, bad=0)
+                previous = replace(self._published[0], load=0.0, room=0.0, served=0, bad=0)
+                if current == previous and (
+                    status == self._published[0] or now_us - self._published_us < FIGURES_INTERVAL_US
+                ):
                     continue
             puts = [Put(self.keys.row_key("statuses", self.file.name), msgspec.json.encode(status), lease)]
-            if not self._placed:
+            if not self._placement_published:
                 groups = {str(name): value for name, value in self.file.groups.items()}
                 puts.append(
                     Put(
@@ -229,6 +244,6 @@
                 )
             try:
                 self.store.txn(Txn(then=tuple(puts)))
-                self._told, self._told_us, self._placed = (status, lease), now, True
+                self._published, self._published_us, self._placement_published = (status, lease), now_us, True
             except StoreError as error:
-                log.debug("the unit's status could not be told", reason=str(error))
+                log.debug("unit status could not be written", reason=str(error))
--- a/yardspindle/unit/runner.py
+++ b/yardspindle/unit/runner.py
@@ -1,4 +1,4 @@
-"""A unit and its commands as processes of this machine."""
+"""Runs a unit and its commands as local processes."""
 
 from __future__ import annotations
 
@@ -18,65 +18,65 @@
 
 
 class ProcessRunner:
-    """See Hands."""
+    """See UnitRunner."""
 
     def __init__(self, world: RealWorld, file: UnitFile) -> None:
-        """Nothing runs."""
+        """Starts nothing yet."""
         self._world, self._file = world, file
         self._service: Service | None = None
         self._log = file.state + ".log"
 
     def adopt(self, pid: int, born: int) -> None:
-        """See Hands."""
+        """See UnitRunner."""
         self._service = Service(self._world, pid, born) if pid else None
 
     def id(self) -> tuple[int, int]:
-        """See Hands."""
+        """See UnitRunner."""
         return (self._service.pid, self._service.started) if self._service is not None else (0, 0)
 
     def alive(self) -> bool:
-        """See Hands."""
+        """See UnitRunner."""
         return self._service is not None and self._service.alive()
 
     def start(self, version: str, mark: str) -> int:
-        """See Hands."""
+        """See UnitRunner."""
         argv = [part.replace("{version}", version) for part in self._file.run]
         try:
             self._service = Service.find(self._world, mark) or Service.start(self._world, argv, self._log, mark)
         except OSError as error:
-            log.error("the unit cannot be started", reason=str(error))
+            log.error("unit could not be started", reason=str(error))
             return 127
         return 0
 
     def stop(self) -> None:
-        """See Hands."""
+        """See UnitRunner."""
         if self._service is None:
             return
-        for number in (signal.SIGTERM, signal.SIGKILL):
-            self._service.send(number)
+        for signal_number in (signal.SIGTERM, signal.SIGKILL):
+            self._service.send(signal_number)
             if self._service.wait(self._world.now_us() + round(self._file.stop_s * 1e6)):
                 return
 
     def drain(self, version: str) -> int | None:
-        """See Hands."""
-        return self._command(self._file.drain, version, self._file.drain_s)[0] if self._file.drain else 0
+        """See UnitRunner."""
+        return self._run(self._file.drain, version, self._file.drain_s)[0] if self._file.drain else 0
 
     def check(self, version: str) -> tuple[int | None, bytes]:
-        """See Hands."""
-        return self._command(self._file.check, version, self._file.check_s) if self._file.check else (0, b"")
+        """See UnitRunner."""
+        return self._run(self._file.check, version, self._file.check_s) if self._file.check else (0, b"")
 
-    def _command(self, command: Sequence[str], version: str, seconds: float) -> tuple[int | None, bytes]:
-        """A command's exit code, None when its time is up, and the first line that it printed."""
+    def _run(self, command: Sequence[str], version: str, timeout_s: float) -> tuple[int | None, bytes]:
+        """Runs a command; gives its exit code, or None if it timed out, and the first line that it printed."""
         argv = [part.replace("{version}", version) for part in command]
-        until_us, line = self._world.now_us() + round(seconds * 1e6), ""
+        deadline_us, line = self._world.now_us() + round(timeout_s * 1e6), ""
         try:
             child = Child(self._world, command[0], argv, self._log)
         except OSError as error:
-            log.error("a command cannot be run", command=command[0], reason=str(error))
+            log.error("command could not be run", command=command[0], reason=str(error))
             return 127, b""
-        with contextlib.suppress(ChildError, DeadlineExceeded):  # else it printed nothing
-            line = child.first_line(round(seconds * 1e6))
-        code = child.wait(until_us)
+        with contextlib.suppress(ChildError, DeadlineExceeded):  # no line was printed in time
+            line = child.first_line(round(timeout_s * 1e6))
+        code = child.wait(deadline_us)
         if code is None:
             child.send(signal.SIGKILL)
             child.wait(self._world.now_us() + 1_000_000)
