--- a/yardspindle/core/fleet/ownership.py
+++ b/yardspindle/core/fleet/ownership.py
@@ -20,10 +20,8 @@
 SETTLE_FRACTION = 1.0  # of the TTL: how long ownership must be unchanged before excess duties are handed over
 MAX_BACKOFF_DOUBLINGS = 6  # of the delay after lost leases and restarts
 SUCCESS_RATE_WEIGHT = 0.2  # weight of the latest store call in the moving average of successes
-UNHEALTHY_BELOW, HEALTHY_ABOVE = (
-    0.6,
-    0.9,
-)  # success rates; below the first a process takes no duties until it exceeds the second again
+# Success rates of store calls: below the first a process acquires no duties until the rate reaches the second again.
+UNHEALTHY_BELOW, HEALTHY_ABOVE = 0.6, 0.9
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +58,7 @@
     name: str
     timing: LeaseTiming
     lease: int = 0
-    lease_valid_until_us: int = 0  # by its own clock; 0 without a lease
+    lease_valid_until_us: int = 0  # it may act before this time, by its own clock; 0 without a lease
     lease_requested: bool = False  # a lease request is in flight
     held: tuple[tuple[str, int], ...] = ()  # duty and fence
     pending: tuple[str, ...] = ()  # duties with an acquire whose outcome is not known yet
--- a/yardspindle/core/fleet/permits.py
+++ b/yardspindle/core/fleet/permits.py
@@ -20,7 +20,7 @@
 
 Standing = Literal["well", "cold", "failing", "draining", "stopped", "starting"]
 RETRY_AFTER_US = 2_000_000  # delay before asking again after a denial that may change with time
-MAX_VIEW_AGE_US = 3_000_000  # at a grant; about the duration of a lease
+MAX_VIEW_AGE_US = 3_000_000  # at a grant; of the order of a lease's time to live
 
 
 class UnitPlacement(Struct, frozen=True):
@@ -42,7 +42,7 @@
     refused: str = ""  # why the last order failed
     load: float = 0.0  # current work, in a measure that depends on its role (streams, tokens)
     room: float = 0.0  # capacity, in the same measure
-    served: int = 0  # requests since its start
+    served: int = 0  # requests since its start that ended well; compared between versions
     bad: int = 0  # requests since its start that ended badly
     crashed: int = 0  # unexpected exits since its last order
 
--- a/yardspindle/core/fleet/release_keys.py
+++ b/yardspindle/core/fleet/release_keys.py
@@ -72,41 +72,41 @@
 
     def read(self, rows: Mapping[bytes, KeyValue]) -> ReleaseView:
         """Decodes all rows; skips malformed and unrelated ones."""
-        units = ReleaseView()
+        view = ReleaseView()
         kinds: tuple[tuple[bytes, dict[str, object], type], ...] = (
-            (self.row_key("places", ""), units.placements, permit_rules.UnitPlacement),  # type: ignore[assignment]
-            (self.row_key("statuses", ""), units.statuses, permit_rules.UnitStatus),
-            (self.row_key("permits", ""), units.permits, permit_rules.Permit),
-            (self.row_key("orders", ""), units.orders, release_plan.Order),
-            (self.row_key("wishes", ""), units.drain_requests, DrainRequest),
-            (self.row_key("log", ""), units.audit_log, AuditEntry),
+            (self.row_key("places", ""), view.placements, permit_rules.UnitPlacement),  # type: ignore[assignment]
+            (self.row_key("statuses", ""), view.statuses, permit_rules.UnitStatus),
+            (self.row_key("permits", ""), view.permits, permit_rules.Permit),
+            (self.row_key("orders", ""), view.orders, release_plan.Order),
+            (self.row_key("wishes", ""), view.drain_requests, DrainRequest),
+            (self.row_key("log", ""), view.audit_log, AuditEntry),
         )
         for key, row in rows.items():
             if key == self.head:
-                units.head_mod = row.mod
+                view.head_mod = row.mod
             elif key == self.release:
-                units.release, units.release_mod = decode_row(row.value, release_plan.Release), row.mod
+                view.release, view.release_mod = decode_row(row.value, release_plan.Release), row.mod
             for prefix, decoded, kind in kinds:
                 if key.startswith(prefix) and (value := decode_row(row.value, kind)) is not None:
                     name = key[len(prefix) :].decode()
                     decoded[name] = value
-                    if decoded is units.orders:
-                        units.order_mods[name] = row.mod
-        return units
+                    if decoded is view.orders:
+                        view.order_mods[name] = row.mod
+        return view
 
     # --- transactions of the release duty's owner
 
     def _with_fence(self, fence: int, *compare: Compare) -> tuple[Compare, ...]:
         return Compare(self.duty, "create", "equal", fence), *compare
 
-    def grant_permit(self, fence: int, units: ReleaseView, step: release_plan.GrantPermit) -> Txn:
+    def grant_permit(self, fence: int, view: ReleaseView, step: release_plan.GrantPermit) -> Txn:
         """Writes a permit and its order, if no other permit was granted or closed since the view was read."""
         order = self.row_key("orders", step.unit)
         return Txn(
             self._with_fence(
                 fence,
-                Compare(self.head, "mod", "equal", units.head_mod),
-                Compare(order, "mod", "equal", units.order_mods.get(step.unit, 0)),
+                Compare(self.head, "mod", "equal", view.head_mod),
+                Compare(order, "mod", "equal", view.order_mods.get(step.unit, 0)),
             ),
             (
                 Put(self.row_key("permits", step.unit), msgspec.json.encode(step.permit)),
@@ -115,27 +115,27 @@
             ),
         )
 
-    def close_permit(self, fence: int, units: ReleaseView, unit: str) -> Txn:
+    def close_permit(self, fence: int, view: ReleaseView, unit: str) -> Txn:
         """Deletes a unit's permit, and its drain or undrain request."""
         writes: list[Put | Delete] = [Delete(self.row_key("permits", unit)), Put(self.head, unit.encode())]
-        if unit in units.drain_requests:
+        if unit in view.drain_requests:
             writes.append(Delete(self.row_key("wishes", unit)))
-        return Txn(self._with_fence(fence, Compare(self.head, "mod", "equal", units.head_mod)), tuple(writes))
+        return Txn(self._with_fence(fence, Compare(self.head, "mod", "equal", view.head_mod)), tuple(writes))
 
     def update_release(
-        self, fence: int, units: ReleaseView, release: release_plan.Release, entry: AuditEntry | None
+        self, fence: int, view: ReleaseView, release: release_plan.Release, entry: AuditEntry | None
     ) -> Txn:
         """Writes the release's new state, with an audit entry if there is one."""
         puts = [Put(self.release, msgspec.json.encode(release))]
         if entry is not None:
             puts.append(self.put_audit_entry(entry))
-        return Txn(self._with_fence(fence, Compare(self.release, "mod", "equal", units.release_mod)), tuple(puts))
+        return Txn(self._with_fence(fence, Compare(self.release, "mod", "equal", view.release_mod)), tuple(puts))
 
-    def grant_own_permit(self, units: ReleaseView, permit: permit_rules.Permit) -> Txn:
+    def grant_own_permit(self, view: ReleaseView, permit: permit_rules.Permit) -> Txn:
         """A permit for a process that was asked to shut down, if no other was granted since the view was read."""
         return Txn(
             (
-                Compare(self.head, "mod", "equal", units.head_mod),
+                Compare(self.head, "mod", "equal", view.head_mod),
                 Compare(self.row_key("permits", permit.unit), "create", "equal", 0),
             ),
             (
@@ -150,10 +150,10 @@
         """Writes an audit entry; two by one author in the same microsecond count as the same entry."""
         return Put(self.row_key("log", f"{entry.at_us:020d}-{entry.by}"), msgspec.json.encode(entry))
 
-    def update_release_by_operator(self, units: ReleaseView, release: release_plan.Release, entry: AuditEntry) -> Txn:
+    def update_release_by_operator(self, view: ReleaseView, release: release_plan.Release, entry: AuditEntry) -> Txn:
         """Writes an operator's change to the release, if it is unchanged since the view was read."""
         return Txn(
-            (Compare(self.release, "mod", "equal", units.release_mod),),
+            (Compare(self.release, "mod", "equal", view.release_mod),),
             (Put(self.release, msgspec.json.encode(release)), self.put_audit_entry(entry)),
         )
 
@@ -163,20 +163,20 @@
 
 
 def drain_request_steps(
-    units: ReleaseView, fleet: permit_rules.FleetSnapshot, now_us: int, fence: int, by: str
+    view: ReleaseView, fleet: permit_rules.FleetSnapshot, now_us: int, fence: int, by: str
 ) -> list[release_plan.Step]:
     """The next step for operators' drain requests: one unit at a time, under the same permits as releases."""
     found: list[release_plan.Step] = [
         release_plan.ClosePermit(unit)
-        for unit, permit in sorted(units.permits.items())
+        for unit, permit in sorted(view.permits.items())
         if not permit.release
-        and unit not in units.drain_requests
-        and permit_rules.has_returned(permit, units.statuses.get(unit))
+        and unit not in view.drain_requests
+        and permit_rules.has_returned(permit, view.statuses.get(unit))
     ]
-    for unit, request in sorted(units.drain_requests.items()):
-        permit, last = units.permits.get(unit), units.orders.get(unit)
+    for unit, request in sorted(view.drain_requests.items()):
+        permit, last = view.permits.get(unit), view.orders.get(unit)
         number = (last.number if last is not None else 0) + 1
-        status = units.statuses.get(unit)
+        status = view.statuses.get(unit)
         epoch = status.epoch if status is not None else ""
         if permit is not None and permit.release:
             continue  # a release has taken it out of service and brings it back
--- a/yardspindle/steward/clock.py
+++ b/yardspindle/steward/clock.py
@@ -71,7 +71,7 @@
             while pending:
                 self._probe(pending.pop(), offsets)
 
-        for task in [self._world.spawn("ask clocks", probe_next) for _ in range(min(MAX_CONCURRENT, len(pending)))]:
+        for task in [self._world.spawn("probe clocks", probe_next) for _ in range(min(MAX_CONCURRENT, len(pending)))]:
             task.join()
         return offsets
 
--- a/yardspindle/steward/release.py
+++ b/yardspindle/steward/release.py
@@ -52,8 +52,8 @@
 
     def _run_once(self, fence: int) -> None:
         now_us = self._world.now_us()
-        units = self._keys.read(self._follower.view.rows)
-        steps = self._next_steps(units, now_us, now_us - self._follower.current_us, fence)
+        view = self._keys.read(self._follower.view.rows)
+        steps = self._next_steps(view, now_us, now_us - self._follower.current_us, fence)
         if any(isinstance(step, release_plan.GrantPermit) for step in steps):
             # The watch may lag: before a permit is granted, the store is read and the steps are computed again.
             try:
@@ -62,32 +62,32 @@
                 log.info("no permit granted: the store could not be read", reason=str(error))
                 return
             read_us = now_us
-            units, now_us = self._keys.read({row.key: row for row in rows}), self._world.now_us()
-            steps = self._next_steps(units, now_us, now_us - read_us, fence)
+            view, now_us = self._keys.read({row.key: row for row in rows}), self._world.now_us()
+            steps = self._next_steps(view, now_us, now_us - read_us, fence)
         for step in steps:
-            self._write_step(now_us, fence, units, step)
+            self._write_step(now_us, fence, view, step)
 
-    def _next_steps(self, units: ReleaseView, now_us: int, age_us: int, fence: int) -> list[release_plan.Step]:
-        fleet = units.snapshot(self._limits, age_us)
-        release = units.release
+    def _next_steps(self, view: ReleaseView, now_us: int, age_us: int, fence: int) -> list[release_plan.Step]:
+        fleet = view.snapshot(self._limits, age_us)
+        release = view.release
         if release is not None and now_us - self._window_us >= WINDOW_US:
             self._window_us = now_us
-            release = self._add_window(units, release)
+            release = self._add_window(view, release)
         steps: list[release_plan.Step] = []
         if release is not None:
-            steps = release_plan.next_steps(release, fleet, units.orders, now_us, fence, self._name)
-            if release is not units.release and not any(isinstance(step, release_plan.UpdateRelease) for step in steps):
+            steps = release_plan.next_steps(release, fleet, view.orders, now_us, fence, self._name)
+            if release is not view.release and not any(isinstance(step, release_plan.UpdateRelease) for step in steps):
                 steps.append(release_plan.UpdateRelease(release))
         if not any(isinstance(step, release_plan.GrantPermit) for step in steps):
-            steps += drain_request_steps(units, fleet, now_us, fence, self._name)
+            steps += drain_request_steps(view, fleet, now_us, fence, self._name)
         return steps
 
-    def _write_step(self, now_us: int, fence: int, units: ReleaseView, step: release_plan.Step) -> None:
+    def _write_step(self, now_us: int, fence: int, view: ReleaseView, step: release_plan.Step) -> None:
         """Writes one step. The store rejects later steps based on the same rows; they are then decided again."""
         txn: Txn
         match step:
             case release_plan.GrantPermit():
-                txn = self._keys.grant_permit(fence, units, step)
+                txn = self._keys.grant_permit(fence, view, step)
                 log.info(
                     "granting permit",
                     unit=step.unit,
@@ -97,31 +97,31 @@
                     fence=fence,
                 )
             case release_plan.ClosePermit(unit):
-                txn = self._keys.close_permit(fence, units, unit)
+                txn = self._keys.close_permit(fence, view, unit)
                 log.info("closing permit", unit=unit, fence=fence)
             case release_plan.UpdateRelease(release):
-                previous_phase = units.release.phase if units.release is not None else ""
+                previous_phase = view.release.phase if view.release is not None else ""
                 entry = None
                 if release.phase != previous_phase:
                     entry = AuditEntry(now_us, self._name, f"release {release.id}: {release.phase}", release.why)
                     log.warning("changing release phase", id=release.id, phase=release.phase, why=release.why)
-                txn = self._keys.update_release(fence, units, release, entry)
+                txn = self._keys.update_release(fence, view, release, entry)
         try:
             self._store.txn(txn)
         except StoreError as error:  # the view will show whether it was done
             log.warning("release step was not answered", reason=str(error))
 
-    def _add_window(self, units: ReleaseView, release: release_plan.Release) -> release_plan.Release:
+    def _add_window(self, view: ReleaseView, release: release_plan.Release) -> release_plan.Release:
         """Adds a window of request counts, of released units and of all others, to the release's test."""
         totals = {True: [0, 0], False: [0, 0]}
-        for unit, status in units.statuses.items():
+        for unit, status in view.statuses.items():
             previous = self._previous.get(unit)
             if previous is None or previous.epoch != status.epoch:
                 continue  # restarted during the window; it counts from the next one
             total = totals[status.version == release.version]
             total[0] += max(status.served + status.bad - previous.served - previous.bad, 0)
             total[1] += max(status.bad - previous.bad, 0)
-        self._previous = dict(units.statuses)
+        self._previous = dict(view.statuses)
         if release.phase != "running":
             return release
         test = add_window(release.trial, OutcomeCounts(*totals[True]), OutcomeCounts(*totals[False]))
--- a/yardspindle/steward/sweep.py
+++ b/yardspindle/steward/sweep.py
@@ -66,7 +66,7 @@
                 for epoch, member in self._epochs.due_probes(now_us):
                     if epoch not in self._probing:
                         self._probing.add(epoch)
-                        tasks.append(self._world.spawn("ask a page", self._probe, epoch, member))
+                        tasks.append(self._world.spawn("probe a page", self._probe, epoch, member))
                 # The first sweep runs even if no edge is dead: once engines see its fence, they reject earlier owners.
                 if (
                     not self._swept_us
@@ -79,7 +79,7 @@
                             self._busy.add(server.name)
                             tasks.append(self._world.spawn("sweep an engine", self._sweep_engine, server))
                 for epoch in self._epochs.expired(now_us):
-                    tasks.append(self._world.spawn("forget an epoch", self._delete_epoch, epoch))
+                    tasks.append(self._world.spawn("delete an epoch", self._delete_epoch, epoch))
                 tasks = [task for task in tasks if not task.done]
                 self._world.sleep_until(now_us + POLL_US)
         finally:
