--- a/benchmarks/first_token.py
+++ b/benchmarks/first_token.py
@@ -21,10 +21,10 @@
 
 from yardspindle.core.config import parse
 from yardspindle.edge.app import Edge
-from yardspindle.lab.engine import Engine
+from yardspindle.lab.engine import StandInEngine
 from yardspindle.lab.engine_settings import EngineSettings
-from yardspindle.lab.fleet import Box, server_list, to_toml
-from yardspindle.lab.load import LoadReport, Traffic, paired, run_load
+from yardspindle.lab.fleet import EngineInstance, server_list, to_toml
+from yardspindle.lab.load import LoadReport, Traffic, compare_runs, run_load
 from yardspindle.planner.app import Planner
 from yardspindle.runtime.virtual import Simulation
 
@@ -54,8 +54,8 @@
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
     kind, readers, mode = job
     sim = Simulation(1)
-    boxes: list[Box] = []
-    engines: list[Engine] = []
+    boxes: list[EngineInstance] = []
+    engines: list[StandInEngine] = []
     counts = {"tokens": 0, "kept": 0}
 
     def seen(_path: str, data: bytes) -> None:
@@ -82,11 +82,11 @@
                 },
                 EngineSettings,
             )
-            engine = Engine(sim.program(name), settings)
+            engine = StandInEngine(sim.program(name), settings)
             _, port = engine.start(HOST, 0)
             engines.append(engine)
             boxes.append(
-                Box(
+                EngineInstance(
                     settings,
                     0,
                     "reader" if role == "read" else "writer",
@@ -132,7 +132,7 @@
 
     report = sim.run("case", program)
     assert not sim.crashes, sim.crashes[:1]
-    return job, report.first_us, report.outcomes, counts["kept"] / max(counts["tokens"], 1)
+    return job, report.first_token_us, report.outcomes, counts["kept"] / max(counts["tokens"], 1)
 
 
 @click.command()
@@ -142,7 +142,7 @@
     cases = [(kind, readers, mode) for readers in sorted(SECONDS, reverse=True) for kind in KINDS for mode in MODES]
     with multiprocessing.get_context("spawn").Pool(jobs) as pool:
         results = {
-            case: (LoadReport(outcomes=outcomes, first_us=first_us), hits)
+            case: (LoadReport(outcomes=outcomes, first_token_us=first_us), hits)
             for case, first_us, outcomes, hits in pool.imap_unordered(play, cases)
         }
     for readers in sorted(SECONDS):
@@ -150,14 +150,14 @@
             off = results[(kind, readers, "off")][0]
             for mode in MODES:
                 report, hits = results[(kind, readers, mode)]
-                ordered = sorted(report.first_us.values())
+                ordered = sorted(report.first_token_us.values())
                 times = "  ".join(f"p{at} {ordered[len(ordered) * at // 100] / 1_000:6.1f}" for at in (50, 90, 99))
                 click.echo(
                     f"{readers:3} readers  {kind:7} {mode:7} hits {hits:.3f}  first token, virtual ms: {times}  "
                     f"{dict(sorted(report.outcomes.items()))}"
                 )
                 if mode != "off":
-                    click.echo(f"{'':14}against off: {paired(off, report, 1)}")
+                    click.echo(f"{'':14}against off: {compare_runs(off, report, 1)}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -17,11 +17,11 @@
 
 from yardspindle.core.config import parse
 from yardspindle.core.fleet.sweep import epoch_of
-from yardspindle.fleet.membership import join
-from yardspindle.fleet.store.open import open_store
+from yardspindle.fleet.membership import join_fleet
+from yardspindle.fleet.store.factory import open_store
 from yardspindle.lab.etcd import EtcdStandIn
 from yardspindle.lab.fleet import to_toml
-from yardspindle.lab.fleet_worlds import FleetFault, FleetScript, FleetWorld
+from yardspindle.lab.fleet_simulation import FleetFault, FleetScript, FleetSimulation
 from yardspindle.runtime.virtual import Simulation
 from yardspindle.steward.app import Steward
 
@@ -37,7 +37,7 @@
         self.sim = Simulation(seed)
         self.etcd = EtcdStandIn(self.sim.program("store"))
         self.calls: Counter[str] = Counter()
-        self.etcd.note = lambda event, **more: self.calls.update([str(more.get("path", event))])  # type: ignore
+        self.etcd.record = lambda event, **more: self.calls.update([str(more.get("path", event))])  # type: ignore
         self.stewards: dict[str, Steward] = {}
         self.names = [f"s{n}" for n in range(stewards)]
         self.cells, self.members = cells, members
@@ -72,7 +72,7 @@
             self.stewards[name].start()
         for n in range(self.members):
             world = self.sim.program(f"m{n}")
-            world.spawn("join", join, world, config(f"m{n}").fleet, "edge", f"m{n}", f"epoch{n}", "z", "bench")
+            world.spawn("join", join_fleet, world, config(f"m{n}").fleet, "edge", f"m{n}", f"epoch{n}", "z", "bench")
 
     def owner(self, duty: str) -> str | None:
         for name, steward in self.stewards.items():
@@ -120,7 +120,7 @@
                 world.spawn("leave", bench.stewards[name].shut_down)
                 bench.until(lambda: bench.owner("sweep/0") is None, 200)
             case "lease ended":
-                bench.etcd.command("expire")
+                bench.etcd.inject_fault("expire")
                 bench.until(lambda: bench.owner("sweep/0") is None, 200)
         gap = bench.until(lambda: bench.owner("sweep/0") is not None, 500)
 
@@ -146,7 +146,7 @@
 
 def last_hold(seed: int, stewards: bool) -> int | None:
     """Microseconds from an edge's death to its last hold let go of; None when nothing was held."""
-    world = FleetWorld(FleetScript(seed, (), tuple(range(0, 3_000, 120))))
+    world = FleetSimulation(FleetScript(seed, (), tuple(range(0, 3_000, 120))))
     took: int | None = None
 
     def trouble() -> None:
@@ -155,29 +155,29 @@
         if not stewards:
             for name in ("s0", "s1", "s2"):
                 sim.programs[name].kill()
-        world._happens(FleetFault("dies holding", "edge0", "", 0, 0))
-        epoch, died = world.edges["edge0"].unique, sim.now_us()
-        if any(epoch_of(hold) == epoch for hold in world.holds()):
-            while any(epoch_of(hold) == epoch for hold in world.holds()):
+        world._apply_fault(FleetFault("dies holding", "edge0", "", 0, 0))
+        epoch, died = world.edges["edge0"].instance_id, sim.now_us()
+        if any(epoch_of(hold) == epoch for hold in world.held_ids()):
+            while any(epoch_of(hold) == epoch for hold in world.held_ids()):
                 sim.scheduler.sleep_until(sim.now_us() + 5_000)
             took = sim.now_us() - died
 
-    real = world._fault
-    world._fault = lambda fault, started: trouble() if fault.kind == "bench" else real(fault, started)  # type: ignore
+    real = world._run_fault
+    world._run_fault = lambda fault, started: trouble() if fault.kind == "bench" else real(fault, started)  # type: ignore
     world.script = FleetScript(seed, (FleetFault("bench", "edge0", "", 500, 0),), world.script.requests)
-    world._settled = lambda: None  # type: ignore[method-assign]
-    for box in world.boxes.values():
+    world._check_settled = lambda: None  # type: ignore[method-assign]
+    for box in world.instances.values():
         box.settings = box.settings
-    world.play()
+    world.run()
     return took
 
 
 def served(store: bool, seed: int) -> Counter[str]:
     """How the same requests end, with the store there or away all along."""
     faults = () if store else (FleetFault("no leader", "store", "", 0, 14_000),)
-    world = FleetWorld(FleetScript(seed, faults, tuple(range(200, 12_000, 100))))
-    world._settled = lambda: None  # type: ignore[method-assign]
-    world.play()
+    world = FleetSimulation(FleetScript(seed, faults, tuple(range(200, 12_000, 100))))
+    world._check_settled = lambda: None  # type: ignore[method-assign]
+    world.run()
     counts: Counter[str] = Counter()
     for edge in world.edges.values():
         tally = edge.core.lifecycle.counts
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -25,12 +25,12 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from tests.fleet_thread import FleetThread
-from yardspindle.cli.common import set_up_logs
+from yardspindle.cli.common import configure_logging
 from yardspindle.core.config import LogConfig
 from yardspindle.engine.http_client import HttpClient
 from yardspindle.engine.vllm import READ_PARAMS
 from yardspindle.lab.engine_settings import EngineSettings
-from yardspindle.lab.fleet import Box, Dispatcher, Fleet
+from yardspindle.lab.fleet import Dispatcher, EngineInstance, LocalFleet
 from yardspindle.protocol import http1
 from yardspindle.protocol.sse import SseParser
 from yardspindle.runtime import real
@@ -111,7 +111,7 @@
     return total
 
 
-def measure(world: RealWorld, fleet: Fleet, both: Box) -> None:
+def measure(world: RealWorld, fleet: LocalFleet, both: EngineInstance) -> None:
     http = HttpClient(world, 1_000_000, 4_000_000)
     here = str(Path(__file__))
     bare = Child(world, "relay", [sys.executable, here, "--relay", str(both.port)], fleet.path("relay.log"))
@@ -148,9 +148,9 @@
         bare.stop(2_000_000)
 
 
-def first_tokens(world: RealWorld, fleet: Fleet, http: HttpClient, address: tuple[str, int]) -> None:
-    reader = next(box for box in fleet.boxes if box.kind == "reader")
-    writer = next(box for box in fleet.boxes if box.kind == "writer")
+def first_tokens(world: RealWorld, fleet: LocalFleet, http: HttpClient, address: tuple[str, int]) -> None:
+    reader = next(box for box in fleet.engines if box.kind == "reader")
+    writer = next(box for box in fleet.engines if box.kind == "writer")
     ours, straight = [], []
     for number in range(100):
         started = world.now_us()
@@ -248,13 +248,13 @@
 @click.command()
 @click.option("--relay", "relay_to", type=int, hidden=True)
 def main(relay_to: int | None) -> None:
-    set_up_logs(LogConfig(level="error"))
+    configure_logging(LogConfig(level="error"))
     world = RealWorld()
     if relay_to is not None:
         world.run("relay", relay, world, ("127.0.0.1", relay_to))
         return
     boxes = [
-        Box(
+        EngineInstance(
             EngineSettings(
                 name=name,
                 role=role,  # type: ignore[arg-type]
@@ -270,7 +270,7 @@
     ]
     boxes[2].listed = False  # the bare loop's own engine: it reads and writes
     config = {"log": {"level": "warning"}, "edge": {"stalled_client_ms": 60_000.0}}
-    fleet = Fleet(world, config, boxes, [Dispatcher(0)])
+    fleet = LocalFleet(world, config, boxes, [Dispatcher(0)])
 
     def program() -> None:
         try:
--- a/benchmarks/prefix_hits.py
+++ b/benchmarks/prefix_hits.py
@@ -142,8 +142,8 @@
                     continue
                 reader = boxes[action.server - 1]
                 packed = pack_tokens(tokens)
-                cached = reader.cache.found(list(blocks.hashes)) * SIZE
-                reader.cache.keep(list(blocks.hashes), packed)
+                cached = reader.cache.cached_prefix_blocks(list(blocks.hashes)) * SIZE
+                reader.cache.insert(list(blocks.hashes), packed)
                 started = max(now_us, reader.free_us)
                 reader.free_us = started + int((len(tokens) - cached) / TOKENS_PER_S * 1e6)
                 tally.asked += len(tokens)
@@ -157,7 +157,7 @@
             number += 1
             router = rng.randrange(ROUTERS)
             text, session, tokens, shared = prompt(rng, kind, now_us / 1e6, sessions, seconds)
-            blocks = PromptBlocks(boxes[0].cache.hashes(pack_tokens(tokens)), len(tokens))
+            blocks = PromptBlocks(boxes[0].cache.prompt_hashes(pack_tokens(tokens)), len(tokens))
             knowledge = known[router]
             if mode == "events":
                 for n, reader in enumerate(boxes):
@@ -166,7 +166,7 @@
                     heard[router][n] = len(reader.sent)
             if mode == "oracle":
                 told = {
-                    name: float(box.cache.found(list(blocks.hashes)) * SIZE)
+                    name: float(box.cache.cached_prefix_blocks(list(blocks.hashes)) * SIZE)
                     for name, box in zip(names, boxes, strict=True)
                 }
             elif mode == "neither":
--- a/tests/crossing_clients.py
+++ b/tests/crossing_clients.py
@@ -70,7 +70,7 @@
         connection: Connection | None = None
         for ask in asks:
             self.platform.clients.sleep_until(began_us + ask.at_us)
-            if connection is not None and (ask.new or not connection.stream.quiet()):
+            if connection is not None and (ask.new or not connection.stream.is_idle()):
                 connection.stream.close()
                 connection = None
             connection = self.ask(ask, connection)
@@ -143,7 +143,7 @@
     def read(self, row: Asked, connection: Connection) -> bool:
         """The answer, piece by piece; whether the connection can be used again. Raises StreamError."""
         parser = connection.parser
-        parser.expects(b"POST")
+        parser.expect_response(b"POST")
         limit_us, keep = row.sent_us + row.deadline_us + PATIENCE_US, False
         with contextlib.suppress(DeadlineExceeded), self.platform.clients.deadline(limit_us):
             keep = self.head(row, connection)
--- a/tests/crossing_events.py
+++ b/tests/crossing_events.py
@@ -80,7 +80,7 @@
 
     def hang(self, hosts: list[CrossingHost], lasting_us: int) -> None:
         """New connections to these hosts do not come up for a while."""
-        ways = [self.world.sim.network.way("node", host.name) for host in hosts]
+        ways = [self.world.sim.network.path("node", host.name) for host in hosts]
         for way in ways:
             way.hanging += 1
         self.platform.sleep(lasting_us)
@@ -97,7 +97,7 @@
             network.cut(*way)
         self.platform.clients.sleep_until(cut[-1][1])
         for way in ways:
-            network.join(*way)
+            network.restore(*way)
 
     def restart(self, host: CrossingHost, later_us: int) -> None:
         """A host's process dies with all that it held; another comes up in its place, cold."""
--- a/tests/crossing_hosts.py
+++ b/tests/crossing_hosts.py
@@ -263,7 +263,7 @@
         put_off_us = self.platform.steps.before(step, number, self)
         if put_off_us:
             self.wait(to, put_off_us)
-        if not to.quiet():
+        if not to.is_idle():
             raise Over
 
     def made(self, step: str, number: bytes) -> None:
--- a/tests/crossing_planted.py
+++ b/tests/crossing_planted.py
@@ -124,8 +124,8 @@
     ),
     "a kept connection is not looked at": Planted(
         (
-            (HttpClient, "_take_idle", "elif connection.stream.quiet():", "elif True:"),
-            (HttpClient, "request", "if connection.stream.quiet():", "if True:"),
+            (HttpClient, "_take_idle", "elif connection.stream.is_idle():", "elif True:"),
+            (HttpClient, "request", "if connection.stream.is_idle():", "if True:"),
         ),
         "no host made",
         704,
--- a/tests/crossing_worlds.py
+++ b/tests/crossing_worlds.py
@@ -62,7 +62,7 @@
         self.platform = CrossingPlatform(self.sim, self.ledger, self, self.plan.flavors, self.plan.conn_idle_us)
         if self.sim.random("ways").random() < UNEVEN_PART:
             for name in self.platform.hosts:
-                self.sim.network.way("node", name).latency_us = UNEVEN_US
+                self.sim.network.path("node", name).latency_us = UNEVEN_US
         self.events = Events(self)
         self.clients = CrossingClients(self)
 
--- a/tests/fleet_thread.py
+++ b/tests/fleet_thread.py
@@ -11,7 +11,7 @@
 
 from yardspindle.core.config import Config, parse
 from yardspindle.edge.app import Edge
-from yardspindle.lab.engine import Engine
+from yardspindle.lab.engine import StandInEngine
 from yardspindle.lab.engine_settings import EngineSettings
 from yardspindle.lab.fleet import to_toml
 from yardspindle.planner.app import Planner
@@ -36,7 +36,7 @@
         folder: Path,
         config: dict[str, Any] | None = None,
         boxes: tuple[EngineSettings, ...] | None = None,
-        engine_type: type[Engine] = Engine,
+        engine_type: type[StandInEngine] = StandInEngine,
     ) -> None:
         self.folder = folder
         self.engine_type = engine_type
@@ -48,7 +48,7 @@
             "planner": {**base.get("planner", {}), "servers": str(folder / "servers.toml"), "listen": "127.0.0.1:0"},
         }
         self.world = RealWorld(seed=7)
-        self.engines: list[Engine] = []
+        self.engines: list[StandInEngine] = []
         self.states: dict[str, str] = {}
         self._calls: list[tuple[Callable[[], Any], list[Any], threading.Event]] = []
         self._ready, self._stop = threading.Event(), threading.Event()
@@ -121,16 +121,16 @@
         self.states |= states
         rows = [f"count = {len(self.engines)}"]
         for engine in self.engines:
-            kind = {"read": "reader", "write": "writer"}[engine.set.role]
+            kind = {"read": "reader", "write": "writer"}[engine.settings.role]
             rows += [
                 "[[servers]]",
-                f'name = "{engine.set.name}"',
+                f'name = "{engine.settings.name}"',
                 f'address = "127.0.0.1:{engine.port}"',
                 f'kind = "{kind}"',
-                f'state = "{self.states.get(engine.set.name, "serving")}"',
-                f"places = {str(engine.set.places).lower()}",
+                f'state = "{self.states.get(engine.settings.name, "serving")}"',
+                f"places = {str(engine.settings.places).lower()}",
             ]
-            if engine.set.events:
+            if engine.settings.events:
                 rows += [f'events = "127.0.0.1:{engine.events_port}"', f'replay = "127.0.0.1:{engine.replay_port}"']
         (self.folder / "servers.toml").write_text("\n".join(rows))
 
@@ -153,7 +153,7 @@
         assert self.call(wait)
 
     def control(self, name: str, do: str, factor: float = 1.0) -> None:
-        port = next(engine.port for engine in self.engines if engine.set.name == name)
+        port = next(engine.port for engine in self.engines if engine.settings.name == name)
         connection = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
         connection.request(
             "POST", "/v1/lab/control", json.dumps({"do": do, "factor": factor}), {"content-type": "application/json"}
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -34,9 +34,9 @@
 from yardspindle.edge.executor import Executor
 from yardspindle.edge.planner_link import PlannerLink
 from yardspindle.engine import http_client, vllm
-from yardspindle.fleet import file as file_source
+from yardspindle.fleet import server_list_file as file_source
 from yardspindle.lab.script import draw_script
-from yardspindle.lab.worlds import play
+from yardspindle.lab.traffic_simulation import run_script
 from yardspindle.link import frames
 from yardspindle.protocol.sse import SseParser
 from yardspindle.runtime import scheduler
@@ -151,7 +151,9 @@
 def _ending(change: Callable[[Any, Any], Any]) -> None:
     """Change how the end of an attempt is taken."""
     swap(
-        Executor, "_ended", lambda real: lambda self, run, command, ended: real(self, run, command, change(run, ended))
+        Executor,
+        "_attempt_ended",
+        lambda real: lambda self, run, command, ended: real(self, run, command, change(run, ended)),
     )
 
 
@@ -280,7 +282,7 @@
 
 @plant
 def connection_kept_after_half_a_response() -> None:
-    swap(http_client.Response, "close", lambda _: lambda self: self.client.keep(self.key, self.connection))
+    swap(http_client.Response, "close", lambda _: lambda self: self.client.put_idle(self.key, self.connection))
 
 
 @plant
@@ -325,7 +327,7 @@
 
 @plant
 def hang_up_not_noticed() -> None:
-    swap(Edge, "_gone", lambda _: lambda self, run: None)
+    swap(Edge, "_client_disconnected", lambda _: lambda self, run: None)
 
 
 @plant
@@ -342,14 +344,14 @@
 def events_of_the_last_link_sent_on_the_next() -> None:
     def make(real: Any) -> Any:
         def session(self: PlannerLink, stream: Any) -> Any:
-            kept = list(self._pending)
+            kept = list(self._pending_events)
             result = real(self, stream)
-            self._pending[:0] = kept
+            self._pending_events[:0] = kept
             return result
 
         return session
 
-    swap(PlannerLink, "_session", make)
+    swap(PlannerLink, "_run_session", make)
 
 
 @plant
@@ -357,8 +359,8 @@
     def make(real: Any) -> Any:
         def init(self: Edge, world: Any, config: Any) -> None:
             real(self, world, config)
-            self.unique = f"{config.edge.number:012x}"
-            self.executor._engines = vllm.EngineClient(self.http, self.unique)
+            self.instance_id = f"{config.edge.number:012x}"
+            self.executor._engines = vllm.EngineClient(self.http_client, self.instance_id)
 
         return init
 
@@ -388,7 +390,7 @@
     PLANTED[name]()
     for seed in range(seeds):
         try:
-            outcome = play(draw_script(seed))
+            outcome = run_script(draw_script(seed))
         except Exception as error:
             return name, seed + 1, f"the run itself failed: {type(error).__name__}: {error}"
         if outcome.breaks:
--- a/tests/planted_fleet.py
+++ b/tests/planted_fleet.py
@@ -12,8 +12,8 @@
 from yardspindle.core.fleet.kv import Txn
 from yardspindle.core.fleet.members import FleetKeys
 from yardspindle.core.fleet.sweep import EndedEpochs, ProbeResult
-from yardspindle.fleet.store.gateway import Gateway
-from yardspindle.lab.engine_holds import Holds
+from yardspindle.fleet.store.etcd import EtcdStore
+from yardspindle.lab.engine_holds import HoldRegistry
 from yardspindle.steward import app, sweep
 
 PLANTS: dict[str, Callable[[], None]] = {}
@@ -76,7 +76,7 @@
 
 @plant
 def an_engine_forgets_its_fences() -> None:
-    _swap(Holds, "_known_fences", lambda real: lambda self: {})
+    _swap(HoldRegistry, "_known_fences", lambda real: lambda self: {})
 
 
 @plant
@@ -114,7 +114,7 @@
 
 @plant
 def a_store_that_went_back_is_used() -> None:
-    _swap(Gateway, "_check", lambda real: lambda self, before, header: None)
+    _swap(EtcdStore, "_check_header", lambda real: lambda self, before, header: None)
     _swap(
         ownership,
         "step",
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -266,7 +266,7 @@
 def answer(world: VirtualWorld, stream: Stream, began: int) -> Answer:
     """Read one answer to its end, or to the connection's."""
     parser = http1.ResponseParser()
-    parser.expects(b"POST")
+    parser.expect_response(b"POST")
     head, body = None, b""
     try:
         while True:
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -107,8 +107,8 @@
         secret = "the tank behind the red barn"
         script = (
             "import sys\nfrom pathlib import Path\nfrom tests.fleet_thread import FleetThread\n"
-            "from yardspindle.cli.common import set_up_logs\nfrom yardspindle.core.config import LogConfig\n"
-            "set_up_logs(LogConfig(level='debug'))\nimport urllib.request, json\n"
+            "from yardspindle.cli.common import configure_logging\nfrom yardspindle.core.config import LogConfig\n"
+            "configure_logging(LogConfig(level='debug'))\nimport urllib.request, json\n"
             f"with FleetThread(Path({folder!r})) as fleet:\n"
             "    body = json.dumps({'model': 'yardspindle-demo', 'max_tokens': 2, 'messages': "
             f"[{{'role': 'user', 'content': {secret!r}}}]}}).encode()\n"
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -424,16 +424,16 @@
     sent: list[frames.Frame] = [
         frames.Hello(1, 0, 1, "z", 5, "h"),
         frames.Servers(3, [server()]),
-        frames.Events(1, 9, [frames.mirror(event) for event in events]),
-        frames.Actions(1, [frames.mirror(action) for action in actions]),
+        frames.Events(1, 9, [frames.to_wire(event) for event in events]),
+        frames.Actions(1, [frames.to_wire(action) for action in actions]),
     ]
     data = b"".join(frames.encode(frame) for frame in sent)
     points = sorted({point % (len(data) + 1) for point in cuts})
     reader = frames.FrameReader()
     got = [frame for a, b in zip([0, *points], [*points, len(data)], strict=True) for frame in reader.feed(data[a:b])]
     assert isinstance(got[1], frames.Servers) and got[1].servers == [server()]
-    assert isinstance(got[2], frames.Events) and [frames.original(event) for event in got[2].events] == events
-    assert isinstance(got[3], frames.Actions) and [frames.original(action) for action in got[3].actions] == actions
+    assert isinstance(got[2], frames.Events) and [frames.from_wire(event) for event in got[2].events] == events
+    assert isinstance(got[3], frames.Actions) and [frames.from_wire(action) for action in got[3].actions] == actions
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crossings_descriptors.py
+++ b/tests/test_crossings_descriptors.py
@@ -13,7 +13,7 @@
 from tests.test_node import play
 from yardspindle.core.hosts.resource_budget import MIN_SOCKETS
 from yardspindle.node.app import Node
-from yardspindle.runtime.world import NoDescriptor
+from yardspindle.runtime.world import DescriptorsExhausted
 
 LOOK_S = 0.5  # for so long the processor time of a program that cannot accept is looked at
 BUSY_MOST = 0.3  # of it; one that spins uses all
@@ -96,7 +96,7 @@
 def test_a_connection_for_which_no_descriptor_is_left_ejects_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
     def main(platform: Platform, node: Node) -> Any:
         def none(*_: Any) -> None:
-            raise NoDescriptor("Too many open files")
+            raise DescriptorsExhausted("Too many open files")
 
         with monkeypatch.context() as patch:
             patch.setattr(node.world, "connect", none)
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -12,15 +12,15 @@
 import pytest
 
 from yardspindle.core.config import ConfigError
-from yardspindle.lab.audit import Figures, Line, audit
-from yardspindle.lab.day import load_day, read_lines
+from yardspindle.lab.audit import AuditLimits, JournalLine, audit_journals
+from yardspindle.lab.day import load_day, read_journal
 
 ROOT = Path(__file__).parent.parent
-FIGURES = Figures(unsafe=("order",))
+FIGURES = AuditLimits(unsafe=("order",))
 
 
 @pytest.fixture(scope="module")
-def journals(tmp_path_factory: pytest.TempPathFactory) -> tuple[list[Line], list[Line]]:
+def journals(tmp_path_factory: pytest.TempPathFactory) -> tuple[list[JournalLine], list[JournalLine]]:
     folder = tmp_path_factory.mktemp("day")
     done = subprocess.run(
         [sys.executable, "-m", "yardspindle", "lab", "day", "examples/days/short.toml", "--keep", str(folder)],
@@ -32,27 +32,29 @@
     )
     assert done.returncode == 0, done.stdout + done.stderr
     assert done.stdout.endswith("rules broken: 0\n")
-    return read_lines(str(folder / "clients.jsonl")), read_lines(str(folder / "boxes.jsonl"))
+    return read_journal(str(folder / "clients.jsonl")), read_journal(str(folder / "boxes.jsonl"))
 
 
-def test_a_bad_day_breaks_no_rule_and_every_try_is_tallied(journals: tuple[list[Line], list[Line]]) -> None:
+def test_a_bad_day_breaks_no_rule_and_every_try_is_tallied(
+    journals: tuple[list[JournalLine], list[JournalLine]],
+) -> None:
     clients, boxes = journals
-    report = audit(clients, boxes, FIGURES)
-    assert report.breaks == []
+    report = audit_journals(clients, boxes, FIGURES)
+    assert report.violations == []
     tries = [line for line in clients if line["ev"] == "send"]
-    assert sum(sum(row.values()) for row in report.tally.values()) == len(tries) > 100
-    assert all(report.named[f"attempts whose box died mid-{part}"] for part in ("read", "move", "stream"))
-    assert report.tally["order"]["served"] and report.tally["enquiry"]["served"]
+    assert sum(sum(row.values()) for row in report.outcomes.values()) == len(tries) > 100
+    assert all(report.counts[f"attempts whose box died mid-{part}"] for part in ("read", "move", "stream"))
+    assert report.outcomes["order"]["served"] and report.outcomes["enquiry"]["served"]
     assert {"killed", "control", "start", "hold state", "hold place", "release", "fetched"} <= {
         line["ev"] for line in boxes
     }
 
 
-def first(lines: list[Line], **wanted: Any) -> Line:
+def first(lines: list[JournalLine], **wanted: Any) -> JournalLine:
     return next(line for line in lines if all(line.get(key) == value for key, value in wanted.items()))
 
 
-def served_order(clients: list[Line]) -> str:
+def served_order(clients: list[JournalLine]) -> str:
     orders = {line["try"] for line in clients if line["ev"] == "send" and line["cls"] == "order"}
     return str(
         next(
@@ -63,72 +65,72 @@
     )
 
 
-def no_final(clients: list[Line], boxes: list[Line]) -> None:
+def no_final(clients: list[JournalLine], boxes: list[JournalLine]) -> None:
     clients.remove(first(clients, ev="final", outcome="served"))
 
 
-def two_finals(clients: list[Line], boxes: list[Line]) -> None:
+def two_finals(clients: list[JournalLine], boxes: list[JournalLine]) -> None:
     clients.append(dict(first(clients, ev="final", outcome="served")))
 
 
-def late(clients: list[Line], boxes: list[Line]) -> None:
+def late(clients: list[JournalLine], boxes: list[JournalLine]) -> None:
     line = first(clients, ev="final", outcome="served")
     line["first_t"] += 9_000_000
 
 
-def something_after_the_end(clients: list[Line], boxes: list[Line]) -> None:
+def something_after_the_end(clients: list[JournalLine], boxes: list[JournalLine]) -> None:
     first(clients, ev="final", outcome="served")["extra"] = 1
 
 
-def cut_short_but_served(clients: list[Line], boxes: list[Line]) -> None:
+def cut_short_but_served(clients: list[JournalLine], boxes: list[JournalLine]) -> None:
     line = next(
         line for line in clients if line["ev"] == "final" and line["outcome"] == "served" and line["events"] > 2
     )
     line["events"] -= 1
 
 
-def ran_twice(clients: list[Line], boxes: list[Line]) -> None:
+def ran_twice(clients: list[JournalLine], boxes: list[JournalLine]) -> None:
     line = dict(first(boxes, ev="run", lab=served_order(clients)))
     boxes.append({**line, "t": line["t"] + 10, "box": "other", "id": line["id"] + "9"})
 
 
-def ran_and_refused(clients: list[Line], boxes: list[Line]) -> None:
+def ran_and_refused(clients: list[JournalLine], boxes: list[JournalLine]) -> None:
     name = served_order(clients)
     first(clients, ev="final", **{"try": name})["outcome"] = "refused"
 
 
-def broke_off_and_served(clients: list[Line], boxes: list[Line]) -> None:
+def broke_off_and_served(clients: list[JournalLine], boxes: list[JournalLine]) -> None:
     run = first(boxes, ev="run", lab=served_order(clients))
     first(boxes, ev="end", id=run["id"])["how"] = "reset"
 
 
-def sent_to_a_drained_box(clients: list[Line], boxes: list[Line]) -> None:
+def sent_to_a_drained_box(clients: list[JournalLine], boxes: list[JournalLine]) -> None:
     told = first(boxes, ev="control", do="listed_draining")
     boxes.append({"t": told["t"] + 1_500_000, "box": told["box"], "ev": "arrive", "id": "x-1.0", "stage": "read"})
 
 
-def fell_over(clients: list[Line], boxes: list[Line]) -> None:
+def fell_over(clients: list[JournalLine], boxes: list[JournalLine]) -> None:
     boxes.append({"t": boxes[-1]["t"], "box": "writer0-1", "ev": "fell", "id": "x"})
 
 
-def state_never_let_go(clients: list[Line], boxes: list[Line]) -> None:
+def state_never_let_go(clients: list[JournalLine], boxes: list[JournalLine]) -> None:
     troubled = {line["box"] for line in boxes if line["ev"] in ("killed", "control", "blind")}  # may be excused
     boxes.remove(next(line for line in boxes if line["ev"] == "fetched" and line["box"] not in troubled))
 
 
-def place_let_go_late(clients: list[Line], boxes: list[Line]) -> None:
+def place_let_go_late(clients: list[JournalLine], boxes: list[JournalLine]) -> None:
     line = first(boxes, ev="take place")
     line["t"] = max(other["t"] for other in boxes)
     boxes.remove(line)
     boxes.append(line)
 
 
-def lapsed(clients: list[Line], boxes: list[Line]) -> None:
+def lapsed(clients: list[JournalLine], boxes: list[JournalLine]) -> None:
     line = dict(first(boxes, ev="release"))
     boxes.append({**line, "box": "writer0-1", "ev": "expire"})
 
 
-Fault = Callable[[list[Line], list[Line]], None]
+Fault = Callable[[list[JournalLine], list[JournalLine]], None]
 
 
 @pytest.mark.parametrize(
@@ -150,11 +152,11 @@
     ],
 )
 def test_the_audit_finds_each_rule_broken_on_purpose(
-    journals: tuple[list[Line], list[Line]], fault: Fault, rule: str
+    journals: tuple[list[JournalLine], list[JournalLine]], fault: Fault, rule: str
 ) -> None:
     clients, boxes = copy.deepcopy(journals)
     fault(clients, boxes)
-    assert rule in {name for name, _ in audit(clients, boxes, FIGURES).breaks}
+    assert rule in {name for name, _ in audit_journals(clients, boxes, FIGURES).violations}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_engine_client.py
+++ b/tests/test_engine_client.py
@@ -11,7 +11,7 @@
 
 from yardspindle.core.hosts.directory import Server
 from yardspindle.core.request.retry_safety import PROVES_NOT_RUN, may_have_run
-from yardspindle.edge.executor import Running
+from yardspindle.edge.executor import RunningRequest
 from yardspindle.engine.http_client import ExchangeBroken, HttpClient, NotSent
 from yardspindle.engine.vllm import AnswerStream, AttemptResult, EngineClient, read_body, write_body
 from yardspindle.interface import Role, State, Status
@@ -174,11 +174,11 @@
         world.connect("127.0.0.1", full.port, world.now_us() + 600_000_000)  # none comes up any more
         task, ended = world.current(), []
         for port in (full.port, peer.listener.port):
-            run: Any = Running.__new__(Running)
-            run.written = False
+            run: Any = RunningRequest.__new__(RunningRequest)
+            run.attempt_written = False
 
             def written(run: Any = run) -> None:
-                run.now_written()
+                run.mark_written()
                 world.call_at(world.now_us(), lambda: world.scheduler.interrupt(task, DeadlineExceeded()))
 
             server = Server(1, "peer", "127.0.0.1", port, role, State.SERVING, False)
@@ -190,7 +190,7 @@
                     engines.read(server, 1, 0, b"{}", written)
                 else:
                     engines.write(server, 1, 0, b"{}", None, written)
-            ended.append(run.timed_out().status)
+            ended.append(run.timeout_result().status)
         return ended
 
     def silent(stream: Stream, number: int) -> None:
@@ -233,7 +233,7 @@
             assert engines.read(server, number, 0, b"{}").status is Status.READ
             if number == 1:
                 kept = next(iter(engines.http._idle.values()))[0]
-                far[-1].finish()  # it closes the idle connection
+                far[-1].send_eof()  # it closes the idle connection
                 kept.stream.wait_input()
         return peer.connections, engines.http.counts.reused, engines.http.counts.stale
 
@@ -251,7 +251,7 @@
 
         def ready() -> http1.Headers:
             far: Stream = accepted.join()
-            far.abort() if reset else far.finish()
+            far.abort() if reset else far.send_eof()
             world.sleep_until(world.now_us() + 1_000)
             return []
 
--- a/tests/test_fleet_worlds.py
+++ b/tests/test_fleet_worlds.py
@@ -9,13 +9,13 @@
 from yardspindle.core.fleet import duty_assignment, ownership
 from yardspindle.core.fleet.sweep import EndedEpochs, ProbeResult
 from yardspindle.fleet.store.interface import StoreError
-from yardspindle.lab.fleet_worlds import draw_fleet, play_fleet
+from yardspindle.lab.fleet_simulation import draw_fleet_script, run_fleet_script
 from yardspindle.steward.app import Steward
 
 
 def broken(first: int, count: int) -> list[str]:
     for seed in range(first, first + count):
-        breaks, _ = play_fleet(draw_fleet(seed))
+        breaks, _ = run_fleet_script(draw_fleet_script(seed))
         if breaks:
             return [f"seed {seed}", *breaks]
     return []
@@ -27,7 +27,7 @@
 
 
 def test_the_same_seed_plays_the_same_world() -> None:
-    assert play_fleet(draw_fleet(5)) == play_fleet(draw_fleet(5))
+    assert run_fleet_script(draw_fleet_script(5)) == run_fleet_script(draw_fleet_script(5))
 
 
 def _any_holder_is_me(patch: pytest.MonkeyPatch) -> None:
@@ -108,4 +108,4 @@
 def test_found_worlds_stay_clean() -> None:
     """4306: all clocks step; members whose lease was gone asked again and again without a pause."""
     for seed in (1143, 2336, 4306):
-        assert play_fleet(draw_fleet(seed))[0] == ()
+        assert run_fleet_script(draw_fleet_script(seed))[0] == ()
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -312,7 +312,7 @@
     if bodiless:
         data = data[: data.index(b"\r\n\r\n") + 4]
     parser = ResponseParser()
-    parser.expects(method)
+    parser.expect_response(method)
     got, head, ended = b"", None, False
     for part in [*cut(data, cuts), None]:
         if part is None:
@@ -349,7 +349,7 @@
 )
 def test_a_response_cut_short_is_an_error(data: bytes) -> None:
     parser = ResponseParser()
-    parser.expects(b"GET")
+    parser.expect_response(b"GET")
     parser.feed(data)
     parser.feed_eof()
     with pytest.raises(ProtocolError):
@@ -366,7 +366,7 @@
 
 def test_interim_answers_are_passed_over() -> None:
     parser = ResponseParser()
-    parser.expects(b"POST")
+    parser.expect_response(b"POST")
     parser.feed(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n")
     heads = [parser.next_event(), parser.next_event()]
     assert [head.status for head in heads if isinstance(head, http1.ResponseHead)] == [100, 204]
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -80,7 +80,7 @@
 
     def script(stream: Stream) -> None:
         stream.read()
-        sent = frames.Actions(0, [frames.mirror(i.Fail(4))])
+        sent = frames.Actions(0, [frames.to_wire(i.Fail(4))])
         stream.write(welcome(next(epochs), frames.Servers(1, []), sent))
 
     def use(planner: FakePlanner) -> list[str]:
@@ -120,7 +120,7 @@
 
 
 def test_a_planner_that_takes_no_events_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(planner_link, "PENDING_MOST", 2_000)
+    monkeypatch.setattr(planner_link, "MAX_PENDING_EVENTS", 2_000)
 
     def script(stream: Stream) -> None:
         stream.read()
@@ -135,9 +135,9 @@
         with planner.world.deadline(planner.world.now_us() + 20_000_000):
             while "down" not in planner.log:
                 for _ in range(500):
-                    planner.link.tell(i.Request(1, "chat" * 500, 1, 1.0))
+                    planner.link.send_event(i.Request(1, "chat" * 500, 1, 1.0))
                 planner.world.sleep_until(planner.world.now_us() + 1_000)
-                assert len(planner.link._pending) <= 2_000
+                assert len(planner.link._pending_events) <= 2_000
         return planner.log
 
     assert edge_side(script, use)[:2] == ["up 1", "down"]
@@ -174,10 +174,10 @@
         got = frames_until(stream, reader, frames.Servers)
         assert isinstance(got[0], frames.Welcome) and got[0].epoch == planner.epoch
         ask = i.Request(1, "chat", 9_000_000, 100.0)
-        stream.write(frames.encode(frames.Events(1, 5_000_100, [frames.mirror(ask)])))
+        stream.write(frames.encode(frames.Events(1, 5_000_100, [frames.to_wire(ask)])))
         actions = frames_until(stream, reader, frames.Actions)[-1]
         assert isinstance(actions, frames.Actions) and actions.answers == 1
-        assert [frames.original(action) for action in actions.actions] == [i.Send(1, 1), i.Ahead(1, 2)]
+        assert [frames.from_wire(action) for action in actions.actions] == [i.Send(1, 1), i.Ahead(1, 2)]
         (tmp_path / "servers.toml").write_text(LIST.replace('name = "r"', 'name = "r"\nstate = "draining"'))
         news = frames_until(stream, reader, frames.Servers)[-1]
         assert isinstance(news, frames.Servers) and news.servers[0].state is i.State.DRAINING
@@ -204,12 +204,12 @@
 
 
 def test_an_edge_that_takes_no_actions_is_cut_off(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(app, "WRITE_US", 50_000)
+    monkeypatch.setattr(app, "WRITE_TIMEOUT_US", 50_000)
 
     def use(world: RealWorld, planner: Planner, stream: Stream) -> None:
         stream.write(frames.encode(HELLO))
         frames_until(stream, frames.FrameReader(), frames.Servers)
-        many = frames.Actions(0, [frames.mirror(i.Fail(number)) for number in range(2_000)])
+        many = frames.Actions(0, [frames.to_wire(i.Fail(number)) for number in range(2_000)])
         with world.deadline(world.now_us() + 20_000_000):
             while planner.sessions:
                 planner.sessions[0].send(many)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -9,15 +9,17 @@
 import pytest
 
 from yardspindle.core.config import ConfigError
-from yardspindle.lab.load import LoadReport, Traffic, load_traffic, paired, plan
+from yardspindle.lab.load import LoadReport, Traffic, compare_runs, load_traffic, plan_traffic
 
 ROOT = Path(__file__).parent.parent
 
 
 def test_the_same_seed_draws_the_same_traffic_and_bursts_keep_the_rate() -> None:
     traffic = Traffic(seed=3, seconds=200, rate_per_s=30, arrivals="bursts")
-    drawn = plan(traffic)
-    assert drawn == plan(traffic) != plan(Traffic(seed=4, seconds=200, rate_per_s=30, arrivals="bursts"))
+    drawn = plan_traffic(traffic)
+    assert (
+        drawn == plan_traffic(traffic) != plan_traffic(Traffic(seed=4, seconds=200, rate_per_s=30, arrivals="bursts"))
+    )
     assert len(drawn) == pytest.approx(6_000, rel=0.1)
     in_bursts = sum(1 for one in drawn if one.at_us % 5_000_000 < 1_000_000)
     assert in_bursts / len(drawn) == pytest.approx(0.5, abs=0.05)
@@ -28,11 +30,11 @@
 
 def test_pairs_are_compared_request_by_request() -> None:
     a, b = LoadReport(), LoadReport()
-    a.first_us = {n: 10_000 + 100 * n for n in range(100)}
-    b.first_us = {n: 12_000 + 100 * n for n in range(90)}
-    text = paired(a, b, 1)
+    a.first_token_us = {n: 10_000 + 100 * n for n in range(100)}
+    b.first_token_us = {n: 12_000 + 100 * n for n in range(90)}
+    text = compare_runs(a, b, 1)
     assert "median +2.00 ms (95 % of resamples +2.00 to +2.00), 90 pairs; answered only by A 10" in text
-    assert paired(LoadReport(), b, 1) == "no request was answered in both"
+    assert compare_runs(LoadReport(), b, 1) == "no request was answered in both"
 
 
 def test_a_traffic_file_is_checked(tmp_path: Path) -> None:
--- a/tests/test_node_bounds.py
+++ b/tests/test_node_bounds.py
@@ -208,7 +208,7 @@
             got += len(client.read())
         (run,) = node.executor.running.values()
         assert got > 20_000 and run.exchange.body == b"" and run.stream is not None
-        assert len(run.stream._chunks.rest) + len(run.stream._unparsed) < 1_000
+        assert len(run.stream._chunks.remainder) + len(run.stream._unparsed) < 1_000
         client.close()
         at_ease(platform, node)
 
--- a/tests/test_node_cores.py
+++ b/tests/test_node_cores.py
@@ -363,7 +363,7 @@
             out.append(reader.feed(BODY[start:end]))
     assert b"".join(out) == b"hello world"
     assert all(piece in (b"", b"hello", b" world", b"hello world") for piece in out)
-    assert reader.ended and b"behind".startswith(reader.rest)
+    assert reader.ended and b"behind".startswith(reader.remainder)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -196,14 +196,14 @@
     trouble: str, down_us: int
 ) -> None:
     def main(follower: Follower, agent: Agent) -> None:
-        way = follower.sim.network.way("node", agent.world.name)
+        way = follower.sim.network.path("node", agent.world.name)
         setattr(way, trouble, 1)
         for stream in agent.streams:
             stream.abort()
         follower.world.sleep_until(follower.world.now_us() + down_us)
         agent.drain()
         if trouble == "cuts":
-            follower.sim.network.join("node", agent.world.name)
+            follower.sim.network.restore("node", agent.world.name)
         else:
             setattr(way, trouble, 0)
         assert follower.until(lambda: follower.hosts.revision == 6, 1_000_000) < 250_000
@@ -311,7 +311,7 @@
         elif trouble == "no host":
             agent.says = b'{"revision":9,"complete":true,"members":[]}'
         elif trouble == "refused":
-            follower.sim.network.way("node", agent.world.name).refused = 1
+            follower.sim.network.path("node", agent.world.name).refused = 1
         else:
             fault = {
                 "garbage by turns": a.with_body(b"{"),
--- a/tests/test_node_handover.py
+++ b/tests/test_node_handover.py
@@ -28,7 +28,7 @@
     """Every way takes the same time, so that a moment can be aimed at."""
     for near in platform.sim.programs:
         for far in platform.sim.programs:
-            platform.sim.network.way(near, far).latency_us = (hop_us, hop_us)
+            platform.sim.network.path(near, far).latency_us = (hop_us, hop_us)
 
 
 def at_ease(platform: Platform, node: Node) -> None:
--- a/tests/test_node_left.py
+++ b/tests/test_node_left.py
@@ -203,7 +203,7 @@
     def main(platform: Platform, node: Node) -> None:
         ids = watched(platform, node)
         for near, far in (("clients", "node"), ("node", "clients")):
-            platform.sim.network.way(near, far).latency_us = (1_000, 1_000)
+            platform.sim.network.path(near, far).latency_us = (1_000, 1_000)
         slow(platform, readers(platform))
         left = 0
         for at in range(60):
@@ -268,7 +268,7 @@
         ids = watched(platform, node)
         for host in readers(platform):
             for near, far in (("node", host.name), (host.name, "node")):
-                platform.sim.network.way(near, far).bytes_per_s = 1_000_000
+                platform.sim.network.path(near, far).bytes_per_s = 1_000_000
         client = begins(platform, body=200_000)
         the_one(platform, node, connecting(i.Role.READ))
         platform.sleep(30_000)
@@ -286,7 +286,7 @@
     def main(platform: Platform, node: Node) -> None:
         for near in platform.sim.programs:
             for far in platform.sim.programs:
-                platform.sim.network.way(near, far).latency_us = (1_000, 1_000)
+                platform.sim.network.path(near, far).latency_us = (1_000, 1_000)
         for host in readers(platform):
             host.script = read
         platform.ask(b"warm")
--- a/tests/test_node_more.py
+++ b/tests/test_node_more.py
@@ -58,7 +58,7 @@
         assert platform.ask(ID).whole
         platform.sleep(3_000_000)
         assert node._server.connections <= 1
-        assert all(not stream.quiet() for stream in silent)
+        assert all(not stream.is_idle() for stream in silent)
 
     play(main, sockets=64)
 
--- a/tests/test_node_sending.py
+++ b/tests/test_node_sending.py
@@ -23,8 +23,8 @@
 
 def slow(platform: Platform, hosts: list[Host], hop_us: int = HOP_US) -> None:
     for host in hosts:
-        platform.sim.network.way("node", host.name).latency_us = (hop_us, hop_us)
-        platform.sim.network.way(host.name, "node").latency_us = (hop_us, hop_us)
+        platform.sim.network.path("node", host.name).latency_us = (hop_us, hop_us)
+        platform.sim.network.path(host.name, "node").latency_us = (hop_us, hop_us)
 
 
 def asked(platform: Platform, cls: bytes = b"ask", deadline_ms: int = 5_000) -> Callable[[], Answer]:
@@ -139,7 +139,7 @@
 
     def main(platform: Platform, node: Node) -> None:
         for host in readers(platform):
-            platform.sim.network.way("node", host.name).hanging = 1
+            platform.sim.network.path("node", host.name).hanging = 1
         for number in range(3):
             answer = platform.ask(b"in-a-hurry-%d" % number, deadline_ms=100)
             assert answer.status in (429, 503)
--- a/tests/test_node_streams.py
+++ b/tests/test_node_streams.py
@@ -50,7 +50,7 @@
     came: list[int] = []
     parsers = [http1.ResponseParser(), http1.ResponseParser()]
     for parser in parsers:
-        parser.expects(b"POST")
+        parser.expect_response(b"POST")
 
     def script(host: Host, to: Stream, number: bytes) -> bool:
         host.platform.states.discard(number)
@@ -225,11 +225,11 @@
         out += reader.feed(data[at : at + size])
         at += size
         if early[step % len(early)]:
-            part = reader.early(EVENT_ENDS)
+            part = reader.take_partial(EVENT_ENDS)
             out += part
             assert not part or out.endswith(EVENT_ENDS)
         assert b"".join(chunks).startswith(out)
-    assert reader.ended and out == b"".join(chunks) and reader.rest == b"more"
+    assert reader.ended and out == b"".join(chunks) and reader.remainder == b"more"
 
 
 @pytest.mark.parametrize("size", [9_000, 70_000, 200_000])
--- a/tests/test_node_sweep.py
+++ b/tests/test_node_sweep.py
@@ -30,7 +30,7 @@
 
 def refused(agent: Agent, stream: Stream, answer: bytes) -> None:
     """The connection is reset, and new ones are refused for a while."""
-    way = agent.sim.network.way("node", agent.world.name)
+    way = agent.sim.network.path("node", agent.world.name)
     way.refused += 1
     stream.abort()
     agent.sleep(REFUSED_US)
--- a/tests/test_prefix_path.py
+++ b/tests/test_prefix_path.py
@@ -16,26 +16,26 @@
 from yardspindle import interface as i
 from yardspindle.core.prefix.blocks import block_hashes, pack_tokens
 from yardspindle.core.prefix.cache_feed import Batch, BlockStored
-from yardspindle.lab.audit import Figures, Report, audit
-from yardspindle.lab.clients import ClientClass, Clients, Habits, draw
-from yardspindle.lab.day import read_lines
-from yardspindle.lab.engine import Engine
+from yardspindle.lab.audit import AuditLimits, AuditReport, audit_journals
+from yardspindle.lab.clients import ClientClass, ClientHabits, Clients, draw_request
+from yardspindle.lab.day import read_journal
+from yardspindle.lab.engine import StandInEngine
 from yardspindle.lab.engine_settings import EngineSettings
 from yardspindle.runtime import zeromq
 from yardspindle.runtime.real import RealWorld
 
 CLASSES = (ClientClass("chat", 0.5, 2_900.0, 6), ClientClass("order", 0.5, 2_900.0, 6))
-HABITS = Habits(hang_up=0.05, stop_reading=0.0, openings=6, opening_words=300, words=30, whole=0.2)
+HABITS = ClientHabits(hang_up=0.05, stop_reading=0.0, openings=6, opening_words=300, words=30, whole=0.2)
 
 
-class Hides(Engine):
+class Hides(StandInEngine):
     """Tells of nothing that it keeps."""
 
     def _publish(self, number: int, data: bytes) -> None:
         super()._publish(number, msgspec.msgpack.encode(Batch(self.world.now_us() / 1e6, [])))
 
 
-class Claims(Engine):
+class Claims(StandInEngine):
     """Tells of texts that it has not: those of every opening, again and again."""
 
     def _publish(self, number: int, data: bytes) -> None:
@@ -53,7 +53,7 @@
         super()._publish(number, msgspec.msgpack.encode(batch))
 
 
-class Late(Engine):
+class Late(StandInEngine):
     """Tells seconds late."""
 
     def _publish(self, number: int, data: bytes) -> None:
@@ -61,18 +61,18 @@
         self.world.call_at(self.world.now_us() + 2_000_000, lambda: publish(number, data))
 
 
-class Shuffles(Engine):
+class Shuffles(StandInEngine):
     """Loses, doubles and shuffles, and has no replay for what is lost."""
 
     def _publish(self, number: int, data: bytes) -> None:
-        rng = self.world.random(f"{self.set.name} {number}")
-        self.cache.buffer.clear()
+        rng = self.world.random(f"{self.settings.name} {number}")
+        self.cache.replay_buffer.clear()
         publish = super()._publish
         for _ in range(rng.choice((0, 1, 1, 2))):
             self.world.call_at(self.world.now_us() + rng.randrange(1, 200_000), lambda: publish(number, data))
 
 
-class OtherModel(Engine):
+class OtherModel(StandInEngine):
     """Tells of another model's tokens, in blocks of another size, and now and then of nonsense."""
 
     def _publish(self, number: int, data: bytes) -> None:
@@ -84,7 +84,7 @@
         super()._publish(number, b"\xc1" if number % 5 == 0 else msgspec.msgpack.encode(batch))
 
 
-def play(fleet: FleetThread, requests: int, seed: int = 1) -> Report:
+def play(fleet: FleetThread, requests: int, seed: int = 1) -> AuditReport:
     """Drawn traffic at once and in pieces, then the audit of the sockets."""
     lines: list[dict[str, Any]] = []
 
@@ -94,7 +94,9 @@
         tasks = []
         for number in range(requests):
             tasks.append(
-                world.spawn("client", clients.request, draw(rng, number, CLASSES, HABITS), [("127.0.0.1", fleet.port)])
+                world.spawn(
+                    "client", clients.request, draw_request(rng, number, CLASSES, HABITS), [("127.0.0.1", fleet.port)]
+                )
             )
             world.sleep_until(world.now_us() + rng.randrange(8_000))
         for task in tasks:
@@ -109,15 +111,15 @@
         )
     )
     assert not fleet.crashes
-    report = audit(lines, read_lines(str(fleet.journal)), Figures(unsafe=("order",)))
-    assert report.breaks == []
+    report = audit_journals(lines, read_journal(str(fleet.journal)), AuditLimits(unsafe=("order",)))
+    assert report.violations == []
     assert fleet.edge.core.rule_checker.new_violations == []
     return report
 
 
-def served(report: Report) -> float:
-    asked = sum(sum(row.values()) - row["left"] for row in report.tally.values())
-    return sum(row["served"] for row in report.tally.values()) / asked
+def served(report: AuditReport) -> float:
+    asked = sum(sum(row.values()) - row["left"] for row in report.outcomes.values())
+    return sum(row["served"] for row in report.outcomes.values()) / asked
 
 
 BOXES = tuple(
@@ -129,7 +131,7 @@
 def test_what_readers_tell_becomes_what_the_policy_hears(tmp_path: Path) -> None:
     with FleetThread(tmp_path, boxes=BOXES) as fleet:
         play(fleet, 120)
-        knowledge = fleet.edge.knowledge
+        knowledge = fleet.edge.prefix_tracker
         assert knowledge is not None
         fleet.until(
             lambda: all(
@@ -139,8 +141,8 @@
         )
         for engine in fleet.engines[:3]:
             blocks = list(engine.cache.blocks)
-            assert knowledge.index.block_count(engine.set.name) == len(blocks)
-            assert all(knowledge.index.longest_match(engine.set.name, [block]) == 1 for block in blocks)
+            assert knowledge.index.block_count(engine.settings.name) == len(blocks)
+            assert all(knowledge.index.longest_match(engine.settings.name, [block]) == 1 for block in blocks)
         assert knowledge.score.found > 0.9 * knowledge.score.predicted > 0
         page = urllib.request.urlopen(fleet.url.replace("/v1", "/metrics")).read().decode()
         assert f"yardspindle_index_blocks {float(len(knowledge.index))}" in page
@@ -150,14 +152,16 @@
 
 
 @pytest.mark.parametrize("kind", [Hides, Claims, Late, Shuffles, OtherModel])
-def test_events_that_are_wrong_on_purpose_break_no_rule_and_cost_no_service(tmp_path: Path, kind: type[Engine]) -> None:
+def test_events_that_are_wrong_on_purpose_break_no_rule_and_cost_no_service(
+    tmp_path: Path, kind: type[StandInEngine]
+) -> None:
     (tmp_path / "off").mkdir()
     with FleetThread(tmp_path / "off", {"index": {"mode": "off"}}, BOXES) as fleet:
         without = served(play(fleet, 150))
     (tmp_path / "wrong").mkdir()
     with FleetThread(tmp_path / "wrong", boxes=BOXES, engine_type=kind) as fleet:
         wrong = served(play(fleet, 150))
-        knowledge = fleet.edge.knowledge
+        knowledge = fleet.edge.prefix_tracker
         assert knowledge is not None and knowledge.feeds
     assert wrong >= without - 0.02
 
@@ -165,10 +169,10 @@
 def test_a_box_that_publishes_is_left_when_it_leaves_the_list(tmp_path: Path) -> None:
     with FleetThread(tmp_path, boxes=BOXES) as fleet:
         play(fleet, 30)
-        knowledge = fleet.edge.knowledge
+        knowledge = fleet.edge.prefix_tracker
         assert knowledge is not None
         engines = fleet.engines
-        fleet.engines = [engine for engine in engines if engine.set.name != "r1"]
+        fleet.engines = [engine for engine in engines if engine.settings.name != "r1"]
         fleet.call(fleet.write_list)
         fleet.until(lambda: "r1" not in knowledge.feeds)
         assert knowledge.index.block_count("r1") == 0
@@ -229,18 +233,18 @@
 def test_a_subscriber_so_slow_that_messages_are_dropped_makes_up_for_them(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    real = RealWorld.messages
+    real = RealWorld.message_socket
 
     def messages(self: RealWorld, kind: Any, *more: Any) -> Any:
-        monkeypatch.setattr(zeromq, "HELD_MOST", 2 if kind in ("pub", "sub") else 10_000)
+        monkeypatch.setattr(zeromq, "HIGH_WATER_MARK", 2 if kind in ("pub", "sub") else 10_000)
         made: Any = real(self, kind, *more)
         if kind == "pub":
             made._socket.setsockopt(zmq.SNDBUF, 4_096)  # else the kernel alone holds megabytes
         return made
 
-    monkeypatch.setattr(RealWorld, "messages", messages)
+    monkeypatch.setattr(RealWorld, "message_socket", messages)
     with FleetThread(tmp_path, boxes=BOXES[2:]) as fleet:
-        reader, knowledge = fleet.engines[0], fleet.edge.knowledge
+        reader, knowledge = fleet.engines[0], fleet.edge.prefix_tracker
         assert knowledge is not None
         play(fleet, 5)  # the subscription stands
 
@@ -249,7 +253,7 @@
             rng = random.Random(batches)
             for _ in range(batches):
                 packed = rng.randbytes(4 * 64 * 20)
-                reader.cache.keep(reader.cache.hashes(packed), packed)
+                reader.cache.insert(reader.cache.prompt_hashes(packed), packed)
             return True
 
         assert fleet.call(lambda: burst(300))
@@ -261,7 +265,7 @@
             looks += 1
             if looks % 100 == 0:
                 burst(1)
-            return feed.last_number == reader.cache.buffer[-1][0] and feed.trust(fleet.world.now_us()) == 1.0
+            return feed.last_number == reader.cache.replay_buffer[-1][0] and feed.trust(fleet.world.now_us()) == 1.0
 
         fleet.until(caught_up)
         assert feed.counts.gaps > 0, "nothing was dropped: the burst is too small"
--- a/tests/test_pulse.py
+++ b/tests/test_pulse.py
@@ -14,7 +14,7 @@
 from tests.fleet_thread import FleetThread
 from yardspindle.core.fleet.planner_liveness import MAX_COUNTED_GAP_US, PlannerLiveness
 from yardspindle.lab.script import Fault, Script
-from yardspindle.lab.worlds import WorldRun
+from yardspindle.lab.traffic_simulation import TrafficSimulation
 
 SILENT_US = 1_000_000
 STEP = st.tuples(st.integers(1, 2 * MAX_COUNTED_GAP_US), st.sampled_from(["send", "answer", "answer one", "look"]))
@@ -63,7 +63,7 @@
 
         def hang() -> None:
             for session in fleet.planner.sessions:
-                session.take = lambda frame: None  # type: ignore[method-assign]
+                session.handle_frame = lambda frame: None  # type: ignore[method-assign]
 
         fleet.call(hang)
         began = time.monotonic()
@@ -83,8 +83,8 @@
     faults = tuple(Fault(kind, 500, 6_000, on) for on in (("",) if kind == "planner stalls" else ("edge0", "edge1")))
     script = Script(1, tuple((number, 100 * number) for number in range(50)), faults)
     lines: list[str] = []
-    fleet = WorldRun(script, lines.append)
-    outcome = fleet.play()
+    fleet = TrafficSimulation(script, lines.append)
+    outcome = fleet.run()
     assert outcome.breaks == () and outcome.tally["refused"] > 20
     assert outcome.tally["served"] > 5
     late = [
@@ -101,7 +101,7 @@
         tuple((number, 15 * number) for number in range(400)),
         tuple(Fault("edge stalls", at_ms, 1_200, "edge0") for at_ms in range(300, 6_000, 1_300)),
     )
-    fleet = WorldRun(script)
+    fleet = TrafficSimulation(script)
     lost: list[int] = []
     start = fleet.start_edge
 
@@ -109,9 +109,9 @@
         start(name)
         edge = fleet._edges[name].edge
         assert edge is not None
-        down = edge.link._on_down
-        edge.link._on_down = lambda: (lost.append(fleet.sim.now_us()), down())[1]  # type: ignore[func-returns-value]
+        down = edge.planner_link._on_down
+        edge.planner_link._on_down = lambda: (lost.append(fleet.sim.now_us()), down())[1]  # type: ignore[func-returns-value]
 
     fleet.start_edge = watched  # type: ignore[method-assign]
-    assert fleet.play().breaks == ()
+    assert fleet.run().breaks == ()
     assert all(at == fleet.sim.now_us() for at in lost), "only when the run ended"
--- a/tests/test_release_worlds.py
+++ b/tests/test_release_worlds.py
@@ -7,7 +7,7 @@
 import pytest
 
 from yardspindle.core.fleet import permits, release_plan
-from yardspindle.lab.release_worlds import play_release
+from yardspindle.lab.release_simulation import run_release_seed
 from yardspindle.runtime.virtual import VirtualWorld
 
 Patch = pytest.MonkeyPatch
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize("seed", [*range(6), 8])
 def test_worlds_break_nothing(seed: int) -> None:
-    assert play_release(seed)[0] == ()
+    assert run_release_seed(seed)[0] == ()
 
 
 def accidents_do_not_count(patch: Patch) -> None:
@@ -60,4 +60,4 @@
 def test_a_mistake_is_found(name: str, monkeypatch: Patch) -> None:
     plant, seed = MISTAKES[name]
     plant(monkeypatch)
-    assert play_release(seed)[0], "not found"
+    assert run_release_seed(seed)[0], "not found"
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -44,7 +44,7 @@
     timers = Timers()
     for number in range(50_000):
         timers.set(5_000_000 + number % 1_000, int).cancel()  # type: ignore[arg-type]
-    assert len(timers) == 0 and timers.ticks_held <= 2
+    assert len(timers) == 0 and timers.heap_size <= 2
 
 
 # --- tasks
@@ -219,4 +219,4 @@
     monkeypatch: pytest.MonkeyPatch, limit: int, most: int
 ) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda _: (limit, limit))
-    assert RealWorld(1).descriptors() == most
+    assert RealWorld(1).max_descriptors() == most
--- a/tests/test_runtime_sockets.py
+++ b/tests/test_runtime_sockets.py
@@ -139,10 +139,10 @@
 
     def main() -> None:
         near, far = pair(w)
-        assert near.quiet()
+        assert near.is_idle()
         far.close()
         near.wait_input()
-        assert not near.quiet()
+        assert not near.is_idle()
 
     w.run("main", main)
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -236,7 +236,7 @@
         newest = connect()
         newest.write(GET % b"y")
         assert newest.read().endswith(b"/y") and server.connections == 3
-        assert rest(clients[0]) == b"" and clients[1].quiet() and clients[2].quiet()
+        assert rest(clients[0]) == b"" and clients[1].is_idle() and clients[2].is_idle()
 
     _, faults = serve(use, max_connections=3)
     assert not faults
--- a/tests/test_sse.py
+++ b/tests/test_sse.py
@@ -82,11 +82,11 @@
 
 
 def test_an_event_without_end_is_bounded() -> None:
-    parser = SseParser(most_bytes=1_000)
+    parser = SseParser(max_event_bytes=1_000)
     with pytest.raises(EventTooLarge):
         for _ in range(100):
             parser.feed(b"data: " + b"x" * 50 + b"\n")
-    parser = SseParser(most_bytes=1_000)
+    parser = SseParser(max_event_bytes=1_000)
     with pytest.raises(EventTooLarge):
         for _ in range(100):
             parser.feed(b"x" * 50)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -27,8 +27,8 @@
 )
 from yardspindle.core.fleet.kv_model import StoreModel
 from yardspindle.fleet.store.embedded import EmbeddedStore
-from yardspindle.fleet.store.gateway import Gateway
-from yardspindle.fleet.store.interface import Granted, Kept, NotDone, Store, Unknown
+from yardspindle.fleet.store.etcd import EtcdStore
+from yardspindle.fleet.store.interface import KeepAliveResult, LeaseGrant, NotApplied, OutcomeUnknown, Store
 from yardspindle.lab.etcd import EtcdStandIn
 from yardspindle.runtime.real import RealWorld
 from yardspindle.runtime.world import World
@@ -43,7 +43,7 @@
         self.world, self.model = world, StoreModel()
 
     def _live(self) -> StoreModel:
-        self.model.expire(self.world.machine_us())
+        self.model.expire(self.world.uptime_us())
         return self.model
 
     def range(self, key: bytes, end: bytes = b"", revision: int = 0) -> RangeResult:
@@ -53,21 +53,21 @@
         try:
             return self._live().txn(txn)
         except BadRequest as error:
-            raise NotDone(f"{error.code}: {error}") from None
+            raise NotApplied(f"{error.code}: {error}") from None
 
-    def grant(self, ttl_us: int) -> Granted:
-        lease = self._live().grant(self.world.machine_us(), -(-ttl_us // S))
-        return Granted(lease, self.model.leases[lease].ttl_us)
+    def grant(self, ttl_us: int) -> LeaseGrant:
+        lease = self._live().grant(self.world.uptime_us(), -(-ttl_us // S))
+        return LeaseGrant(lease, self.model.leases[lease].ttl_us)
 
-    def keep_alive(self, lease: int) -> Kept:
-        return Kept(self._live().keep_alive(self.world.machine_us(), lease) * S, self.model.revision)
+    def keep_alive(self, lease: int) -> KeepAliveResult:
+        return KeepAliveResult(self._live().keep_alive(self.world.uptime_us(), lease) * S, self.model.revision)
 
     def revoke(self, lease: int) -> None:
         if lease in self._live().leases:
             self.model.revoke(lease)
 
-    def time_left_us(self, lease: int) -> int:
-        left = self._live().remaining_ttl_s(self.world.machine_us(), lease)
+    def remaining_ttl_us(self, lease: int) -> int:
+        left = self._live().remaining_ttl_s(self.world.uptime_us(), lease)
         return left * S if left > 0 else left
 
     def watch(self, key: bytes, end: bytes, revision: int) -> ModelWatch:
@@ -107,7 +107,7 @@
     if kind == "file":
         return EmbeddedStore(world, str(path / "store.db"), S)
     stand_in = EtcdStandIn(world)
-    return Gateway(world, [stand_in.start("127.0.0.1", 0)], S)
+    return EtcdStore(world, [stand_in.start("127.0.0.1", 0)], S)
 
 
 def run(kind: str, path: Path, test: Callable[[RealWorld, Store], None]) -> None:
@@ -133,7 +133,7 @@
         assert (row.create, row.version) == (again, 1), "made anew: its fence is a new one"
         assert [r.value for r in store.range(b"a", revision=first).rows] == [b"1"]
         assert store.range(b"a", revision=second + 1).rows == ()
-        with pytest.raises((NotDone, Exception), match="future"):
+        with pytest.raises((NotApplied, Exception), match="future"):
             store.range(b"a", revision=again + 10)
 
     run(kind, tmp_path, test)
@@ -154,7 +154,7 @@
         assert store.txn(Txn((Compare(b"d/1", "create", "equal", fence),), (Put(b"d/2", b"x"),))).succeeded
         assert not store.txn(Txn((Compare(b"d/1", "create", "equal", fence - 1),), (Put(b"d/3", b"x"),))).succeeded
         assert [row.key for row in store.range(b"d/", prefix_end(b"d/")).rows] == [b"d/1", b"d/2"]
-        with pytest.raises(NotDone, match="duplicate key"):
+        with pytest.raises(NotApplied, match="duplicate key"):
             store.txn(Txn(then=(Put(b"d/2", b"y"), Put(b"d/2", b"z"))))
         assert store.range(b"d/2").rows[0].value == b"x", "nothing of a refused transaction is done"
 
@@ -175,12 +175,12 @@
                 gone += [c.row.key for c in watch.next().changes if c.removed]
         watch.close()
         assert gone == [b"m/one"]
-        assert store.keep_alive(one.lease).ttl_us == 0 and store.time_left_us(one.lease) == -1
-        assert 0 < store.time_left_us(other.lease) <= 3 * S
+        assert store.keep_alive(one.lease).ttl_us == 0 and store.remaining_ttl_us(one.lease) == -1
+        assert 0 < store.remaining_ttl_us(other.lease) <= 3 * S
         store.revoke(other.lease)
         store.revoke(other.lease)
         assert store.range(b"m/", prefix_end(b"m/")).rows == ()
-        with pytest.raises(NotDone, match="lease not found"):
+        with pytest.raises(NotApplied, match="lease not found"):
             store.txn(put(b"m/x", b"", other.lease))
 
     run(kind, tmp_path, test)
@@ -201,7 +201,7 @@
             while (b"w/3", False) not in seen:
                 seen += [(c.row.key, c.removed) for c in watch.next().changes]
         watch.close()
-        if isinstance(store, Gateway):
+        if isinstance(store, EtcdStore):
             store._ask(b"/v3/kv/compaction", b'{"revision":"%d"}' % last, dict, writes=True)
         else:
             store.compact(last)  # type: ignore[attr-defined]
@@ -248,7 +248,7 @@
         def outcome(store: Store, txn: Txn) -> Any:
             try:
                 return store.txn(txn)
-            except NotDone as error:
+            except NotApplied as error:
                 return str(error)
 
         def test() -> None:
@@ -268,7 +268,7 @@
 # --- the gateway's client when things fail
 
 
-def with_stand_in(test: Callable[[RealWorld, EtcdStandIn, Gateway], None], endpoints: int = 1) -> None:
+def with_stand_in(test: Callable[[RealWorld, EtcdStandIn, EtcdStore], None], endpoints: int = 1) -> None:
     world = RealWorld(seed=1)
 
     def program() -> None:
@@ -276,15 +276,15 @@
         at = stand_in.start("127.0.0.1", 0)
         dead = world.listen("127.0.0.1", 0)
         dead.close()
-        test(world, stand_in, Gateway(world, [("127.0.0.1", dead.port), at][-endpoints:], 200_000))
+        test(world, stand_in, EtcdStore(world, [("127.0.0.1", dead.port), at][-endpoints:], 200_000))
 
     world.run("test", program)
 
 
 def test_an_answer_lost_after_the_commit_is_unknown_and_can_be_read_back() -> None:
-    def test(world: RealWorld, stand_in: EtcdStandIn, store: Gateway) -> None:
-        stand_in.lose = 1
-        with pytest.raises(Unknown):
+    def test(world: RealWorld, stand_in: EtcdStandIn, store: EtcdStore) -> None:
+        stand_in.responses_to_lose = 1
+        with pytest.raises(OutcomeUnknown):
             store.txn(put(b"a", b"mine"))
         assert store.range(b"a").rows[0].value == b"mine"
 
--- a/tests/test_store_failures.py
+++ b/tests/test_store_failures.py
@@ -16,19 +16,26 @@
 )
 from yardspindle.core.fleet.members import FleetKeys, FleetView
 from yardspindle.fleet.store.embedded import EmbeddedStore
-from yardspindle.fleet.store.gateway import Gateway
-from yardspindle.fleet.store.interface import NotDone, Store, StoreError, Unknown, WatchBroken, WentBack
+from yardspindle.fleet.store.etcd import EtcdStore
+from yardspindle.fleet.store.interface import (
+    InconsistentStore,
+    NotApplied,
+    OutcomeUnknown,
+    Store,
+    StoreError,
+    WatchBroken,
+)
 from yardspindle.lab.etcd import EtcdStandIn
 from yardspindle.runtime.real import RealWorld
 from yardspindle.runtime.scheduler import DeadlineExceeded
 
 
 def test_no_answer_is_unknown_for_a_write_and_nothing_done_for_a_read() -> None:
-    def test(world: RealWorld, stand_in: EtcdStandIn, store: Gateway) -> None:
+    def test(world: RealWorld, stand_in: EtcdStandIn, store: EtcdStore) -> None:
         stand_in.late_us = 400_000
-        with pytest.raises(Unknown):
+        with pytest.raises(OutcomeUnknown):
             store.txn(put(b"a", b"late"))
-        with pytest.raises(NotDone):
+        with pytest.raises(NotApplied):
             store.range(b"a")
         stand_in.late_us = 0
         with world.deadline(world.now_us() + 5 * S):
@@ -46,9 +53,9 @@
         stand_in, full = EtcdStandIn(world), world.listen("127.0.0.1", 0, backlog=0)
         world.connect("127.0.0.1", full.port, world.now_us() + 600 * S)  # none comes up any more
         at = stand_in.start("127.0.0.1", 0)
-        with pytest.raises(NotDone):
-            Gateway(world, [("127.0.0.1", full.port)], 50_000).txn(put(b"a", b""))
-        store = Gateway(world, [("127.0.0.1", full.port), at], 50_000)
+        with pytest.raises(NotApplied):
+            EtcdStore(world, [("127.0.0.1", full.port)], 50_000).txn(put(b"a", b""))
+        store = EtcdStore(world, [("127.0.0.1", full.port), at], 50_000)
         rows: tuple[object, ...] = ()
         with world.deadline(world.now_us() + 20 * S):
             while not rows:  # on a busy machine the other may be late, too
@@ -60,9 +67,9 @@
 
 
 def test_without_a_leader_nothing_is_done() -> None:
-    def test(world: RealWorld, stand_in: EtcdStandIn, store: Gateway) -> None:
+    def test(world: RealWorld, stand_in: EtcdStandIn, store: EtcdStore) -> None:
         stand_in.leaderless = True
-        with pytest.raises(NotDone, match="no leader"):
+        with pytest.raises(NotApplied, match="no leader"):
             store.txn(put(b"a", b""))
         stand_in.leaderless = False
         assert store.range(b"a").rows == ()
@@ -71,30 +78,30 @@
 
 
 def test_a_dead_endpoint_is_passed_over() -> None:
-    def test(world: RealWorld, stand_in: EtcdStandIn, store: Gateway) -> None:
+    def test(world: RealWorld, stand_in: EtcdStandIn, store: EtcdStore) -> None:
         assert store.txn(put(b"a", b"")).succeeded
-        before = store.calls
+        before = store.call_count
         store.range(b"a")
-        assert store.calls == before + 1, "the endpoint that answered is asked first from then on"
+        assert store.call_count == before + 1, "the endpoint that answered is asked first from then on"
 
     with_stand_in(test, endpoints=2)
 
 
 def test_a_store_that_went_back_is_refused() -> None:
-    def test(world: RealWorld, stand_in: EtcdStandIn, store: Gateway) -> None:
-        stand_in.marked = stand_in.model.copy()
+    def test(world: RealWorld, stand_in: EtcdStandIn, store: EtcdStore) -> None:
+        stand_in.saved_model = stand_in.model.copy()
         store.txn(put(b"a", b""))
-        stand_in.model = stand_in.marked.copy()
-        with pytest.raises(WentBack, match="stands at revision 1; it had told 2"):
+        stand_in.model = stand_in.saved_model.copy()
+        with pytest.raises(InconsistentStore, match="stands at revision 1; it had told 2"):
             store.range(b"a")
-        with pytest.raises(WentBack):
+        with pytest.raises(InconsistentStore):
             store.txn(put(b"a", b""))
 
     with_stand_in(test)
 
 
 def test_a_watch_that_breaks_says_so() -> None:
-    def test(world: RealWorld, stand_in: EtcdStandIn, store: Gateway) -> None:
+    def test(world: RealWorld, stand_in: EtcdStandIn, store: EtcdStore) -> None:
         watch = store.watch(b"a", b"", 0)
         watch.next()
         stand_in._break()
@@ -107,7 +114,7 @@
 def test_that_a_watch_stands_does_not_say_that_nothing_was_missed() -> None:
     """Found by a seeded world: a view that took it so passed over what had changed since it was read."""
 
-    def test(world: RealWorld, stand_in: EtcdStandIn, store: Gateway) -> None:
+    def test(world: RealWorld, stand_in: EtcdStandIn, store: EtcdStore) -> None:
         keys = FleetKeys("f")
         view = FleetView(keys)
         rows = store.range(keys.root, prefix_end(keys.root))
@@ -155,7 +162,7 @@
                 ticks += 1
 
         ticking = world.spawn("tick", tick)
-        with pytest.raises(NotDone, match="holds the lock"):
+        with pytest.raises(NotApplied, match="holds the lock"):
             store.txn(put(b"a", b""))
         assert ticks > 20, "what else runs in the program went on"
         ticking.cancel()
@@ -213,7 +220,7 @@
     def test(world: RealWorld, store: Store) -> None:
         assert isinstance(store, EmbeddedStore)
         store.txn(put(b"m", b"", store.grant(60 * S).lease))
-        store._boot = "another start"
+        store._boot_id = "another start"
         assert store.range(b"m").rows == ()
 
     run("file", tmp_path, test)
@@ -222,7 +229,7 @@
 def test_the_bound_of_a_caller_is_its_own(tmp_path: Path) -> None:
     """A deadline around a call that passes first is not taken for the store's."""
 
-    def test(world: RealWorld, stand_in: EtcdStandIn, store: Gateway) -> None:
+    def test(world: RealWorld, stand_in: EtcdStandIn, store: EtcdStore) -> None:
         stand_in.late_us = 150_000
         with pytest.raises(DeadlineExceeded), world.deadline(world.now_us() + 20_000):
             store.txn(put(b"a", b""))
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -95,7 +95,7 @@
             other.read()
         with pytest.raises(ConnectError, match="in time"):
             far.connect("127.0.0.1", near.listen("127.0.0.1", 0).port, far.now_us() + 1_000_000)
-        sim.network.join("near", "far")
+        sim.network.restore("near", "far")
         got = b""
         while len(got) < 11:
             got += other.read()
@@ -107,7 +107,7 @@
 def test_bandwidth_takes_its_time() -> None:
     def main(sim: Simulation, near: VirtualWorld, far: VirtualWorld) -> None:
         one, other = pair(near, far)
-        sim.network.way("near", "far").bytes_per_s = 10_000
+        sim.network.path("near", "far").bytes_per_s = 10_000
         started, got = sim.now_us(), 0
         one.write(bytes(20_000))
         while got < 20_000:
@@ -122,7 +122,7 @@
         one, other = pair(near, far)
         assert isinstance(one, VirtualStream)
         one.write(b"question")
-        one.finish()
+        one.send_eof()
         assert other.read(100)[:1] == b"q"
         while other.read():
             pass
@@ -209,16 +209,16 @@
 @pytest.mark.parametrize(
     ("name", "check"),
     [
-        ("lost", lambda got: got == sorted(got) and 10 < len(got) < 90),
-        ("doubled", lambda got: len(got) > 110 and set(got) == set(range(100))),
-        ("reordered", lambda got: got != sorted(got) and sorted(got) == list(range(100))),
+        ("loss_rate", lambda got: got == sorted(got) and 10 < len(got) < 90),
+        ("duplicate_rate", lambda got: len(got) > 110 and set(got) == set(range(100))),
+        ("reorder_rate", lambda got: got != sorted(got) and sorted(got) == list(range(100))),
     ],
 )
 def test_messages_are_lost_doubled_and_out_of_order(name: str, check: Callable[[list[int]], bool]) -> None:
     def main(sim: Simulation, near: VirtualWorld, far: VirtualWorld) -> None:
-        publisher = near.messages("pub", "127.0.0.1", 0)
-        subscriber: MessageSocket = far.messages("sub", "127.0.0.1", publisher.port, b"t")
-        setattr(sim.network.way("near", "far"), name, 0.4)
+        publisher = near.message_socket("pub", "127.0.0.1", 0)
+        subscriber: MessageSocket = far.message_socket("sub", "127.0.0.1", publisher.port, b"t")
+        setattr(sim.network.path("near", "far"), name, 0.4)
         got: list[int] = []
 
         def follow() -> None:
@@ -242,7 +242,7 @@
 def test_refused_and_hanging_connects() -> None:
     def main(sim: Simulation, near: VirtualWorld, far: VirtualWorld) -> None:
         listener = far.listen("127.0.0.1", 0)
-        way = sim.network.way("near", "far")
+        way = sim.network.path("near", "far")
         way.refused = 1
         with pytest.raises(ConnectError, match="refused"):
             near.connect("127.0.0.1", listener.port, near.now_us() + 1_000_000)
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -96,7 +96,7 @@
 
 def test_a_whole_answer_and_fields_that_pass_untouched(fleet: FleetThread) -> None:
     seen: list[bytes] = []
-    engine = next(engine for engine in fleet.engines if engine.set.role == "write")
+    engine = next(engine for engine in fleet.engines if engine.settings.role == "write")
     handle = engine.handle
 
     def noted(exchange: Exchange) -> None:
@@ -169,7 +169,7 @@
 
 def test_a_refusal_says_when_to_come_back_and_the_clients_own_retry_succeeds(fleet: FleetThread) -> None:
     for engine in fleet.engines:
-        fleet.control(engine.set.name, "full")
+        fleet.control(engine.settings.name, "full")
     with pytest.raises(openai.InternalServerError) as caught:
         client(fleet).chat.completions.create(model=MODEL, messages=HELLO)
     assert caught.value.status_code == 503 and caught.value.code == "overloaded"
@@ -184,7 +184,7 @@
     call.start()
     fleet.until(lambda: fleet.edge.core.lifecycle.counts.refused > refused)
     for engine in fleet.engines:
-        fleet.control(engine.set.name, "normal")
+        fleet.control(engine.settings.name, "normal")
     call.join(20)
     assert done[0].choices[0].message.content == "w0 w1"
     settled(fleet)
@@ -368,16 +368,16 @@
     )
     with FleetThread(tmp_path, boxes=boxes) as fleet:
         fleet.call(lambda: fleet.write_list(r0="draining"))
-        fleet.until(lambda: fleet.planner.roster.version == 2)
+        fleet.until(lambda: fleet.planner.server_list.version == 2)
         good = (tmp_path / "servers.toml").read_text()
         (tmp_path / "servers.toml").write_text(good[: len(good) // 2])
-        fleet.until(lambda: fleet.planner.source.rejected == 1)
+        fleet.until(lambda: fleet.planner.list_file.rejected_count == 1)
         for number in range(12):
             client(fleet).chat.completions.create(
                 model=MODEL, messages=[{"role": "user", "content": f"{number}"}], max_tokens=1
             )
         assert {event["box"] for event in fleet.events("end") if event["stage"] == "read"} == {"r1"}
-        assert fleet.planner.roster.version == 2
+        assert fleet.planner.server_list.version == 2
         settled(fleet)
 
 
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -16,9 +16,18 @@
 import pytest
 
 from yardspindle.core.request.lifecycle import Lifecycle
-from yardspindle.lab.script import BOXES, EDGE_NAMES, FAULTS, KINDS, REQUESTS, Script, draw_script, overlapping
-from yardspindle.lab.seeds import failure, shrink
-from yardspindle.lab.worlds import play
+from yardspindle.lab.script import (
+    EDGE_NAMES,
+    ENGINE_NAMES,
+    FAULT_COUNT_RANGE,
+    FAULT_KINDS,
+    REQUEST_COUNT_RANGE,
+    Script,
+    draw_script,
+    overlapping_kinds,
+)
+from yardspindle.lab.seeds import first_violated_rule, shrink
+from yardspindle.lab.traffic_simulation import run_script
 
 ROOT = Path(__file__).parent.parent
 FOUND = ROOT / "tests" / "found_worlds.json"
@@ -27,7 +36,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_rule_breaks_and_nothing_is_left(seed: int) -> None:
-    outcome = play(draw_script(seed))
+    outcome = run_script(draw_script(seed))
     assert outcome.breaks == ()
     assert outcome.tally["served"] > 0
 
@@ -35,31 +44,31 @@
 def test_every_world_is_of_the_stated_size() -> None:
     for seed in range(200):
         script = draw_script(seed)
-        assert len(script.requests) >= REQUESTS[0] >= 50 and len(script.faults) >= FAULTS[0] >= 3
-    assert len(BOXES) == 8 and len(EDGE_NAMES) == 2
+        assert len(script.requests) >= REQUEST_COUNT_RANGE[0] >= 50 and len(script.faults) >= FAULT_COUNT_RANGE[0] >= 3
+    assert len(ENGINE_NAMES) == 8 and len(EDGE_NAMES) == 2
 
 
 def test_all_kinds_of_fault_and_many_pairs_are_drawn() -> None:
     scripts = [draw_script(seed) for seed in range(2_000)]
-    assert {fault.kind for script in scripts for fault in script.faults} == set(KINDS)
-    pairs = {pair for script in scripts for pair in overlapping(script)}
-    possible = len(KINDS) * (len(KINDS) + 1) // 2
+    assert {fault.kind for script in scripts for fault in script.faults} == set(FAULT_KINDS)
+    pairs = {pair for script in scripts for pair in overlapping_kinds(script)}
+    possible = len(FAULT_KINDS) * (len(FAULT_KINDS) + 1) // 2
     assert len(pairs) > 0.95 * possible
 
 
 def test_the_same_seed_is_the_same_run_traced_counted_alone_or_after_others() -> None:
-    alone = play(draw_script(7))
+    alone = run_script(draw_script(7))
     lines: list[str] = []
-    play(draw_script(8))
-    traced = play(draw_script(7), lines.append, count=True)
-    assert traced.trace == alone.trace != play(draw_script(9)).trace
+    run_script(draw_script(8))
+    traced = run_script(draw_script(7), lines.append, count=True)
+    assert traced.trace == alone.trace != run_script(draw_script(9)).trace
     assert lines and traced.transitions and not alone.transitions
 
 
 def test_the_same_seed_is_the_same_run_under_another_hash_seed() -> None:
     code = (
-        "from yardspindle.lab.script import draw_script; from yardspindle.lab.worlds import play; "
-        "print(play(draw_script(3)).trace)"
+        "from yardspindle.lab.script import draw_script; from yardspindle.lab.traffic_simulation import run_script; "
+        "print(run_script(draw_script(3)).trace)"
     )
     traces = {
         subprocess.run(
@@ -79,7 +88,7 @@
     "script", msgspec.json.decode(FOUND.read_bytes(), type=list[Script]), ids=lambda script: f"seed {script.seed}"
 )
 def test_what_was_found_stays_mended(script: Script) -> None:
-    assert play(script).breaks == ()
+    assert run_script(script).breaks == ()
 
 
 def test_nothing_of_ours_reads_real_time_or_chance(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -104,7 +113,7 @@
     ):
         for name in names:
             watched(owner, name)
-    assert play(draw_script(5)).breaks == ()
+    assert run_script(draw_script(5)).breaks == ()
     with pytest.raises(AssertionError, match="yardspindle.planted called time.time"):
         exec("import time; time.time()", {"__name__": "yardspindle.planted"})
 
@@ -132,10 +141,10 @@
 
 def test_a_planted_fault_is_found_and_shrunk(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Lifecycle, "_release_state", lambda self, r: setattr(r, "state_server", None))
-    script = next(script for seed in range(2, 20) if failure(script := draw_script(seed)))
-    rule = failure(script)
+    script = next(script for seed in range(2, 20) if first_violated_rule(script := draw_script(seed)))
+    rule = first_violated_rule(script)
     small = shrink(script, lambda _: None)
-    assert failure(small) == rule and len(small.requests) <= 10 and len(small.faults) <= 2
+    assert first_violated_rule(small) == rule and len(small.requests) <= 10 and len(small.faults) <= 2
     again = msgspec.json.decode(msgspec.json.encode(small), type=Script)
     assert again == small
 
--- a/yardspindle/api/serving.py
+++ b/yardspindle/api/serving.py
@@ -133,7 +133,7 @@
         `now`: without lingering; what the client still sends is not read.
         """
         idle = self._idle.get(task)
-        if idle is None or not task.parked or not idle.stream.quiet():
+        if idle is None or not task.parked or not idle.stream.is_idle():
             return False
         del self._idle[task]
         idle.closing = True
@@ -144,7 +144,7 @@
 
     def _half_close(self, stream: Stream, task: Task) -> None:
         """Send our FIN and let the connection linger; the oldest ones are closed if too many linger."""
-        stream.finish()
+        stream.send_eof()
         self._lingering[task] = stream
         while self._limits.max_connections and len(self._lingering) > self._max_lingering:
             oldest = next(iter(self._lingering))
@@ -276,7 +276,7 @@
     def _await_bytes(self, stream: Stream, queue: RequestQueue, task: Task, first: bool) -> bool:
         """Wait for bytes of the next request; returns whether any arrived, even just before the close."""
         now, closing = self._world.now_us(), self.draining or self.closing
-        if closing and not first and stream.quiet():
+        if closing and not first and stream.is_idle():
             return False
         timeout_us = (self._limits.first_byte_us if first else 0) or self._limits.idle_us
         idle = self._idle[task] = _IdleConnection(stream, now + NEW_CONNECTION_GRACE_US if first else 0)
@@ -288,7 +288,7 @@
                 raise
             return False
         except DeadlineExceeded:
-            if stream.quiet():
+            if stream.is_idle():
                 return False
             data = stream.read()
         finally:
--- a/yardspindle/cli/common.py
+++ b/yardspindle/cli/common.py
@@ -16,7 +16,7 @@
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
-class Failure(click.ClickException):
+class CliError(click.ClickException):
     """One line on standard error, exit code 2."""
 
     exit_code = 2
@@ -26,7 +26,7 @@
         click.echo(self.message, err=True)
 
 
-def set_up_logs(config: LogConfig) -> None:
+def configure_logging(config: LogConfig) -> None:
     """Structured logs on standard error."""
     renderer: structlog.typing.Processor = (
         structlog.processors.JSONRenderer() if config.format == "json" else structlog.dev.ConsoleRenderer()
@@ -44,7 +44,7 @@
     )
 
 
-def load(path: str | None) -> Config:
+def load_config(path: str | None) -> Config:
     """The configuration in a file, or the defaults."""
     if path is None:
         return parse("defaults", b"")
@@ -52,11 +52,11 @@
         with open(path, "rb") as file:
             data = file.read()
     except OSError as error:
-        raise Failure(f"{path}: {error.strerror}") from None
+        raise CliError(f"{path}: {error.strerror}") from None
     try:
         return parse(path, data)
     except ConfigError as error:
-        raise Failure(str(error)) from None
+        raise CliError(str(error)) from None
 
 
 def run_until_stopped(
@@ -69,9 +69,9 @@
         try:
             ready = start()
         except ConfigError as error:
-            raise Failure(str(error)) from None
+            raise CliError(str(error)) from None
         except OSError as error:
-            raise Failure(f"{where}: {os.strerror(error.errno) if error.errno else error}") from None
+            raise CliError(f"{where}: {os.strerror(error.errno) if error.errno else error}") from None
         click.echo(f"ready {ready}")
         sys.stdout.flush()
         world.stop.wait()
--- a/yardspindle/cli/config.py
+++ b/yardspindle/cli/config.py
@@ -4,7 +4,7 @@
 
 import click
 
-from yardspindle.cli.common import Failure, load
+from yardspindle.cli.common import CliError, load_config
 from yardspindle.core.config import ConfigError
 from yardspindle.core.hosts.server_list import parse_server_list
 
@@ -19,14 +19,14 @@
 @click.option("--servers", type=click.Path(dir_okay=False), help="Check this server list too.")
 def check(file: str, servers: str | None) -> None:
     """Check a configuration file; exit 0 when it can be used, else 2 with one line."""
-    config = load(file)
+    config = load_config(file)
     if servers is not None:
         try:
             with open(servers, "rb") as source:
                 document = parse_server_list(servers, source.read(), config)
         except OSError as error:
-            raise Failure(f"{servers}: {error.strerror}") from None
+            raise CliError(f"{servers}: {error.strerror}") from None
         except ConfigError as error:
-            raise Failure(str(error)) from None
+            raise CliError(str(error)) from None
         click.echo(f"{servers}: {len(document.servers)} servers")
     click.echo(f"{file}: {len(config.classes)} classes, {len(config.kinds)} kinds, {len(config.tenants)} tenants")
--- a/yardspindle/cli/edge.py
+++ b/yardspindle/cli/edge.py
@@ -4,10 +4,10 @@
 
 import click
 
-from yardspindle.cli.common import Failure, load, run_until_stopped, set_up_logs
+from yardspindle.cli.common import CliError, configure_logging, load_config, run_until_stopped
 from yardspindle.core.config import ConfigError
 from yardspindle.edge.app import Edge
-from yardspindle.fleet.leave import ask_leave
+from yardspindle.fleet.departure import request_departure
 from yardspindle.runtime.real import RealWorld
 
 
@@ -15,13 +15,13 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 def edge_command(file: str) -> None:
     """Run an edge: it holds client connections and carries out what its planner decides."""
-    config = load(file)
-    set_up_logs(config.log)
+    config = load_config(file)
+    configure_logging(config.log)
     world = RealWorld()
     try:
         edge = Edge(world, config)
     except ConfigError as error:
-        raise Failure(f"{file}: {error}") from None
+        raise CliError(f"{file}: {error}") from None
 
     def start() -> str:
         host, port = edge.start()
@@ -29,7 +29,7 @@
 
     def stop() -> None:
         if config.fleet.store and config.fleet.ask_leave:
-            ask_leave(world, config, config.fleet.member or f"edge{config.edge.number}")
+            request_departure(world, config, config.fleet.member or f"edge{config.edge.number}")
         edge.drain()
 
     run_until_stopped("edge", world, start, stop, f"{file}: edge.listen: {config.edge.listen}")
--- a/yardspindle/cli/engine.py
+++ b/yardspindle/cli/engine.py
@@ -5,8 +5,8 @@
 import click
 import msgspec
 
-from yardspindle.cli.common import Failure, run_until_stopped
-from yardspindle.lab.engine import Engine
+from yardspindle.cli.common import CliError, run_until_stopped
+from yardspindle.lab.engine import StandInEngine
 from yardspindle.lab.engine_settings import EngineSettings
 from yardspindle.runtime.real import RealWorld
 
@@ -25,11 +25,11 @@
             with open(file, "rb") as source:
                 settings = msgspec.json.decode(source.read(), type=EngineSettings)
         except OSError as error:
-            raise Failure(f"{file}: {error.strerror}") from None
+            raise CliError(f"{file}: {error.strerror}") from None
         except msgspec.DecodeError as error:
-            raise Failure(f"{file}: {error}") from None
+            raise CliError(f"{file}: {error}") from None
     world = RealWorld()
-    engine = Engine(world, settings)
+    engine = StandInEngine(world, settings)
 
     def start() -> str:
         at = engine.start(host, port, events_port, replay_port)
--- a/yardspindle/cli/fleet.py
+++ b/yardspindle/cli/fleet.py
@@ -8,11 +8,11 @@
 import click
 import msgspec
 
-from yardspindle.cli.common import Failure, load
+from yardspindle.cli.common import CliError, load_config
 from yardspindle.core.fleet.kv import prefix_end
 from yardspindle.core.fleet.members import FleetKeys, Member, Owner, decode_row
+from yardspindle.fleet.store.factory import open_store
 from yardspindle.fleet.store.interface import Store, StoreError
-from yardspindle.fleet.store.open import open_store
 from yardspindle.runtime.real import RealWorld
 
 AGAIN_US = 1_000_000  # between two looks with --watch
@@ -28,9 +28,9 @@
 def _shown(
     file: str, as_json: bool, watch: bool, columns: tuple[str, ...], rows_of: Callable[[Store, FleetKeys], list[Row]]
 ) -> None:
-    config = load(file)
+    config = load_config(file)
     if not config.fleet.store:
-        raise Failure(f"{file}: fleet.store: missing")
+        raise CliError(f"{file}: fleet.store: missing")
     world = RealWorld()
 
     def show() -> None:
@@ -48,7 +48,7 @@
                     return
                 world.sleep_until(world.now_us() + AGAIN_US)
         except (StoreError, OSError) as error:
-            raise Failure(f"{file}: fleet.store: {', '.join(config.fleet.store)}: {error}") from None
+            raise CliError(f"{file}: fleet.store: {', '.join(config.fleet.store)}: {error}") from None
 
     world.run("fleet", show)
 
@@ -62,7 +62,7 @@
 
 
 def _left_s(store: Store, lease: int) -> float | None:
-    left_us = store.time_left_us(lease) if lease else -1
+    left_us = store.remaining_ttl_us(lease) if lease else -1
     return round(left_us / 1e6, 1) if left_us >= 0 else None
 
 
--- a/yardspindle/cli/lab.py
+++ b/yardspindle/cli/lab.py
@@ -9,13 +9,13 @@
 
 import click
 
-from yardspindle.cli.common import Failure, load, run_until_stopped, set_up_logs
-from yardspindle.cli.worlds import seed_command, seeds_command, shrink_command
+from yardspindle.cli.common import CliError, configure_logging, load_config, run_until_stopped
+from yardspindle.cli.simulation import seed_command, seeds_command, shrink_command
 from yardspindle.core.config import ADDRESS, ConfigError, LogConfig, split_address
 from yardspindle.lab.day import DayRun, load_day
 from yardspindle.lab.etcd import EtcdStandIn
 from yardspindle.lab.fleet import small_fleet
-from yardspindle.lab.load import LoadReport, Traffic, load_traffic, paired, run_load
+from yardspindle.lab.load import LoadReport, Traffic, compare_runs, load_traffic, run_load
 from yardspindle.runtime.process import ChildError
 from yardspindle.runtime.real import RealWorld
 
@@ -36,21 +36,21 @@
 @click.option("--keep", type=click.Path(file_okay=False, exists=True), help="Folder that gets the journals.")
 def day_command(file: str, seed: int | None, keep: str | None) -> None:
     """Play a day; exit 0 when all rules were kept, 1 when one broke."""
-    set_up_logs(LogConfig(format="console", level="warning"))
+    configure_logging(LogConfig(format="console", level="warning"))
     try:
         day = load_day(file)
     except OSError as error:
-        raise Failure(f"{file}: {error.strerror}") from None
+        raise CliError(f"{file}: {error.strerror}") from None
     except ConfigError as error:
-        raise Failure(str(error)) from None
+        raise CliError(str(error)) from None
     world = RealWorld(day.seed if seed is None else seed)
     run = DayRun(world, day, click.echo, keep)
     try:
         report = world.run("day", run.run)
     except ChildError as error:
-        raise Failure(str(error)) from None
-    click.echo(report.text())
-    sys.exit(1 if report.breaks else 0)
+        raise CliError(str(error)) from None
+    click.echo(report.summary())
+    sys.exit(1 if report.violations else 0)
 
 
 @lab_group.command("etcd")
@@ -59,7 +59,7 @@
 def etcd_command(listen: str, journal: str) -> None:
     """Run a stand-in for etcd's JSON gateway, with faults on command."""
     if re.fullmatch(ADDRESS, listen) is None:
-        raise Failure(f"--listen: {listen}: not an address with a port")
+        raise CliError(f"--listen: {listen}: not an address with a port")
     world = RealWorld()
     stand_in = EtcdStandIn(world, journal)
 
@@ -76,7 +76,7 @@
 def load_command(file: str, address: str | None) -> None:
     """Send drawn traffic, open loop, and print latencies from the intended send time."""
     traffic = _traffic(file)
-    click.echo(_play(traffic, {}, address).text())
+    click.echo(_play(traffic, {}, address).summary())
 
 
 @lab_group.command("compare")
@@ -88,27 +88,27 @@
     traffic = _traffic(file)
     reports = []
     for name, path in (("A", a), ("B", b)):
-        load(path)  # one clear line for a bad file, before anything starts
+        load_config(path)  # one clear line for a bad file, before anything starts
         with open(path, "rb") as source:
             report = _play(traffic, tomllib.load(source), None)
-        click.echo(f"{name} ({path})\n{report.text()}")
+        click.echo(f"{name} ({path})\n{report.summary()}")
         reports.append(report)
-    click.echo(paired(reports[0], reports[1], traffic.seed))
+    click.echo(compare_runs(reports[0], reports[1], traffic.seed))
 
 
 def _traffic(file: str) -> Traffic:
-    set_up_logs(LogConfig(format="console", level="warning"))
+    configure_logging(LogConfig(format="console", level="warning"))
     try:
         return load_traffic(file)
     except OSError as error:
-        raise Failure(f"{file}: {error.strerror}") from None
+        raise CliError(f"{file}: {error.strerror}") from None
     except ConfigError as error:
-        raise Failure(str(error)) from None
+        raise CliError(str(error)) from None
 
 
 def _play(traffic: Traffic, settings: dict[str, Any], address: str | None) -> LoadReport:
     if address is not None and not address.startswith(("127.", "[::1]")):
-        raise Failure(f"--at: {address}: not an address of this machine's loopback")
+        raise CliError(f"--at: {address}: not an address of this machine's loopback")
     world = RealWorld(traffic.seed)
     fleet = small_fleet(world) if address is None else None
 
@@ -126,7 +126,7 @@
                 fleet.config.get("model", "yardspindle-demo"),
             )
         except ChildError as error:
-            raise Failure(str(error)) from None
+            raise CliError(str(error)) from None
         finally:
             fleet.stop()
             fleet.remove_files()
--- a/yardspindle/cli/plan.py
+++ b/yardspindle/cli/plan.py
@@ -4,7 +4,7 @@
 
 import click
 
-from yardspindle.cli.common import load, run_until_stopped, set_up_logs
+from yardspindle.cli.common import configure_logging, load_config, run_until_stopped
 from yardspindle.planner.app import Planner
 from yardspindle.runtime.real import RealWorld
 
@@ -13,8 +13,8 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 def plan_command(file: str) -> None:
     """Run a planner: it follows the server list and decides for the edges that link to it."""
-    config = load(file)
-    set_up_logs(config.log)
+    config = load_config(file)
+    configure_logging(config.log)
     world = RealWorld()
     planner = Planner(world, config)
 
--- a/yardspindle/cli/release.py
+++ b/yardspindle/cli/release.py
@@ -7,15 +7,15 @@
 import click
 import msgspec
 
-from yardspindle.cli.common import Failure, load
+from yardspindle.cli.common import CliError, load_config
 from yardspindle.core.config import Config, ConfigError, Limit, decode_toml
 from yardspindle.core.fleet import permits as p
 from yardspindle.core.fleet import release_plan as r
 from yardspindle.core.fleet.kv import prefix_end
 from yardspindle.core.fleet.members import FleetKeys
 from yardspindle.core.fleet.release_keys import AuditEntry, DrainRequest, ReleaseView, UnitKeys
-from yardspindle.fleet.store.interface import Store, StoreError, Unknown
-from yardspindle.fleet.store.open import open_store
+from yardspindle.fleet.store.factory import open_store
+from yardspindle.fleet.store.interface import OutcomeUnknown, Store, StoreError
 from yardspindle.runtime.real import RealWorld
 
 CONFIG = click.argument("config", type=click.Path(dir_okay=False))
@@ -24,9 +24,9 @@
 
 
 def _with_store(file: str, act: Callable[[RealWorld, Config, Store, UnitKeys, ReleaseView], None]) -> None:
-    config = load(file)
+    config = load_config(file)
     if not config.fleet.store:
-        raise Failure(f"{file}: fleet.store: missing")
+        raise CliError(f"{file}: fleet.store: missing")
     world = RealWorld()
 
     def run() -> None:
@@ -35,10 +35,10 @@
             keys = UnitKeys(FleetKeys(config.fleet.name))
             rows = store.range(keys.root, prefix_end(keys.root))
             act(world, config, store, keys, keys.read({row.key: row for row in rows.rows}))
-        except Unknown as error:
-            raise Failure(f"the answer was lost ({error}): look at `release status` before you say it again") from None
+        except OutcomeUnknown as error:
+            raise CliError(f"the answer was lost ({error}): look at `release status` before you say it again") from None
         except (StoreError, OSError) as error:
-            raise Failure(f"{file}: fleet.store: {', '.join(config.fleet.store)}: {error}") from None
+            raise CliError(f"{file}: fleet.store: {', '.join(config.fleet.store)}: {error}") from None
 
     world.run("release", run)
 
@@ -49,15 +49,15 @@
         with open(file, "rb") as source:
             plan = decode_toml(file, source.read(), r.PlanFile)
     except OSError as error:
-        raise Failure(f"{file}: {error.strerror}") from None
+        raise CliError(f"{file}: {error.strerror}") from None
     except ConfigError as error:
-        raise Failure(str(error)) from None
+        raise CliError(str(error)) from None
     wanted = list(plan.units) or [unit for unit, place in units.placements.items() if place.kind == plan.kind]
     if not wanted:
-        raise Failure(f"{file}: units: the fleet has no {plan.kind}")
+        raise CliError(f"{file}: units: the fleet has no {plan.kind}")
     wrong = p.permanent_denials(units.placements.values(), limits, wanted)
     if wrong:
-        raise Failure(f"{file}: units: {'; '.join(wrong)}")
+        raise CliError(f"{file}: units: {'; '.join(wrong)}")
     return r.create_release(f"{plan.version}-{now_us // 1_000_000}", plan, units.placements)
 
 
@@ -90,13 +90,13 @@
 
     def begin(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: ReleaseView) -> None:
         if units.release is not None and units.release.phase in ("running", "halted", "going back"):
-            raise Failure(f"release {units.release.id} is {units.release.phase}: abandon it or let it end first")
+            raise CliError(f"release {units.release.id} is {units.release.phase}: abandon it or let it end first")
         now = world.now_us()
         release = _plan(plan, units, loaded.release.limit, now)
         if not store.txn(
             keys.update_release_by_operator(units, release, AuditEntry(now, by, f"release {release.id}: start", why))
         ).succeeded:
-            raise Failure("somebody else has said something meanwhile: look at `release status`")
+            raise CliError("somebody else has said something meanwhile: look at `release status`")
         click.echo(release.id)
 
     _with_store(config, begin)
@@ -110,13 +110,13 @@
     def command(config: str, by: str, why: str) -> None:
         def say(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: ReleaseView) -> None:
             if units.release is None:
-                raise Failure("there is no release")
+                raise CliError("there is no release")
             told = r.apply_operator_command(units.release, word, why)
             if isinstance(told, str):
-                raise Failure(told)
+                raise CliError(told)
             entry = AuditEntry(world.now_us(), by, f"release {told.id}: {word}", why)
             if not store.txn(keys.update_release_by_operator(units, told, entry)).succeeded:
-                raise Failure("the release has moved meanwhile: look at `release status`")
+                raise CliError("the release has moved meanwhile: look at `release status`")
             click.echo(f"{told.id}: {told.phase}")
 
         _with_store(config, say)
@@ -178,7 +178,7 @@
     def say(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: ReleaseView) -> None:
         unknown = [name for name in names if name not in units.placements]
         if unknown:
-            raise Failure(f"there is no such unit: {', '.join(unknown)}")
+            raise CliError(f"there is no such unit: {', '.join(unknown)}")
         fleet = units.snapshot(loaded.release.limit, 0)
         for name in names:
             no = p.check_departure(fleet, name) if wish.do == "drain" else None
--- a/yardspindle/cli/worlds.py
+++ b/yardspindle/cli/simulation.py
@@ -10,12 +10,12 @@
 import msgspec
 import structlog
 
-from yardspindle.cli.common import Failure, set_up_logs
+from yardspindle.cli.common import CliError, configure_logging
 from yardspindle.core.config import LogConfig
 from yardspindle.lab import seeds
-from yardspindle.lab.fleet_worlds import draw_fleet, play_fleet
+from yardspindle.lab.fleet_simulation import draw_fleet_script, run_fleet_script
 from yardspindle.lab.script import Script, draw_script
-from yardspindle.lab.worlds import play
+from yardspindle.lab.traffic_simulation import run_script
 
 QUIET = 50  # above every level that the programs log at
 
@@ -34,11 +34,11 @@
 )
 def seeds_command(first: int, count: int, jobs: int, transitions: bool, world: str) -> None:
     """Play many seeded worlds; exit 0 when none failed, 1 when one did. Ctrl-C stops with what there is."""
-    tally = seeds.Tally()
+    tally = seeds.SeedSummary()
     stopped = False
     try:
         with (
-            closing(seeds.play_seeds(first, count, jobs, transitions, world)) as outcomes,
+            closing(seeds.run_seeds(first, count, jobs, transitions, world)) as outcomes,
             click.progressbar(length=count, label="worlds", file=sys.stderr) as bar,
         ):
             for outcome in outcomes:
@@ -48,9 +48,9 @@
                     click.echo(f"\nFAILED seed {outcome.seed}: {outcome.breaks[0]}", err=True)
     except KeyboardInterrupt:
         stopped = True
-    click.echo(tally.text())
+    click.echo(tally.summary())
     if stopped:
-        click.echo(f"stopped early: {tally.played} of {count}")
+        click.echo(f"stopped early: {tally.runs} of {count}")
     sys.exit(1 if tally.failed else 0)
 
 
@@ -67,7 +67,7 @@
     _logs(trace)
     for fault in script.faults:
         click.echo(str(fault))
-    outcome = play(script, click.echo if trace else None)
+    outcome = run_script(script, click.echo if trace else None)
     click.echo(f"trace {outcome.trace}, {outcome.virtual_ms} virtual ms, {len(script.requests)} requests")
     for name, count in sorted(outcome.tally.items()):
         click.echo(f"{name}: {count}")
@@ -79,12 +79,12 @@
 
 def _fleet_seed(seed: int | None, file: str | None, trace: bool) -> None:
     if seed is None or file is not None:
-        raise Failure("a world of the fleet is played by its seed")
+        raise CliError("a world of the fleet is played by its seed")
     _logs(trace)
-    script = draw_fleet(seed)
+    script = draw_fleet_script(seed)
     for fault in script.faults:
         click.echo(str(fault))
-    breaks, counts = play_fleet(script)
+    breaks, counts = run_fleet_script(script)
     for name, count in sorted(counts.items()):
         click.echo(f"{name}: {count}")
     for text in breaks:
@@ -103,13 +103,13 @@
     try:
         small = seeds.shrink(script, lambda text: click.echo(text, err=True))
     except ValueError as error:
-        raise Failure(f"seed {script.seed}: {error}") from None
+        raise CliError(f"seed {script.seed}: {error}") from None
     click.echo(msgspec.json.encode(small).decode())
 
 
 def _script(seed: int | None, file: str | None) -> Script:
     if (seed is None) == (file is None):
-        raise Failure("give either a seed or --script FILE")
+        raise CliError("give either a seed or --script FILE")
     if file is None:
         assert seed is not None
         return draw_script(seed)
@@ -117,13 +117,13 @@
         with open(file, "rb") as source:
             return msgspec.json.decode(source.read(), type=Script)
     except OSError as error:
-        raise Failure(f"{file}: {error.strerror}") from None
+        raise CliError(f"{file}: {error.strerror}") from None
     except msgspec.DecodeError as error:
-        raise Failure(f"{file}: {error}") from None
+        raise CliError(f"{file}: {error}") from None
 
 
 def _logs(trace: bool) -> None:
     if trace:
-        set_up_logs(LogConfig(format="console", level="info"))
+        configure_logging(LogConfig(format="console", level="info"))
     else:
         structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(QUIET))
--- a/yardspindle/cli/steward.py
+++ b/yardspindle/cli/steward.py
@@ -6,10 +6,10 @@
 
 import click
 
-from yardspindle.cli.common import Failure, load, run_until_stopped, set_up_logs
+from yardspindle.cli.common import CliError, configure_logging, load_config, run_until_stopped
 from yardspindle.core.config import ConfigError
+from yardspindle.fleet.store.factory import open_store
 from yardspindle.fleet.store.interface import StoreError
-from yardspindle.fleet.store.open import open_store
 from yardspindle.runtime.real import RealWorld
 from yardspindle.steward.app import Steward
 
@@ -18,10 +18,10 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 def steward_command(file: str) -> None:
     """Run a steward: it takes duties of the fleet, one owner each. Any number of them may run."""
-    config = load(file)
-    set_up_logs(config.log)
+    config = load_config(file)
+    configure_logging(config.log)
     if not config.fleet.store:
-        raise Failure(f"{file}: fleet.store: missing; a steward shares its duties through a store")
+        raise CliError(f"{file}: fleet.store: missing; a steward shares its duties through a store")
     world = RealWorld()
     running: list[Steward] = []
 
--- a/yardspindle/cli/unit.py
+++ b/yardspindle/cli/unit.py
@@ -6,11 +6,11 @@
 
 import click
 
-from yardspindle.cli.common import Failure, load, run_until_stopped, set_up_logs
+from yardspindle.cli.common import CliError, configure_logging, load_config, run_until_stopped
 from yardspindle.core.config import ConfigError, decode_toml
 from yardspindle.core.fleet.unit import UnitFile
+from yardspindle.fleet.store.factory import open_store
 from yardspindle.fleet.store.interface import StoreError
-from yardspindle.fleet.store.open import open_store
 from yardspindle.runtime.real import RealWorld
 from yardspindle.unit.app import UnitSupervisor
 from yardspindle.unit.runner import ProcessRunner
@@ -24,13 +24,13 @@
         with open(file, "rb") as source:
             unit_file = decode_toml(file, source.read(), UnitFile)
     except OSError as error:
-        raise Failure(f"{file}: {error.strerror}") from None
+        raise CliError(f"{file}: {error.strerror}") from None
     except ConfigError as error:
-        raise Failure(str(error)) from None
-    config = load(unit_file.fleet)
+        raise CliError(str(error)) from None
+    config = load_config(unit_file.fleet)
     if not config.fleet.store:
-        raise Failure(f"{unit_file.fleet}: fleet.store: missing; a unit takes its orders from the store")
-    set_up_logs(config.log)
+        raise CliError(f"{unit_file.fleet}: fleet.store: missing; a unit takes its orders from the store")
+    configure_logging(config.log)
     world = RealWorld()
     running: list[UnitSupervisor] = []
 
--- a/yardspindle/cli/up.py
+++ b/yardspindle/cli/up.py
@@ -4,7 +4,7 @@
 
 import click
 
-from yardspindle.cli.common import Failure, run_until_stopped, set_up_logs
+from yardspindle.cli.common import CliError, configure_logging, run_until_stopped
 from yardspindle.core.config import LogConfig
 from yardspindle.lab.fleet import small_fleet
 from yardspindle.runtime.process import ChildError
@@ -18,9 +18,9 @@
 )
 def up_command(port: int, cells: int) -> None:
     """Start a whole router with stand-in engines; the first line says where it serves."""
-    set_up_logs(LogConfig(format="console"))
+    configure_logging(LogConfig(format="console"))
     world = RealWorld()
-    fleet = small_fleet(world, cells, shared=True)
+    fleet = small_fleet(world, cells, shared_store=True)
     fleet.dispatchers[0].port = port
 
     def start() -> str:
@@ -28,7 +28,7 @@
             fleet.start()
         except ChildError as error:
             stop()
-            raise Failure(str(error)) from None
+            raise CliError(str(error)) from None
         return f"http://127.0.0.1:{fleet.dispatchers[0].port}/v1"
 
     def stop() -> None:
--- a/yardspindle/edge/app.py
+++ b/yardspindle/edge/app.py
@@ -21,13 +21,13 @@
 from yardspindle.core.request.commands import Final
 from yardspindle.core.request.edge_core import EdgeCore
 from yardspindle.core.request.intake import AcceptedRequest, Intake, IntakeError, RequestFields
-from yardspindle.edge.cache_events import CacheEvents
-from yardspindle.edge.executor import Executor, Running, served_body
+from yardspindle.edge.cache_events import CacheEventSubscriber
+from yardspindle.edge.executor import Executor, RunningRequest, served_body
 from yardspindle.edge.metrics import EdgeMetrics
 from yardspindle.edge.planner_link import PlannerLink
 from yardspindle.engine.http_client import HttpClient
 from yardspindle.engine.vllm import EngineClient
-from yardspindle.fleet.membership import join
+from yardspindle.fleet.membership import join_fleet
 from yardspindle.link import frames
 from yardspindle.protocol import http1
 from yardspindle.protocol.sse import write_event
@@ -35,9 +35,9 @@
 from yardspindle.runtime.world import StreamError, World
 
 VERSION = version("yardspindle")
-TICK_US = 20_000  # how often the core's own deadlines are looked at; as often as the policy's
-CLOSE_OLD_US = 1_000_000
-FIRST_PLANNER_US = 2_000_000  # how long "ready" waits for a planner; an edge without one only refuses
+TICK_INTERVAL_US = 20_000  # how often the core's own deadlines are looked at; as often as the policy's
+HOUSEKEEPING_INTERVAL_US = 1_000_000
+PLANNER_WAIT_US = 2_000_000  # how long "ready" waits for a planner; an edge without one only refuses
 STREAM_HEADERS: http1.Headers = [
     (b"content-type", b"text/event-stream; charset=utf-8"),
     (b"cache-control", b"no-cache"),
@@ -53,17 +53,19 @@
         """Nothing is opened before `start`."""
         self.world = world
         self.config = config
-        self.unique = f"{world.random('edge id').getrandbits(48):012x}"
+        self.instance_id = f"{world.random('edge id').getrandbits(48):012x}"
         self._unsafe = {row.name for row in config.classes if row.effect != "safe"}
         self._keys = chat.ApiKeys(config)
         self.metrics = EdgeMetrics()
         self.core = EdgeCore(edge_rules(config))
         self.intake = Intake(config)
         edge = config.edge
-        self.http = HttpClient(world, microseconds(edge.connect_ms), microseconds(edge.engine_idle_ms))
-        self.knowledge = _knowledge(world, config)
-        self.events = CacheEvents(world, self.knowledge) if self.knowledge is not None else None
-        self.link = PlannerLink(
+        self.http_client = HttpClient(world, microseconds(edge.connect_ms), microseconds(edge.engine_idle_ms))
+        self.prefix_tracker = _knowledge(world, config)
+        self.cache_events = (
+            CacheEventSubscriber(world, self.prefix_tracker) if self.prefix_tracker is not None else None
+        )
+        self.planner_link = PlannerLink(
             world,
             split_address(edge.planner),
             self._hello,
@@ -76,12 +78,12 @@
         self.executor = Executor(
             world,
             self.core,
-            EngineClient(self.http, self.unique),
+            EngineClient(self.http_client, self.instance_id),
             self.metrics,
             self.intake,
             microseconds(edge.stalled_stream_ms),
-            self.link.tell,
-            self.knowledge,
+            self.planner_link.send_event,
+            self.prefix_tracker,
         )
         self.limits = ServingLimits(
             http1.Limits(body=edge.max_body_bytes),
@@ -99,23 +101,23 @@
         listener = self.world.listen(*split_address(self.config.edge.listen))
         self._server = Server(self.world, listener, self, self.limits, _fault)
         self.world.spawn("accept", self._server.serve)
-        self.world.spawn("planner link", self.link.run)
+        self.world.spawn("planner link", self.planner_link.run)
         self.world.spawn("tick", self._tick)
         if self.config.fleet.store:
             self.world.spawn(
                 "join",
-                join,
+                join_fleet,
                 self.world,
                 self.config.fleet,
                 "edge",
                 f"edge{self.config.edge.number}",
-                self.unique,
+                self.instance_id,
                 self.config.edge.zone,
                 VERSION,
             )
         try:
-            with self.world.deadline(self.world.now_us() + FIRST_PLANNER_US):
-                self.link.came_up.wait()
+            with self.world.deadline(self.world.now_us() + PLANNER_WAIT_US):
+                self.planner_link.connected.wait()
         except DeadlineExceeded:
             log.warning("no planner yet; requests are refused until one is there")
         return listener.host, listener.port
@@ -125,21 +127,21 @@
         assert self._server is not None
         log.info("draining", open_requests=len(self.executor.running))
         self._server.drain(self.world.now_us() + microseconds(self.config.edge.drain_ms))
-        self.http.close_all()
+        self.http_client.close_all()
 
     def _tick(self) -> None:
         closed_us = self.world.now_us()
         while True:
             now = self.world.now_us()
-            self.world.sleep_until(now + TICK_US)
-            self.link.look(self.world.now_us())
+            self.world.sleep_until(now + TICK_INTERVAL_US)
+            self.planner_link.check_liveness(self.world.now_us())
             if self.core.busy:
                 self.executor.perform(self.core.tick(self.world.now_us()))
-            if now - closed_us > CLOSE_OLD_US:
+            if now - closed_us > HOUSEKEEPING_INTERVAL_US:
                 closed_us = now
-                self.http.close_expired()
-                if self.knowledge is not None:
-                    self.knowledge.check_timeouts(now)
+                self.http_client.close_expired()
+                if self.prefix_tracker is not None:
+                    self.prefix_tracker.check_timeouts(now)
 
     # --- planner
 
@@ -159,8 +161,8 @@
 
     def _servers(self, servers: list[ListedServer]) -> None:
         self.executor.perform(self.core.update_servers(self.world.now_us(), servers))
-        if self.events is not None:
-            self.events.listed(servers)
+        if self.cache_events is not None:
+            self.cache_events.update_servers(servers)
 
     def _actions(self, epoch: int, actions: list[i.Action]) -> None:
         for action in actions:
@@ -191,10 +193,12 @@
     def _page(self, path: bytes, head: http1.RequestHead) -> Reply:
         if path == b"/metrics":
             self.metrics.open_requests.set(len(self.core.lifecycle.requests))
-            self.metrics.connections.set(self._server.connections if self._server else 0)
-            if self.knowledge is not None:
-                self._index_metrics(self.knowledge)
-            return Reply(200, [(b"content-type", b"text/plain; version=0.0.4; charset=utf-8")], self.metrics.text())
+            self.metrics.client_connections.set(self._server.connections if self._server else 0)
+            if self.prefix_tracker is not None:
+                self._index_metrics(self.prefix_tracker)
+            return Reply(
+                200, [(b"content-type", b"text/plain; version=0.0.4; charset=utf-8")], self.metrics.exposition()
+            )
         if path == b"/healthz":
             return Reply(
                 200 if self.core.epoch else 503,
@@ -212,7 +216,7 @@
     def _index_metrics(self, knowledge: PrefixTracker) -> None:
         metrics, now = self.metrics, self.world.now_us()
         metrics.index_blocks.set(len(knowledge.index))
-        metrics.index_told.set(knowledge.score.predicted)
+        metrics.index_predicted.set(knowledge.score.predicted)
         metrics.index_found.set(knowledge.score.found)
         metrics.index_trust.clear()
         for name, feed in knowledge.feeds.items():
@@ -233,21 +237,21 @@
         except ApiError as error:
             exchange.reply(error.reply())
             return
-        number = run.taken.request.request
+        number = run.accepted.request.request
         self.executor.running[number] = run
         try:
-            exchange.on_disconnect = lambda: self._gone(run)
-            self.executor.perform(self.core.request_arrived(run.came_us, run.taken.request, not run.stream))
+            exchange.on_disconnect = lambda: self._client_disconnected(run)
+            self.executor.perform(self.core.request_arrived(run.received_us, run.accepted.request, not run.stream))
             run.done.wait()
             self._finish(run)
         finally:
             if run.answer is None:  # however this ends, the core must hear of it
                 self.executor.perform(self.core.client_disconnected(self.world.now_us(), number))
-                self.metrics.left.labels(run.taken.request.cls).inc()
+                self.metrics.clients_left.labels(run.accepted.request.cls).inc()
             del self.executor.running[number]
             self._log(run)
 
-    def _take(self, exchange: Exchange) -> Running:
+    def _take(self, exchange: Exchange) -> RunningRequest:
         tenant = self._keys.authenticate(exchange.head)
         asked = chat.parse_request(exchange.body, exchange.head, tenant, self.config.model)
         exchange.body = b""
@@ -259,13 +263,13 @@
             raise ApiError(400, "invalid_value", str(error), error.param) from None
         blocks = PromptBlocks()
         claims: dict[str, float] = {}
-        if self.knowledge is not None:
-            taken, blocks, claims = self._know(now, self.knowledge, taken, asked.request_fields)
-        request_id = f"req-{self.unique}-{self._numbers}"
+        if self.prefix_tracker is not None:
+            taken, blocks, claims = self._know(now, self.prefix_tracker, taken, asked.request_fields)
+        request_id = f"req-{self.instance_id}-{self._numbers}"
         head = b""
         if asked.stream:
             head = exchange.start(200, [*STREAM_HEADERS, (b"x-request-id", request_id.encode())])
-        return Running(
+        return RunningRequest(
             taken,
             request_id,
             asked.fields,
@@ -276,8 +280,8 @@
             None if asked.stream else CollectedAnswer(),
             now,
             self.world.signal(),
-            blocks=blocks,
-            claims=claims,
+            prompt_blocks=blocks,
+            claimed_tokens=claims,
         )
 
     def _know(
@@ -298,16 +302,16 @@
         told = {readers[name]: float(round(count)) for name, count in kept.items()}  # whole, as in Intake
         return replace(taken, request=replace(taken.request, kept=told)), blocks, claims
 
-    def _gone(self, run: Running) -> None:
+    def _client_disconnected(self, run: RunningRequest) -> None:
         if run.answer is None:
-            self.executor.perform(self.core.client_disconnected(self.world.now_us(), run.taken.request.request))
+            self.executor.perform(self.core.client_disconnected(self.world.now_us(), run.accepted.request.request))
         run.done.set()
 
-    def _finish(self, run: Running) -> None:
+    def _finish(self, run: RunningRequest) -> None:
         answer, exchange = run.answer, run.exchange
         if answer is None:
             raise StreamError("the client left")
-        self.metrics.finals.labels(run.taken.request.cls, answer.final.value, answer.code).inc()
+        self.metrics.final_answers.labels(run.accepted.request.cls, answer.final.value, answer.code).inc()
         request_id = run.request_id.encode()
         if answer.final is Final.SERVED:
             if run.stream:
@@ -316,18 +320,18 @@
                 exchange.reply(Reply(200, [JSON_CONTENT_TYPE, (b"x-request-id", request_id)], served_body(run)))
         elif answer.streamed and run.stream:
             error = error_body(answer.code, http_error(answer, True).message, "server_error")
-            exchange.send(write_event(error, b"error"), run.head)
+            exchange.send(write_event(error, b"error"), run.response_head)
             exchange.abort()
         elif run.client_error is not None and not answer.streamed:
             status, body = run.client_error  # the engine says that the request itself is at fault
             exchange.reply(Reply(status, [JSON_CONTENT_TYPE, (b"x-request-id", request_id)], body))
         else:
-            final = http_error(answer, run.taken.request.cls in self._unsafe)
+            final = http_error(answer, run.accepted.request.cls in self._unsafe)
             exchange.reply(final_reply(final, request_id))
 
-    def _log(self, run: Running) -> None:
-        now, request, answer = self.world.now_us(), run.taken.request, run.answer
-        counts = run.state.counts
+    def _log(self, run: RunningRequest) -> None:
+        now, request, answer = self.world.now_us(), run.accepted.request, run.answer
+        counts = run.answer_tracker.counts
         log.info(
             "request",
             request_id=run.request_id,
@@ -336,9 +340,9 @@
             final=answer.final.value if answer else "left",
             code=answer.code if answer else "client_left",
             stream=run.stream,
-            events=run.state.events,
-            total_ms=(now - run.came_us) // 1_000,
-            first_ms=(run.first_us - run.came_us) // 1_000 if run.first_us else None,
+            events=run.answer_tracker.events,
+            total_ms=(now - run.received_us) // 1_000,
+            first_ms=(run.first_event_us - run.received_us) // 1_000 if run.first_event_us else None,
             prompt_tokens=counts.prompt if counts else None,
             completion_tokens=counts.completion if counts else None,
         )
--- a/yardspindle/edge/cache_events.py
+++ b/yardspindle/edge/cache_events.py
@@ -16,14 +16,14 @@
 from yardspindle.runtime.scheduler import Closed, DeadlineExceeded, Task
 from yardspindle.runtime.world import MessageSocket, World
 
-REPLAY_US = 1_000_000  # without a message for so long, an asked replay is over
-REPLAY_MOST = 20_000  # batches taken of one replay
-NUMBER_BYTES = 8
+REPLAY_TIMEOUT_US = 1_000_000  # without a message for so long, an asked replay is over
+MAX_REPLAY_BATCHES = 20_000  # batches taken of one replay
+SEQUENCE_NUMBER_BYTES = 8
 
 log = structlog.get_logger("yardspindle.edge.events")
 
 
-class CacheEvents:
+class CacheEventSubscriber:
     """Keeps one subscription for each box that publishes."""
 
     def __init__(self, world: World, knowledge: PrefixTracker) -> None:
@@ -33,9 +33,9 @@
         self._following: dict[str, tuple[str, str | None, Task, MessageSocket]] = {}
         self._replaying: set[str] = set()
         self._since: dict[str, float] = {}
-        self.malformed = 0
+        self.malformed_count = 0
 
-    def listed(self, servers: list[Server]) -> None:
+    def update_servers(self, servers: list[Server]) -> None:
         """The server list: follow what is on it and publishes, leave the rest."""
         publishing = {s.name: s for s in servers if s.events is not None} if self._knowledge.use_events else {}
         for name, (address, replay, task, socket) in list(self._following.items()):
@@ -52,7 +52,7 @@
         self._knowledge.set_publishers(publishing)
         for name, server in publishing.items():
             if name not in self._following and server.events is not None:
-                socket = self._world.messages("sub", *split_address(server.events))
+                socket = self._world.message_socket("sub", *split_address(server.events))
                 task = self._world.spawn("cache events", self._follow, name, socket, server.replay)
                 self._following[name] = (server.events, server.replay, task, socket)
 
@@ -72,11 +72,11 @@
 
     def _replay(self, name: str, address: str, start: int) -> None:
         batches: list[tuple[int, Batch]] = []
-        socket = self._world.messages("dealer", *split_address(address))
+        socket = self._world.message_socket("dealer", *split_address(address))
         try:
-            socket.send([b"", start.to_bytes(NUMBER_BYTES, "big")])
-            while len(batches) < REPLAY_MOST:
-                with self._world.deadline(self._world.now_us() + REPLAY_US):
+            socket.send([b"", start.to_bytes(SEQUENCE_NUMBER_BYTES, "big")])
+            while len(batches) < MAX_REPLAY_BATCHES:
+                with self._world.deadline(self._world.now_us() + REPLAY_TIMEOUT_US):
                     parts = socket.receive()
                 if not parts[-1]:
                     break  # the publisher's mark of the end
@@ -94,10 +94,10 @@
     def _decoded(self, name: str, parts: list[bytes]) -> tuple[int, Batch] | None:
         try:
             number, payload = parts
-            if len(number) != NUMBER_BYTES:
+            if len(number) != SEQUENCE_NUMBER_BYTES:
                 raise ValueError("the number is not of eight bytes")
             return int.from_bytes(number, "big"), msgspec.msgpack.decode(payload, type=Batch)
         except (ValueError, msgspec.DecodeError) as error:
-            self.malformed += 1
+            self.malformed_count += 1
             log.warning("cache events not understood", server=name, reason=str(error))
             return None
--- a/yardspindle/edge/executor.py
+++ b/yardspindle/edge/executor.py
@@ -28,43 +28,43 @@
 from yardspindle.runtime.scheduler import Cancelled, DeadlineExceeded, Signal, Task
 from yardspindle.runtime.world import StreamError, World
 
-RELEASE_US = 1_000_000  # for one try of a release
-PLACE_US = 1_000_000
-FINISH_US = 1_000_000  # for the bytes after an answer's last event
+RELEASE_TIMEOUT_US = 1_000_000  # for one try of a release
+PLACE_TIMEOUT_US = 1_000_000
+READ_TO_END_TIMEOUT_US = 1_000_000  # for the bytes after an answer's last event
 
 log = structlog.get_logger("yardspindle.edge")
 
 
 @dataclass(slots=True)
-class Running:
+class RunningRequest:
     """A request's I/O."""
 
-    taken: AcceptedRequest
+    accepted: AcceptedRequest
     request_id: str
     fields: vllm.Fields
     exchange: Exchange
-    head: bytes  # of the streamed answer, sent with its first event
+    response_head: bytes  # of the streamed answer, sent with its first event
     stream: bool
-    state: AnswerTracker
+    answer_tracker: AnswerTracker
     collected: CollectedAnswer | None
-    came_us: int
+    received_us: int
     done: Signal
     answer: c.Answer | None = None
     client_error: tuple[int, bytes] | None = None
     attempts: dict[int, Task] = field(default_factory=dict)
-    blocks: PromptBlocks = PromptBlocks()
-    claims: dict[str, float] = field(default_factory=dict)
-    first_us: int = 0
-    reading_since_us: int = 0  # since when the writer's next event is awaited
-    written: bool = False  # the last byte of the attempt that is out
+    prompt_blocks: PromptBlocks = PromptBlocks()
+    claimed_tokens: dict[str, float] = field(default_factory=dict)
+    first_event_us: int = 0
+    awaiting_event_since_us: int = 0  # since when the writer's next event is awaited
+    attempt_written: bool = False  # the last byte of the attempt that is out
 
-    def now_written(self) -> None:
+    def mark_written(self) -> None:
         """The attempt's last byte is written."""
-        self.written = True
+        self.attempt_written = True
 
-    def timed_out(self) -> vllm.AttemptResult:
+    def timeout_result(self) -> vllm.AttemptResult:
         """How the attempt ended whose time is up: before its last byte is written nothing of it has run."""
-        return vllm.AttemptResult(i.Status.TIMEOUT if self.written else i.Status.MOOT)
+        return vllm.AttemptResult(i.Status.TIMEOUT if self.attempt_written else i.Status.MOOT)
 
 
 class Executor:
@@ -90,7 +90,7 @@
         self._stalled_us = stalled_us
         self._tell = tell
         self._knowledge = knowledge
-        self.running: dict[int, Running] = {}
+        self.running: dict[int, RunningRequest] = {}
 
     def perform(self, commands: list[c.Command]) -> None:
         """Carry out commands, in order, without waiting."""
@@ -122,19 +122,19 @@
                     run = self.running.get(request)
                     log.warning("interlock", rule=rule, request_id=run.request_id if run else str(request))
                 case c.ReportViolation(rule, request, text):
-                    self._metrics.broken.labels(rule).inc()
+                    self._metrics.broken_rules.labels(rule).inc()
                     run = self.running.get(request)
                     log.error("rule broken", rule=rule, text=text, request_id=run.request_id if run else str(request))
                 case c.ReleaseState() | c.ReleasePlace():
                     raise AssertionError("a release that the core did not take in hand")
 
     def _start(
-        self, request: int, attempt: int, run_attempt: Callable[[Any, Running], None], command: c.Read | c.Write
+        self, request: int, attempt: int, run_attempt: Callable[[Any, RunningRequest], None], command: c.Read | c.Write
     ) -> None:
         run = self.running[request]
         run.attempts[attempt] = self._world.spawn("attempt", run_attempt, command, run)
 
-    def _ended(self, run: Running, command: c.Read | c.Write, ended: vllm.AttemptResult) -> None:
+    def _attempt_ended(self, run: RunningRequest, command: c.Read | c.Write, ended: vllm.AttemptResult) -> None:
         run.attempts.pop(command.attempt, None)
         stage = "read" if isinstance(command, c.Read) else "write"
         self._metrics.attempts.labels(stage, ended.status.value).inc()
@@ -150,18 +150,18 @@
         if ended.client_error is not None:
             run.client_error = ended.client_status, ended.client_error
         if ended.usage is not None:
-            self._intake.learn(run.taken, ended.usage.prompt_tokens)
+            self._intake.learn(run.accepted, ended.usage.prompt_tokens)
             self._metrics.prompt_tokens.inc(ended.usage.prompt_tokens)
             self._metrics.cached_tokens.inc(ended.usage.cached_tokens or 0)
             if ended.status is i.Status.READ and self._knowledge is not None:
-                told = (run.taken.request.kept or {}).get(command.server.number)
+                told = (run.accepted.request.kept or {}).get(command.server.number)
                 self._knowledge.record_read(
                     command.server.name,
-                    run.blocks,
+                    run.prompt_blocks,
                     ended.usage.prompt_tokens,
                     ended.usage.cached_tokens,
                     told,
-                    run.claims.get(command.server.name),
+                    run.claimed_tokens.get(command.server.name),
                 )
         self.perform(
             self._core.attempt_ended(
@@ -171,24 +171,24 @@
 
     # --- attempts
 
-    def _read(self, command: c.Read, run: Running) -> None:
-        run.written = False
+    def _read(self, command: c.Read, run: RunningRequest) -> None:
+        run.attempt_written = False
         try:
             with self._world.deadline(command.deadline_us):
                 ended = self._engines.read(
-                    command.server, command.request, command.attempt, vllm.read_body(run.fields), run.now_written
+                    command.server, command.request, command.attempt, vllm.read_body(run.fields), run.mark_written
                 )
         except DeadlineExceeded:
-            ended = run.timed_out()
-        self._ended(run, command, ended)
+            ended = run.timeout_result()
+        self._attempt_ended(run, command, ended)
 
-    def _write(self, command: c.Write, run: Running) -> None:
-        run.written = False
+    def _write(self, command: c.Write, run: RunningRequest) -> None:
+        run.attempt_written = False
         try:
             with self._world.deadline(command.deadline_us):
                 body = vllm.write_body(run.fields, command.state)
                 answer = self._engines.write(
-                    command.server, command.request, command.attempt, body, command.place, run.now_written
+                    command.server, command.request, command.attempt, body, command.place, run.mark_written
                 )
                 first = None
                 if isinstance(answer, vllm.AnswerStream):
@@ -199,20 +199,20 @@
                         answer.close()
                         raise
         except DeadlineExceeded:
-            return self._ended(run, command, run.timed_out())
+            return self._attempt_ended(run, command, run.timeout_result())
         except ExchangeBroken as error:
-            return self._ended(run, command, vllm.AttemptResult(i.Status.RESET, detail=str(error)))
+            return self._attempt_ended(run, command, vllm.AttemptResult(i.Status.RESET, detail=str(error)))
         if isinstance(answer, vllm.AttemptResult):
-            return self._ended(run, command, answer)
+            return self._attempt_ended(run, command, answer)
         try:
             ended = self._relay(command, run, answer, first, batches)
         finally:
             answer.close()
         if ended is not None:
-            self._ended(run, command, ended)
+            self._attempt_ended(run, command, ended)
 
     def _relay(
-        self, command: c.Write, run: Running, answer: vllm.AnswerStream, first: list[bytes] | None, batches: Any
+        self, command: c.Write, run: RunningRequest, answer: vllm.AnswerStream, first: list[bytes] | None, batches: Any
     ) -> vllm.AttemptResult | None:
         """From the first event to the last; None when the request was over before it."""
         if first is None:
@@ -223,25 +223,29 @@
         self.perform(commands)
         if not begun:
             return None
-        run.first_us = self._world.now_us()
-        self._metrics.first_token.labels(run.taken.request.cls).observe((run.first_us - run.came_us) / 1e6)
+        run.first_event_us = self._world.now_us()
+        self._metrics.first_token_seconds.labels(run.accepted.request.cls).observe(
+            (run.first_event_us - run.received_us) / 1e6
+        )
         stop_guard = self._guard_stall(run, answer)
         try:
             self._pass_on(run, first)
-            while not run.state.done and not run.state.error:
-                run.reading_since_us = self._world.now_us()
+            while not run.answer_tracker.done and not run.answer_tracker.error:
+                run.awaiting_event_since_us = self._world.now_us()
                 batch = next(batches, None)
-                run.reading_since_us = 0
+                run.awaiting_event_since_us = 0
                 if batch is None:
                     break
                 self._pass_on(run, batch)
-            if run.state.complete:
+            if run.answer_tracker.complete:
                 self._finish(answer)
-                counts = run.state.counts
+                counts = run.answer_tracker.counts
                 if counts is not None:
-                    self._intake.learn(run.taken, counts.prompt)
+                    self._intake.learn(run.accepted, counts.prompt)
                 return vllm.AttemptResult(i.Status.SERVED, counts.cached if counts else 0)
-            return vllm.AttemptResult(i.Status.ERROR if run.state.error else i.Status.RESET, detail="stream broken")
+            return vllm.AttemptResult(
+                i.Status.ERROR if run.answer_tracker.error else i.Status.RESET, detail="stream broken"
+            )
         except (ExchangeBroken, ValueError) as error:
             return vllm.AttemptResult(i.Status.RESET, detail=str(error))
         except StreamError:  # the client left or takes nothing; the exchange has told the core
@@ -250,33 +254,33 @@
         finally:
             stop_guard()
 
-    def _pass_on(self, run: Running, batch: list[bytes]) -> None:
-        state = run.state
+    def _pass_on(self, run: RunningRequest, batch: list[bytes]) -> None:
+        state = run.answer_tracker
         passed = [data for data in batch if state.forward(data)]
         if not passed:
             return
-        self._metrics.events.inc(len(passed))
+        self._metrics.streamed_events.inc(len(passed))
         if run.collected is not None:
             for data in passed:
                 run.collected.add(data)
             return
-        head, run.head = run.head, b""
+        head, run.response_head = run.response_head, b""
         run.exchange.send(b"".join([write_event(data) for data in passed]), head)
 
     def _finish(self, answer: vllm.AnswerStream) -> None:
         try:
-            with self._world.deadline(self._world.now_us() + FINISH_US):
+            with self._world.deadline(self._world.now_us() + READ_TO_END_TIMEOUT_US):
                 answer.read_to_end()
         except (ExchangeBroken, DeadlineExceeded):
             pass  # the answer was whole; only its connection is not kept
 
-    def _guard_stall(self, run: Running, answer: vllm.AnswerStream) -> Callable[[], None]:
+    def _guard_stall(self, run: RunningRequest, answer: vllm.AnswerStream) -> Callable[[], None]:
         """Break a stream that brings nothing for too long, without a timer for each event."""
         cancel: list[Callable[[], None]] = []
 
         def check() -> None:
             now = self._world.now_us()
-            if run.reading_since_us and now - run.reading_since_us >= self._stalled_us:
+            if run.awaiting_event_since_us and now - run.awaiting_event_since_us >= self._stalled_us:
                 answer.abort()
                 return
             cancel[0] = self._world.call_at(now + self._stalled_us // 4, check)
@@ -289,7 +293,7 @@
     def _ask_place(self, command: c.ReservePlace) -> None:
         held: bool | None = None
         try:
-            with self._world.deadline(self._world.now_us() + PLACE_US):
+            with self._world.deadline(self._world.now_us() + PLACE_TIMEOUT_US):
                 held = self._engines.reserve_place(
                     command.server, command.request, command.place, command.tokens, command.reader, command.read_attempt
                 )
@@ -302,7 +306,7 @@
     def _release(self, owed: PendingRelease) -> None:
         heard = False
         try:
-            with self._world.deadline(self._world.now_us() + RELEASE_US):
+            with self._world.deadline(self._world.now_us() + RELEASE_TIMEOUT_US):
                 release = (
                     self._engines.release_state if owed.kind is ResourceKind.STATE else self._engines.release_place
                 )
@@ -312,7 +316,7 @@
         self.perform(self._core.release_settled(self._world.now_us(), owed, heard))
 
 
-def served_body(run: Running) -> bytes:
+def served_body(run: RunningRequest) -> bytes:
     """The whole answer of a request that asked for no stream."""
     assert run.collected is not None and run.answer is not None and run.answer.final is Final.SERVED
     return run.collected.body()
--- a/yardspindle/edge/metrics.py
+++ b/yardspindle/edge/metrics.py
@@ -4,7 +4,7 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
-SECONDS = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0)
+LATENCY_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0)
 
 
 class EdgeMetrics:
@@ -13,21 +13,23 @@
     def __init__(self) -> None:
         """All at zero."""
         self.registry = CollectorRegistry()
-        self.finals = Counter(
+        self.final_answers = Counter(
             "yardspindle_final_answers", "Final answers", ("cls", "final", "code"), registry=self.registry
         )
-        self.left = Counter(
+        self.clients_left = Counter(
             "yardspindle_clients_left", "Clients that left before their final answer", ("cls",), registry=self.registry
         )
         self.attempts = Counter("yardspindle_attempts", "Ended attempts", ("stage", "status"), registry=self.registry)
-        self.first_token = Histogram(
+        self.first_token_seconds = Histogram(
             "yardspindle_first_token_seconds",
             "Time to the first token",
             ("cls",),
-            buckets=SECONDS,
+            buckets=LATENCY_BUCKETS_S,
             registry=self.registry,
         )
-        self.events = Counter("yardspindle_streamed_events", "Events streamed to clients", registry=self.registry)
+        self.streamed_events = Counter(
+            "yardspindle_streamed_events", "Events streamed to clients", registry=self.registry
+        )
         self.prompt_tokens = Counter(
             "yardspindle_prompt_tokens", "Prompt tokens that engines counted", registry=self.registry
         )
@@ -37,11 +39,11 @@
         self.interlocks = Counter(
             "yardspindle_interlocks", "Actions the edge refused or took by itself", ("rule",), registry=self.registry
         )
-        self.broken = Counter(
+        self.broken_rules = Counter(
             "yardspindle_broken_rules", "Rules that the watch found broken", ("rule",), registry=self.registry
         )
         self.index_blocks = Gauge("yardspindle_index_blocks", "Blocks in the prefix index", registry=self.registry)
-        self.index_told = Gauge(
+        self.index_predicted = Gauge(
             "yardspindle_index_told_tokens", "Kept tokens that reads had been told of, in all", registry=self.registry
         )
         self.index_found = Gauge(
@@ -54,8 +56,10 @@
         self.open_requests = Gauge(
             "yardspindle_open_requests", "Requests taken and not done with", registry=self.registry
         )
-        self.connections = Gauge("yardspindle_client_connections", "Open client connections", registry=self.registry)
+        self.client_connections = Gauge(
+            "yardspindle_client_connections", "Open client connections", registry=self.registry
+        )
 
-    def text(self) -> bytes:
+    def exposition(self) -> bytes:
         """The exposition format."""
         return generate_latest(self.registry)
--- a/yardspindle/edge/planner_link.py
+++ b/yardspindle/edge/planner_link.py
@@ -17,11 +17,11 @@
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.world import ConnectError, Stream, StreamError, World
 
-PENDING_MOST = 50_000  # events; some seconds of a busy edge
-RETRY_FIRST_US = 50_000  # after a lost link; doubled up to the most, so that a dead planner costs little
-RETRY_MOST_US = 1_000_000
-GREETING_US = 2_000_000
-CONNECT_US = 1_000_000
+MAX_PENDING_EVENTS = 50_000  # events; some seconds of a busy edge
+MIN_RETRY_PAUSE_US = 50_000  # after a lost link; doubled up to the most, so that a dead planner costs little
+MAX_RETRY_PAUSE_US = 1_000_000
+HANDSHAKE_TIMEOUT_US = 2_000_000
+CONNECT_TIMEOUT_US = 1_000_000
 
 log = structlog.get_logger("yardspindle.edge.link")
 
@@ -51,67 +51,67 @@
         self._on_servers = on_servers
         self._on_actions = on_actions
         self._pulse = PlannerLiveness(silent_us)
-        self._pending: list[i.Event] = []
+        self._pending_events: list[i.Event] = []
         self._wake = world.channel(1)
         self._stream: Stream | None = None
         self._number = 0
-        self.answered = 0
-        self.came_up = world.signal()  # set by the first link that comes up
+        self.last_answered = 0
+        self.connected = world.signal()  # set by the first link that comes up
 
-    def tell(self, event: i.Event) -> None:
+    def send_event(self, event: i.Event) -> None:
         """Send an event soon; dropped when there is no link, as the core has settled what it was about."""
         if self._stream is None:
             return
-        if len(self._pending) >= PENDING_MOST:
-            log.error("planner takes no events", waiting=len(self._pending))
-            self._pending.clear()
+        if len(self._pending_events) >= MAX_PENDING_EVENTS:
+            log.error("planner takes no events", waiting=len(self._pending_events))
+            self._pending_events.clear()
             self._stream.abort()
             return
-        self._pending.append(event)
+        self._pending_events.append(event)
         if not len(self._wake):
             self._wake.try_put(None)
 
-    def look(self, now_us: int) -> None:
+    def check_liveness(self, now_us: int) -> None:
         """Cut a link whose planner no longer answers; the reading side settles what it had decided."""
         if self._stream is not None and self._pulse.timed_out(now_us):
-            log.error("planner is silent; the link is cut", answered=self.answered, told=self._number)
+            log.error("planner is silent; the link is cut", answered=self.last_answered, told=self._number)
             self._pulse.reset(now_us)
             self._stream.abort()
 
     def run(self) -> None:
         """Keep the link until cancelled."""
-        pause_us = RETRY_FIRST_US
+        pause_us = MIN_RETRY_PAUSE_US
         while True:
             try:
-                stream = self._world.connect(*self._address, self._world.now_us() + CONNECT_US)
+                stream = self._world.connect(*self._address, self._world.now_us() + CONNECT_TIMEOUT_US)
             except ConnectError as error:
                 log.debug("no planner", reason=str(error))
             else:
                 try:
-                    if self._session(stream):
-                        pause_us = RETRY_FIRST_US
+                    if self._run_session(stream):
+                        pause_us = MIN_RETRY_PAUSE_US
                 finally:
                     stream.close()
             self._world.sleep_until(self._world.now_us() + pause_us)
-            pause_us = min(2 * pause_us, RETRY_MOST_US)
+            pause_us = min(2 * pause_us, MAX_RETRY_PAUSE_US)
 
-    def _session(self, stream: Stream) -> bool:
+    def _run_session(self, stream: Stream) -> bool:
         """One link's life; whether it came up."""
         reader = frames.FrameReader()
         try:
-            with self._world.deadline(self._world.now_us() + GREETING_US):
+            with self._world.deadline(self._world.now_us() + HANDSHAKE_TIMEOUT_US):
                 stream.write(frames.encode(self._hello()))
                 epoch, waiting = self._greeted(stream, reader)
         except (StreamError, DeadlineExceeded, frames.LinkError) as error:
             log.warning("greeting failed", reason=str(error) or "no answer in time")
             return False
-        self._pending.clear()
+        self._pending_events.clear()
         self._pulse.reset(self._world.now_us())
         self._stream = stream
         sender = None
         try:
             self._on_up(epoch)
-            self.came_up.set()
+            self.connected.set()
             sender = self._world.spawn("link sender", self._send, stream)
             log.info("planner up", epoch=epoch)
             for frame in waiting:
@@ -146,9 +146,9 @@
 
     def _take(self, epoch: int, frame: frames.Frame) -> None:
         if isinstance(frame, frames.Actions):
-            self.answered = frame.answers
+            self.last_answered = frame.answers
             self._pulse.record_answered(self._world.now_us(), frame.answers)
-            self._on_actions(epoch, [frames.original(action) for action in frame.actions])
+            self._on_actions(epoch, [frames.from_wire(action) for action in frame.actions])
         elif isinstance(frame, frames.Servers):
             self._on_servers(frame.servers)
         elif isinstance(frame, frames.Bye):
@@ -160,14 +160,14 @@
         try:
             while True:
                 self._wake.get()
-                while self._pending and self._stream is stream:
-                    events, self._pending = self._pending, []
+                while self._pending_events and self._stream is stream:
+                    events, self._pending_events = self._pending_events, []
                     self._number += 1
                     self._pulse.record_sent(self._world.now_us(), self._number)
                     stream.write(
                         frames.encode(
                             frames.Events(
-                                self._number, self._world.now_us(), [frames.mirror(event) for event in events]
+                                self._number, self._world.now_us(), [frames.to_wire(event) for event in events]
                             )
                         )
                     )
--- a/yardspindle/engine/http_client.py
+++ b/yardspindle/engine/http_client.py
@@ -16,7 +16,7 @@
 from yardspindle.core.request import timeouts
 from yardspindle.protocol import http1
 from yardspindle.runtime.scheduler import DeadlineExceeded
-from yardspindle.runtime.world import ConnectError, NoDescriptor, Stream, StreamError, World
+from yardspindle.runtime.world import ConnectError, DescriptorsExhausted, Stream, StreamError, World
 
 MAX_IDLE = 64  # default number of pooled connections for each server; others are closed after use
 MAX_INTERIM = 16  # 1xx responses before the final one
@@ -142,7 +142,7 @@
         while True:
             connection = self._take_idle(key, min_idle_us) or self._open(key, connect_us, descriptor_us)
             late = self._call_late_headers(connection, late_headers)
-            if connection.stream.quiet():
+            if connection.stream.is_idle():
                 break
             if not connection.idle_since_us:
                 connection.stream.close()
@@ -151,7 +151,7 @@
         succeeded = False
         try:
             data = http1.write_request(method, target, [(b"host", name.encode()), *headers, *late], body)
-            connection.parser.expects(method)
+            connection.parser.expect_response(method)
             self._write(connection, data)
             if on_written is not None:
                 on_written()
@@ -223,7 +223,7 @@
                         connection.on_first_byte = None
                     connection.parser.feed(data)
                     empty_bytes += (
-                        0 if connection.parser.stage is not http1.RESTING or data.strip(b"\r\n") else len(data)
+                        0 if connection.parser.stage is not http1.BETWEEN_MESSAGES or data.strip(b"\r\n") else len(data)
                     )
                 elif connection.parser.closed:
                     raise ExchangeBroken("closed before the response")
@@ -241,7 +241,7 @@
         One that the server closed with the last byte was never idle: in the pool it would reduce the idle limit of
         the others.
         """
-        if not connection.stream.quiet():
+        if not connection.stream.is_idle():
             return connection.stream.close()
         idle = self._idle.setdefault(key, deque())
         connection.idle_since_us = self.world.now_us()
@@ -273,7 +273,7 @@
             if self.world.now_us() - connection.idle_since_us >= self._limit_us():
                 self.counts.stale += 1
                 connection.stream.close()
-            elif connection.stream.quiet():
+            elif connection.stream.is_idle():
                 self.counts.reused += 1
                 return connection
             else:
@@ -309,7 +309,7 @@
         while True:
             try:  # the connect time begins once a descriptor is available: the server is judged by it
                 stream = self.world.connect(*key, self.world.now_us() + limit_us)
-            except NoDescriptor:
+            except DescriptorsExhausted:
                 if self.world.now_us() >= until_us:
                     raise
                 self.world.sleep_until(self.world.now_us() + timeouts.DESCRIPTOR_RETRY_PAUSE_US)
--- a/yardspindle/fleet/leave.py
+++ b/yardspindle/fleet/departure.py
@@ -9,16 +9,16 @@
 from yardspindle.core.fleet.kv import prefix_end
 from yardspindle.core.fleet.members import FleetKeys
 from yardspindle.core.fleet.release_keys import UnitKeys
+from yardspindle.fleet.store.factory import open_store
 from yardspindle.fleet.store.interface import StoreError
-from yardspindle.fleet.store.open import open_store
 from yardspindle.runtime.world import World
 
-AGAIN_US = 200_000
+RETRY_PAUSE_US = 200_000
 
 log = structlog.get_logger("yardspindle.fleet")
 
 
-def ask_leave(world: World, config: Config, unit: str) -> bool:
+def request_departure(world: World, config: Config, unit: str) -> bool:
     """Wait until this unit may go, at most `leave_wait_ms`: the platform ends it soon after. Whether it may."""
     until_us = world.now_us() + microseconds(config.fleet.leave_wait_ms)
     said = ""
@@ -45,6 +45,6 @@
         if reason != said:
             said = reason
             log.info("leave is not given now", unit=unit, reason=reason)
-        world.sleep_until(min(world.now_us() + AGAIN_US, until_us))
+        world.sleep_until(min(world.now_us() + RETRY_PAUSE_US, until_us))
     log.warning("ends without leave: the time to ask is over", unit=unit, reason=said)
     return False
--- a/yardspindle/fleet/page.py
+++ b/yardspindle/fleet/member_page.py
@@ -22,11 +22,11 @@
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.world import ConnectReset, World
 
-MEMBER = b"/v1/yardspindle/member"
-ASK_US = 500_000
+MEMBER_PATH = b"/v1/yardspindle/member"
+PROBE_TIMEOUT_US = 500_000
 
 
-class Word(Struct):
+class MemberStatus(Struct):
     """What a page says."""
 
     member: Member
@@ -48,9 +48,9 @@
 
     def early_reply(self, head: http1.RequestHead) -> Reply | None:
         """See Handler."""
-        if head.target != MEMBER or head.method not in (b"GET", b"HEAD"):
+        if head.target != MEMBER_PATH or head.method not in (b"GET", b"HEAD"):
             return ApiError(404, "not_found", "There is nothing at this path.").reply()
-        return Reply(200, [JSON_CONTENT_TYPE], msgspec.json.encode(Word(self._member(), self._world.now_us())))
+        return Reply(200, [JSON_CONTENT_TYPE], msgspec.json.encode(MemberStatus(self._member(), self._world.now_us())))
 
     def handle(self, exchange: Exchange) -> None:
         """See Handler."""
@@ -61,16 +61,16 @@
         return ApiError(error.status, "malformed_request", error.reason).reply()
 
 
-def ask(http: HttpClient, page: str) -> tuple[ProbeResult, Word | None]:
+def probe_member(http: HttpClient, page: str) -> tuple[ProbeResult, MemberStatus | None]:
     """What a page says, or what became of asking."""
     world = http.world
-    limit = world.deadline(world.now_us() + ASK_US)
+    limit = world.deadline(world.now_us() + PROBE_TIMEOUT_US)
     try:
         with limit:
-            response = http.request(*split_address(page), b"GET", MEMBER, [])
+            response = http.request(*split_address(page), b"GET", MEMBER_PATH, [])
             data = response.read_all()
             response.close()
-        return ProbeResult.ANSWERED, msgspec.json.decode(data, type=Word)
+        return ProbeResult.ANSWERED, msgspec.json.decode(data, type=MemberStatus)
     except ConnectReset:
         return ProbeResult.NO_ANSWER, None
     except ConnectError as error:
--- a/yardspindle/fleet/file.py
+++ b/yardspindle/fleet/server_list_file.py
@@ -17,23 +17,23 @@
 log = structlog.get_logger("yardspindle.fleet")
 
 
-class FileSource:
+class ServerListFile:
     """Feeds a roster from a file."""
 
     def __init__(
-        self, world: World, path: str, config: Config, roster: ServerList, on_news: Callable[[], None]
+        self, world: World, path: str, config: Config, roster: ServerList, on_change: Callable[[], None]
     ) -> None:
         """`on_news` is called when a changed list is in force."""
         self._world = world
         self._path = path
         self._config = config
         self._roster = roster
-        self._on_news = on_news
+        self._on_news = on_change
         self._data: bytes | None = None
-        self.fault = ""
-        self.rejected = 0
+        self.error = ""
+        self.rejected_count = 0
 
-    def read_once(self) -> None:
+    def load(self) -> None:
         """Look at the file. Raises ConfigError when it cannot be taken."""
         try:
             data = self._world.read_file(self._path)
@@ -51,11 +51,11 @@
         """Follow the file until cancelled."""
         while True:
             try:
-                self.read_once()
-                self.fault = ""
+                self.load()
+                self.error = ""
             except ConfigError as error:
-                if str(error) != self.fault:
-                    self.fault = str(error)
-                    self.rejected += 1
-                    log.error("server list refused; the one in force stays", reason=self.fault)
+                if str(error) != self.error:
+                    self.error = str(error)
+                    self.rejected_count += 1
+                    log.error("server list refused; the one in force stays", reason=self.error)
             self._world.sleep_until(self._world.now_us() + every_us)
--- a/yardspindle/fleet/store/embedded.py
+++ b/yardspindle/fleet/store/embedded.py
@@ -26,16 +26,23 @@
     TxnResult,
     evaluate,
 )
-from yardspindle.fleet.store.interface import Granted, Kept, NotDone, StoreError, Unknown, WentBack
+from yardspindle.fleet.store.interface import (
+    InconsistentStore,
+    KeepAliveResult,
+    LeaseGrant,
+    NotApplied,
+    OutcomeUnknown,
+    StoreError,
+)
 from yardspindle.runtime.world import DatabaseBusy, DatabaseError, World
 
 T = TypeVar("T")
-FORM = 1
-RETRY_US = 1_000  # after a lock that another process held: about a transaction of ours
-RETRY_MOST_US = 20_000
-LOOK_US = 20_000  # how often a watch looks: of the order of a hop's time, and a look costs some microseconds
-KEPT_REVISIONS = 10_000  # of history; past twice that it is compacted
-BOOT_ID = "/proc/sys/kernel/random/boot_id"
+SCHEMA_VERSION = 1
+MIN_LOCK_RETRY_US = 1_000  # after a lock that another process held: about a transaction of ours
+MAX_LOCK_RETRY_US = 20_000
+WATCH_POLL_US = 20_000  # how often a watch looks: of the order of a hop's time, and a look costs some microseconds
+HISTORY_REVISIONS = 10_000  # of history; past twice that it is compacted
+BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
 COLUMNS = "key, value, made, mod, version, lease"
 TABLES = (
     "CREATE TABLE versions (key BLOB, mod INTEGER, made INTEGER, version INTEGER, value BLOB, lease INTEGER,"
@@ -56,11 +63,11 @@
         """Open the file, or make it. Raises StoreError: it cannot be read, or is not ours. `call_us` bounds a call."""
         self._world, self._path, self._call_us = world, path, call_us
         try:
-            self._boot = world.read_file(BOOT_ID).decode().strip()
+            self._boot_id = world.read_file(BOOT_ID_PATH).decode().strip()
         except OSError:
-            self._boot = ""
-        self.seen = 0
-        self.calls = 0
+            self._boot_id = ""
+        self.last_revision = 0
+        self.call_count = 0
         self._refused = ""  # why this store is not used any more
         self._db = self._patiently(lambda: world.database(path))
         self._patiently(self._prepare)
@@ -75,30 +82,31 @@
         """See Store."""
         return self._write(lambda: self._txn(txn))
 
-    def grant(self, ttl_us: int) -> Granted:
+    def grant(self, ttl_us: int) -> LeaseGrant:
         """See Store."""
         ttl_us = -(-ttl_us // 1_000_000) * 1_000_000
 
-        def grant() -> Granted:
+        def grant() -> LeaseGrant:
             lease = int(self._about("last lease")) + 1
             self._db.run("UPDATE about SET value = ? WHERE name = 'last lease'", (lease,))
             self._db.run(
-                "INSERT INTO leases VALUES (?, ?, ?, ?)", (lease, ttl_us, self._world.machine_us() + ttl_us, self._boot)
+                "INSERT INTO leases VALUES (?, ?, ?, ?)",
+                (lease, ttl_us, self._world.uptime_us() + ttl_us, self._boot_id),
             )
-            return Granted(lease, ttl_us)
+            return LeaseGrant(lease, ttl_us)
 
         return self._write(grant)
 
-    def keep_alive(self, lease: int) -> Kept:
+    def keep_alive(self, lease: int) -> KeepAliveResult:
         """See Store."""
 
-        def keep() -> Kept:
+        def keep() -> KeepAliveResult:
             rows = self._db.run("SELECT ttl_us FROM leases WHERE lease = ?", (lease,))
             if rows:
                 self._db.run(
-                    "UPDATE leases SET ends_us = ? WHERE lease = ?", (self._world.machine_us() + rows[0][0], lease)
+                    "UPDATE leases SET ends_us = ? WHERE lease = ?", (self._world.uptime_us() + rows[0][0], lease)
                 )
-            return Kept(rows[0][0] if rows else 0, self._revision())
+            return KeepAliveResult(rows[0][0] if rows else 0, self._revision())
 
         return self._write(keep)
 
@@ -106,12 +114,12 @@
         """See Store."""
         self._write(lambda: self._revoke(lease))
 
-    def time_left_us(self, lease: int) -> int:
+    def remaining_ttl_us(self, lease: int) -> int:
         """See Store."""
 
         def left() -> int:
-            rows = self._db.run("SELECT ends_us FROM leases WHERE lease = ? AND boot = ?", (lease, self._boot))
-            left_us = int(rows[0][0]) - self._world.machine_us() if rows else -1
+            rows = self._db.run("SELECT ends_us FROM leases WHERE lease = ? AND boot = ?", (lease, self._boot_id))
+            left_us = int(rows[0][0]) - self._world.uptime_us() if rows else -1
             return left_us if left_us > 0 else -1
 
         return self._patiently(left, reads=True)
@@ -128,16 +136,16 @@
 
     def _patiently(self, act: Callable[[], T], reads: bool = False) -> T:
         """Try until the lock is free, on the scheduler; at the bound nothing was done."""
-        self.calls += 1
-        until_us, pause_us = self._world.now_us() + self._call_us, RETRY_US
+        self.call_count += 1
+        until_us, pause_us = self._world.now_us() + self._call_us, MIN_LOCK_RETRY_US
         while True:
             try:
                 return self._read_once(act) if reads else act()
             except DatabaseBusy:
                 if self._world.now_us() >= until_us:
-                    raise NotDone(f"{self._path}: another process holds the lock") from None
+                    raise NotApplied(f"{self._path}: another process holds the lock") from None
                 self._world.sleep_until(self._world.now_us() + pause_us)
-                pause_us = min(2 * pause_us, RETRY_MOST_US)
+                pause_us = min(2 * pause_us, MAX_LOCK_RETRY_US)
             except DatabaseError as error:
                 raise StoreError(f"{self._path}: {error}") from None
 
@@ -162,7 +170,7 @@
             done = act()
         except BadRequest as error:
             self._db.roll_back()
-            raise NotDone(f"{error.code}: {error}") from None
+            raise NotApplied(f"{error.code}: {error}") from None
         except BaseException:
             self._db.roll_back()
             raise
@@ -173,7 +181,7 @@
             raise
         except DatabaseError as error:
             self._db.roll_back()
-            raise Unknown(f"{self._path}: {error}") from None
+            raise OutcomeUnknown(f"{self._path}: {error}") from None
         return done
 
     # --- inside a transaction
@@ -184,14 +192,16 @@
             tables = {row[0] for row in self._db.run("SELECT name FROM sqlite_master WHERE type = 'table'")}
             if tables and "about" not in tables:
                 raise StoreError(f"{self._path}: a database, but none of ours; it is left as it is")
-            if tables and int(self._about("form")) != FORM:
-                raise StoreError(f"{self._path}: of form {self._about('form')}, this version reads form {FORM}")
+            if tables and int(self._about("form")) != SCHEMA_VERSION:
+                raise StoreError(
+                    f"{self._path}: of form {self._about('form')}, this version reads form {SCHEMA_VERSION}"
+                )
             if not tables:
                 for statement in TABLES:
                     self._db.run(statement)
                 self._db.run(
                     "INSERT INTO about VALUES ('form', ?), ('revision', ?), ('compacted', 0), ('last lease', 0)",
-                    (FORM, FIRST_REVISION),
+                    (SCHEMA_VERSION, FIRST_REVISION),
                 )
         except BaseException:
             self._db.roll_back()
@@ -203,11 +213,11 @@
 
     def _revision(self) -> int:
         revision = int(self._about("revision"))
-        if revision < self.seen:  # from then on for good: catching up would only hide it
-            self._refused = f"{self._path} stands at revision {revision}; it had told {self.seen}"
+        if revision < self.last_revision:  # from then on for good: catching up would only hide it
+            self._refused = f"{self._path} stands at revision {revision}; it had told {self.last_revision}"
         if self._refused:
-            raise WentBack(self._refused)
-        self.seen = revision
+            raise InconsistentStore(self._refused)
+        self.last_revision = revision
         return revision
 
     def rows(self, key: bytes, end: bytes) -> list[KeyValue]:
@@ -224,7 +234,7 @@
         if not revision or revision == now:
             return RangeResult(now, tuple(self.rows(key, end)))
         if revision > now:
-            raise NotDone("11: etcdserver: mvcc: required revision is a future revision")
+            raise NotApplied("11: etcdserver: mvcc: required revision is a future revision")
         if revision < int(self._about("compacted")):
             raise Compacted(int(self._about("compacted")))
         where, arguments = _range(key, end)
@@ -263,8 +273,8 @@
                 )
         revision = changes[0].row.mod
         self._db.run("UPDATE about SET value = ? WHERE name = 'revision'", (revision,))
-        if revision - int(self._about("compacted")) > 2 * KEPT_REVISIONS:
-            self._compact(revision - KEPT_REVISIONS)
+        if revision - int(self._about("compacted")) > 2 * HISTORY_REVISIONS:
+            self._compact(revision - HISTORY_REVISIONS)
 
     def _compact(self, revision: int) -> None:
         """Keep of each key's history what is needed to read from that revision on."""
@@ -282,14 +292,14 @@
     def _ended(self) -> bool:
         return bool(
             self._db.run(
-                "SELECT 1 FROM leases WHERE ends_us <= ? OR boot <> ? LIMIT 1", (self._world.machine_us(), self._boot)
+                "SELECT 1 FROM leases WHERE ends_us <= ? OR boot <> ? LIMIT 1", (self._world.uptime_us(), self._boot_id)
             )
         )
 
     def _expire(self) -> None:
         for (lease,) in self._db.run(
             "SELECT lease FROM leases WHERE ends_us <= ? OR boot <> ? ORDER BY lease",
-            (self._world.machine_us(), self._boot),
+            (self._world.uptime_us(), self._boot_id),
         ):
             self._revoke(lease)
 
@@ -299,7 +309,7 @@
             self._commit(evaluate(Txn(then=tuple(Delete(key) for key in keys)), self, self._revision())[1])
         self._db.run("DELETE FROM leases WHERE lease = ?", (lease,))
 
-    def since(self, key: bytes, end: bytes, revision: int) -> Changes:
+    def changes_since(self, key: bytes, end: bytes, revision: int) -> Changes:
         """The changes of a range from a revision on. Raises Compacted."""
 
         def read() -> Changes:
@@ -330,11 +340,11 @@
         """See Watch."""
         world = self._store._world
         while True:
-            changes = self._store.since(self._key, self._end, self._next)
+            changes = self._store.changes_since(self._key, self._end, self._next)
             if changes.revision >= self._next:
                 self._next = changes.revision + 1
                 return changes
-            world.sleep_until(world.now_us() + LOOK_US)
+            world.sleep_until(world.now_us() + WATCH_POLL_US)
 
     def close(self) -> None:
         """See Watch."""
--- a/yardspindle/fleet/store/open.py
+++ b/yardspindle/fleet/store/factory.py
@@ -4,7 +4,7 @@
 
 from yardspindle.core.config import FleetConfig, microseconds, split_address
 from yardspindle.fleet.store.embedded import EmbeddedStore
-from yardspindle.fleet.store.gateway import Gateway
+from yardspindle.fleet.store.etcd import EtcdStore
 from yardspindle.fleet.store.interface import Store
 from yardspindle.runtime.world import World
 
@@ -15,4 +15,4 @@
     place = config.store[0]
     if place.startswith("file:"):
         return EmbeddedStore(world, place.removeprefix("file:"), call_us)
-    return Gateway(world, [split_address(row.removeprefix("http://")) for row in config.store], call_us)
+    return EtcdStore(world, [split_address(row.removeprefix("http://")) for row in config.store], call_us)
--- a/yardspindle/fleet/store/interface.py
+++ b/yardspindle/fleet/store/interface.py
@@ -16,15 +16,15 @@
     """The store could not be used."""
 
 
-class NotDone(StoreError):
+class NotApplied(StoreError):
     """Nothing was changed: nobody was reached, or the store refused."""
 
 
-class Unknown(StoreError):
+class OutcomeUnknown(StoreError):
     """The answer was lost: a change may have been made."""
 
 
-class WentBack(StoreError):
+class InconsistentStore(StoreError):
     """The store is behind what it has told before, as after an old backup was restored: it is not to be used."""
 
 
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Granted:
+class LeaseGrant:
     """A lease. `ttl_us`: what the store gave, which may differ from what was asked for."""
 
     lease: int
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class KeepAliveResult:
     """A lease was kept alive: the time it lives on, 0 when it had ended; and the store's revision."""
 
     ttl_us: int
@@ -69,16 +69,16 @@
     def txn(self, txn: Txn) -> TxnResult:
         """A transaction."""
 
-    def grant(self, ttl_us: int) -> Granted:
+    def grant(self, ttl_us: int) -> LeaseGrant:
         """A new lease of at least that time (whole seconds, rounded up)."""
 
-    def keep_alive(self, lease: int) -> Kept:
+    def keep_alive(self, lease: int) -> KeepAliveResult:
         """Count a lease's time anew."""
 
     def revoke(self, lease: int) -> None:
         """End a lease, and with it its keys. One that has ended is no error."""
 
-    def time_left_us(self, lease: int) -> int:
+    def remaining_ttl_us(self, lease: int) -> int:
         """How long a lease lives on; -1 when it has ended."""
 
     def watch(self, key: bytes, end: bytes, revision: int) -> Watch:
--- a/yardspindle/lab/audit.py
+++ b/yardspindle/lab/audit.py
@@ -16,13 +16,13 @@
 
 from msgspec import Struct
 
-Line = dict[str, Any]
+JournalLine = dict[str, Any]
 Spans = list[list[int]]
 FOREVER = 1 << 62
 ANSWERED = ("served", "refused", "failed")
 
 
-class Figures(Struct, forbid_unknown_fields=True, frozen=True):
+class AuditLimits(Struct, forbid_unknown_fields=True, frozen=True):
     """What the rules state, and how exactly several busy processes on one machine can be measured."""
 
     release_ms: float = 300.0
@@ -35,30 +35,32 @@
 
 
 @dataclass(slots=True)
-class Report:
+class AuditReport:
     """Breaks of the rules, and the tally of final answers."""
 
-    breaks: list[tuple[str, str]] = field(default_factory=list)
-    tally: dict[str, Counter[str]] = field(default_factory=dict)
-    named: Counter[str] = field(default_factory=Counter)
+    violations: list[tuple[str, str]] = field(default_factory=list)
+    outcomes: dict[str, Counter[str]] = field(default_factory=dict)
+    counts: Counter[str] = field(default_factory=Counter)
 
-    def broke(self, rule: str, text: str) -> None:
+    def add_violation(self, rule: str, text: str) -> None:
         """Note a break."""
-        self.breaks.append((rule, text))
+        self.violations.append((rule, text))
 
-    def text(self) -> str:
+    def summary(self) -> str:
         """For people."""
         kinds = ("served", "refused", "failed", "left", "unreachable", "lost", "late")
         rows = [f"{'class':12}" + "".join(f"{kind:>12}" for kind in kinds)]
-        for cls in sorted(self.tally):
-            rows.append(f"{cls:12}" + "".join(f"{self.tally[cls][kind]:12}" for kind in kinds))
-        rows += [f"{name}: {count}" for name, count in sorted(self.named.items())]
-        rows += [f"BROKEN {rule}: {text}" for rule, text in self.breaks[:50]]
-        rows.append(f"rules broken: {len(self.breaks)}")
+        for cls in sorted(self.outcomes):
+            rows.append(f"{cls:12}" + "".join(f"{self.outcomes[cls][kind]:12}" for kind in kinds))
+        rows += [f"{name}: {count}" for name, count in sorted(self.counts.items())]
+        rows += [f"BROKEN {rule}: {text}" for rule, text in self.violations[:50]]
+        rows.append(f"rules broken: {len(self.violations)}")
         return "\n".join(rows)
 
 
-def audit(client_lines: Iterable[Line], box_lines: Iterable[Line], figures: Figures) -> Report:
+def audit_journals(
+    client_lines: Iterable[JournalLine], box_lines: Iterable[JournalLine], figures: AuditLimits
+) -> AuditReport:
     """Check a day from its journals."""
     checks = Audit(figures)
     lines = [*box_lines, *client_lines]
@@ -83,19 +85,19 @@
 class Audit:
     """The checks, fed line by line."""
 
-    def __init__(self, figures: Figures) -> None:
+    def __init__(self, figures: AuditLimits) -> None:
         """Nothing was seen."""
-        self.report = Report()
+        self.report = AuditReport()
         self._figures = figures
         self._slack_us = int(figures.slack_ms * 1_000)
         self._now = 0
-        self._tries: dict[str, Line] = {}
+        self._tries: dict[str, JournalLine] = {}
         self._finals: Counter[str] = Counter()
         self._edges: dict[int, _Edge] = defaultdict(_Edge)
         self._away: dict[str, Spans] = defaultdict(list)  # by the prefix of an edge's ids
-        self._runs: dict[str, list[Line]] = defaultdict(list)
+        self._runs: dict[str, list[JournalLine]] = defaultdict(list)
         self._lab_of: dict[str, str] = {}
-        self._ends: dict[tuple[str, str], Line] = {}
+        self._ends: dict[tuple[str, str], JournalLine] = {}
         self._orders: Counter[str] = Counter()
         self._whole: dict[str, int] = {}
         self._draining: dict[str, int] = {}
@@ -109,7 +111,7 @@
         self._for: dict[str, str] = {}  # by attempt: the try that it is for
         self._left: dict[str, int] = {}  # tries whose client hung up: when
 
-    def take(self, line: Line) -> None:
+    def take(self, line: JournalLine) -> None:
         """The next line."""
         self._now = max(self._now, line["t"])
         if "try" in line:
@@ -127,12 +129,12 @@
         for (box, name), (since, _) in list(self._attempts.items()):
             self._for_nobody(box, name, since, now_us)
 
-    def end(self) -> Report:
+    def end(self) -> AuditReport:
         """No more lines come."""
         self.until(self._now)
         for name in self._tries:
             if self._finals[name] != 1:
-                self.report.broke("one final answer", f"{name}: {self._finals[name]} final answers")
+                self.report.add_violation("one final answer", f"{name}: {self._finals[name]} final answers")
         for name, rows in self._runs.items():
             self._broken_off(name, rows)
         waiting = [
@@ -140,12 +142,12 @@
             for line in self._ends.values()
             if line["stage"] == "write" and line["how"] == "client gone" and line["id"] not in self._lab_of
         ]
-        self.report.named["requests given up while they waited for their state"] += len(waiting)
+        self.report.counts["requests given up while they waited for their state"] += len(waiting)
         return self.report
 
     # --- edges
 
-    def _edge(self, line: Line) -> None:
+    def _edge(self, line: JournalLine) -> None:
         edge, spans = self._edges[line["edge"]], self._away[line["prefix"]]
         if line["ev"] in ("edge woke", "edge started"):
             _close(edge.away, line["t"] + self._slack_us)
@@ -157,7 +159,7 @@
 
     # --- rule 1: one final answer for each try, in time, nothing after it
 
-    def _client(self, line: Line) -> None:
+    def _client(self, line: JournalLine) -> None:
         name, report = line["try"], self.report
         if line["ev"] == "send":
             self._tries[name] = {**line, "outcome": ""}
@@ -167,66 +169,70 @@
         if line["outcome"] == "left" and line.get("code") == "hung up":
             self._left[name] = line["t"]
         known.update(outcome=line["outcome"], code=line["code"], end_t=line["t"], events=line["events"])
-        report.tally.setdefault(known["cls"], Counter())[line["outcome"]] += 1
+        report.outcomes.setdefault(known["cls"], Counter())[line["outcome"]] += 1
         away = any(start <= line["t"] and end >= known["t"] for start, end in self._edges[known["edge"]].away)
         if line["outcome"] in ("lost", "late"):
             if away:
-                report.named["answers lost or late with their edge"] += 1
+                report.counts["answers lost or late with their edge"] += 1
             else:
-                report.broke("one final answer", f"{name}: {line['outcome']} ({line['code']})")
+                report.add_violation("one final answer", f"{name}: {line['outcome']} ({line['code']})")
         if line["extra"]:
-            report.broke("one final answer", f"{name}: {line['extra']} events after the end")
+            report.add_violation("one final answer", f"{name}: {line['extra']} events after the end")
         waited = line["first_t"] - known["t"]
         answered = line["outcome"] in ANSWERED
         if answered and waited > known["deadline_us"] + self._slack_us and not away:
-            report.broke("one final answer", f"{name}: after {waited} us of {known['deadline_us']}")
+            report.add_violation("one final answer", f"{name}: after {waited} us of {known['deadline_us']}")
         if answered and waited > known["deadline_us"]:
-            report.named["answers past the client's time, within the measuring slack"] += 1
+            report.counts["answers past the client's time, within the measuring slack"] += 1
         if line["outcome"] == "served":
             if name not in self._whole:
-                report.broke("one final answer", f"{name} was served and no engine wrote it whole")
+                report.add_violation("one final answer", f"{name} was served and no engine wrote it whole")
             elif line["events"] not in (1, self._whole[name]):
-                report.broke("one final answer", f"{name}: {line['events']} events of {self._whole[name]}")
+                report.add_violation("one final answer", f"{name}: {line['events']} events of {self._whole[name]}")
         if line["outcome"] == "refused" and known["cls"] in self._figures.unsafe and self._runs.get(name):
-            report.broke("no effect twice", f"{name} ran and was refused")
+            report.add_violation("no effect twice", f"{name} ran and was refused")
 
     # --- rule 2: what must not run twice does not, and what was refused did not run
 
-    def _run(self, line: Line) -> None:
+    def _run(self, line: JournalLine) -> None:
         name, report = line["lab"], self.report
         rows = self._runs[name]
         rows.append(line)
         self._lab_of[line["id"]] = name
         known = self._tries.get(name)
         if known is None:
-            report.broke("no effect twice", f"{name} ran and no client sent it")
+            report.add_violation("no effect twice", f"{name} ran and no client sent it")
         elif known["cls"] in self._figures.unsafe:
             self._orders[known["order"]] += 1
             if self._orders[known["order"]] > 1:
-                report.broke("no effect twice", f"{known['order']} ran {self._orders[known['order']]} times")
+                report.add_violation("no effect twice", f"{known['order']} ran {self._orders[known['order']]} times")
             if known["outcome"] == "refused":
-                report.broke("no effect twice", f"{name} ran and was refused")
+                report.add_violation("no effect twice", f"{name} ran and was refused")
 
-    def _run_ended(self, line: Line) -> None:
+    def _run_ended(self, line: JournalLine) -> None:
         rows = self._runs.get(self._lab_of.get(line["id"], ""), [])
         for first, second in zip(rows, rows[1:], strict=False):
             here = first["box"] == line["box"] and first["id"] == line["id"]
             if here and line["t"] > second["t"] + self._slack_us:
-                self.report.broke("no effect twice", f"{line['id']} ran at {first['box']} and {second['box']} at once")
+                self.report.add_violation(
+                    "no effect twice", f"{line['id']} ran at {first['box']} and {second['box']} at once"
+                )
 
-    def _broken_off(self, name: str, rows: list[Line]) -> None:
+    def _broken_off(self, name: str, rows: list[JournalLine]) -> None:
         known = self._tries.get(name)
         if known is None or known["cls"] not in self._figures.unsafe:
             return
         cut = [row for row in rows if (end := self._ends.get((row["box"], row["id"]))) is None or end["how"] == "reset"]
         if cut and known["outcome"] not in ("left", "lost", "late"):
-            self.report.named["orders whose writer broke off"] += 1
+            self.report.counts["orders whose writer broke off"] += 1
             if known["outcome"] != "failed":
-                self.report.broke("no effect twice", f"{name}: its writer broke off and it was {known['outcome']}")
+                self.report.add_violation(
+                    "no effect twice", f"{name}: its writer broke off and it was {known['outcome']}"
+                )
 
     # --- boxes, and rules 3 and 4
 
-    def _box(self, line: Line) -> None:
+    def _box(self, line: JournalLine) -> None:
         box, name, t, report = line["box"], line["id"], line["t"], self.report
         match line["ev"]:
             case "arrive":
@@ -255,12 +261,12 @@
                 since = hold.since if hold is not None else t
                 excused = self._spans(self._deaf(box), since, t) or self._spans(self._away[_edge_of(name)], since, t)
                 if not excused:  # else nobody could tell it to let go
-                    report.broke("nothing left pinned", f"{name} lapsed at {box}")
+                    report.add_violation("nothing left pinned", f"{name} lapsed at {box}")
                 self._let_go(box, name, t)
             case "killed":
                 self._killed(box, t)
             case "fell":
-                report.broke("no cold server pushed over", f"{box} fell at {t}")
+                report.add_violation("no cold server pushed over", f"{box} fell at {t}")
             case "control":
                 self._control(box, line["do"], t)
             case "blind":
@@ -278,7 +284,7 @@
                 _close(self._hung[box], t)
             case "listed_draining":
                 self._draining[box] = t
-                self.report.named["drains"] += 1
+                self.report.counts["drains"] += 1
             case "listed_serving":
                 self._draining.pop(box, None)
             case _:
@@ -290,12 +296,12 @@
                 span[1] = t
                 return
 
-    def _drain_kept(self, line: Line) -> None:
+    def _drain_kept(self, line: JournalLine) -> None:
         """Nothing new after the list told, was read, and the grace has passed."""
         since = self._draining.get(line["box"])
         allowed_us = (self._figures.drain_grace_ms + self._figures.list_ms) * 1_000 + self._slack_us
         if since is not None and line["t"] > since + allowed_us:
-            self.report.broke("drains kept", f"{line['id']} came to {line['box']} {line['t'] - since} us late")
+            self.report.add_violation("drains kept", f"{line['id']} came to {line['box']} {line['t'] - since} us late")
 
     def _killed(self, box: str, t: int) -> None:
         for key in [key for key in self._holds if key[0] == box]:
@@ -303,14 +309,14 @@
         for key in [key for key in self._attempts if key[0] == box]:
             self._attempts.pop(key)[1] = t
             part = "stream" if key[1] in self._lab_of else "read" if self._stages[key[1]] == "read" else "move"
-            self.report.named[f"attempts whose box died mid-{part}"] += 1
+            self.report.counts[f"attempts whose box died mid-{part}"] += 1
         _close(self._hung[box], t)
 
     # --- rule 5: a state or place without an attempt out is used or let go in time
 
     def _let_go(self, box: str, name: str, t: int) -> None:
         if (box, name) in self._holds:
-            self.report.named["states and places held"] += 1
+            self.report.counts["states and places held"] += 1
             self._held_too_long(box, name, t)
             del self._holds[(box, name)]
 
@@ -323,7 +329,7 @@
         orphaned = t - hold.since > left and away and away[-1][1] == FOREVER and not blind
         if (free > self._figures.release_ms * 1_000 + self._slack_us or orphaned) and (box, name) not in self._said:
             self._said.add((box, name))
-            self.report.broke("nothing left pinned", f"{name} at {box} for {free} us with no attempt out")
+            self.report.add_violation("nothing left pinned", f"{name} at {box} for {free} us with no attempt out")
 
     def _for_nobody(self, box: str, name: str, since: int, now_us: int) -> None:
         """An attempt goes on though its client hung up."""
@@ -334,7 +340,7 @@
         free = _uncovered(told_us, now_us, self._deaf(box) + self._away[_edge_of(name)])
         if free > self._figures.left_ms * 1_000 + self._slack_us:
             self._said.add((box, name))
-            self.report.broke("nothing left pinned", f"{name} at {box} goes on {free} us after its client left")
+            self.report.add_violation("nothing left pinned", f"{name} at {box} goes on {free} us after its client left")
 
     def _deaf(self, box: str) -> Spans:
         """When it could not be told to let go."""
--- a/yardspindle/lab/block_cache.py
+++ b/yardspindle/lab/block_cache.py
@@ -21,29 +21,34 @@
     """Room for so many blocks."""
 
     def __init__(
-        self, room: int, block_size: int, salt: int, publish: Callable[[int, bytes], None], now_s: Callable[[], float]
+        self,
+        capacity: int,
+        block_size: int,
+        salt: int,
+        publish: Callable[[int, bytes], None],
+        now_s: Callable[[], float],
     ) -> None:
         """`publish` gets each batch's number and bytes."""
-        self.room, self.block_size = room, block_size
+        self.capacity, self.block_size = capacity, block_size
         self._salt = salt
         self._publish = publish
         self._now_s = now_s
         self.blocks: OrderedDict[int, None] = OrderedDict()
-        self.buffer: deque[tuple[int, bytes]] = deque(maxlen=REPLAY_BATCHES)
+        self.replay_buffer: deque[tuple[int, bytes]] = deque(maxlen=REPLAY_BATCHES)
         self._number = 0
 
-    def found(self, hashes: list[int]) -> int:
+    def cached_prefix_blocks(self, hashes: list[int]) -> int:
         """Blocks of a chain that are kept."""
         for depth, block in enumerate(hashes):
             if block not in self.blocks:
                 return depth
         return len(hashes)
 
-    def hashes(self, packed: bytes) -> list[int]:
+    def prompt_hashes(self, packed: bytes) -> list[int]:
         """A prompt's blocks."""
         return block_hashes(packed, self.block_size)
 
-    def keep(self, hashes: list[int], packed: bytes) -> None:
+    def insert(self, hashes: list[int], packed: bytes) -> None:
         """A prompt was read: its blocks are kept, the end of the chain to go first."""
         new = [at for at, block in enumerate(hashes) if block not in self.blocks]
         events: list[CacheEvent] = []
@@ -60,7 +65,7 @@
             self.blocks.pop(block, None)
             self.blocks[block] = None
         gone: list[int | bytes] = []
-        while len(self.blocks) > self.room:
+        while len(self.blocks) > self.capacity:
             gone.append(self.blocks.popitem(last=False)[0] ^ self._salt)
         if gone:
             events.append(BlockRemoved(gone))
@@ -78,6 +83,6 @@
     def _tell(self, events: list[CacheEvent]) -> None:
         if events:
             data = msgspec.msgpack.encode(Batch(self._now_s(), events))
-            self.buffer.append((self._number, data))
+            self.replay_buffer.append((self._number, data))
             self._publish(self._number, data)
             self._number += 1
--- a/yardspindle/lab/clients.py
+++ b/yardspindle/lab/clients.py
@@ -53,7 +53,7 @@
     answer_tokens: int = 40
 
 
-class Habits(Struct, forbid_unknown_fields=True, frozen=True):
+class ClientHabits(Struct, forbid_unknown_fields=True, frozen=True):
     """How clients behave; parts of all requests."""
 
     hang_up: float = 0.05
@@ -80,7 +80,7 @@
     pause_us: int
 
 
-def draw(rng: random.Random, number: int, classes: tuple[ClientClass, ...], habits: Habits) -> Plan:
+def draw_request(rng: random.Random, number: int, classes: tuple[ClientClass, ...], habits: ClientHabits) -> Plan:
     """The request numbered so."""
     cls = rng.choices(classes, [row.share for row in classes])[0]
     leaves = rng.random() < habits.hang_up
@@ -113,7 +113,7 @@
 class Clients:
     """Sends drawn requests to the edges, each in a task of its own."""
 
-    def __init__(self, world: World, model: str, note: Callable[[dict[str, Any]], None], habits: Habits) -> None:
+    def __init__(self, world: World, model: str, note: Callable[[dict[str, Any]], None], habits: ClientHabits) -> None:
         """`note` takes the log's lines."""
         self._world = world
         self._model = model
