--- a/yardspindle/lab/day.py
+++ b/yardspindle/lab/day.py
@@ -16,11 +16,11 @@
 
 from yardspindle.core.config import ConfigError, decode_toml
 from yardspindle.engine.http_client import ConnectError, ExchangeBroken, HttpClient
-from yardspindle.lab.audit import Figures, Report, audit
-from yardspindle.lab.clients import ClientClass, Clients, Habits, draw
+from yardspindle.lab.audit import AuditLimits, AuditReport, audit_journals
+from yardspindle.lab.clients import ClientClass, ClientHabits, Clients, draw_request
 from yardspindle.lab.engine import CONTROL
 from yardspindle.lab.engine_settings import EngineSettings
-from yardspindle.lab.fleet import Box, Dispatcher, Fleet
+from yardspindle.lab.fleet import Dispatcher, EngineInstance, LocalFleet
 from yardspindle.runtime.real import RealWorld
 from yardspindle.runtime.scheduler import DeadlineExceeded
 
@@ -85,7 +85,7 @@
     cold_ms: Annotated[float, Meta(ge=0)] = 3_000.0
     box: dict[str, Any] = {}
     rules: dict[str, Any] = {}
-    habits: Habits = msgspec.field(default_factory=Habits)
+    habits: ClientHabits = msgspec.field(default_factory=ClientHabits)
     troubles: tuple[Trouble, ...] = ()
 
 
@@ -118,14 +118,16 @@
 class DayRun:
     """One playing of a day."""
 
-    def __init__(self, world: RealWorld, day: Day, say: Callable[[str], None], keep: str | None = None) -> None:
+    def __init__(
+        self, world: RealWorld, day: Day, print_line: Callable[[str], None], journal_folder: str | None = None
+    ) -> None:
         """`say` gets lines for people; `keep` is a folder for the journals."""
         self.world = world
         self.day = day
-        self.say = say
+        self.print_line = print_line
         self.rng = world.random("day")
         rules = {"cold_ms": day.cold_ms, "start_capacity": 0.3, **day.rules}
-        self.fleet = Fleet(
+        self.fleet = LocalFleet(
             world,
             {
                 "classes": [
@@ -146,7 +148,7 @@
             [],
             [Dispatcher(number) for number in range(day.dispatchers)],
         )
-        folder = keep or self.fleet.folder.name
+        folder = journal_folder or self.fleet.folder.name
         self.box_journal = os.path.join(folder, "boxes.jsonl")
         self.client_journal = os.path.join(folder, "clients.jsonl")
         for path in (self.box_journal, self.client_journal):
@@ -168,16 +170,16 @@
                 EngineSettings,
             )
             settings = msgspec.structs.replace(settings, cold_ms=0.0)  # all are warm when the day begins
-            self.fleet.boxes.append(Box(settings, rack, kind))
+            self.fleet.engines.append(EngineInstance(settings, rack, kind))
         self.http = HttpClient(world, 1_000_000, 1_000_000)
 
-    def run(self) -> Report:
+    def run(self) -> AuditReport:
         """Play the day and audit it."""
         day, world = self.day, self.world
         try:
-            self.say(f"starting {len(self.fleet.boxes)} boxes and {day.dispatchers} dispatchers")
+            self.print_line(f"starting {len(self.fleet.engines)} boxes and {day.dispatchers} dispatchers")
             self.fleet.start()
-            self.fleet.boxes = [self._cold_from_now(box) for box in self.fleet.boxes]
+            self.fleet.engines = [self._cold_from_now(box) for box in self.fleet.engines]
             started = world.now_us()
             troubles = [world.spawn("trouble", self._trouble, trouble, started) for trouble in day.troubles]
             requests = self._load(started)
@@ -190,22 +192,22 @@
         self.fleet.remove_files()
         for name, code in codes.items():
             if name.startswith(("edge", "planner")) and code not in (0, -signal.SIGKILL):
-                report.broke("programs end in order", f"{name} ended with {code}")
+                report.add_violation("programs end in order", f"{name} ended with {code}")
         return report
 
-    def _cold_from_now(self, box: Box) -> Box:
+    def _cold_from_now(self, box: EngineInstance) -> EngineInstance:
         box.settings = msgspec.structs.replace(box.settings, cold_ms=self.day.cold_ms)
         return box
 
-    def audited(self) -> Report:
+    def audited(self) -> AuditReport:
         """Audit the journals as they are."""
         rules = self.day.rules
-        figures = Figures(
+        figures = AuditLimits(
             release_ms=rules.get("release_ms", 300.0),
             drain_grace_ms=rules.get("drain_grace_ms", 500.0),
             unsafe=tuple(c.name for c in self.day.classes if c.effect == "unsafe"),
         )
-        return audit(read_lines(self.client_journal), read_lines(self.box_journal), figures)
+        return audit_journals(read_journal(self.client_journal), read_journal(self.box_journal), figures)
 
     def _load(self, started: int) -> list[Any]:
         day, world = self.day, self.world
@@ -220,11 +222,11 @@
         tasks: list[Any] = []
         at, number = 0.0, 0
         while (at := at + self.rng.expovariate(day.rate_per_s)) < day.seconds:
-            plan = draw(self.rng, number, classes, day.habits)
+            plan = draw_request(self.rng, number, classes, day.habits)
             number += 1
             world.sleep_until(started + int(at * 1e6))
             tasks.append(world.spawn("client", clients.request, plan, edges))
-        self.say(f"{number} requests sent")
+        self.print_line(f"{number} requests sent")
         return tasks
 
     # --- troubles
@@ -233,22 +235,22 @@
         self.world.sleep_until(started + int(trouble.at_s * 1e6))
         dispatcher = self.fleet.dispatchers[trouble.dispatcher]
         if trouble.do.endswith("planner"):
-            self.say(f"{trouble.at_s:6.1f} s  {trouble.do} {dispatcher.number}")
+            self.print_line(f"{trouble.at_s:6.1f} s  {trouble.do} {dispatcher.number}")
             return self._planner(trouble, dispatcher)
         if trouble.do == "restart_rack":
-            boxes = [box for box in self.fleet.boxes if box.cell == trouble.rack and box.listed]
+            boxes = [box for box in self.fleet.engines if box.cell == trouble.rack and box.listed]
         else:
             able = [
                 box
-                for box in self.fleet.boxes
+                for box in self.fleet.engines
                 if box.child is not None
                 and box.child.running()
                 and box.state == "serving"
                 and box.kind.startswith(trouble.role)
             ]
-            named = [box for box in self.fleet.boxes if box.settings.name == trouble.box]
+            named = [box for box in self.fleet.engines if box.settings.name == trouble.box]
             boxes = named or ([self._caught(trouble.when, able)] if trouble.when else self.rng.sample(able, 1))
-        self.say(f"{trouble.at_s:6.1f} s  {trouble.do} {', '.join(box.settings.name for box in boxes)}")
+        self.print_line(f"{trouble.at_s:6.1f} s  {trouble.do} {', '.join(box.settings.name for box in boxes)}")
         for box in boxes:
             self._box(trouble, box)
         if trouble.do in ("restart", "restart_rack"):
@@ -259,7 +261,7 @@
                 self.fleet.ready_box(box)
             self.fleet.write_list()
 
-    def _caught(self, when: str, able: list[Box]) -> Box:
+    def _caught(self, when: str, able: list[EngineInstance]) -> EngineInstance:
         """The first box that its journal shows in the middle of a read, a move or a stream."""
         at = os.path.getsize(self.box_journal)
         boxes = {box.settings.name: box for box in able}
@@ -277,7 +279,7 @@
                     return boxes[line["box"]]
             self.world.sleep_until(self.world.now_us() + 2_000)
 
-    def _box(self, trouble: Trouble, box: Box) -> None:
+    def _box(self, trouble: Trouble, box: EngineInstance) -> None:
         match trouble.do:
             case "kill" | "restart" | "restart_rack":
                 self._kill(box)
@@ -288,7 +290,7 @@
             case _:
                 self.control(box, trouble.do, trouble.factor)
 
-    def _kill(self, box: Box) -> None:
+    def _kill(self, box: EngineInstance) -> None:
         assert box.child is not None
         box.child.send(signal.SIGKILL)
         box.child.wait(self.world.now_us() + 5_000_000)
@@ -307,7 +309,7 @@
         self.fleet.launch_planner(dispatcher)
         self.fleet.ready_planner(dispatcher)
 
-    def control(self, box: Box, do: str, factor: float = 1.0) -> None:
+    def control(self, box: EngineInstance, do: str, factor: float = 1.0) -> None:
         """Tell a box to misbehave."""
         try:
             with self.world.deadline(self.world.now_us() + 2_000_000):
@@ -317,10 +319,10 @@
                 response.read_all()
                 response.close()
         except (ConnectError, ExchangeBroken, DeadlineExceeded) as error:
-            self.say(f"{box.settings.name} did not hear {do}: {error}")
+            self.print_line(f"{box.settings.name} did not hear {do}: {error}")
 
 
-def read_lines(path: str) -> list[dict[str, Any]]:
+def read_journal(path: str) -> list[dict[str, Any]]:
     """A journal's lines."""
     with open(path, "rb") as file:
         return [msgspec.json.decode(line) for line in file if line.strip()]
--- a/yardspindle/lab/engine.py
+++ b/yardspindle/lab/engine.py
@@ -20,7 +20,7 @@
 from yardspindle.engine.http_client import ConnectError, ExchangeBroken
 from yardspindle.engine.vllm import COMPLETIONS, HOLDS, PLACE_HEADER, PLACES
 from yardspindle.lab.block_cache import BlockCache
-from yardspindle.lab.engine_holds import Holds
+from yardspindle.lab.engine_holds import HoldRegistry
 from yardspindle.lab.engine_settings import Call, Control, EngineSettings, Held, text_of
 from yardspindle.protocol import http1
 from yardspindle.protocol.sse import write_event
@@ -34,7 +34,7 @@
 FETCH_US = 5_000_000
 
 
-class Engine(Holds):
+class StandInEngine(HoldRegistry):
     """One stand-in."""
 
     def __init__(self, world: World, settings: EngineSettings) -> None:
@@ -59,9 +59,9 @@
 
     def start(self, host: str, port: int, events_port: int = 0, replay_port: int = 0) -> tuple[str, int]:
         """Listen and serve. Raises OSError."""
-        if self.set.events:
-            self._events = self.world.messages("pub", host, events_port)
-            replay = self.world.messages("router", host, replay_port)
+        if self.settings.events:
+            self._events = self.world.message_socket("pub", host, events_port)
+            replay = self.world.message_socket("router", host, replay_port)
             self.events_port, self.replay_port = self._events.port, replay.port
             self.world.spawn("replay", self._replay, replay)
         listener = self.world.listen(host, port)
@@ -69,7 +69,7 @@
         server = Server(self.world, listener, self, ServingLimits(), self._fault)
         self.world.spawn("accept", server.serve)
         self.world.spawn("expiry", self._expire)
-        self.note("start")
+        self.record("start")
         return self.host, self.port
 
     def _publish(self, number: int, data: bytes) -> None:
@@ -79,13 +79,13 @@
     def _replay(self, socket: MessageSocket) -> None:
         while True:
             client, *_, start = socket.receive()
-            for number, data in list(self.cache.buffer):
+            for number, data in list(self.cache.replay_buffer):
                 if number >= int.from_bytes(start, "big"):
                     socket.send([client, b"", number.to_bytes(8, "big"), data])
             socket.send([client, b"", END_OF_REPLAY, b""])
 
     def _fault(self, fault: BaseException) -> None:
-        self.note("fault", "", text=f"{type(fault).__name__}: {fault}")
+        self.record("fault", "", text=f"{type(fault).__name__}: {fault}")
 
     # --- routes
 
@@ -94,13 +94,13 @@
         target = head.target
         if head.method in (b"DELETE", b"GET") and self.hung is not None:
             self.hung.wait()
-        if head.method == b"DELETE" and self.set.places:
+        if head.method == b"DELETE" and self.settings.places:
             return self._let_go(head)
-        if head.method == b"GET" and target == HOLDS and self.set.holds:
+        if head.method == b"GET" and target == HOLDS and self.settings.holds:
             return self._told(head)
         if head.method != b"POST":
             return ApiError(405, "method_not_allowed", "POST only.").reply()
-        if target in (COMPLETIONS, CONTROL) or target.startswith(FETCH) or (target == PLACES and self.set.places):
+        if target in (COMPLETIONS, CONTROL) or target.startswith(FETCH) or (target == PLACES and self.settings.places):
             return None
         return ApiError(404, "not_found", "No such path.").reply()
 
@@ -127,11 +127,11 @@
         params = call.kv_transfer_params or {}
         stage = "read" if params.get("do_remote_decode") else "write"
         lab_id = (call.metadata or {}).get("lab_id", "")
-        self.note("arrive", request, stage=stage, lab=lab_id)
+        self.record("arrive", request, stage=stage, lab=lab_id)
         gone = self.world.signal()
 
         def left() -> None:
-            self.note("gone", request)  # seen on the socket, also while it hangs
+            self.record("gone", request)  # seen on the socket, also while it hangs
             gone.set()
 
         exchange.on_disconnect = left
@@ -143,11 +143,11 @@
         except StreamError:
             ended = "client gone"
         finally:
-            self.note("end", request, stage=stage, how=ended)
+            self.record("end", request, stage=stage, how=ended)
 
     def _control(self, exchange: Exchange) -> None:
         control = msgspec.json.decode(exchange.body, type=Control)
-        self.note("control", "", do=control.do)
+        self.record("control", "", do=control.do)
         match control.do:
             case "hang":
                 self.hung = self.hung or self.world.signal()
@@ -176,9 +176,9 @@
 
     def _warmth(self) -> float:
         age_ms = (self.world.now_us() - self.started_us) / 1_000
-        if age_ms >= self.set.cold_ms:
+        if age_ms >= self.settings.cold_ms:
             return 1.0
-        return self.set.start_capacity + (1 - self.set.start_capacity) * age_ms / self.set.cold_ms
+        return self.settings.start_capacity + (1 - self.settings.start_capacity) * age_ms / self.settings.cold_ms
 
     def _pause(self, microseconds: float, gone: Signal) -> bool:
         """Take time; whether the client is still there."""
@@ -194,26 +194,26 @@
 
     def _weigh(self, work_us: float) -> bool:
         """Count work sent to a cold engine; whether it stands it. See the rule on cold servers."""
-        now, span = self.world.now_us(), self.set.fall_ms * 1_000
+        now, span = self.world.now_us(), self.settings.fall_ms * 1_000
         arrivals = self.load.arrivals
         arrivals.append((now, work_us))
         while arrivals and arrivals[0][0] < now - span:
             arrivals.popleft()
         warmth = self._warmth()
-        budget = self.set.fall_multiple * warmth * span * self.set.slots
+        budget = self.settings.fall_multiple * warmth * span * self.settings.slots
         return warmth >= 1.0 or sum(work for _, work in arrivals) <= budget
 
     def _enter(self, exchange: Exchange, request: str, tokens: int, work_us: float, gone: Signal) -> bool:
         if not self._weigh(work_us):
-            self.note("fell", request)
+            self.record("fell", request)
             self.hung = self.world.signal()  # it stays down
-        full = self.full or (self.load.running >= self.set.slots and len(self.load.waiting) >= self.set.queue)
+        full = self.full or (self.load.running >= self.settings.slots and len(self.load.waiting) >= self.settings.queue)
         if full or self.draining:
             code = "engine_draining" if self.draining else "engine_full"
-            self.note("turned away", request, code=code)
+            self.record("turned away", request, code=code)
             exchange.reply(Reply(503, [JSON_CONTENT_TYPE], error_body(code, "No room.", "overloaded_error")))
             return False
-        if self.load.running >= self.set.slots or self.load.memory + tokens > self.set.memory_tokens:
+        if self.load.running >= self.settings.slots or self.load.memory + tokens > self.settings.memory_tokens:
             turn = self.world.signal()
             self.load.waiting.append(turn)
             previous = exchange.on_disconnect
@@ -242,21 +242,21 @@
     def _prompt(self, call: Call) -> tuple[int, int, list[int], bytes]:
         """Prompt tokens, those kept, its blocks, and the tokens themselves."""
         packed = self.tokenizer.encode_prompt([(m.role, text_of(m.content)) for m in call.messages], bytes(call.tools))
-        hashes = self.cache.hashes(packed)
-        return len(packed) // 4, self.cache.found(hashes) * self.set.block_size, hashes, packed
+        hashes = self.cache.prompt_hashes(packed)
+        return len(packed) // 4, self.cache.cached_prefix_blocks(hashes) * self.settings.block_size, hashes, packed
 
     def _read_prompt(self, call: Call, gone: Signal) -> tuple[int, int, bool]:
         total, kept, hashes, packed = self._prompt(call)
-        work_us = (total - kept) / self.set.read_tokens_per_s * 1e6
+        work_us = (total - kept) / self.settings.read_tokens_per_s * 1e6
         there = self._pause(work_us * max(self.load.running, 1) * self.slow / self._warmth(), gone)
-        self.cache.keep(hashes, packed)
+        self.cache.insert(hashes, packed)
         return total, kept, there
 
     def _read(
         self, exchange: Exchange, request: str, call: Call, params: dict[str, Any], lab_id: str, gone: Signal
     ) -> str:
         total, kept, *_ = self._prompt(call)
-        if not self._enter(exchange, request, total, (total - kept) / self.set.read_tokens_per_s * 1e6, gone):
+        if not self._enter(exchange, request, total, (total - kept) / self.settings.read_tokens_per_s * 1e6, gone):
             return "turned away"
         try:
             total, kept, there = self._read_prompt(call, gone)
@@ -264,18 +264,18 @@
             self._leave(total)
         if not there:
             return "cancelled"
-        if request in self.released:
-            self.note("read", request, tokens=total, kept=kept, lab=lab_id)
+        if request in self.released_early:
+            self.record("read", request, tokens=total, kept=kept, lab=lab_id)
         else:
-            self.states[request] = Held(total, self.world.now_us() + int(self.set.hold_ms * 1_000))
-            self.note("hold state", request, tokens=total, kept=kept, lab=lab_id)
+            self.states[request] = Held(total, self.world.now_us() + int(self.settings.hold_ms * 1_000))
+            self.record("hold state", request, tokens=total, kept=kept, lab=lab_id)
         answer = {
             "id": request,
             "object": "chat.completion",
             "choices": [],
             "usage": {"prompt_tokens": total, "completion_tokens": 1, "prompt_tokens_details": {"cached_tokens": kept}},
             "kv_transfer_params": {
-                "remote_engine_id": self.set.name,
+                "remote_engine_id": self.settings.name,
                 "remote_block_ids": [1],
                 "remote_host": self.host,
                 "remote_port": self.port,
@@ -294,29 +294,29 @@
         place = (exchange.head.get(PLACE_HEADER) or b"").decode()
         had_place = self.places.pop(place, None)
         if had_place is not None:
-            self.note("take place", place)
+            self.record("take place", place)
             self._leave(had_place.tokens)
         elif place:
             self._remember(place)  # an answer to the asking may still be on its way
         steps = self._length(call, lab_id)
-        if not self._enter(exchange, request, total, steps * self.set.step_ms * 1_000, gone):
+        if not self._enter(exchange, request, total, steps * self.settings.step_ms * 1_000, gone):
             return "turned away"
         try:
             if params.get("do_remote_prefill"):
                 if not self._fetch(params, total, had_place is not None, gone):
-                    self.note("no state", request)
+                    self.record("no state", request)
                     exchange.reply(
                         Reply(409, [JSON_CONTENT_TYPE], error_body("no_state", "No state to fetch.", "state_error"))
                     )
                     return "no state"
-            elif self.set.role == "write":
+            elif self.settings.role == "write":
                 exchange.reply(
                     Reply(409, [JSON_CONTENT_TYPE], error_body("no_state", "No state was named.", "state_error"))
                 )
                 return "no state"
             elif not self._read_prompt(call, gone)[2]:
                 return "cancelled"
-            self.note("run", request, lab=lab_id, prompt=total, kept=kept)
+            self.record("run", request, lab=lab_id, prompt=total, kept=kept)
             return self._answer(exchange, request, call, total, kept, steps, gone)
         finally:
             self._leave(total)
@@ -342,7 +342,7 @@
             return False
         if response.head.status != 200:
             return False
-        move_us = tokens / self.set.move_tokens_per_s * 1e6 * (0.3 if placed else 1.0)
+        move_us = tokens / self.settings.move_tokens_per_s * 1e6 * (0.3 if placed else 1.0)
         return self._pause(move_us * self.slow, gone) or True
 
     def _fetched(self, exchange: Exchange, request: str) -> None:
@@ -350,7 +350,7 @@
         if held is None:
             exchange.reply(ApiError(404, "no_state", "No such state.").reply())
             return
-        self.note("fetched", request)
+        self.record("fetched", request)
         exchange.reply(Reply(200, [JSON_CONTENT_TYPE], b"{}"))
 
     def _answer(
@@ -360,9 +360,9 @@
         head = exchange.start(200, [(b"content-type", b"text/event-stream")]) if call.stream else b""
         base = {"id": f"chatcmpl-{request}", "object": "chat.completion.chunk", "created": 0, "model": "stand-in"}
         for step in range(steps):
-            pause_us = self.set.step_ms * 1_000 * self.slow / self._warmth() * (1 + self.load.running / 64)
+            pause_us = self.settings.step_ms * 1_000 * self.slow / self._warmth() * (1 + self.load.running / 64)
             if not self._pause(pause_us, gone) or self.reset:
-                self.note("sent", request, tokens=sent)
+                self.record("sent", request, tokens=sent)
                 exchange.stream.abort()
                 exchange.abort()
                 return "reset" if self.reset else "client gone"
@@ -384,7 +384,7 @@
             "total_tokens": total + sent,
             "prompt_tokens_details": {"cached_tokens": kept},
         }
-        self.note("sent", request, tokens=sent, whole=True)
+        self.record("sent", request, tokens=sent, whole=True)
         if not call.stream:
             text = " ".join(f"w{step}" for step in range(steps))
             exchange.reply(
--- a/yardspindle/lab/engine_holds.py
+++ b/yardspindle/lab/engine_holds.py
@@ -23,25 +23,25 @@
 WINDOW_PARTS = 20
 
 
-class Holds:
+class HoldRegistry:
     """States and places of one engine."""
 
     def __init__(self, world: World, settings: EngineSettings) -> None:
         """Holding nothing; fences are those met by earlier starts."""
         self.world = world
-        self.set = settings
+        self.settings = settings
         self.load = Load()
         self.http = HttpClient(world, 1_000_000, 4_000_000)
         self.states: dict[str, Held] = {}
         self.places: dict[str, Held] = {}
-        self.released: OrderedDict[str, None] = OrderedDict()  # ids let go before their read or place was there
+        self.released_early: OrderedDict[str, None] = OrderedDict()  # ids let go before their read or place was there
         self.full = self.draining = False
         self.fences = FenceRegistry(self._known_fences())
 
     def _known_fences(self) -> dict[str, int]:
         known: dict[str, int] = {}
         try:
-            lines = self.world.read_file(self.set.fences).splitlines() if self.set.fences else []
+            lines = self.world.read_file(self.settings.fences).splitlines() if self.settings.fences else []
         except OSError:
             lines = []
         for line in lines:
@@ -49,11 +49,11 @@
             known[duty] = max(fence, known.get(duty, 0))
         return known
 
-    def note(self, event: str, request: str = "", **more: object) -> None:
+    def record(self, event: str, request: str = "", **more: object) -> None:
         """Append to the journal, at once."""
-        if self.set.journal:
-            line = {"t": self.world.now_us(), "box": self.set.name, "ev": event, "id": request, **more}
-            self.world.append_file(self.set.journal, msgspec.json.encode(line) + b"\n")
+        if self.settings.journal:
+            line = {"t": self.world.now_us(), "box": self.settings.name, "ev": event, "id": request, **more}
+            self.world.append_file(self.settings.journal, msgspec.json.encode(line) + b"\n")
 
     def _leave(self, tokens: int) -> None:
         self.load.running -= 1
@@ -71,11 +71,11 @@
         duty, number = (head.get(DUTY_HEADER) or b"").decode(), int(fence) if fence.isdigit() else 0
         before = self.fences.highest.get(duty, 0)
         admitted = self.fences.admits(duty, number)
-        self.note("order", head.target.rpartition(b"/")[2].decode(), duty=duty, fence=number, admitted=admitted)
+        self.record("order", head.target.rpartition(b"/")[2].decode(), duty=duty, fence=number, admitted=admitted)
         if not admitted:
             return ApiError(409, "stale_fence", f"The fence in force is {before}.").reply()
-        if self.set.fences and number > before:
-            self.world.append_file(self.set.fences, msgspec.json.encode((duty, number)) + b"\n")
+        if self.settings.fences and number > before:
+            self.world.append_file(self.settings.fences, msgspec.json.encode((duty, number)) + b"\n")
         return None
 
     def _told(self, head: http1.RequestHead) -> Reply:
@@ -96,19 +96,19 @@
     def _place(self, exchange: Exchange) -> None:
         call = msgspec.json.decode(exchange.body, type=PlaceCall)
         room = (
-            self.load.running < self.set.slots
+            self.load.running < self.settings.slots
             and not self.load.waiting
             and not self.draining
-            and self.load.memory + call.tokens <= self.set.memory_tokens
+            and self.load.memory + call.tokens <= self.settings.memory_tokens
             and not self.full
         )
-        if not room or call.place in self.released:
+        if not room or call.place in self.released_early:
             exchange.reply(Reply(409, [JSON_CONTENT_TYPE], b'{"held":false}'))
             return
         self.load.running += 1
         self.load.memory += call.tokens
-        self.places[call.place] = Held(call.tokens, self.world.now_us() + int(self.set.hold_ms * 1_000))
-        self.note("hold place", call.place)
+        self.places[call.place] = Held(call.tokens, self.world.now_us() + int(self.settings.hold_ms * 1_000))
+        self.record("hold place", call.place)
         exchange.reply(Reply(200, [JSON_CONTENT_TYPE], b'{"held":true}'))
 
     def _release(self, held: dict[str, Held], request: str) -> None:
@@ -116,24 +116,24 @@
         if known is None:
             self._remember(request)
             return
-        self.note("release", request)
+        self.record("release", request)
         if held is self.places:
             self._leave(known.tokens)
 
     def _remember(self, request: str) -> None:
-        self.released[request] = None
-        while len(self.released) > 10_000:
-            self.released.popitem(last=False)
+        self.released_early[request] = None
+        while len(self.released_early) > 10_000:
+            self.released_early.popitem(last=False)
 
     def _expire(self) -> None:
         while True:
-            self.world.sleep_until(self.world.now_us() + int(self.set.hold_ms * 1_000 / WINDOW_PARTS))
+            self.world.sleep_until(self.world.now_us() + int(self.settings.hold_ms * 1_000 / WINDOW_PARTS))
             now = self.world.now_us()
             self.http.close_expired()
             for held in (self.states, self.places):
                 for request, known in list(held.items()):
                     if now >= known.expires_us:
                         del held[request]
-                        self.note("expire", request)
+                        self.record("expire", request)
                         if held is self.places:
                             self._leave(known.tokens)
--- a/yardspindle/lab/etcd.py
+++ b/yardspindle/lab/etcd.py
@@ -18,14 +18,24 @@
 from yardspindle.api.serving import Server, ServingLimits
 from yardspindle.core.fleet.kv import BadRequest, Change, Changes, Compacted, Txn, range_contains
 from yardspindle.core.fleet.kv_model import StoreModel
-from yardspindle.fleet.store import gateway_json as j
+from yardspindle.fleet.store import etcd_json as j
 from yardspindle.protocol import http1
 from yardspindle.runtime.scheduler import Signal
 from yardspindle.runtime.world import StreamError, World
 
 CONTROL = b"/lab/control"
 EXPIRE_US = 10_000  # how often leases are looked at
-PATHS = (j.RANGE, j.TXN, j.GRANT, j.KEEP_ALIVE, j.REVOKE, j.TIME_LEFT, j.COMPACT, j.WATCH, CONTROL)
+PATHS = (
+    j.RANGE_PATH,
+    j.TXN_PATH,
+    j.LEASE_GRANT_PATH,
+    j.LEASE_KEEP_ALIVE_PATH,
+    j.LEASE_REVOKE_PATH,
+    j.LEASE_TTL_PATH,
+    j.COMPACT_PATH,
+    j.WATCH_PATH,
+    CONTROL,
+)
 
 
 class Control(Struct, forbid_unknown_fields=True):
@@ -58,11 +68,11 @@
         self.world = world
         self.model = StoreModel()
         self.journal = journal
-        self.followers: list[Follower] = []
+        self.watches: list[Follower] = []
         self.leaderless = False
         self.late_us = 0
-        self.lose = 0
-        self.marked: StoreModel | None = None
+        self.responses_to_lose = 0
+        self.saved_model: StoreModel | None = None
         self.stale_reads = False
         self.cluster = world.random("cluster").getrandbits(62) or 1
         self._told = self.model.revision
@@ -74,7 +84,7 @@
         self.world.spawn("leases", self._expire)
         return listener.host, listener.port
 
-    def note(self, event: str, **more: object) -> None:
+    def record(self, event: str, **more: object) -> None:
         """Append to the journal, at once."""
         if self.journal:
             line = {"t": self.world.now_us(), "ev": event, "revision": self.model.revision, **more}
@@ -82,7 +92,7 @@
 
     def _fault(self, fault: BaseException) -> None:
         if not isinstance(fault, StreamError):
-            self.note("fault", text=f"{type(fault).__name__}: {fault}")
+            self.record("fault", text=f"{type(fault).__name__}: {fault}")
 
     def _expire(self) -> None:
         while True:
@@ -90,8 +100,8 @@
             ended = [n for n, lease in self.model.leases.items() if lease.expires_us <= now]
             if ended:
                 self.model.expire(now)
-                self.note("expired", leases=ended)
-                self._tell()
+                self.record("expired", leases=ended)
+                self._notify_watches()
             self.world.sleep_until(now + EXPIRE_US)
 
     # --- routes
@@ -116,8 +126,8 @@
             self.world.sleep_until(self.world.now_us() + self.late_us)
         if self.leaderless:
             return self._error(exchange, target, body, BadRequest(14, "etcdserver: no leader"))
-        if target == j.WATCH:
-            return self._watch(exchange, j.decode(body, j.WatchCall).create_request)
+        if target == j.WATCH_PATH:
+            return self._watch(exchange, j.decode(body, j.WatchRequest).create_request)
         try:
             answer = self._answer(target, body)
         except BadRequest as error:
@@ -126,74 +136,76 @@
             return self._error(
                 exchange, target, body, BadRequest(11, "etcdserver: mvcc: required revision has been compacted")
             )
-        except j.Malformed as error:
+        except j.MalformedMessage as error:
             return self._error(exchange, target, body, BadRequest(3, str(error)))
-        self._tell()
-        lost = self.lose > 0 and target not in (j.RANGE, j.TIME_LEFT)
-        self.note("call", path=target.decode(), call=msgspec.Raw(body), answer=msgspec.Raw(answer), lost=lost)
+        self._notify_watches()
+        lost = self.responses_to_lose > 0 and target not in (j.RANGE_PATH, j.LEASE_TTL_PATH)
+        self.record("call", path=target.decode(), call=msgspec.Raw(body), answer=msgspec.Raw(answer), lost=lost)
         if lost:
-            self.lose -= 1
+            self.responses_to_lose -= 1
             exchange.stream.abort()
             return None
         exchange.reply(Reply(200, [JSON_CONTENT_TYPE], answer))
         return None
 
     def _error(self, exchange: Exchange, target: bytes, body: bytes, error: BadRequest) -> None:
-        self.note("refused", path=target.decode(), call=msgspec.Raw(body), code=error.code, text=str(error))
+        self.record("refused", path=target.decode(), call=msgspec.Raw(body), code=error.code, text=str(error))
         status = {3: 400, 5: 404, 9: 400, 11: 400, 14: 503}.get(error.code, 500)
         exchange.reply(
-            Reply(status, [JSON_CONTENT_TYPE], msgspec.json.encode(j.ErrorReply(str(error), error.code, str(error))))
+            Reply(status, [JSON_CONTENT_TYPE], msgspec.json.encode(j.ErrorResponse(str(error), error.code, str(error))))
         )
 
-    def _header(self) -> j.Header:
-        return j.Header(str(self.cluster), "1", str(self.model.revision), "2")
+    def _header(self) -> j.ResponseHeader:
+        return j.ResponseHeader(str(self.cluster), "1", str(self.model.revision), "2")
 
     def _answer(self, target: bytes, body: bytes) -> bytes:
         now, model = self.world.now_us(), self.model
         reply: Struct
         match target:
-            case j.RANGE:
-                call = j.decode(body, j.RangeCall)
-                if call.serializable and self.stale_reads and self.marked is not None:
-                    model = self.marked
-                rows = model.range(j.unb64(call.key), j.unb64(call.range_end), int(call.revision))
-                head = j.Header(str(self.cluster), "1", str(rows.revision), "2")
-                reply = j.RangeReply(head, [j.row_out(row) for row in rows.rows], count=str(len(rows.rows)))
-            case j.TXN:
-                txn: Txn = j.txn_in(body)
-                return j.answer_out(txn, model.txn(txn), self._header())
-            case j.GRANT:
-                lease_call = j.decode(body, j.LeaseCall)
+            case j.RANGE_PATH:
+                call = j.decode(body, j.RangeRequest)
+                if call.serializable and self.stale_reads and self.saved_model is not None:
+                    model = self.saved_model
+                rows = model.range(j.decode_base64(call.key), j.decode_base64(call.range_end), int(call.revision))
+                head = j.ResponseHeader(str(self.cluster), "1", str(rows.revision), "2")
+                reply = j.RangeResponse(head, [j.encode_row(row) for row in rows.rows], count=str(len(rows.rows)))
+            case j.TXN_PATH:
+                txn: Txn = j.decode_txn(body)
+                return j.encode_txn_result(txn, model.txn(txn), self._header())
+            case j.LEASE_GRANT_PATH:
+                lease_call = j.decode(body, j.LeaseRequest)
                 lease = model.grant(now, int(lease_call.TTL), int(lease_call.ID))
-                reply = j.LeaseReply(self._header(), str(lease), str(model.leases[lease].ttl_us // 1_000_000))
-            case j.KEEP_ALIVE:
-                lease = int(j.decode(body, j.LeaseCall).ID)
-                reply = j.LeaseStream(j.LeaseReply(self._header(), str(lease), str(model.keep_alive(now, lease))))
-            case j.REVOKE:
-                model.revoke(int(j.decode(body, j.LeaseCall).ID))
-                reply = j.LeaseReply(self._header())
-            case j.TIME_LEFT:
-                lease = int(j.decode(body, j.LeaseCall).ID)
-                reply = j.LeaseReply(self._header(), str(lease), str(model.remaining_ttl_s(now, lease)))
+                reply = j.LeaseResponse(self._header(), str(lease), str(model.leases[lease].ttl_us // 1_000_000))
+            case j.LEASE_KEEP_ALIVE_PATH:
+                lease = int(j.decode(body, j.LeaseRequest).ID)
+                reply = j.KeepAliveMessage(
+                    j.LeaseResponse(self._header(), str(lease), str(model.keep_alive(now, lease)))
+                )
+            case j.LEASE_REVOKE_PATH:
+                model.revoke(int(j.decode(body, j.LeaseRequest).ID))
+                reply = j.LeaseResponse(self._header())
+            case j.LEASE_TTL_PATH:
+                lease = int(j.decode(body, j.LeaseRequest).ID)
+                reply = j.LeaseResponse(self._header(), str(lease), str(model.remaining_ttl_s(now, lease)))
             case _:
-                model.compact(int(j.decode(body, j.RangeCall).revision))
-                reply = j.LeaseReply(self._header())
+                model.compact(int(j.decode(body, j.RangeRequest).revision))
+                reply = j.LeaseResponse(self._header())
         return msgspec.json.encode(reply)
 
     # --- watches
 
-    def _watch(self, exchange: Exchange, call: j.WatchCreate) -> None:
-        key, end, since = j.unb64(call.key), j.unb64(call.range_end), int(call.start_revision)
+    def _watch(self, exchange: Exchange, call: j.WatchCreateRequest) -> None:
+        key, end, since = j.decode_base64(call.key), j.decode_base64(call.range_end), int(call.start_revision)
         head = exchange.start(200, [JSON_CONTENT_TYPE])
-        created = j.WatchStream(j.WatchReply(self._header(), created=True))
+        created = j.WatchMessage(j.WatchResponse(self._header(), created=True))
         exchange.send(msgspec.json.encode(created) + b"\n", head)
         try:
             missed = self.model.changes_since(key, end, since) if since else Changes(self.model.revision)
         except Compacted as error:
-            gone = j.WatchReply(self._header(), canceled=True, compact_revision=str(error.revision))
-            return exchange.finish(msgspec.json.encode(j.WatchStream(gone)) + b"\n")
+            gone = j.WatchResponse(self._header(), canceled=True, compact_revision=str(error.revision))
+            return exchange.finish(msgspec.json.encode(j.WatchMessage(gone)) + b"\n")
         follower = Follower(key, end)
-        self.followers.append(follower)
+        self.watches.append(follower)
 
         def left() -> None:
             follower.broken = True
@@ -203,7 +215,7 @@
         exchange.on_disconnect = left
         try:
             if missed.changes:
-                exchange.send(j.changes_out(missed, self._header()))
+                exchange.send(j.encode_changes(missed, self._header()))
             while not follower.broken:
                 if not follower.waiting:
                     follower.turn = self.world.signal()
@@ -213,16 +225,16 @@
                 exchange.send(b"".join(lines))
             exchange.stream.abort()
         finally:
-            self.followers.remove(follower)
+            self.watches.remove(follower)
         return None
 
-    def _tell(self) -> None:
+    def _notify_watches(self) -> None:
         """Let the watches have what changed since they were last told."""
         if self.model.revision == self._told:
             return
         news = self.model.changes_since(b"\0", b"\0", self._told + 1)
         self._told = self.model.revision
-        for follower in self.followers:
+        for follower in self.watches:
             mine: tuple[Change, ...] = tuple(
                 c
                 for c in news.changes
@@ -231,18 +243,18 @@
                 )
             )
             if mine:
-                follower.waiting.append(j.changes_out(Changes(news.revision, mine), self._header()))
+                follower.waiting.append(j.encode_changes(Changes(news.revision, mine), self._header()))
                 if follower.turn is not None:
                     follower.turn.set()
 
     # --- faults
 
-    def command(self, do: str) -> None:
+    def inject_fault(self, do: str) -> None:
         """A fault by its name, for a run that holds the stand-in itself."""
         self._control(msgspec.convert({"do": do}, Control))
 
     def _control(self, control: Control) -> None:
-        self.note("control", do=control.do)
+        self.record("control", do=control.do)
         match control.do:
             case "no_leader":
                 self.leaderless = True
@@ -251,17 +263,17 @@
             case "late":
                 self.late_us = int(control.ms * 1_000)
             case "lose":
-                self.lose = control.count
+                self.responses_to_lose = control.count
             case "expire":
                 for lease in list(self.model.leases):
                     self.model.revoke(lease)
-                self._tell()
+                self._notify_watches()
             case "compact" if self.model.revision > self.model.compacted:
                 self.model.compact(self.model.revision)
             case "mark":
-                self.marked = self.model.copy()
-            case "restore" if self.marked is not None:
-                self.model = self.marked.copy()
+                self.saved_model = self.model.copy()
+            case "restore" if self.saved_model is not None:
+                self.model = self.saved_model.copy()
                 self._told = self.model.revision
                 self._break()
             case "stale_reads":
@@ -272,7 +284,7 @@
                 pass
 
     def _break(self) -> None:
-        for follower in self.followers:
+        for follower in self.watches:
             follower.broken = True
             if follower.turn is not None:
                 follower.turn.set()
--- a/yardspindle/lab/fleet.py
+++ b/yardspindle/lab/fleet.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Box:
+class EngineInstance:
     """A stand-in engine and its line in the server list."""
 
     settings: EngineSettings
@@ -52,14 +52,14 @@
 
 
 @dataclass(slots=True)
-class Fleet:
+class LocalFleet:
     """All of it. `config` holds what the files of all dispatchers share."""
 
     world: RealWorld
     config: dict[str, Any]
-    boxes: list[Box]
+    engines: list[EngineInstance]
     dispatchers: list[Dispatcher]
-    shared: bool = False  # they share a store, a file of the fleet's folder, and have a steward
+    shared_store: bool = False  # they share a store, a file of the fleet's folder, and have a steward
     steward: Child | None = None
     folder: tempfile.TemporaryDirectory[str] = field(
         default_factory=lambda: tempfile.TemporaryDirectory(prefix="yardspindle-")
@@ -71,9 +71,9 @@
 
     def start(self) -> None:
         """Start all, engines first. Raises ChildError."""
-        for box in self.boxes:
+        for box in self.engines:
             self.launch_box(box)
-        for box in self.boxes:
+        for box in self.engines:
             self.ready_box(box)
         self.write_list()
         for dispatcher in self.dispatchers:
@@ -81,13 +81,13 @@
         for dispatcher in self.dispatchers:
             self.ready_planner(dispatcher)
             self.launch_edge(dispatcher)
-        if self.shared:
+        if self.shared_store:
             self.steward = self._child("steward", "steward", self._config_file(self.dispatchers[0]))
             self.steward.first_line(READY_US)
         for dispatcher in self.dispatchers:
             self.ready_edge(dispatcher)
 
-    def launch_box(self, box: Box) -> None:
+    def launch_box(self, box: EngineInstance) -> None:
         """Start an engine's process."""
         name = box.settings.name
         file = self.path(f"{name}.json")
@@ -107,7 +107,7 @@
             str(box.replay_port),
         )
 
-    def ready_box(self, box: Box) -> None:
+    def ready_box(self, box: EngineInstance) -> None:
         """Wait until an engine serves."""
         assert box.child is not None
         ready = box.child.first_line(READY_US)
@@ -135,7 +135,7 @@
     def write_list(self) -> None:
         """Put the server list as it should be in force now, at once."""
         with open(self.path("servers.new"), "w") as out:
-            out.write(server_list(self.boxes))
+            out.write(server_list(self.engines))
         os.replace(self.path("servers.new"), self.path("servers.toml"))
 
     def stop(self) -> dict[str, int]:
@@ -145,12 +145,12 @@
         try:
             for child in children:
                 if child is not None and child.running():
-                    child.ask_to_end()
-            for child in (*children, *(box.child for box in self.boxes)):
+                    child.terminate()
+            for child in (*children, *(box.child for box in self.engines)):
                 if child is not None:
                     codes[child.name] = child.stop(STOP_US)  # those told above are only waited for
         finally:
-            for child in (*children, *(box.child for box in self.boxes)):
+            for child in (*children, *(box.child for box in self.engines)):
                 if child is not None and child.running():
                     child.send(signal.SIGKILL)
         return codes
@@ -178,7 +178,7 @@
             **self.config.get("planner", {}),
         }
         document = {**self.config, "edge": edge, "planner": planner}
-        if self.shared:
+        if self.shared_store:
             document["fleet"] = {"store": [f"file:{self.path('fleet.db')}"], **self.config.get("fleet", {})}
         with open(file, "wb") as out:
             out.write(to_toml(document))
@@ -192,7 +192,7 @@
     return int(url.split()[0].split("//")[-1].split("/")[0].rpartition(":")[2])
 
 
-def server_list(boxes: list[Box]) -> str:
+def server_list(boxes: list[EngineInstance]) -> str:
     """The list of servers as a file."""
     lines = [f"count = {sum(box.listed for box in boxes)}"]
     for box in boxes:
@@ -220,8 +220,8 @@
 
 
 def small_fleet(
-    world: RealWorld, cells: int = 2, dispatchers: int = 1, journal: str = "", shared: bool = False
-) -> Fleet:
+    world: RealWorld, cells: int = 2, dispatchers: int = 1, journal: str = "", shared_store: bool = False
+) -> LocalFleet:
     """A reader and a writer in each cell; `yardspindle up` starts it with a store that its processes share."""
     boxes = []
     for cell in range(cells):
@@ -232,6 +232,8 @@
                 journal=journal,
                 events=role == "read",
             )
-            boxes.append(Box(settings, cell, kind))
+            boxes.append(EngineInstance(settings, cell, kind))
     index = {"block_size": EngineSettings().block_size}
-    return Fleet(world, {"index": index}, boxes, [Dispatcher(number) for number in range(dispatchers)], shared)
+    return LocalFleet(
+        world, {"index": index}, boxes, [Dispatcher(number) for number in range(dispatchers)], shared_store
+    )
--- a/yardspindle/lab/fleet_worlds.py
+++ b/yardspindle/lab/fleet_simulation.py
@@ -19,13 +19,13 @@
 from yardspindle.core.config import Config, parse
 from yardspindle.core.fleet.sweep import epoch_of
 from yardspindle.edge.app import Edge
+from yardspindle.fleet.store.factory import open_store
 from yardspindle.fleet.store.interface import StoreError
-from yardspindle.fleet.store.open import open_store
-from yardspindle.lab.clients import ClientClass, Clients, Habits, draw
-from yardspindle.lab.engine import Engine
+from yardspindle.lab.clients import ClientClass, ClientHabits, Clients, draw_request
+from yardspindle.lab.engine import StandInEngine
 from yardspindle.lab.engine_settings import EngineSettings
 from yardspindle.lab.etcd import EtcdStandIn
-from yardspindle.lab.fleet import Box, server_list, to_toml
+from yardspindle.lab.fleet import EngineInstance, server_list, to_toml
 from yardspindle.planner.app import Planner
 from yardspindle.runtime.virtual import Simulation, VirtualWorld
 from yardspindle.steward.app import Steward
@@ -38,7 +38,7 @@
 SPAN_MS = 12_000  # in which faults begin
 SETTLED_US = 100_000_000  # after the last fault: a clock set back a minute stands still so long; pauses double
 QUESTION = ClientClass("chat", 1.0, 4_000.0, 12)
-HABITS = Habits(hang_up=0.1, stop_reading=0.0, retries=0, openings=2, opening_words=10, words=10)
+HABITS = ClientHabits(hang_up=0.1, stop_reading=0.0, retries=0, openings=2, opening_words=10, words=10)
 # kind: (on, other, shortest ms, longest ms)
 KINDS: dict[str, tuple[tuple[str, ...], tuple[str, ...], int, int]] = {
     "dies": (STEWARDS + EDGES, (), 50, 5_000),
@@ -77,7 +77,7 @@
     requests: tuple[int, ...]  # when each comes, ms
 
 
-def draw_fleet(seed: int) -> FleetScript:
+def draw_fleet_script(seed: int) -> FleetScript:
     """A script."""
     rng = random.Random(f"fleet {seed}")
     faults = []
@@ -100,18 +100,18 @@
     )
 
 
-class NotingEngine(Engine):
+class NotingEngine(StandInEngine):
     """Tells the run of each order, at once."""
 
     on_order: Callable[[str, dict[str, Any]], None]
 
-    def note(self, event: str, request: str = "", **more: object) -> None:
+    def record(self, event: str, request: str = "", **more: object) -> None:
         """See Engine."""
         if event == "order":
-            self.on_order(self.set.name, {"id": request, **more})
+            self.on_order(self.settings.name, {"id": request, **more})
 
 
-class FleetWorld:
+class FleetSimulation:
     """One run."""
 
     def __init__(self, script: FleetScript) -> None:
@@ -123,13 +123,13 @@
         self.stewards: dict[str, Steward] = {}
         self.edges: dict[str, Edge] = {}
         self.engines: dict[str, NotingEngine] = {}
-        self.boxes: dict[str, Box] = {}
+        self.instances: dict[str, EngineInstance] = {}
         self.ports: dict[str, int] = {}
         self._highest: dict[tuple[str, str], int] = defaultdict(int)
         self._told: set[str] = set()  # epochs that were ever registered
         self._unsure = any(fault.kind in ("steps", "leases end") for fault in script.faults)
 
-    def play(self) -> tuple[str, ...]:
+    def run(self) -> tuple[str, ...]:
         """What broke."""
         try:
             self.sim.run("fleet world", self._program)
@@ -155,9 +155,9 @@
                 },
                 EngineSettings,
             )
-            self.boxes[name] = Box(settings, int(name[1]), kind)
+            self.instances[name] = EngineInstance(settings, int(name[1]), kind)
             self.start(name)
-        sim.files[SERVERS] = server_list(list(self.boxes.values())).encode()
+        sim.files[SERVERS] = server_list(list(self.instances.values())).encode()
         planner = Planner(sim.program("planner"), self._config("planner", {}))
         _, self.ports["planner"] = planner.start()
         for name in EDGES + STEWARDS:
@@ -166,13 +166,13 @@
         started = sim.now_us()
         watch = sim.scheduler.spawn("rules", self._rules)
         clients = Clients(sim.program("clients"), "yardspindle-demo", lambda line: None, HABITS)
-        tasks = [sim.scheduler.spawn("fault", self._fault, fault, started) for fault in self.script.faults]
+        tasks = [sim.scheduler.spawn("fault", self._run_fault, fault, started) for fault in self.script.faults]
         for number, at_ms in enumerate(self.script.requests):
-            plan = draw(sim.random(f"client {number}"), number, (QUESTION,), HABITS)
+            plan = draw_request(sim.random(f"client {number}"), number, (QUESTION,), HABITS)
             tasks.append(sim.scheduler.spawn("client", self._ask, clients, plan, started + at_ms * 1_000))
         for task in tasks:
             task.join()
-        self._settled()
+        self._check_settled()
         watch.cancel()
         clients.close()
 
@@ -205,9 +205,9 @@
         """Start a program where it was."""
         world = self.sim.program(name)
         if name in BOXES:
-            engine = self.engines[name] = NotingEngine(world, self.boxes[name].settings)
+            engine = self.engines[name] = NotingEngine(world, self.instances[name].settings)
             engine.on_order = self._ordered
-            _, self.boxes[name].port = engine.start(HOST, self.boxes[name].port)
+            _, self.instances[name].port = engine.start(HOST, self.instances[name].port)
         elif name in EDGES:
             self.ports.setdefault(name, self.sim.next_port())
             edge = {
@@ -233,16 +233,16 @@
 
     # --- faults
 
-    def _fault(self, fault: FleetFault, started: int) -> None:
+    def _run_fault(self, fault: FleetFault, started: int) -> None:
         sim, on = self.sim, fault.on
         sim.scheduler.sleep_until(started + fault.at_ms * 1_000)
-        undo = self._happens(fault)
+        undo = self._apply_fault(fault)
         sim.scheduler.sleep_until(sim.now_us() + fault.for_ms * 1_000)
         if undo is not None:
             undo()
         self.counts[f"{fault.kind} {on[:-1] if on != STORE else on}"] += 1
 
-    def _happens(self, fault: FleetFault) -> Callable[[], None] | None:
+    def _apply_fault(self, fault: FleetFault) -> Callable[[], None] | None:
         on, network, etcd = fault.on, self.sim.network, self.etcd
         world = self.world(on)
         match fault.kind:
@@ -250,8 +250,8 @@
                 world.kill()
                 return lambda: None if self.world(on).alive else self.start(on)
             case "dies holding" if world.alive and not world.gate.shut:
-                epoch, until_us = self.edges[on].unique, self.sim.now_us() + HOLDING_US
-                while self.sim.now_us() < until_us and not any(epoch_of(hold) == epoch for hold in self.holds()):
+                epoch, until_us = self.edges[on].instance_id, self.sim.now_us() + HOLDING_US
+                while self.sim.now_us() < until_us and not any(epoch_of(hold) == epoch for hold in self.held_ids()):
                     self.sim.scheduler.sleep_until(self.sim.now_us() + 2_000)
                 world.kill()
                 return lambda: None if self.world(on).alive else self.start(on)
@@ -267,7 +267,7 @@
 
                 def join() -> None:
                     for way in ways:
-                        network.join(*way)
+                        network.restore(*way)
 
                 return join
             case "engine hangs" if world.alive and self.engines[on].hung is None:
@@ -287,10 +287,10 @@
                 etcd.late_us = 300_000
                 return lambda: setattr(etcd, "late_us", 0)
             case "lost answers":
-                etcd.lose += 3
+                etcd.responses_to_lose += 3
             case "leases end" | "watches break" | "compaction":
                 do = {"leases end": b"expire", "watches break": b"break_watches", "compaction": b"compact"}[fault.kind]
-                etcd.command(do.decode())
+                etcd.inject_fault(do.decode())
             case "leaves" if world.alive and not world.gate.shut:
                 world.spawn("leave", self.stewards[on].shut_down)
 
@@ -317,10 +317,10 @@
             return
         self.counts["holds let go of"] += 1
         epoch = epoch_of(order["id"])
-        if any(edge.unique == epoch and self.world(name).alive for name, edge in self.edges.items()):
+        if any(edge.instance_id == epoch and self.world(name).alive for name, edge in self.edges.items()):
             self.found.append(f"sweep: {engine} let go of {order['id']}, whose edge lives")
 
-    def holds(self) -> list[str]:
+    def held_ids(self) -> list[str]:
         """All that engines hold."""
         return [hold for engine in self.engines.values() for hold in (*engine.states, *engine.places)]
 
@@ -346,14 +346,14 @@
                     f"owners: {duty} has {', '.join(names)}" for duty, names in self.owners().items() if len(names) > 1
                 ]
 
-    def _settled(self) -> None:
+    def _check_settled(self) -> None:
         """Every duty has one owner who works, and nothing is held for an edge that is gone."""
         sim, until_us = self.sim, self.sim.now_us() + SETTLED_US
         wanted = {"clock", "sweep/0", "sweep/1"}
         while True:
-            living = {edge.unique for name, edge in self.edges.items() if self.world(name).alive}
+            living = {edge.instance_id for name, edge in self.edges.items() if self.world(name).alive}
             # One that died before the store had heard of it has a fate that nobody knows.
-            left = [hold for hold in self.holds() if epoch_of(hold) not in living and epoch_of(hold) in self._told]
+            left = [hold for hold in self.held_ids() if epoch_of(hold) not in living and epoch_of(hold) in self._told]
             owners = self.owners()
             idle = [
                 duty
@@ -372,7 +372,7 @@
             sim.scheduler.sleep_until(sim.now_us() + LOOK_US)
 
 
-def play_fleet(script: FleetScript) -> tuple[tuple[str, ...], Counter[str]]:
+def run_fleet_script(script: FleetScript) -> tuple[tuple[str, ...], Counter[str]]:
     """What broke in a world, and what it met."""
-    world = FleetWorld(script)
-    return world.play(), world.counts
+    world = FleetSimulation(script)
+    return world.run(), world.counts
--- a/yardspindle/lab/load.py
+++ b/yardspindle/lab/load.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Planned:
+class PlannedRequest:
     """A request as drawn; `at_us` after the start."""
 
     at_us: int
@@ -74,18 +74,18 @@
     """What came of a run; times in microseconds from the intended send."""
 
     outcomes: dict[str, int] = field(default_factory=dict)
-    first: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MOST_US, 3))
-    whole: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MOST_US, 3))
-    first_us: dict[int, int] = field(default_factory=dict)
+    first_token: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MOST_US, 3))
+    full_answer: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MOST_US, 3))
+    first_token_us: dict[int, int] = field(default_factory=dict)
     prompt_tokens: int = 0
 
-    def text(self) -> str:
+    def summary(self) -> str:
         """For people, in milliseconds."""
         rows = [
             ", ".join(f"{name} {count}" for name, count in sorted(self.outcomes.items()))
             + f"; prompt tokens {self.prompt_tokens}"
         ]
-        for name, histogram in (("first token", self.first), ("whole answer", self.whole)):
+        for name, histogram in (("first token", self.first_token), ("whole answer", self.full_answer)):
             values = ", ".join(
                 f"p{at:g} {histogram.get_value_at_percentile(at) / 1_000:.1f}" for at in (50, 90, 99, 99.9)
             )
@@ -102,12 +102,12 @@
     return traffic
 
 
-def plan(traffic: Traffic) -> list[Planned]:
+def plan_traffic(traffic: Traffic) -> list[PlannedRequest]:
     """All requests of a run, by their times."""
     rng = random.Random(traffic.seed)
     weights = [1 / (rank + 1) ** traffic.zipf for rank in range(traffic.openings)]
     open_sessions: list[list[tuple[str, str]]] = []
-    planned: list[Planned] = []
+    planned: list[PlannedRequest] = []
     at = 0.0
     while (at := at + rng.expovariate(_rate(traffic, at))) < traffic.seconds:
         if open_sessions and rng.random() < 1 - 1 / traffic.turns:
@@ -120,7 +120,7 @@
             open_sessions.append(session)
             open_sessions = open_sessions[-200:]
         session.append(("user", _words(rng, traffic.turn_words)))
-        planned.append(Planned(int(at * 1e6), tuple(session)))
+        planned.append(PlannedRequest(int(at * 1e6), tuple(session)))
     return planned
 
 
@@ -141,7 +141,7 @@
     report, http = LoadReport(), HttpClient(world, 1_000_000, 4_000_000)
     start = world.now_us()
 
-    def one(number: int, planned: Planned) -> None:
+    def one(number: int, planned: PlannedRequest) -> None:
         intended = start + planned.at_us
         outcome = "timed out"
         try:
@@ -157,7 +157,7 @@
         report.outcomes[outcome] = report.outcomes.get(outcome, 0) + 1
 
     tasks = []
-    for number, planned in enumerate(plan(traffic)):
+    for number, planned in enumerate(plan_traffic(traffic)):
         world.sleep_until(start + planned.at_us)
         tasks.append(world.spawn("request", one, number, planned))
     for task in tasks:
@@ -171,7 +171,7 @@
     traffic: Traffic,
     edge: tuple[str, int],
     model: str,
-    planned: Planned,
+    planned: PlannedRequest,
     number: int,
     intended: int,
     report: LoadReport,
@@ -194,12 +194,12 @@
             return f"HTTP {response.head.status}"
         while (piece := response.read()) is not None:
             for event in parser.feed(piece):
-                if number not in report.first_us:
-                    report.first_us[number] = world.now_us() - intended
-                    report.first.record_value(report.first_us[number])
+                if number not in report.first_token_us:
+                    report.first_token_us[number] = world.now_us() - intended
+                    report.first_token.record_value(report.first_token_us[number])
                 if event.data == b"[DONE]":
                     outcome = "served"
-                    report.whole.record_value(world.now_us() - intended)
+                    report.full_answer.record_value(world.now_us() - intended)
                 elif b'"usage":{' in event.data:
                     usage: Any = msgspec.json.decode(event.data)["usage"]
                     report.prompt_tokens += usage["prompt_tokens"]
@@ -208,17 +208,17 @@
         response.close()
 
 
-def paired(first: LoadReport, second: LoadReport, seed: int) -> str:
+def compare_runs(first: LoadReport, second: LoadReport, seed: int) -> str:
     """The same traffic on two settings: the median difference of each request's first token, and its spread."""
-    both = sorted(first.first_us.keys() & second.first_us.keys())
+    both = sorted(first.first_token_us.keys() & second.first_token_us.keys())
     if not both:
         return "no request was answered in both"
-    differences = [(second.first_us[n] - first.first_us[n]) / 1_000 for n in both]
+    differences = [(second.first_token_us[n] - first.first_token_us[n]) / 1_000 for n in both]
     rng = random.Random(seed)
     medians = sorted(statistics.median(rng.choices(differences, k=len(differences))) for _ in range(BOOTSTRAPS))
     low, high = medians[int(0.025 * BOOTSTRAPS)], medians[int(0.975 * BOOTSTRAPS)]
     return (
         f"first token, B - A: median {statistics.median(differences):+.2f} ms (95 % of resamples {low:+.2f} to "
-        f"{high:+.2f}), {len(both)} pairs; answered only by A {len(first.first_us) - len(both)}, "
-        f"only by B {len(second.first_us) - len(both)}"
+        f"{high:+.2f}), {len(both)} pairs; answered only by A {len(first.first_token_us) - len(both)}, "
+        f"only by B {len(second.first_token_us) - len(both)}"
     )
--- a/yardspindle/lab/release_worlds.py
+++ b/yardspindle/lab/release_simulation.py
@@ -17,7 +17,7 @@
 from yardspindle.core.fleet.members import FleetKeys
 from yardspindle.core.fleet.release_keys import AuditEntry, ReleaseView, UnitKeys
 from yardspindle.core.fleet.unit import UnitFile
-from yardspindle.fleet.store.open import open_store
+from yardspindle.fleet.store.factory import open_store
 from yardspindle.lab.etcd import EtcdStandIn
 from yardspindle.lab.fleet import to_toml
 from yardspindle.runtime.virtual import Simulation, VirtualWorld
@@ -75,7 +75,7 @@
     def _takes(self, most_us: int) -> None:
         self._world.sleep_until(
             self._world.now_us()
-            + self._m.sim.random(f"takes {self._m.name} {self._m.sim.drawn('takes')}").randrange(most_us)
+            + self._m.sim.random(f"takes {self._m.name} {self._m.sim.next_number('takes')}").randrange(most_us)
         )
 
     def start(self, version: str, mark: str) -> int:
@@ -178,7 +178,7 @@
     def _program(self) -> None:
         sim = self.sim
         self.etcd = EtcdStandIn(sim.program(STORE))
-        self.etcd.note = self._noted  # type: ignore[method-assign]
+        self.etcd.record = self._noted  # type: ignore[method-assign]
         _, self.port = self.etcd.start(HOST, sim.next_port())
         sim.files["servers.toml"] = b"count = 0\n"
         for name in UNITS + STEWARDS:
@@ -227,7 +227,7 @@
         txn = self.keys.update_release_by_operator(self.units(), release, AuditEntry(self.sim.now_us(), "ana", what))
         if not self.etcd.model.txn(txn).succeeded:
             self.found.append(f"say: {what} was not taken")
-        self.etcd._tell()
+        self.etcd._notify_watches()
 
     def _word(self, word: str) -> None:
         release = self.units().release
@@ -257,7 +257,7 @@
                 undo = world.resume
             case "cut":
                 sim.network.cut(name, STORE)
-                undo = lambda: sim.network.join(name, STORE)  # noqa: E731
+                undo = lambda: sim.network.restore(name, STORE)  # noqa: E731
             case "crash":
                 self.machines[rng.choice(UNITS)].crash(3 * lasts)
             case "no leader":
@@ -267,9 +267,9 @@
                 self.etcd.late_us = 300_000
                 undo = lambda: setattr(self.etcd, "late_us", 0)  # noqa: E731
             case "lost":
-                self.etcd.lose += 3
+                self.etcd.responses_to_lose += 3
             case "expire":
-                self.etcd.command("expire")
+                self.etcd.inject_fault("expire")
         sim.scheduler.sleep_until(sim.now_us() + lasts)
         undo()
 
@@ -302,7 +302,7 @@
                 self.found.append(f"limit: {name} let go with {sorted(permits - {name})} out, {sorted(ill)} ill")
 
 
-def play_release(seed: int) -> tuple[tuple[str, ...], Counter[str]]:
+def run_release_seed(seed: int) -> tuple[tuple[str, ...], Counter[str]]:
     """What broke in a world, and what it met."""
     world = ReleaseWorld(seed)
     return world.play(), world.counts
--- a/yardspindle/lab/script.py
+++ b/yardspindle/lab/script.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 EDGES, RACKS, READERS, WRITERS = 2, 2, 2, 2  # of each rack, the last two
-BOXES = tuple(
+ENGINE_NAMES = tuple(
     f"{kind}{rack}-{number}"
     for rack in range(RACKS)
     for kind, count in (("r", READERS), ("w", WRITERS))
@@ -21,11 +21,11 @@
 EDGE_NAMES = tuple(f"edge{number}" for number in range(EDGES))
 PLANNER = "planner"
 SEEN_LINK_US = 2_500_000  # until an edge whose link was down has it again, at the longest
-REQUESTS = (50, 70)
-FAULTS = (5, 14)
+REQUEST_COUNT_RANGE = (50, 70)
+FAULT_COUNT_RANGE = (5, 14)
 
 # kind: (targets, shortest ms, longest ms). What the users have seen is among them, by their words in the comments.
-KINDS: dict[str, tuple[str, int, int]] = {
+FAULT_KINDS: dict[str, tuple[str, int, int]] = {
     "box hangs": ("box", 50, 3_000),
     "box stalls": ("box", 20, 2_000),
     "box dies": ("box", 50, 4_000),  # and comes back cold
@@ -94,21 +94,21 @@
 def draw_script(seed: int) -> Script:
     """The world of a seed."""
     rng = random.Random(f"script {seed}")
-    count = rng.randint(*REQUESTS)
+    count = rng.randint(*REQUEST_COUNT_RANGE)
     rate_per_s = rng.choice((8.0, 20.0, 60.0, 200.0))
     at, requests = 0.0, []
     for number in range(count):
         at += rng.expovariate(rate_per_s) * 1_000
         requests.append((number, int(at)))
     faults: list[Fault] = []
-    for _ in range(rng.randint(*FAULTS)):
+    for _ in range(rng.randint(*FAULT_COUNT_RANGE)):
         faults.append(_fault(rng, faults, int(at)))
     return Script(seed, tuple(requests), tuple(sorted(faults, key=lambda fault: fault.at_ms)))
 
 
 def _fault(rng: random.Random, before: list[Fault], last_ms: int) -> Fault:
-    kind = rng.choice(tuple(KINDS))
-    targets, shortest, longest = KINDS[kind]
+    kind = rng.choice(tuple(FAULT_KINDS))
+    targets, shortest, longest = FAULT_KINDS[kind]
     for_ms = int(shortest + (longest - shortest) * rng.random() ** 2)  # the short ones more often
     at_ms = rng.randint(100, max(last_ms, 101))
     on = other = ""
@@ -121,16 +121,16 @@
     elif targets == "edge":
         on = near.on if same and near is not None and near.on in EDGE_NAMES else rng.choice(EDGE_NAMES)
     elif targets in ("box", "edge box"):
-        named = [name for name in (near.on, near.other) if name in BOXES] if same and near is not None else []
-        on = named[0] if named else rng.choice(BOXES)
+        named = [name for name in (near.on, near.other) if name in ENGINE_NAMES] if same and near is not None else []
+        on = named[0] if named else rng.choice(ENGINE_NAMES)
         other = rng.choice(EDGE_NAMES) if targets == "edge box" else ""
     elif targets == "move":
-        on = rng.choice([name for name in BOXES if name[0] == "w"])
-        other = rng.choice([name for name in BOXES if name[0] == "r" and name[1] == on[1]])
+        on = rng.choice([name for name in ENGINE_NAMES if name[0] == "w"])
+        other = rng.choice([name for name in ENGINE_NAMES if name[0] == "r" and name[1] == on[1]])
     return Fault(kind, at_ms, for_ms, on, other, round(1 + 19 * rng.random() ** 2, 2))
 
 
-def overlapping(script: Script, after_ms: int = 500) -> list[tuple[str, str]]:
+def overlapping_kinds(script: Script, after_ms: int = 500) -> list[tuple[str, str]]:
     """Pairs of kinds whose times (and a while after) overlap, each pair in order of its names."""
     pairs = []
     for at, first in enumerate(script.faults):
@@ -140,4 +140,4 @@
     return pairs
 
 
-FAULT_PAIRS = len(KINDS) * (len(KINDS) + 1) // 2
+FAULT_PAIRS = len(FAULT_KINDS) * (len(FAULT_KINDS) + 1) // 2
--- a/yardspindle/lab/seeds.py
+++ b/yardspindle/lab/seeds.py
@@ -17,48 +17,48 @@
 import msgspec
 import structlog
 
-from yardspindle.lab.fleet_worlds import draw_fleet, play_fleet
-from yardspindle.lab.script import FAULT_PAIRS, Fault, Script, draw_script, overlapping
-from yardspindle.lab.worlds import Outcome, play
+from yardspindle.lab.fleet_simulation import draw_fleet_script, run_fleet_script
+from yardspindle.lab.script import FAULT_PAIRS, Fault, Script, draw_script, overlapping_kinds
+from yardspindle.lab.traffic_simulation import Outcome, run_script
 
 COLLECT_EVERY = 10
 CRITICAL = 50
 
 
 @dataclass(slots=True)
-class Tally:
+class SeedSummary:
     """What many worlds came to."""
 
-    played: int = 0
+    runs: int = 0
     failed: dict[int, str] = field(default_factory=dict)
-    pairs: Counter[tuple[str, str]] = field(default_factory=Counter)
+    fault_pairs: Counter[tuple[str, str]] = field(default_factory=Counter)
     transitions: Counter[str] = field(default_factory=Counter)
-    answers: Counter[str] = field(default_factory=Counter)
+    counts: Counter[str] = field(default_factory=Counter)
     virtual_ms: int = 0
 
     def add(self, outcome: Outcome) -> None:
         """One more world."""
-        self.played += 1
+        self.runs += 1
         if outcome.breaks:
             self.failed[outcome.seed] = outcome.breaks[0]
         if outcome.trace:  # a world of traffic: those of the fleet have scripts of their own
-            self.pairs.update(overlapping(draw_script(outcome.seed)))
+            self.fault_pairs.update(overlapping_kinds(draw_script(outcome.seed)))
         self.transitions.update(outcome.transitions)
-        self.answers.update(outcome.tally)
+        self.counts.update(outcome.tally)
         self.virtual_ms += outcome.virtual_ms
 
-    def text(self) -> str:
+    def summary(self) -> str:
         """For people."""
         states = {name for step in self.transitions for name in step.split(" -> ")}
-        rows = [f"worlds played: {self.played}, {self.virtual_ms / 3_600_000:.1f} virtual hours"]
-        if self.pairs:
-            rows.append(f"pairs of faults that overlapped: {len(self.pairs)} of {FAULT_PAIRS}")
+        rows = [f"worlds played: {self.runs}, {self.virtual_ms / 3_600_000:.1f} virtual hours"]
+        if self.fault_pairs:
+            rows.append(f"pairs of faults that overlapped: {len(self.fault_pairs)} of {FAULT_PAIRS}")
         if self.transitions:
             rows.append(
                 f"life cycle: {len(states)} states, {len(self.transitions)} transitions; the rarest: "
                 + "; ".join(f"{step} ({count})" for step, count in self.transitions.most_common()[:-6:-1])
             )
-        rows += [f"{name}: {count}" for name, count in sorted(self.answers.items())]
+        rows += [f"{name}: {count}" for name, count in sorted(self.counts.items())]
         rows += [f"FAILED seed {seed}: {what}" for seed, what in sorted(self.failed.items())[:50]]
         rows.append(f"seeds that failed: {len(self.failed)}")
         return "\n".join(rows)
@@ -81,7 +81,7 @@
 def outcome_of(script: Script, count: bool = False) -> Outcome:
     """Play a script; a run that fails itself is a finding too."""
     try:
-        return play(script, count=count)
+        return run_script(script, count=count)
     except Exception as error:
         return Outcome(script.seed, "", (f"run: {type(error).__name__}: {error}",), {}, {}, 0, 0)
 
@@ -89,11 +89,11 @@
 def _play_fleet(job: tuple[int, bool]) -> Outcome:
     seed, _ = job
     gc.collect()
-    breaks, counts = play_fleet(draw_fleet(seed))
+    breaks, counts = run_fleet_script(draw_fleet_script(seed))
     return Outcome(seed, "", breaks, dict(counts), {}, 0, 0)
 
 
-def play_seeds(
+def run_seeds(
     first: int, count: int, jobs: int, transitions: bool, world: str = "traffic"
 ) -> Generator[Outcome, None, None]:
     """Outcomes as they come, in any order. Closing the iterator ends the workers.
@@ -108,7 +108,7 @@
 
 def shrink(script: Script, say: Callable[[str], None], fails: Callable[[Script], str] | None = None) -> Script:
     """Fewest faults and requests that still break the same rule. Raises ValueError when nothing breaks."""
-    fails = fails or failure
+    fails = fails or first_violated_rule
     rule = fails(script)
     if not rule:
         raise ValueError("this world breaks nothing")
@@ -127,7 +127,7 @@
     return script
 
 
-def failure(script: Script) -> str:
+def first_violated_rule(script: Script) -> str:
     """The rule that a script breaks first, or nothing."""
     breaks = outcome_of(script).breaks
     return breaks[0].partition(":")[0] if breaks else ""
--- a/yardspindle/lab/worlds.py
+++ b/yardspindle/lab/traffic_simulation.py
@@ -12,10 +12,10 @@
 from msgspec import Struct
 
 from yardspindle.lab import troubles
-from yardspindle.lab.clients import ClientClass, draw
+from yardspindle.lab.clients import ClientClass, draw_request
 from yardspindle.lab.engine_settings import EngineSettings
-from yardspindle.lab.fleet import Box
-from yardspindle.lab.script import BOXES, EDGE_NAMES, Script
+from yardspindle.lab.fleet import EngineInstance
+from yardspindle.lab.script import EDGE_NAMES, ENGINE_NAMES, Script
 from yardspindle.lab.virtual_fleet import (
     CLASSES,
     HABITS,
@@ -31,7 +31,9 @@
 INTERLOCKS = {"answer overdue", "held too long"}  # the edge's last resort: never needed while its planner decides
 QUIET_US = 8_000_000  # after the probes: longer than any hold, time-out and kept connection
 RETURNED_US = 6_000_000  # the stated time: by then every edge serves again after the last fault
-IDLE_TIMERS = len(BOXES) + 2 * len(EDGE_NAMES) + 3  # holds, the edges' ticks and policies, list, rules, this task
+IDLE_TIMERS = (
+    len(ENGINE_NAMES) + 2 * len(EDGE_NAMES) + 3
+)  # holds, the edges' ticks and policies, list, rules, this task
 LONGEST_US = 90_000_000  # virtual; what has not ended by then never does
 
 
@@ -47,10 +49,10 @@
     virtual_ms: int
 
 
-class WorldRun(VirtualFleet):
+class TrafficSimulation(VirtualFleet):
     """A script's run from start to end."""
 
-    def play(self) -> Outcome:
+    def run(self) -> Outcome:
         """Run it to its end, or to the first break of a rule."""
         started = self.sim.now_us()
         try:
@@ -61,28 +63,28 @@
             self._found.append(f"liveness: {error}")
         report = self.audit.report if self._stopped else self.audit.end()
         found = [
-            *(f"{rule}: {text}" for rule, text in report.breaks),
+            *(f"{rule}: {text}" for rule, text in report.violations),
             *self._found,
             *(f"crash: {text}" for text in self.sim.crashes),
         ]
         tally: Counter[str] = Counter()
-        for row in report.tally.values():
+        for row in report.outcomes.values():
             tally.update(row)
-        tally.update({name: count for name, count in report.named.items() if count})
+        tally.update({name: count for name, count in report.counts.items() if count})
         return Outcome(
             self.script.seed,
             self._hash.hexdigest(),
             tuple(dict.fromkeys(found)),
             dict(tally),
             dict(self.transitions),
-            self.sim.network.pieces,
+            self.sim.network.segments,
             (self.sim.now_us() - started) // 1_000,
         )
 
     def _program(self) -> None:
         sim = self.sim
         self._main = sim.scheduler.current
-        for name in BOXES:
+        for name in ENGINE_NAMES:
             role, kind = ("read", "reader") if name[0] == "r" else ("write", "writer")
             settings = msgspec.convert(
                 {
@@ -100,8 +102,8 @@
                 },
                 EngineSettings,
             )
-            self.boxes[name] = Box(settings, int(name[1]), kind)
-        self.start_boxes(list(BOXES), 0.0)
+            self.instances[name] = EngineInstance(settings, int(name[1]), kind)
+        self.start_boxes(list(ENGINE_NAMES), 0.0)
         self.start_planner()
         for name, seat in self._edges.items():
             seat.port = sim.next_port()
@@ -113,7 +115,7 @@
         watch = sim.scheduler.spawn("rules", self._rules)
         tasks = [sim.scheduler.spawn("trouble", troubles.run, self, fault) for fault in self.script.faults]
         for number, at_ms in self.script.requests:
-            plan = draw(sim.random(f"client {number}"), number, CLASSES, HABITS)
+            plan = draw_request(sim.random(f"client {number}"), number, CLASSES, HABITS)
             tasks.append(self._clients_world.spawn("client", self._request, plan, self.started_us + at_ms * 1_000))
         for task in tasks:
             task.join()
@@ -140,7 +142,9 @@
                     and (late := INTERLOCKS & seat.edge.core.lifecycle.counts.interlocks.keys())
                 ):
                     self._found.append(f"at once: {name} had to keep the rule itself: {', '.join(sorted(late))}")
-            listed = frozenset(server.name for server in self._planner.roster.servers) if self._planner else frozenset()
+            listed = (
+                frozenset(server.name for server in self._planner.server_list.servers) if self._planner else frozenset()
+            )
             if listed not in self._lists:
                 self._found.append("list: one is in force that was never written whole: " + " ".join(sorted(listed)))
             if self.sim.now_us() > self.started_us + LONGEST_US:
@@ -154,7 +158,7 @@
                         )
                     )
                 )
-            if self.audit.report.breaks or self._found or self.sim.crashes:
+            if self.audit.report.violations or self._found or self.sim.crashes:
                 return self._stop()
 
     def _returned(self) -> None:
@@ -163,7 +167,7 @@
             until_us = self.sim.now_us() + RETURNED_US
             while True:
                 self._numbers += 1
-                plan = draw(self.sim.random("probe"), self._numbers, (PROBES,), STEADY)
+                plan = draw_request(self.sim.random("probe"), self._numbers, (PROBES,), STEADY)
                 seen = self._probing.try_once(plan, 0, (HOST, seat.port))
                 if seen.outcome == "served":
                     break
@@ -206,6 +210,6 @@
                 self._found.append(f"liveness: {name} is left with {held}, {engine.load.running} running")
 
 
-def play(script: Script, say: Callable[[str], None] | None = None, count: bool = False) -> Outcome:
+def run_script(script: Script, say: Callable[[str], None] | None = None, count: bool = False) -> Outcome:
     """Play a script."""
-    return WorldRun(script, say, count).play()
+    return TrafficSimulation(script, say, count).run()
--- a/yardspindle/lab/troubles.py
+++ b/yardspindle/lab/troubles.py
@@ -9,8 +9,8 @@
 import random
 from collections.abc import Callable
 
-from yardspindle.lab.engine import Engine
-from yardspindle.lab.script import BOXES, EDGE_NAMES, PLANNER, Fault
+from yardspindle.lab.engine import StandInEngine
+from yardspindle.lab.script import EDGE_NAMES, ENGINE_NAMES, PLANNER, Fault
 from yardspindle.lab.virtual_fleet import VirtualFleet
 from yardspindle.runtime.virtual import VirtualWorld
 
@@ -34,24 +34,24 @@
 
 
 def _boxes(fleet: VirtualFleet, fault: Fault) -> list[str]:
-    if fault.on in BOXES:
+    if fault.on in ENGINE_NAMES:
         return [fault.on]
-    return [name for name in BOXES if not fault.on or name[1] == fault.on]
+    return [name for name in ENGINE_NAMES if not fault.on or name[1] == fault.on]
 
 
 def _hang(fleet: VirtualFleet, fault: Fault) -> Undo:
-    hung: list[tuple[VirtualWorld, Engine]] = []
+    hung: list[tuple[VirtualWorld, StandInEngine]] = []
     for name in _boxes(fleet, fault):
         engine = fleet.engine(name)
         if engine is not None and engine.hung is None:
-            engine.note("control", "", do="hang")
+            engine.record("control", "", do="hang")
             engine.hung = fleet.sim.programs[name].signal()
             hung.append((fleet.sim.programs[name], engine))
 
     def undo() -> None:
         for world, engine in hung:
             if engine.hung is not None and world.alive:
-                engine.note("control", "", do="wake")
+                engine.record("control", "", do="wake")
                 engine.hung.set()
                 engine.hung = None
 
@@ -115,7 +115,7 @@
 
 
 def _drain(fleet: VirtualFleet, fault: Fault) -> Undo:
-    box = fleet.boxes[fault.on]
+    box = fleet.instances[fault.on]
     if box.state != "serving" or not box.listed:
         return None
     box.state, box.listed = "draining", fault.kind == "box draining"
@@ -205,7 +205,7 @@
         fleet.deaf(True)
 
     def undo() -> None:
-        network.join(near, far)
+        network.restore(near, far)
         if blind:
             fleet.sim.scheduler.timers.set(
                 fleet.sim.now_us() + RETOLD_US, lambda: fleet.line(ev="seen", box=blind, id="")
@@ -217,7 +217,7 @@
 
 
 def _connects(fleet: VirtualFleet, fault: Fault) -> Undo:
-    way = fleet.sim.network.way(fault.other, fault.on)
+    way = fleet.sim.network.path(fault.other, fault.on)
     name = "refused" if fault.kind.endswith("refused") else "hanging"
     setattr(way, name, getattr(way, name) + 1)
     fleet.line(ev="blind", box=fault.on, id="")
@@ -232,7 +232,7 @@
 
 
 def _far(fleet: VirtualFleet, fault: Fault) -> Undo:
-    ways = [fleet.sim.network.way(*pair) for edge in EDGE_NAMES for pair in ((edge, fault.on), (fault.on, edge))]
+    ways = [fleet.sim.network.path(*pair) for edge in EDGE_NAMES for pair in ((edge, fault.on), (fault.on, edge))]
     kept = [(way.latency_us, way.bytes_per_s) for way in ways]
     for way in ways:
         if fault.kind == "box far":
@@ -248,7 +248,7 @@
 
 
 def _far_link(fleet: VirtualFleet, fault: Fault) -> Undo:
-    ways = [fleet.sim.network.way(*pair) for pair in ((fault.on, PLANNER), (PLANNER, fault.on))]
+    ways = [fleet.sim.network.path(*pair) for pair in ((fault.on, PLANNER), (PLANNER, fault.on))]
     for way in ways:
         way.latency_us = (1_000, int(1_000 + 10_000 * fault.factor))
 
@@ -266,13 +266,13 @@
 
 
 def _events(fleet: VirtualFleet, fault: Fault) -> Undo:
-    ways = [fleet.sim.network.way(fault.on, edge) for edge in EDGE_NAMES]
+    ways = [fleet.sim.network.path(fault.on, edge) for edge in EDGE_NAMES]
     for way in ways:
-        way.lost, way.doubled, way.reordered = 0.3, 0.3, 0.3
+        way.loss_rate, way.duplicate_rate, way.reorder_rate = 0.3, 0.3, 0.3
 
     def undo() -> None:
         for way in ways:
-            way.lost = way.doubled = way.reordered = 0.0
+            way.loss_rate = way.duplicate_rate = way.reorder_rate = 0.0
 
     return undo
 
--- a/yardspindle/lab/virtual_fleet.py
+++ b/yardspindle/lab/virtual_fleet.py
@@ -17,11 +17,11 @@
 from yardspindle.core.request.records import phase
 from yardspindle.edge.app import Edge
 from yardspindle.engine.http_client import ConnectError
-from yardspindle.lab.audit import Audit, Figures
-from yardspindle.lab.clients import ClientClass, Clients, Habits, Plan, draw
-from yardspindle.lab.engine import Engine
+from yardspindle.lab.audit import Audit, AuditLimits
+from yardspindle.lab.clients import ClientClass, ClientHabits, Clients, Plan, draw_request
+from yardspindle.lab.engine import StandInEngine
 from yardspindle.lab.engine_settings import EngineSettings
-from yardspindle.lab.fleet import Box, server_list, to_toml
+from yardspindle.lab.fleet import EngineInstance, server_list, to_toml
 from yardspindle.lab.script import EDGE_NAMES, PLANNER, SEEN_LINK_US, Script
 from yardspindle.planner.app import Planner
 from yardspindle.protocol import http1
@@ -33,11 +33,11 @@
 HOST = "127.0.0.1"
 SERVERS = "servers.toml"
 CLASSES = (ClientClass("chat", 0.5, 4_000.0, 12), ClientClass("order", 0.5, 4_000.0, 12))
-HABITS = Habits(hang_up=0.1, stop_reading=0.05, openings=3, opening_words=60, words=30)
-STEADY = Habits(hang_up=0.0, stop_reading=0.0, retries=0, openings=1, opening_words=4, words=4)
+HABITS = ClientHabits(hang_up=0.1, stop_reading=0.05, openings=3, opening_words=60, words=30)
+STEADY = ClientHabits(hang_up=0.0, stop_reading=0.0, retries=0, openings=1, opening_words=4, words=4)
 COLD_MS = 2_000.0
 RULES = {"cold_ms": COLD_MS, "start_capacity": 0.3, "fall_ms": 500.0, "fall_multiple": 1.2}
-FIGURES = Figures(slack_ms=150.0, left_ms=200.0, list_ms=0.0, unsafe=("order",))
+FIGURES = AuditLimits(slack_ms=150.0, left_ms=200.0, list_ms=0.0, unsafe=("order",))
 HUSHED = {"planner stalls", "planner clock", "edge stalls", "edge clock", "link cut up", "link cut down", "link slow"}
 LOOK_US = 50_000
 READ_LIST_US = 250_000  # until every edge has heard of a list that was written
@@ -57,7 +57,7 @@
     """A rule was broken at this step."""
 
 
-class NotingEngine(Engine):
+class NotingEngine(StandInEngine):
     """A stand-in that tells the run, on the true clock, what it would write down."""
 
     def __init__(self, fleet: VirtualFleet, world: VirtualWorld, settings: EngineSettings) -> None:
@@ -65,12 +65,12 @@
         self._fleet = fleet
         super().__init__(world, settings)
 
-    def note(self, event: str, request: str = "", **more: object) -> None:
+    def record(self, event: str, request: str = "", **more: object) -> None:
         """See Engine."""
         world = self.world
         assert isinstance(world, VirtualWorld)
         if world.alive:
-            self._fleet.line(box=self.set.name, ev=event, id=request, **more)
+            self._fleet.line(box=self.settings.name, ev=event, id=request, **more)
 
 
 @dataclass(slots=True)
@@ -91,10 +91,10 @@
         self.script = script
         self.sim = Simulation(script.seed)
         self.audit = Audit(FIGURES)
-        self.boxes: dict[str, Box] = {}
+        self.instances: dict[str, EngineInstance] = {}
         self.started_us = 0
         self.transitions: Counter[str] = Counter()
-        self._engines: dict[str, Engine] = {}
+        self._engines: dict[str, StandInEngine] = {}
         self._edges = {name: _EdgeSeat() for name in EDGE_NAMES}
         self._planner_port = 0
         self._planner: Planner | None = None
@@ -124,7 +124,7 @@
         if self._say is not None:
             self._say(data.decode())
         self.audit.take(line)
-        if self.audit.report.breaks:
+        if self.audit.report.violations:
             self._stop()
 
     def _stop(self) -> None:
@@ -136,18 +136,18 @@
     def edge_line(self, event: str, name: str) -> None:
         """Something was done to an edge."""
         seat = self._edges[name]
-        self.line(ev=event, edge=seat.port, prefix=seat.edge.unique if seat.edge is not None else "")
+        self.line(ev=event, edge=seat.port, prefix=seat.edge.instance_id if seat.edge is not None else "")
 
     # --- parts of the fleet
 
-    def engine(self, name: str) -> Engine | None:
+    def engine(self, name: str) -> StandInEngine | None:
         """A box's engine, if it runs."""
         return self._engines[name] if self.sim.programs[name].alive else None
 
     def start_boxes(self, names: list[str], cold_ms: float = COLD_MS) -> None:
         """Start engines where they were; they come back cold."""
         for name in names:
-            box = self.boxes[name]
+            box = self.instances[name]
             box.settings = msgspec.structs.replace(box.settings, cold_ms=cold_ms)
             engine = NotingEngine(self, self.sim.program(name), box.settings)
             _, box.port = engine.start(HOST, box.port, box.events_port, box.replay_port)
@@ -224,9 +224,9 @@
 
     def write_list(self) -> None:
         """The server list as it should be, unless it is spoilt just now."""
-        self._lists.add(frozenset(name for name, box in self.boxes.items() if box.listed))
+        self._lists.add(frozenset(name for name, box in self.instances.items() if box.listed))
         if not self._list_fault:
-            self.sim.files[SERVERS] = server_list(list(self.boxes.values())).encode()
+            self.sim.files[SERVERS] = server_list(list(self.instances.values())).encode()
 
     def list_fault(self, kind: str) -> None:
         """Spoil the list, or put it right."""
@@ -254,7 +254,7 @@
         """From when on a box that drains must get nothing new: once its state can be heard of."""
 
         def tell() -> None:
-            if self.boxes[name].state != "draining":
+            if self.instances[name].state != "draining":
                 return
             if self._deaf or self.sim.now_us() < self._deaf_until_us:
                 self.sim.scheduler.timers.set(self.sim.now_us() + LOOK_US, tell)
@@ -269,18 +269,18 @@
         for stream in [
             row
             for row in self.sim.network.streams
-            if row.world.name == one and row.far is not None and row.far.world.name == other
+            if row.world.name == one and row.remote is not None and row.remote.world.name == other
         ]:
-            assert stream.far is not None
-            stream._break()
-            stream.far._break()
+            assert stream.remote is not None
+            stream.receive_reset()
+            stream.remote.receive_reset()
 
     def extra(self, after_us: int, leaves: bool, half: bool) -> None:
         """One more request, of a flood."""
         self._numbers += 1
         number, rng = self._numbers, self.sim.random(f"client {self._numbers}")
         habits = msgspec.structs.replace(HABITS, hang_up=1.0 if leaves else 0.0)
-        plan = draw(rng, number, CLASSES, habits)
+        plan = draw_request(rng, number, CLASSES, habits)
         self._extra.append(
             self._clients_world.spawn(
                 "client", self._half_close if half else self._request, plan, self.sim.now_us() + after_us
@@ -331,7 +331,7 @@
                             body,
                         )
                     )
-                    stream.finish()
+                    stream.send_eof()
                     while stream.read():
                         pass
             finally:
--- a/yardspindle/link/frames.py
+++ b/yardspindle/link/frames.py
@@ -104,13 +104,13 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-def mirror(value: Any) -> Any:
+def to_wire(value: Any) -> Any:
     """An event or action as it travels."""
     kind = type(value)
     return _MIRRORS[kind](*[getattr(value, name) for name in _FIELDS[kind]])
 
 
-def original(value: Any) -> Any:
+def from_wire(value: Any) -> Any:
     """An event or action as it was."""
     kind = _ORIGINALS[type(value)]
     return kind(*[getattr(value, name) for name in _FIELDS[kind]])
--- a/yardspindle/node/app.py
+++ b/yardspindle/node/app.py
@@ -48,7 +48,7 @@
         session = PlanningSession(lambda event, at_us: policy.handle(at_us, event), now, now)
         self.policy = policy
         self.host_list = HostList(config.roles)
-        self.resources = ResourceBudget(min(config.limits.sockets, world.descriptors()), config.limits.memory_mb)
+        self.resources = ResourceBudget(min(config.limits.sockets, world.max_descriptors()), config.limits.memory_mb)
         idle_us = round(config.idle_us * timeouts.IDLE_REUSE_FRACTION)
         self.http = HttpClient(
             world,
@@ -59,7 +59,7 @@
             idle_limit=IdleLimit(idle_us),
             head_us=timeouts.RESPONSE_HEAD_US,
         )
-        world.relieve = self.http.close_oldest
+        world.free_descriptor = self.http.close_oldest
         self.executor = Executor(world, self.core, session, HostClient(self.http))
         self._discovery_settled = world.signal()  # discovery answered, or the process is to stop
         self.discovery = DiscoveryClient(
--- a/yardspindle/node/executor.py
+++ b/yardspindle/node/executor.py
@@ -241,7 +241,7 @@
     def _check_client_close(self, running: RunningRequest) -> None:
         """Let the task that watches the client run first: a close that has arrived may still be unread."""
         for _ in range(timeouts.CLOSE_POLLS):
-            if running.exchange.disconnected or running.exchange.stream.quiet():
+            if running.exchange.disconnected or running.exchange.stream.is_idle():
                 return
             self._world.sleep_until(self._world.now_us() + timeouts.CLOSE_POLL_US)
 
@@ -320,7 +320,7 @@
         def check() -> None:
             now = self._world.now_us()
             due_us = (running.awaiting_host_since_us or now) + timeouts.STREAM_IDLE_US
-            if now >= due_us and stream.quiet():
+            if now >= due_us and stream.is_idle():
                 stream.abort()
             else:  # bytes that are there unread are read in this turn
                 cancel[0] = self._world.call_at(max(due_us, now + timeouts.FINAL_POLL_US), check)
@@ -331,7 +331,7 @@
     def _flush_stream(self, request: int, running: RunningRequest) -> None:
         """Give the stream's task the turns to pass on what has arrived, then report that nothing more is there."""
         for _ in range(timeouts.FINAL_POLLS):
-            if running.stream is None or running.stream.quiet():
+            if running.stream is None or running.stream.is_idle():
                 break
             self._world.sleep_until(self._world.now_us() + timeouts.FINAL_POLL_US)
         self.perform(self._core.stream_flushed(self._world.now_us(), request))
--- a/yardspindle/node/host_client.py
+++ b/yardspindle/node/host_client.py
@@ -13,7 +13,7 @@
 from yardspindle.protocol import http1
 from yardspindle.protocol.chunks import ChunkReader
 from yardspindle.runtime.scheduler import DeadlineExceeded
-from yardspindle.runtime.world import ConnectReset, NoDescriptor, StreamError
+from yardspindle.runtime.world import ConnectReset, DescriptorsExhausted, StreamError
 
 ROOMS_PATH = b"/bootstrap/rooms/"
 MAX_BODY_BYTES = 262_144  # of a complete body, and of a chunk of a stream
@@ -68,7 +68,7 @@
                     return contents
             if self._chunks.ended:
                 return None
-            if hold_us and self._chunks.rest:
+            if hold_us and self._chunks.remainder:
                 due_us = due_us or self._world.now_us() + hold_us
                 if not self._input_by(due_us):
                     due_us = 0
@@ -85,7 +85,7 @@
 
     def complete_events(self) -> bytes:
         """Take the complete events of an incomplete chunk; they are not returned again."""
-        return self._chunks.early(EVENT_ENDS)
+        return self._chunks.take_partial(EVENT_ENDS)
 
     def _input_by(self, due_us: int) -> bool:
         """Wait for input; returns whether it arrived before `due_us`."""
@@ -98,15 +98,15 @@
                 raise
         return self._world.now_us() < due_us
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no unread bytes have arrived."""
-        return self._connection.stream.quiet()
+        return self._connection.stream.is_idle()
 
     def close(self) -> None:
         """Pool the connection if the stream ended and no bytes follow it; else reset it."""
         self._response.ended = self._chunks.ended
-        self._connection.parser.buffer += self._chunks.rest
-        self._connection.parser.stage = http1.RESTING
+        self._connection.parser.buffer += self._chunks.remainder
+        self._connection.parser.stage = http1.BETWEEN_MESSAGES
         self._response.close()
 
     def abort(self) -> None:
@@ -153,7 +153,7 @@
                 Status.CONNECT_FAILED,
                 detail=str(error),
                 stale=isinstance(error, ConnectReset),
-                no_descriptor=isinstance(error, NoDescriptor),
+                no_descriptor=isinstance(error, DescriptorsExhausted),
             )
         except NotSent as error:
             return AttemptResult(Status.CONNECT_FAILED, detail=str(error), stale=error.stale)
@@ -189,7 +189,7 @@
         """Ask a writer to hold a place; returns whether it does, or None if that is unknown."""
         try:
             return {200: True, 409: False}.get(self._call(server, b"POST", request_id, late_headers, None))
-        except NoDescriptor:
+        except DescriptorsExhausted:
             return False  # nothing was sent
 
     def release(self, server: Server, request_id: bytes, late_headers: LateHeaders) -> bool | None:
@@ -199,7 +199,7 @@
         """
         try:
             return self._call(server, b"DELETE", request_id, late_headers, timeouts.RELEASE_DESCRIPTOR_US) == 204
-        except NoDescriptor:
+        except DescriptorsExhausted:
             return None
 
     def _call(
@@ -216,7 +216,7 @@
                 late_headers=late_headers,
                 descriptor_us=descriptor_us,
             )
-        except NoDescriptor:
+        except DescriptorsExhausted:
             raise
         except (ConnectError, ExchangeBroken):
             return 0
--- a/yardspindle/planner/app.py
+++ b/yardspindle/planner/app.py
@@ -18,16 +18,16 @@
 from yardspindle.core.config import Config, microseconds, policy_settings, settings_hash, split_address
 from yardspindle.core.hosts.server_list import ServerList
 from yardspindle.core.request.planning import Decisions, PlanningSession
-from yardspindle.fleet.file import FileSource
-from yardspindle.fleet.membership import join
+from yardspindle.fleet.membership import join_fleet
+from yardspindle.fleet.server_list_file import ServerListFile
 from yardspindle.link import frames
 from yardspindle.policy import Policy
 from yardspindle.protocol import http1
 from yardspindle.runtime.scheduler import Closed, DeadlineExceeded
 from yardspindle.runtime.world import Listener, Stream, StreamError, World
 
-GREETING_US = 2_000_000
-WRITE_US = 2_000_000  # an edge that takes no action for so long is cut off
+HANDSHAKE_TIMEOUT_US = 2_000_000
+WRITE_TIMEOUT_US = 2_000_000  # an edge that takes no action for so long is cut off
 
 VERSION = version("yardspindle")
 log = structlog.get_logger("yardspindle.planner")
@@ -42,17 +42,17 @@
         self.config = config
         self._agreed = settings_hash(config)
         self.epoch = max(world.now_us(), 1)  # later starts have later epochs
-        self.roster = ServerList(config)
-        self.source = FileSource(world, config.planner.servers, config, self.roster, self._news)
+        self.server_list = ServerList(config)
+        self.list_file = ServerListFile(world, config.planner.servers, config, self.server_list, self._news)
         self.sessions: list[EdgeSession] = []
         self.metrics = PlannerMetrics()
         self._listener: Listener | None = None
 
     def start(self) -> tuple[str, int]:
         """Read the list, listen and serve; gives the address. Raises ConfigError and OSError."""
-        self.source.read_once()
+        self.list_file.load()
         self._listener = self.world.listen(*split_address(self.config.planner.listen))
-        self.world.spawn("servers", self.source.run, microseconds(self.config.planner.reread_ms))
+        self.world.spawn("servers", self.list_file.run, microseconds(self.config.planner.reread_ms))
         self.world.spawn("accept", self._accept, self._listener)
         if self.config.planner.metrics is not None:
             listener = self.world.listen(*split_address(self.config.planner.metrics))
@@ -62,7 +62,7 @@
             name = f"planner-{self._listener.host}:{self._listener.port}"
             self.world.spawn(
                 "join",
-                join,
+                join_fleet,
                 self.world,
                 self.config.fleet,
                 "planner",
@@ -92,12 +92,12 @@
         finally:
             if session is not None and session in self.sessions:
                 self.sessions.remove(session)
-            self.metrics.edges.set(len(self.sessions))
+            self.metrics.linked_edges.set(len(self.sessions))
             stream.close()
 
     def _greet(self, stream: Stream) -> EdgeSession:
         reader = frames.FrameReader()
-        with self.world.deadline(self.world.now_us() + GREETING_US):
+        with self.world.deadline(self.world.now_us() + HANDSHAKE_TIMEOUT_US):
             while True:
                 data = stream.read()
                 if not data:
@@ -121,17 +121,17 @@
             lambda event, now_us: policy.handle(now_us, event), hello.now_us, self.world.now_us()
         )
         session = EdgeSession(self, stream, reader, planning, hello.number)
-        self.metrics.edges.set(len(self.sessions) + 1)
+        self.metrics.linked_edges.set(len(self.sessions) + 1)
         log.info("edge up", edge=hello.number, zone=hello.zone)
         session.send(frames.Welcome(frames.VERSION, self.epoch))
-        session.news()
+        session.server_list_changed()
         for frame in got[1:]:
-            session.take(frame)
+            session.handle_frame(frame)
         return session
 
     def _news(self) -> None:
         for session in list(self.sessions):
-            session.news()
+            session.server_list_changed()
 
 
 class EdgeSession:
@@ -158,14 +158,14 @@
         try:
             while data := self._stream.read():
                 for frame in self._reader.feed(data):
-                    self.take(frame)
+                    self.handle_frame(frame)
             log.info("edge gone", edge=self._number)
         finally:
             self._cancel_timer()
             self._out.close()
             sender.cancel()
 
-    def take(self, frame: frames.Frame) -> None:
+    def handle_frame(self, frame: frames.Frame) -> None:
         """A frame of the edge."""
         if isinstance(frame, frames.Bye):
             raise frames.LinkError(frame.reason)
@@ -173,12 +173,12 @@
             raise frames.LinkError(f"an edge does not send {type(frame).__name__}")
         self._answers = frame.number
         self._planner.metrics.events.inc(len(frame.events))
-        self._decided(self._planning.handle_events(frame.now_us, [frames.original(e) for e in frame.events]), True)
+        self._decided(self._planning.handle_events(frame.now_us, [frames.from_wire(e) for e in frame.events]), True)
 
-    def news(self) -> None:
+    def server_list_changed(self) -> None:
         """The server list changed."""
-        self.send(frames.Servers(self._planner.roster.version, self._planner.roster.addresses()))
-        self._decided(self._planning.update_members(self._world.now_us(), self._planner.roster))
+        self.send(frames.Servers(self._planner.server_list.version, self._planner.server_list.addresses()))
+        self._decided(self._planning.update_members(self._world.now_us(), self._planner.server_list))
 
     def send(self, frame: frames.Frame) -> None:
         """Put a frame on its way."""
@@ -189,17 +189,17 @@
             self._stream.abort()
 
     def _decided(self, decisions: Decisions, answer: bool = False) -> None:
-        roster, metrics = self._planner.roster, self._planner.metrics
+        roster, metrics = self._planner.server_list, self._planner.metrics
         for text in decisions.logs:
             log.info("policy", edge=self._number, text=text)
         for fault in decisions.errors:
-            metrics.faults.inc()
+            metrics.policy_errors.inc()
             log.error("policy failed on one event", edge=self._number, fault=fault)
         for action in decisions.actions:
             if isinstance(action, i.Send):
-                metrics.sends.labels(roster.name(action.server)).inc()
+                metrics.attempts.labels(roster.name(action.server)).inc()
         if decisions.actions or answer:
-            self.send(frames.Actions(self._answers, [frames.mirror(action) for action in decisions.actions]))
+            self.send(frames.Actions(self._answers, [frames.to_wire(action) for action in decisions.actions]))
         self._arm()
 
     def _arm(self) -> None:
@@ -218,7 +218,7 @@
         try:
             while True:
                 batch = [self._out.get(), *self._out.drain()]
-                with self._world.deadline(self._world.now_us() + WRITE_US):
+                with self._world.deadline(self._world.now_us() + WRITE_TIMEOUT_US):
                     self._stream.write(b"".join(frames.encode(frame) for frame in batch))
         except (StreamError, DeadlineExceeded, Closed, frames.LinkError):
             self._stream.abort()  # the reading side ends the session
@@ -234,10 +234,12 @@
     def __init__(self) -> None:
         """All at zero."""
         self.registry = CollectorRegistry()
-        self.edges = Gauge("yardspindle_edges", "Edges that are linked", registry=self.registry)
+        self.linked_edges = Gauge("yardspindle_edges", "Edges that are linked", registry=self.registry)
         self.events = Counter("yardspindle_events", "Events heard", registry=self.registry)
-        self.sends = Counter("yardspindle_sends", "Attempts decided", ("server",), registry=self.registry)
-        self.faults = Counter("yardspindle_policy_faults", "Events on which the policy failed", registry=self.registry)
+        self.attempts = Counter("yardspindle_sends", "Attempts decided", ("server",), registry=self.registry)
+        self.policy_errors = Counter(
+            "yardspindle_policy_faults", "Events on which the policy failed", registry=self.registry
+        )
 
 
 class _Pages:
--- a/yardspindle/protocol/chunks.py
+++ b/yardspindle/protocol/chunks.py
@@ -30,7 +30,7 @@
         self.ended = False
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """What was fed and belongs to no chunk yet; after the end: what came behind it."""
         return self._buffer
 
@@ -72,7 +72,7 @@
         self._tail = (self._tail + whole)[-TAIL:]
         return whole
 
-    def early(self, marks: tuple[bytes, ...]) -> bytes:
+    def take_partial(self, marks: tuple[bytes, ...]) -> bytes:
         """What has come of the chunk under way, up to the last end of a mark in it; it is not given out again."""
         buffer = self._buffer
         line_end = buffer.find(b"\r\n", 0, LINE_MOST)
--- a/yardspindle/protocol/http1.py
+++ b/yardspindle/protocol/http1.py
@@ -95,7 +95,9 @@
     return not has_token(head.headers, b"connection", b"close")
 
 
-RESTING = _Stage.HEAD  # between two messages: where a parser stands again once its body was read by other means
+BETWEEN_MESSAGES = (
+    _Stage.HEAD
+)  # between two messages: where a parser stands again once its body was read by other means
 
 
 @dataclass(slots=True)
@@ -307,7 +309,7 @@
 
     methods: list[bytes] = field(default_factory=list)
 
-    def expects(self, method: bytes) -> None:
+    def expect_response(self, method: bytes) -> None:
         """A request with this method was sent."""
         self.methods.append(method)
 
--- a/yardspindle/protocol/sse.py
+++ b/yardspindle/protocol/sse.py
@@ -25,9 +25,9 @@
 class SseParser:
     """Turns bytes, cut anywhere, into events."""
 
-    def __init__(self, most_bytes: int = 8_388_608) -> None:
+    def __init__(self, max_event_bytes: int = 8_388_608) -> None:
         """Hold at most so many bytes of an event that is not complete."""
-        self._most = most_bytes
+        self._most = max_event_bytes
         self._buffer = b""
         self._first = True
         self._data: list[bytes] = []
--- a/yardspindle/runtime/service.py
+++ b/yardspindle/runtime/detached_process.py
@@ -19,7 +19,7 @@
 MARK = "YARDSPINDLE_UNIT"  # environment variable
 
 
-def born(pid: int) -> int:
+def start_ticks_of(pid: int) -> int:
     """When a process started, in the kernel's ticks; 0 when there is none, or only its remains."""
     try:
         with open(f"/proc/{pid}/stat", "rb") as file:
@@ -29,17 +29,17 @@
     return 0 if fields[0] in (b"Z", b"X") else int(fields[19])
 
 
-class Service:
+class DetachedProcess:
     """A process, ours or one that an earlier start of this program left running."""
 
     def __init__(
-        self, world: RealWorld, pid: int, started: int, process: subprocess.Popen[bytes] | None = None
+        self, world: RealWorld, pid: int, start_ticks: int, process: subprocess.Popen[bytes] | None = None
     ) -> None:
         """`started`: as `born` told it."""
-        self._world, self.pid, self.started, self._process = world, pid, started, process
+        self._world, self.pid, self.start_ticks, self._process = world, pid, start_ticks, process
 
     @classmethod
-    def start(cls, world: RealWorld, argv: Sequence[str], log_path: str, mark: str) -> Service:
+    def start(cls, world: RealWorld, argv: Sequence[str], log_path: str, mark: str) -> DetachedProcess:
         """Start it in a session of its own, output appended to a file, its mark in its environment. Raises OSError."""
         with open(log_path, "ab") as log:
             process = subprocess.Popen(
@@ -50,10 +50,10 @@
                 start_new_session=True,
                 env={**os.environ, MARK: mark},
             )
-        return cls(world, process.pid, born(process.pid), process)
+        return cls(world, process.pid, start_ticks_of(process.pid), process)
 
     @classmethod
-    def find(cls, world: RealWorld, mark: str) -> Service | None:
+    def find(cls, world: RealWorld, mark: str) -> DetachedProcess | None:
         """One that was started with a mark, by a program that was killed before it could write its id down."""
         wanted, found = f"{MARK}={mark}".encode(), []
         for name in os.listdir("/proc"):
@@ -61,7 +61,7 @@
                 if name.isdigit():
                     with open(f"/proc/{name}/environ", "rb") as file:
                         marked = wanted in file.read().split(b"\0")
-                    if marked and (started := born(int(name))):
+                    if marked and (started := start_ticks_of(int(name))):
                         found.append((started, int(name)))  # its own children carry the mark too: the oldest is it
         return cls(world, min(found)[1], min(found)[0]) if found else None
 
@@ -69,14 +69,14 @@
         """Whether it still runs."""
         if self._process is not None and self._process.poll() is not None:
             return False
-        return self.started != 0 and born(self.pid) == self.started
+        return self.start_ticks != 0 and start_ticks_of(self.pid) == self.start_ticks
 
     def send(self, number: signal.Signals) -> None:
         """Send a signal to it, or to nobody."""
         with contextlib.suppress(OSError):
             handle = os.pidfd_open(self.pid)
             try:
-                if born(self.pid) == self.started:
+                if start_ticks_of(self.pid) == self.start_ticks:
                     signal.pidfd_send_signal(handle, number)
             finally:
                 os.close(handle)
--- a/yardspindle/runtime/process.py
+++ b/yardspindle/runtime/process.py
@@ -39,10 +39,10 @@
         """The process's id."""
         return self._process.pid
 
-    def first_line(self, within_us: int) -> str:
+    def first_line(self, timeout_us: int) -> str:
         """The first line of its standard output. Raises ChildError."""
         try:
-            with self._world.deadline(self._world.now_us() + within_us):
+            with self._world.deadline(self._world.now_us() + timeout_us):
                 while b"\n" not in self._buffer:
                     self._world.poller.block(self._world.scheduler, self._out, READ_MASK)
                     data = os.read(self._out, 4_096)
@@ -84,7 +84,7 @@
             self._process.stdout.close()
         return code
 
-    def ask_to_end(self) -> None:
+    def terminate(self) -> None:
         """Send SIGTERM once: a second one would cut its drain short."""
         if not self._told:
             self._told = True
@@ -93,7 +93,7 @@
 
     def stop(self, grace_us: int) -> int:
         """Ask it to end, then end it."""
-        self.ask_to_end()
+        self.terminate()
         code = self.wait(self._world.now_us() + grace_us)
         if code is None:
             self.send(signal.SIGKILL)
--- a/yardspindle/runtime/real.py
+++ b/yardspindle/runtime/real.py
@@ -30,9 +30,9 @@
     ConnectError,
     ConnectReset,
     Database,
+    DescriptorsExhausted,
     Listener,
     MessageSocket,
-    NoDescriptor,
     Stream,
     StreamError,
 )
@@ -121,7 +121,7 @@
                 if error.errno not in WOULD_BLOCK:
                     raise StreamError(os.strerror(error.errno or 0)) from None
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """See Stream."""
         if self._descriptor < 0:
             return False
@@ -136,7 +136,7 @@
         if self._descriptor >= 0:
             self._world.poller.block(self._world.scheduler, self._descriptor, READ_MASK)
 
-    def finish(self) -> None:
+    def send_eof(self) -> None:
         """See Stream."""
         if self._descriptor >= 0:
             with contextlib.suppress(OSError):  # it is reset: there is nobody to tell
@@ -178,7 +178,7 @@
                 if error.errno in WOULD_BLOCK:
                     self._world.poller.block(self._world.scheduler, self._sock.fileno(), READ_MASK)
                 elif error.errno in OUT_OF_DESCRIPTORS:
-                    if self._world.relieve():
+                    if self._world.free_descriptor():
                         continue
                     self._world.sleep_until(self._world.now_us() + ACCEPT_PAUSE_US)
                 elif error.errno not in LOST_IN_ACCEPT:
@@ -221,7 +221,7 @@
         self.poller = PollPoller()
         self.scheduler = Scheduler(self.poller)
         self.stop = Signal(self.scheduler)
-        self.relieve: Callable[[], bool] = lambda: False
+        self.free_descriptor: Callable[[], bool] = lambda: False
         self._zmq: zmq.Context[zmq.Socket[bytes]] | None = None
 
     def run(self, name: str, function: Callable[..., T], *args: Any) -> T:
@@ -284,9 +284,9 @@
         try:
             sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:
-            if error.errno in OUT_OF_DESCRIPTORS and self.relieve():
+            if error.errno in OUT_OF_DESCRIPTORS and self.free_descriptor():
                 return self.connect(host, port, deadline_us)
-            raise (NoDescriptor if error.errno in OUT_OF_DESCRIPTORS else ConnectReset)(
+            raise (DescriptorsExhausted if error.errno in OUT_OF_DESCRIPTORS else ConnectReset)(
                 os.strerror(error.errno or 0)
             ) from None
         limit = self.deadline(deadline_us)
@@ -312,7 +312,7 @@
             sock.close()
             raise
 
-    def messages(
+    def message_socket(
         self, kind: Literal["sub", "pub", "dealer", "router"], host: str, port: int, topic: bytes = b""
     ) -> MessageSocket:
         """See World."""
@@ -328,10 +328,10 @@
         """See World."""
         return random.Random(f"{self.seed} {name}")
 
-    def read_file(self, path: str, most: int = -1) -> bytes:
+    def read_file(self, path: str, max_bytes: int = -1) -> bytes:
         """See World."""
         with open(path, "rb", opener=lambda name, flags: os.open(name, flags | os.O_NONBLOCK)) as file:
-            return file.read(most) or b""  # None from a pipe that has a writer and holds nothing
+            return file.read(max_bytes) or b""  # None from a pipe that has a writer and holds nothing
 
     def append_file(self, path: str, data: bytes) -> None:
         """See World."""
@@ -351,12 +351,12 @@
             os.close(descriptor)
         os.replace(path + ".new", path)
 
-    def descriptors(self) -> int:
+    def max_descriptors(self) -> int:
         """See World."""
         most = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         return 1 << 20 if most == resource.RLIM_INFINITY else most  # infinity is stated as -1
 
-    def machine_us(self) -> int:
+    def uptime_us(self) -> int:
         """See World."""
         return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000
 
--- a/yardspindle/runtime/timers.py
+++ b/yardspindle/runtime/timers.py
@@ -42,7 +42,7 @@
         return sum(len(bucket) for bucket in self._buckets.values())
 
     @property
-    def ticks_held(self) -> int:
+    def heap_size(self) -> int:
         """Ticks in the heap, those of cancelled timers among them."""
         return len(self._ticks)
 
--- a/yardspindle/runtime/virtual.py
+++ b/yardspindle/runtime/virtual.py
@@ -80,7 +80,7 @@
 
         `skewed`: its clock is set apart from the others'.
         """
-        number = self.drawn(f"program {name}")
+        number = self.next_number(f"program {name}")
         self.programs[name] = VirtualWorld(self, name, number)
         if skewed:
             self.programs[name].step(self.random(f"clock of {name} {number}").randrange(SKEW_US))
@@ -90,7 +90,7 @@
         """A random stream of its own for each name."""
         return random.Random(f"{self.seed} {name}")
 
-    def drawn(self, kind: str) -> int:
+    def next_number(self, kind: str) -> int:
         """A running number of its kind."""
         self._drawn[kind] = self._drawn.get(kind, 0) + 1
         return self._drawn[kind]
@@ -115,7 +115,7 @@
         self.sim, self.name, self._number = sim, name, number
         self.scheduler = sim.scheduler
         self.stop = Signal(sim.scheduler)
-        self.relieve: Callable[[], bool] = lambda: False
+        self.free_descriptor: Callable[[], bool] = lambda: False
         self.gate = Gate()
         self.alive = True
         self._ahead_us = 0  # of the true clock
@@ -229,7 +229,7 @@
         while True:
             listener = network.listeners.get((host, port))
             far_name = listener.world.name if listener is not None else ""
-            there, back = network.way(self.name, far_name), network.way(far_name, self.name)
+            there, back = network.path(self.name, far_name), network.path(far_name, self.name)
             if not (there.cuts or back.cuts or there.hanging):
                 break
             self.scheduler.sleep_until(self.sim.now_us() + RETRY_US)
@@ -238,12 +238,12 @@
         if listener is None or there.refused:
             raise ConnectError("Connection refused")
         near, far = VirtualStream(self, host, back), VirtualStream(listener.world, "127.0.0.1", there)
-        near.far, far.far = far, near
+        near.remote, far.remote = far, near
         if not listener.queue.try_put(far):
             raise ConnectError("Connection refused")
         return near
 
-    def messages(
+    def message_socket(
         self, kind: Literal["sub", "pub", "dealer", "router"], host: str, port: int, topic: bytes = b""
     ) -> MessageSocket:
         """See World."""
@@ -254,11 +254,11 @@
         """See World."""
         return self.sim.random(f"{self.name} {self._number} {name}")
 
-    def read_file(self, path: str, most: int = -1) -> bytes:
+    def read_file(self, path: str, max_bytes: int = -1) -> bytes:
         """See World."""
         if path not in self.sim.files:
             raise FileNotFoundError(2, "No such file or directory", path)
-        return self.sim.files[path][: None if most < 0 else most]
+        return self.sim.files[path][: None if max_bytes < 0 else max_bytes]
 
     def append_file(self, path: str, data: bytes) -> None:
         """See World."""
@@ -273,11 +273,11 @@
         if self.alive:
             self.sim.files[path] = data
 
-    def descriptors(self) -> int:
+    def max_descriptors(self) -> int:
         """See World: no bound."""
         return 1 << 20
 
-    def machine_us(self) -> int:
+    def uptime_us(self) -> int:
         """See World."""
         return self.sim.now_us()
 
--- a/yardspindle/runtime/virtual_network.py
+++ b/yardspindle/runtime/virtual_network.py
@@ -37,7 +37,7 @@
     def random(self, name: str) -> Random:
         """A random stream of its own for each name."""
 
-    def drawn(self, kind: str) -> int:
+    def next_number(self, kind: str) -> int:
         """A running number of its kind."""
 
 
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class Way:
+class NetworkPath:
     """What meets the bytes that one program sends another."""
 
     latency_us: tuple[int, int] = LATENCY_US
@@ -61,9 +61,9 @@
     cuts: int = 0  # faults may overlap: whole again when the last is over
     refused: int = 0  # new connections are refused while above 0
     hanging: int = 0  # new connections hang while above 0
-    lost: float = 0.0  # part of messages (not of bytes: streams lose nothing)
-    doubled: float = 0.0
-    reordered: float = 0.0
+    loss_rate: float = 0.0  # part of messages (not of bytes: streams lose nothing)
+    duplicate_rate: float = 0.0
+    reorder_rate: float = 0.0
     held: list[Callable[[], None]] = field(default_factory=list)
 
 
@@ -74,31 +74,31 @@
         """Every way starts whole."""
         self.sim = sim
         self.rng = sim.random("network")
-        self.ways: dict[tuple[str, str], Way] = {}
+        self.paths: dict[tuple[str, str], NetworkPath] = {}
         self.listeners: dict[tuple[str, int], VirtualListener] = {}
         self.message_sockets: list[VirtualMessages] = []
         self.streams: dict[VirtualStream, None] = {}
-        self.pieces = 0
+        self.segments = 0
 
-    def way(self, near: str, far: str) -> Way:
+    def path(self, near: str, far: str) -> NetworkPath:
         """From one program to another."""
-        found = self.ways.get((near, far))
+        found = self.paths.get((near, far))
         if found is None:
-            found = self.ways[(near, far)] = Way()
+            found = self.paths[(near, far)] = NetworkPath()
         return found
 
-    def latency_us(self, way: Way) -> int:
+    def latency_us(self, way: NetworkPath) -> int:
         """Drawn for one piece."""
         low, high = way.latency_us
         return low + int(self.rng.random() * (high - low))
 
     def cut(self, near: str, far: str) -> None:
         """Nothing sent from `near` arrives at `far` from now on."""
-        self.way(near, far).cuts += 1
+        self.path(near, far).cuts += 1
 
-    def join(self, near: str, far: str) -> None:
+    def restore(self, near: str, far: str) -> None:
         """Take one cut back; what waited arrives, in order."""
-        way = self.way(near, far)
+        way = self.path(near, far)
         way.cuts -= 1
         if not way.cuts:
             held, way.held = way.held, []
@@ -143,12 +143,12 @@
 class VirtualStream:
     """One end of a connection."""
 
-    def __init__(self, world: Program, peer: str, incoming: Way) -> None:
+    def __init__(self, world: Program, peer: str, incoming: NetworkPath) -> None:
         """Made in pairs by `VirtualWorld.connect`; `incoming` is the way to this end."""
         self.peer = peer
         self.world = world
         self.network = world.sim.network
-        self.far: VirtualStream | None = None
+        self.remote: VirtualStream | None = None
         self._incoming = incoming
         self._inbox = bytearray()
         self._on_way = 0  # bytes to this end that were sent and not read
@@ -170,8 +170,8 @@
                 data = bytes(self._inbox[:limit])
                 del self._inbox[:limit]
                 self._on_way -= len(data)
-                if self.far is not None:
-                    self.far._writable.wake()
+                if self.remote is not None:
+                    self.remote._writable.wake()
                 return data
             if self._ended:
                 return b""
@@ -181,7 +181,7 @@
         """See Stream."""
         rest = memoryview(data)
         while rest:
-            far = self.far
+            far = self.remote
             if self._closed or self._reset or self._finished or far is None:
                 raise StreamError("Connection reset by peer" if self._reset else "closed here")
             room = WINDOW_BYTES - far._on_way
@@ -195,20 +195,20 @@
             rest = rest[room:]
             far._come(piece)
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """See Stream."""
         return not (self._closed or self._reset or self._ended or self._inbox)
 
     def wait_input(self) -> None:
         """See Stream."""
-        while self.quiet():
+        while self.is_idle():
             self._readable.wait()
 
-    def finish(self) -> None:
+    def send_eof(self) -> None:
         """See Stream."""
-        if not (self._closed or self._finished or self.far is None):
+        if not (self._closed or self._finished or self.remote is None):
             self._finished = True
-            self.far._later(0, self.far._end)
+            self.remote._later(0, self.remote._end)
 
     def close(self) -> None:
         """See Stream."""
@@ -216,7 +216,7 @@
 
     def abort(self) -> None:
         """See Stream."""
-        self._leave(lambda far: far._break())
+        self._leave(lambda far: far.receive_reset())
 
     @property
     def open(self) -> bool:
@@ -230,10 +230,10 @@
         self.network.streams.pop(self, None)
         self._readable.wake()
         self._writable.wake()
-        far = self.far
+        far = self.remote
         if far is not None:
             unread = bool(self._inbox)
-            far._later(0, lambda: far._break() if unread else tell(far))  # as a kernel does when it drops data
+            far._later(0, lambda: far.receive_reset() if unread else tell(far))  # as a kernel does when it drops data
 
     def _later(self, size: int, happen: Callable[[], None]) -> None:
         """Let something arrive at this end, after all that was sent before it."""
@@ -249,9 +249,9 @@
         else:
             self._send_off(way, size, happen)
 
-    def _send_off(self, way: Way, size: int, happen: Callable[[], None]) -> None:
+    def _send_off(self, way: NetworkPath, size: int, happen: Callable[[], None]) -> None:
         sim = self.world.sim
-        self.network.pieces += 1
+        self.network.segments += 1
         due_us = max(self._arrives_us, sim.now_us() + self.network.latency_us(way))
         if way.bytes_per_s:
             due_us += int(size / way.bytes_per_s * 1e6)
@@ -264,8 +264,8 @@
 
     def _arrive(self, data: bytes) -> None:
         if self._closed:
-            if self.far is not None:
-                self.far._later(0, self.far._break)  # nobody reads here any more
+            if self.remote is not None:
+                self.remote._later(0, self.remote.receive_reset)  # nobody reads here any more
             return
         self._inbox += data
         self._readable.wake()
@@ -274,7 +274,8 @@
         self._ended = True
         self._readable.wake()
 
-    def _break(self) -> None:
+    def receive_reset(self) -> None:
+        """Break the stream as a reset from the peer does."""
         self._reset = True
         self._readable.wake()
         self._writable.wake()
@@ -311,11 +312,11 @@
     """A message socket: what is neither lost nor out of its place keeps its order for each pair."""
 
     def __init__(self, world: Program, kind: str, at: tuple[str, int], topic: bytes) -> None:
-        """Made by `VirtualWorld.messages`."""
+        """Made by `VirtualWorld.message_socket`."""
         self.world, self._kind, self._at, self._topic = world, kind, at, topic
         self.network = world.sim.network
         self.port = at[1] if kind in ("pub", "router") else 0
-        self.name = f"{kind}{world.sim.drawn('message socket')}".encode()
+        self.name = f"{kind}{world.sim.next_number('message socket')}".encode()
         self._inbox: deque[list[bytes]] = deque()
         self._readable = Waiting(world.scheduler)
         self._arrives_us = 0
@@ -359,8 +360,8 @@
 
     def _deliver(self, sender: VirtualMessages, parts: list[bytes]) -> None:
         network, sim = self.network, self.world.sim
-        way = network.way(sender.world.name, self.world.name)
-        if way.cuts or (way.lost and network.rng.random() < way.lost):
+        way = network.path(sender.world.name, self.world.name)
+        if way.cuts or (way.loss_rate and network.rng.random() < way.loss_rate):
             return
 
         def arrive() -> None:
@@ -369,10 +370,10 @@
                 self._readable.wake()
 
         due_us = sim.now_us() + network.latency_us(way)
-        if way.reordered and network.rng.random() < way.reordered:
+        if way.reorder_rate and network.rng.random() < way.reorder_rate:
             sim.scheduler.timers.set(due_us + int(network.rng.random() * REORDERED_US), arrive)
             return
         self._arrives_us = max(self._arrives_us, due_us)
         sim.scheduler.timers.set(self._arrives_us, arrive)
-        if way.doubled and network.rng.random() < way.doubled:
+        if way.duplicate_rate and network.rng.random() < way.duplicate_rate:
             sim.scheduler.timers.set(self._arrives_us + int(network.rng.random() * REORDERED_US), arrive)
--- a/yardspindle/runtime/world.py
+++ b/yardspindle/runtime/world.py
@@ -26,7 +26,7 @@
     """It was reset while it was made: that says little of the far side."""
 
 
-class NoDescriptor(ConnectReset):
+class DescriptorsExhausted(ConnectReset):
     """This program has none left: that says nothing of the far side."""
 
 
@@ -41,13 +41,13 @@
     def write(self, data: bytes) -> None:
         """Write all, waiting while the peer takes none. Raises StreamError."""
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether the peer has neither sent anything nor closed: an idle connection fit for use."""
 
     def wait_input(self) -> None:
         """Wait until the peer sends or closes, and take nothing."""
 
-    def finish(self) -> None:
+    def send_eof(self) -> None:
         """Send no more (FIN), and still read: the first half of a graceful close."""
 
     def close(self) -> None:
@@ -122,7 +122,9 @@
     """What a program may use of its surroundings."""
 
     stop: Signal
-    relieve: Callable[[], bool]  # asked where descriptors have run out: whether it closed something that can be spared
+    free_descriptor: Callable[
+        [], bool
+    ]  # asked where descriptors have run out: whether it closed something that can be spared
 
     def now_us(self) -> int:
         """Microseconds since the epoch; never goes back."""
@@ -154,7 +156,7 @@
     def connect(self, host: str, port: int, deadline_us: int) -> Stream:
         """Connect. Raises ConnectError, also at the deadline, and NoDescriptor at once."""
 
-    def messages(
+    def message_socket(
         self, kind: Literal["sub", "pub", "dealer", "router"], host: str, port: int, topic: bytes = b""
     ) -> MessageSocket:
         """A ZeroMQ socket: `sub` (of a topic) and `dealer` connect, `pub` and `router` bind. Raises OSError."""
@@ -162,7 +164,7 @@
     def random(self, name: str) -> random.Random:
         """A random stream of its own for each name."""
 
-    def read_file(self, path: str, most: int = -1) -> bytes:
+    def read_file(self, path: str, max_bytes: int = -1) -> bytes:
         """A file's bytes, up to `most` of them (-1: all), with no wait for a writer of a pipe. Raises OSError."""
 
     def append_file(self, path: str, data: bytes) -> None:
@@ -171,10 +173,10 @@
     def replace_file(self, path: str, data: bytes) -> None:
         """Put a file's whole content in its place, on the disk before it returns: old or new, never a part."""
 
-    def descriptors(self) -> int:
+    def max_descriptors(self) -> int:
         """How many descriptors this program may have open."""
 
-    def machine_us(self) -> int:
+    def uptime_us(self) -> int:
         """Microseconds since the machine started: one clock for all processes on it, which no step moves."""
 
     def database(self, path: str) -> Database:
--- a/yardspindle/runtime/zeromq.py
+++ b/yardspindle/runtime/zeromq.py
@@ -14,7 +14,7 @@
 from yardspindle.runtime.scheduler import Closed, DeadlineExceeded, Scheduler
 
 KINDS = {"sub": zmq.SUB, "pub": zmq.PUB, "dealer": zmq.DEALER, "router": zmq.ROUTER}
-HELD_MOST = 10_000  # messages queued for a slow side; past it they are dropped, which shows as a gap
+HIGH_WATER_MARK = 10_000  # messages queued for a slow side; past it they are dropped, which shows as a gap
 LOOK_AGAIN_US = 20_000  # for sockets that send too
 
 
@@ -35,8 +35,8 @@
         self._scheduler, self._poller = scheduler, poller
         self._socket = context.socket(KINDS[kind])
         self._socket.setsockopt(zmq.LINGER, 0)
-        self._socket.setsockopt(zmq.RCVHWM, HELD_MOST)
-        self._socket.setsockopt(zmq.SNDHWM, HELD_MOST)
+        self._socket.setsockopt(zmq.RCVHWM, HIGH_WATER_MARK)
+        self._socket.setsockopt(zmq.SNDHWM, HIGH_WATER_MARK)
         self._both = kind in ("dealer", "router")
         self.port = 0
         self.closed = False
--- a/yardspindle/steward/app.py
+++ b/yardspindle/steward/app.py
@@ -17,9 +17,9 @@
 from yardspindle.core.fleet.kv import Put, Txn
 from yardspindle.core.fleet.members import FleetKeys, Owner, StartCount, decode_holder, next_start_count
 from yardspindle.core.hosts.server_list import ServerList
-from yardspindle.fleet.file import FileSource
-from yardspindle.fleet.follow import Follower
-from yardspindle.fleet.membership import Membership, Turns
+from yardspindle.fleet.fleet_watcher import FleetWatcher
+from yardspindle.fleet.membership import LeaseCallbacks, Membership
+from yardspindle.fleet.server_list_file import ServerListFile
 from yardspindle.fleet.store.interface import Store, StoreError
 from yardspindle.runtime.scheduler import Task
 from yardspindle.runtime.world import World
@@ -53,7 +53,7 @@
         self.name = fleet.member or self.epoch
         self.keys = FleetKeys(fleet.name)
         self.server_list = ServerList(config)
-        self.follower = Follower(world, store, self.keys, self._on_view_change)
+        self.follower = FleetWatcher(world, store, self.keys, self._on_view_change)
         self.membership = Membership(
             world,
             fleet,
@@ -63,7 +63,7 @@
             self.epoch,
             config.edge.zone,
             version,
-            Turns(self._on_lease_granted, self._on_lease_renewed, self._on_call_failed),
+            LeaseCallbacks(self._on_lease_granted, self._on_lease_renewed, self._on_call_failed),
         )
         self.lease_timing = ownership.LeaseTiming(microseconds(fleet.ttl_ms), microseconds(fleet.margin_ms))
         self.state = ownership.OwnershipState(self.name, self.lease_timing)
@@ -74,10 +74,10 @@
     def start(self) -> tuple[str, int]:
         """Registers the steward and starts its tasks; returns its page's address. Raises OSError, ConfigError."""
         host, port = split_address(self.config.fleet.listen)
-        source = FileSource(
+        source = ServerListFile(
             self.world, self.config.planner.servers, self.config, self.server_list, self._on_view_change
         )
-        source.read_once()
+        source.load()
         self.state, _ = ownership.start(self.name, self.lease_timing, self.world.now_us())
         self.membership.start(host, port)
         self._started = True
@@ -96,7 +96,7 @@
                 self._handle_event(ownership.ShutdownRequested())
                 for task in list(self._hand_overs):
                     task.join()
-                self.membership.leave()
+                self.membership.deregister()
         except Exception as error:
             if not deadline.passed:
                 raise
@@ -117,7 +117,7 @@
 
     def _on_lease_renewed(self, lease: int, sent_us: int, ttl_us: int, revision: int) -> None:
         self._handle_event(ownership.LeaseRenewed(lease, sent_us, ttl_us))
-        self.follower.expect(revision)
+        self.follower.observe_revision(revision)
 
     def _on_call_failed(self, granting: bool) -> None:
         self._handle_event(ownership.StoreCallFailed(granting))
@@ -136,11 +136,11 @@
         """Applies an event to the ownership state, and executes the resulting commands."""
         now_us = self.world.now_us()
         self.state, commands = ownership.step(self.state, now_us, event)
-        self.membership.say(ownership.is_eligible(self.state, now_us) or now_us >= self.state.lease_valid_until_us)
+        self.membership.set_able(ownership.is_eligible(self.state, now_us) or now_us >= self.state.lease_valid_until_us)
         for command in commands:
             match command:
                 case ownership.RequestLease():
-                    self.membership.renew(self.membership.lease)
+                    self.membership.replace_lease(self.membership.lease)
                 case ownership.AcquireDuty(duty, lease):
                     self.world.spawn(f"take {duty}", self._acquire, duty, lease)
                 case ownership.StartDuty(duty, fence):
--- a/yardspindle/steward/clock.py
+++ b/yardspindle/steward/clock.py
@@ -11,9 +11,9 @@
 from yardspindle.core.fleet.kv import Put
 from yardspindle.core.fleet.members import ClockReport, FleetKeys, Member
 from yardspindle.engine.http_client import HttpClient
-from yardspindle.fleet.follow import Follower
+from yardspindle.fleet.fleet_watcher import FleetWatcher
+from yardspindle.fleet.member_page import probe_member
 from yardspindle.fleet.membership import Membership
-from yardspindle.fleet.page import ask
 from yardspindle.fleet.store.interface import Store, StoreError
 from yardspindle.runtime.world import World
 
@@ -33,7 +33,7 @@
         world: World,
         store: Store,
         keys: FleetKeys,
-        follower: Follower,
+        follower: FleetWatcher,
         membership: Membership,
         bound_us: int,
         fence_to_act: Callable[[], int | None],
@@ -77,7 +77,7 @@
 
     def _probe(self, member: Member, offsets: dict[str, ClockOffset]) -> None:
         sent_us = self._world.now_us()
-        _, answer = ask(self._http, member.page)
+        _, answer = probe_member(self._http, member.page)
         if answer is not None and answer.member.epoch == member.epoch:
             offsets[member.id] = estimate_offset(sent_us, answer.now_us, self._world.now_us())
 
--- a/yardspindle/steward/release.py
+++ b/yardspindle/steward/release.py
@@ -13,7 +13,7 @@
 from yardspindle.core.fleet.kv import Txn, prefix_end
 from yardspindle.core.fleet.members import FleetKeys
 from yardspindle.core.fleet.release_keys import AuditEntry, ReleaseView, UnitKeys, drain_request_steps
-from yardspindle.fleet.follow import Follower
+from yardspindle.fleet.fleet_watcher import FleetWatcher
 from yardspindle.fleet.store.interface import Store, StoreError
 from yardspindle.runtime.world import World
 
@@ -31,7 +31,7 @@
         world: World,
         store: Store,
         keys: FleetKeys,
-        follower: Follower,
+        follower: FleetWatcher,
         limits: tuple[Limit, ...],
         name: str,
         fence_to_act: Callable[[], int | None],
@@ -53,7 +53,7 @@
     def _run_once(self, fence: int) -> None:
         now_us = self._world.now_us()
         view = self._keys.read(self._follower.view.rows)
-        steps = self._next_steps(view, now_us, now_us - self._follower.current_us, fence)
+        steps = self._next_steps(view, now_us, now_us - self._follower.confirmed_us, fence)
         if any(isinstance(step, release_plan.GrantPermit) for step in steps):
             # The watch may lag: before a permit is granted, the store is read and the steps are computed again.
             try:
--- a/yardspindle/steward/sweep.py
+++ b/yardspindle/steward/sweep.py
@@ -14,8 +14,8 @@
 from yardspindle.core.hosts.server_list import ServerList
 from yardspindle.engine import vllm
 from yardspindle.engine.http_client import ConnectError, ExchangeBroken, HttpClient
-from yardspindle.fleet.follow import Follower
-from yardspindle.fleet.page import ask
+from yardspindle.fleet.fleet_watcher import FleetWatcher
+from yardspindle.fleet.member_page import probe_member
 from yardspindle.fleet.store.interface import Store, StoreError
 from yardspindle.protocol import http1
 from yardspindle.runtime.scheduler import Channel, DeadlineExceeded
@@ -38,7 +38,7 @@
         world: World,
         store: Store,
         keys: FleetKeys,
-        follower: Follower,
+        follower: FleetWatcher,
         server_list: ServerList,
         duty: str,
         fence_to_act: Callable[[], int | None],
@@ -92,7 +92,7 @@
 
     def _probe(self, epoch: str, member: Member) -> None:
         try:
-            result, answer = ask(self._http, member.page)
+            result, answer = probe_member(self._http, member.page)
             found = answer.member.epoch if answer is not None else ""
             if self._epochs.record_probe(self._world.now_us(), epoch, result, found):
                 log.info("an edge is gone for good", edge=member.name, epoch=epoch, proof=result.value)
--- a/yardspindle/unit/app.py
+++ b/yardspindle/unit/app.py
@@ -20,7 +20,7 @@
 from yardspindle.core.fleet.permits import UnitPlacement, UnitStatus
 from yardspindle.core.fleet.release_keys import UnitKeys
 from yardspindle.core.fleet.release_plan import Order
-from yardspindle.fleet.membership import Membership, Turns
+from yardspindle.fleet.membership import LeaseCallbacks, Membership
 from yardspindle.fleet.store.interface import Store, StoreError
 from yardspindle.runtime.world import World
 
@@ -97,7 +97,7 @@
             f"{world.random('unit').getrandbits(48):012x}",
             file.groups.get("zone", ""),
             version,
-            Turns(lambda lease, sent, ttl: None, lambda *renewed: None, lambda granting: None),
+            LeaseCallbacks(lambda lease, sent, ttl: None, lambda *renewed: None, lambda granting: None),
         )
         self._listen = split_address(file.page or fleet.listen)
         self._call_us = microseconds(fleet.call_ms)
@@ -118,7 +118,7 @@
 
     def stop(self) -> None:
         """Stops the supervisor; the unit keeps running."""
-        self.membership.leave()
+        self.membership.deregister()
 
     # --- events
 
--- a/yardspindle/unit/runner.py
+++ b/yardspindle/unit/runner.py
@@ -9,10 +9,10 @@
 import structlog
 
 from yardspindle.core.fleet.unit import UnitFile
+from yardspindle.runtime.detached_process import DetachedProcess
 from yardspindle.runtime.process import Child, ChildError
 from yardspindle.runtime.real import RealWorld
 from yardspindle.runtime.scheduler import DeadlineExceeded
-from yardspindle.runtime.service import Service
 
 log = structlog.get_logger("yardspindle.unit")
 
@@ -23,16 +23,16 @@
     def __init__(self, world: RealWorld, file: UnitFile) -> None:
         """Starts nothing yet."""
         self._world, self._file = world, file
-        self._service: Service | None = None
+        self._service: DetachedProcess | None = None
         self._log = file.state + ".log"
 
     def adopt(self, pid: int, born: int) -> None:
         """See UnitRunner."""
-        self._service = Service(self._world, pid, born) if pid else None
+        self._service = DetachedProcess(self._world, pid, born) if pid else None
 
     def id(self) -> tuple[int, int]:
         """See UnitRunner."""
-        return (self._service.pid, self._service.started) if self._service is not None else (0, 0)
+        return (self._service.pid, self._service.start_ticks) if self._service is not None else (0, 0)
 
     def alive(self) -> bool:
         """See UnitRunner."""
@@ -42,7 +42,9 @@
         """See UnitRunner."""
         argv = [part.replace("{version}", version) for part in self._file.run]
         try:
-            self._service = Service.find(self._world, mark) or Service.start(self._world, argv, self._log, mark)
+            self._service = DetachedProcess.find(self._world, mark) or DetachedProcess.start(
+                self._world, argv, self._log, mark
+            )
         except OSError as error:
             log.error("unit could not be started", reason=str(error))
             return 127
