--- a/yardspindle/link/frames.py
+++ b/yardspindle/link/frames.py
@@ -1,10 +1,10 @@
-"""The link's frames: a length of four bytes, then msgpack. Versioned, bounded, and checked on arrival.
+"""Frames of the link between an edge and its planner: a four-byte length, then msgpack; versioned, limited in size.
 
-The edge opens the link and greets; the planner answers with its epoch and then with the server list. After that
-the edge sends `Events` and the planner `Actions`, each side as it has something to say. `Events.number` counts the
-edge's frames and `Actions.answers` names the last one that the planner had handled, which is how an edge sees that
-its planner is behind. Interface types travel as arrays tagged by their name; a frame that does not decode ends the
-link, since after it the two sides would no longer agree on what is out.
+The edge connects and sends `Hello`; the planner answers with `Welcome`, then with the server list. From then on the
+edge sends `Events` and the planner sends `Actions`, independently of each other. `Events.number` numbers the edge's
+frames, and `Actions.answers` is the number of the last one that the planner has processed, from which the edge detects
+that its planner is lagging. Interface types are encoded as arrays tagged with the type's name. A frame that cannot be
+decoded closes the link, because the two sides might otherwise disagree on which attempts are in flight.
 """
 
 from __future__ import annotations
@@ -22,39 +22,39 @@
 from yardspindle.core.hosts.directory import Server
 
 VERSION = 1
-FRAME_BYTES_MOST = 8_388_608
+MAX_FRAME_BYTES = 8_388_608
 LENGTH_BYTES = 4
 
 
 class LinkError(Exception):
-    """The peer speaks another version, or what came is no frame."""
+    """The peer uses another protocol version, sent an invalid frame or closed the link."""
 
 
-def _mirror(kind: type[Any]) -> type[Struct]:
-    """A tagged msgspec type with the fields of an interface type."""
+def _wire_type(kind: type[Any]) -> type[Struct]:
+    """Create a tagged msgspec type with the fields of an interface type."""
     hints = typing.get_type_hints(kind)
     fields: list[Any] = []
-    for known in dataclasses.fields(kind):
-        if known.default is dataclasses.MISSING:
-            fields.append((known.name, hints[known.name]))
+    for field in dataclasses.fields(kind):
+        if field.default is dataclasses.MISSING:
+            fields.append((field.name, hints[field.name]))
         else:
-            fields.append((known.name, hints[known.name], known.default))
+            fields.append((field.name, hints[field.name], field.default))
     return msgspec.defstruct(kind.__name__, fields, tag=True, array_like=True, frozen=True)
 
 
 EVENTS = (i.Request, i.First, i.Note, i.Outcome, i.Hangup)
 ACTIONS = (i.Send, i.Ahead, i.Discard, i.Refuse, i.Fail, i.Cancel, i.CloseIdle, i.Move)
-_MIRRORS: dict[type[Any], type[Struct]] = {kind: _mirror(kind) for kind in (*EVENTS, *ACTIONS)}
-_ORIGINALS: dict[type[Struct], type[Any]] = {mirror: kind for kind, mirror in _MIRRORS.items()}
+_WIRE_TYPES: dict[type[Any], type[Struct]] = {kind: _wire_type(kind) for kind in (*EVENTS, *ACTIONS)}
+_INTERFACE_TYPES: dict[type[Struct], type[Any]] = {wire_type: kind for kind, wire_type in _WIRE_TYPES.items()}
 _FIELDS: dict[type[Any], tuple[str, ...]] = {
-    kind: tuple(known.name for known in dataclasses.fields(kind)) for kind in _MIRRORS
+    kind: tuple(field.name for field in dataclasses.fields(kind)) for kind in _WIRE_TYPES
 }
-AnyEvent: Any = reduce(or_, (_MIRRORS[kind] for kind in EVENTS))
-AnyAction: Any = reduce(or_, (_MIRRORS[kind] for kind in ACTIONS))
+AnyEvent: Any = reduce(or_, (_WIRE_TYPES[kind] for kind in EVENTS))
+AnyAction: Any = reduce(or_, (_WIRE_TYPES[kind] for kind in ACTIONS))
 
 
 class Hello(Struct, tag=True, array_like=True):
-    """Edge to planner, first."""
+    """First frame from edge to planner."""
 
     version: int
     number: int
@@ -65,21 +65,21 @@
 
 
 class Welcome(Struct, tag=True, array_like=True):
-    """Planner to edge, first."""
+    """First frame from planner to edge."""
 
     version: int
     epoch: int
 
 
 class Servers(Struct, tag=True, array_like=True):
-    """The whole server list."""
+    """The complete server list."""
 
     version: int
     servers: list[Server]
 
 
 class Events(Struct, tag=True, array_like=True):
-    """What happened at the edge, in order, at one time of its clock."""
+    """Events of the edge, in order, that all occurred at time `now_us` of its clock."""
 
     number: int
     now_us: int
@@ -87,14 +87,14 @@
 
 
 class Actions(Struct, tag=True, array_like=True):
-    """What the edge is to do, in order."""
+    """Actions for the edge to perform, in order."""
 
     answers: int
     actions: list[AnyAction]
 
 
 class Bye(Struct, tag=True, array_like=True):
-    """The sender closes the link, for a reason that it can name."""
+    """The sender closes the link, with the reason for the peer's log."""
 
     reason: str
 
@@ -105,40 +105,40 @@
 
 
 def to_wire(value: Any) -> Any:
-    """An event or action as it travels."""
+    """Convert an event or action to its wire type."""
     kind = type(value)
-    return _MIRRORS[kind](*[getattr(value, name) for name in _FIELDS[kind]])
+    return _WIRE_TYPES[kind](*[getattr(value, name) for name in _FIELDS[kind]])
 
 
 def from_wire(value: Any) -> Any:
-    """An event or action as it was."""
-    kind = _ORIGINALS[type(value)]
+    """Convert an event or action from its wire type back to its interface type."""
+    kind = _INTERFACE_TYPES[type(value)]
     return kind(*[getattr(value, name) for name in _FIELDS[kind]])
 
 
 def encode(frame: Frame) -> bytes:
-    """A frame's bytes."""
+    """Encode a frame with its length prefix. Raises LinkError."""
     body = _encoder.encode(frame)
-    if len(body) > FRAME_BYTES_MOST:
-        raise LinkError(f"a frame of {len(body)} bytes is too long to send")
+    if len(body) > MAX_FRAME_BYTES:
+        raise LinkError(f"frame of {len(body)} bytes exceeds the limit of {MAX_FRAME_BYTES}")
     return len(body).to_bytes(LENGTH_BYTES) + body
 
 
 class FrameReader:
-    """Turns bytes, cut anywhere, into frames."""
+    """Parses a byte stream, split at arbitrary positions, into frames."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Start with an empty buffer."""
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Frame]:
-        """Take bytes, give the frames that they complete. Raises LinkError."""
+        """Add received bytes and return the frames that they complete. Raises LinkError."""
         self._buffer += data
         frames: list[Frame] = []
         while len(self._buffer) >= LENGTH_BYTES:
             length = int.from_bytes(self._buffer[:LENGTH_BYTES])
-            if length > FRAME_BYTES_MOST:
-                raise LinkError(f"a frame of {length} bytes is over the bound")
+            if length > MAX_FRAME_BYTES:
+                raise LinkError(f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}")
             end = LENGTH_BYTES + length
             if len(self._buffer) < end:
                 break
--- a/yardspindle/protocol/__init__.py
+++ b/yardspindle/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Parsers and writers that take and give bytes: no socket, no clock, nothing of ours."""
+"""Protocol parsers and serializers that work on bytes only, independent of sockets, clocks and other packages."""
--- a/yardspindle/protocol/http1.py
+++ b/yardspindle/protocol/http1.py
@@ -1,8 +1,9 @@
-"""HTTP/1.1 without I/O (RFC 9110, RFC 9112): bytes in, events out, for servers and clients.
+"""Sans-I/O HTTP/1.1 parsers for servers and clients (RFC 9110, RFC 9112): bytes in, events out.
 
-Strict where leniency lets one peer smuggle a message past another: a message has one length, lines end in CRLF,
-a header name touches its colon. What breaks that is refused with the status a server answers. A parser yields
-`RequestHead` or `ResponseHead`, then `Data`, then `End`, then the next message of the connection (pipelining).
+Parsing is strict where leniency would permit request smuggling: a message has exactly one length, lines end in CRLF,
+and no space precedes the colon of a header. Violations raise ProtocolError with the status that a server answers.
+A parser yields `RequestHead` or `ResponseHead`, then `Data`, then `End`, then the next message of the connection
+(pipelining).
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 VERSION = re.compile(rb"HTTP/1\.([01])")
 CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,16})((?:[ \t]*;[\t -~\x80-\xff]*)?)")
-NEXT_CHUNK = re.compile(rb"\r\n([0-9A-Fa-f]{1,5})\r\n")  # the plain form, of a chunk that is not large
+PLAIN_CHUNK_LINE = re.compile(rb"\r\n([0-9A-Fa-f]{1,5})\r\n")  # without extensions, for chunks under 1 MiB
 STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9]{2})(?: ([\t -~\x80-\xff]*))?")
 BARE_LF = re.compile(rb"(?<!\r)\n")
 BODILESS_STATUS = (204, 304)
@@ -36,7 +37,7 @@
 
 @dataclass(slots=True)
 class RequestHead:
-    """A request's first line and headers; names in lower case."""
+    """Request line and headers; header names are in lower case."""
 
     method: bytes
     target: bytes
@@ -44,26 +45,26 @@
     headers: Headers
 
     def get(self, name: bytes) -> bytes | None:
-        """The first value of a header, or None."""
+        """Return the first value of a header, or None."""
         return first_value(self.headers, name)
 
 
 @dataclass(slots=True)
 class ResponseHead:
-    """A response's status and headers; names in lower case."""
+    """Status line and headers of a response; header names are in lower case."""
 
     status: int
     minor: int
     headers: Headers
 
     def get(self, name: bytes) -> bytes | None:
-        """The first value of a header, or None."""
+        """Return the first value of a header, or None."""
         return first_value(self.headers, name)
 
 
 @dataclass(slots=True)
 class Data:
-    """A piece of the body."""
+    """A part of the body."""
 
     data: bytes
 
@@ -89,15 +90,13 @@
 
 
 def keeps_alive(head: RequestHead | ResponseHead) -> bool:
-    """Whether the connection stays open after this message."""
+    """Return whether the connection stays open after this message."""
     if head.minor == 0:
         return has_token(head.headers, b"connection", b"keep-alive")
     return not has_token(head.headers, b"connection", b"close")
 
 
-BETWEEN_MESSAGES = (
-    _Stage.HEAD
-)  # between two messages: where a parser stands again once its body was read by other means
+BETWEEN_MESSAGES = _Stage.HEAD  # also set by code that read a message's body without the parser
 
 
 @dataclass(slots=True)
@@ -105,33 +104,33 @@
     limits: Limits = field(default_factory=Limits)
     buffer: bytearray = field(default_factory=bytearray)
     stage: _Stage = _Stage.HEAD
-    left: int = 0
-    body_seen: int = 0
+    remaining: int = 0
+    body_bytes: int = 0
     head_searched: int = 0
     closed: bool = False
 
     def feed(self, data: bytes) -> None:
-        """Take bytes from the peer."""
+        """Add bytes received from the peer."""
         self.buffer += data
 
     def feed_eof(self) -> None:
-        """The peer has closed its side."""
+        """Record that the peer closed its sending side."""
         self.closed = True
 
     @property
     def buffered(self) -> int:
-        """Bytes taken and not yet turned into events."""
+        """Number of received bytes that are not yet parsed."""
         return len(self.buffer)
 
     @property
     def mid_message(self) -> bool:
-        """Whether a message has begun and is not complete."""
+        """Whether a message was started and is not complete."""
         return self.stage is not _Stage.HEAD or bool(self.buffer)
 
     def next_event(self) -> Event | None:
-        """The next event, or None until more is fed. Raises ProtocolError, and then at every call."""
+        """Return the next event, or None if more bytes are needed. Raises ProtocolError, then again at every call."""
         if self.stage is _Stage.DEAD:
-            raise ProtocolError("the connection is past use")
+            raise ProtocolError("the connection is unusable after an earlier protocol error")
         try:
             return self._next()
         except ProtocolError:
@@ -142,69 +141,70 @@
         if self.stage is _Stage.HEAD:
             return self._head()
         if self.stage is _Stage.LENGTH:
-            return self._counted(_Stage.END)
+            return self._sized_body(_Stage.END)
         if self.stage is _Stage.CHUNK_DATA:
             return self._chunk()
         if self.stage in (_Stage.CHUNK_LINE, _Stage.CHUNK_END, _Stage.TRAILERS):
             return self._chunk_lines()
         if self.stage is _Stage.UNTIL_CLOSE:
             if self.buffer:
-                return self._taken(len(self.buffer))
+                return self._take_data(len(self.buffer))
             if not self.closed:
                 return None
-        self.stage, self.body_seen = _Stage.HEAD, 0
+        self.stage, self.body_bytes = _Stage.HEAD, 0
         return End()
 
-    def _taken(self, count: int) -> Data:
-        self.body_seen += count
-        if self.body_seen > self.limits.body:
+    def _take_data(self, count: int) -> Data:
+        self.body_bytes += count
+        if self.body_bytes > self.limits.body:
             raise ProtocolError("the body is too large", 413)
         data = bytes(self.buffer[:count])
         del self.buffer[:count]
         return Data(data)
 
-    def _counted(self, after: _Stage) -> Event | None:
-        if self.left and not self.buffer:
-            self._starved("the body")
+    def _sized_body(self, next_stage: _Stage) -> Event | None:
+        if self.remaining and not self.buffer:
+            self._check_not_closed("the body")
             return None
-        if not self.left:
-            self.stage = after
+        if not self.remaining:
+            self.stage = next_stage
             return self._next()
-        data = self._taken(min(self.left, len(self.buffer)))
-        self.left -= len(data.data)
-        if not self.left:
-            self.stage = after
+        data = self._take_data(min(self.remaining, len(self.buffer)))
+        self.remaining -= len(data.data)
+        if not self.remaining:
+            self.stage = next_stage
         return data
 
     def _chunk(self) -> Event | None:
-        """A part of the chunk under way, and with its end the plain whole chunks that lie behind it: taken one by one,
-        the smallest cost so much that a client's close behind them was seen late.
+        """Return data of the current chunk and, once it is complete, of the whole chunks buffered behind it.
+
+        One event for each small chunk was so slow that a close by the client behind them was detected late.
         """
-        event = self._counted(_Stage.CHUNK_END)
+        event = self._sized_body(_Stage.CHUNK_END)
         if self.stage is not _Stage.CHUNK_END or not isinstance(event, Data):
             return event
-        buffer, at, pieces, most = self.buffer, 0, [event.data], self.limits.body - self.body_seen
-        while (line := NEXT_CHUNK.match(buffer, at)) is not None:
+        buffer, at, pieces, body_allowance = self.buffer, 0, [event.data], self.limits.body - self.body_bytes
+        while (line := PLAIN_CHUNK_LINE.match(buffer, at)) is not None:
             size, start = int(line[1], 16), line.end()
-            if not 0 < size <= most or start + size > len(buffer):
+            if not 0 < size <= body_allowance or start + size > len(buffer):
                 break
-            at, most = start + size, most - size
+            at, body_allowance = start + size, body_allowance - size
             pieces.append(bytes(buffer[start:at]))
         if at:
-            self.body_seen = self.limits.body - most
+            self.body_bytes = self.limits.body - body_allowance
             del buffer[:at]
         return event if not at else Data(b"".join(pieces))
 
-    def _starved(self, what: str) -> None:
+    def _check_not_closed(self, what: str) -> None:
         if self.closed:
             raise ProtocolError(f"the peer closed inside {what}")
 
-    def _line(self) -> bytes | None:
+    def _take_line(self) -> bytes | None:
         at = self.buffer.find(b"\n", 0, self.limits.line + 2)
         if at < 0:
             if len(self.buffer) > self.limits.line:
                 raise ProtocolError("a line is too long")
-            self._starved("a chunk")
+            self._check_not_closed("a chunk")
             return None
         if at == 0 or self.buffer[at - 1] != 13:
             raise ProtocolError("a line ends without a carriage return")
@@ -216,44 +216,44 @@
         while True:
             if self.stage is _Stage.CHUNK_END:
                 if len(self.buffer) < 2:
-                    self._starved("a chunk")
+                    self._check_not_closed("a chunk")
                     return None
                 if self.buffer[:2] != b"\r\n":
                     raise ProtocolError("a chunk does not end where its size says")
                 del self.buffer[:2]
                 self.stage = _Stage.CHUNK_LINE
-            line = self._line()
+            line = self._take_line()
             if line is None:
                 return None
             if self.stage is _Stage.TRAILERS:
                 if not line:
                     self.stage = _Stage.END
                     return self._next()
-                self.left += 1  # trailers are checked and dropped
-                if self.left > self.limits.headers:
+                self.remaining += 1  # counts trailers, which are checked and dropped
+                if self.remaining > self.limits.headers:
                     raise ProtocolError("too many trailers", 431)
                 parse_headers([line], self.limits)
                 continue
             size = CHUNK_SIZE.fullmatch(line)
             if size is None:
                 raise ProtocolError("a chunk size is malformed")
-            self.left = int(size[1], 16)
-            if self.left:
-                if self.body_seen + self.left > self.limits.body:
+            self.remaining = int(size[1], 16)
+            if self.remaining:
+                if self.body_bytes + self.remaining > self.limits.body:
                     raise ProtocolError("the body is too large", 413)
                 self.stage = _Stage.CHUNK_DATA
                 return self._chunk()
             self.stage = _Stage.TRAILERS
 
     def _head_lines(self) -> list[bytes] | None:
-        while self.buffer[:2] == b"\r\n":  # an empty line before a message is passed over (RFC 9112, 2.2)
+        while self.buffer[:2] == b"\r\n":  # empty lines before a message are ignored (RFC 9112, 2.2)
             del self.buffer[:2]
         end = self.buffer.find(b"\r\n\r\n", max(self.head_searched - 3, 0), self.limits.head)
         if end < 0:
             if len(self.buffer) >= self.limits.head:
                 raise ProtocolError("the head is too large", 431)
             if BARE_LF.search(self.buffer, self.head_searched):
-                raise ProtocolError("a line ends without CRLF")  # at once: waiting for more would wait for ever
+                raise ProtocolError("a line ends without CRLF")  # now: the end of such a head is never found
             if self.buffer and self.closed:
                 raise ProtocolError("the peer closed inside a head")
             self.head_searched = len(self.buffer)
@@ -271,7 +271,7 @@
 
 @dataclass(slots=True)
 class RequestParser(_Parser):
-    """What a server reads."""
+    """Parses the requests that a server receives."""
 
     def _head(self) -> Event | None:
         if self.buffer.startswith(b"\r") and bytes(self.buffer[1:2]) not in (b"", b"\n"):
@@ -292,25 +292,25 @@
         hosts = sum(1 for name, _ in head.headers if name == b"host")
         if hosts > 1 or (head.minor == 1 and not hosts):
             raise ProtocolError("not exactly one Host header")
-        self.left = 0
+        self.remaining = 0
         if is_chunked(head.headers, head.minor):
             self.stage = _Stage.CHUNK_LINE
         else:
-            self.left = content_length(head.headers) or 0
+            self.remaining = content_length(head.headers) or 0
             self.stage = _Stage.LENGTH
-            if self.left > self.limits.body:
+            if self.remaining > self.limits.body:
                 raise ProtocolError("the body is too large", 413)
         return head
 
 
 @dataclass(slots=True)
 class ResponseParser(_Parser):
-    """What a client reads; `expects` is told the method of each request before its response comes."""
+    """Parses the responses that a client receives; call `expect_response` for each request sent."""
 
     methods: list[bytes] = field(default_factory=list)
 
     def expect_response(self, method: bytes) -> None:
-        """A request with this method was sent."""
+        """Record that a request was sent; the framing of its response depends on the method."""
         self.methods.append(method)
 
     def _head(self) -> Event | None:
@@ -321,13 +321,13 @@
         if status_line is None:
             raise ProtocolError("the status line is malformed")
         if not self.methods:
-            raise ProtocolError("a response that nobody asked for")
+            raise ProtocolError("a response without a request")
         head = ResponseHead(int(status_line[2]), int(status_line[1]), parse_headers(lines[1:], self.limits))
-        self.left = 0
+        self.remaining = 0
         if 100 <= head.status < 200:
             if head.status == 101:
-                raise ProtocolError("a protocol switch that nobody asked for")
-            return head  # an interim answer: the next head follows
+                raise ProtocolError("a protocol switch that was not requested")
+            return head  # interim response: another head follows
         chunked = is_chunked(head.headers, head.minor)
         length = content_length(head.headers)
         if self.methods.pop(0) == b"HEAD" or head.status in BODILESS_STATUS:
@@ -335,7 +335,7 @@
         elif chunked:
             self.stage = _Stage.CHUNK_LINE
         elif length is not None:
-            self.left, self.stage = length, _Stage.LENGTH
+            self.remaining, self.stage = length, _Stage.LENGTH
         else:
             self.stage = _Stage.UNTIL_CLOSE
         return head
--- a/yardspindle/protocol/http1_headers.py
+++ b/yardspindle/protocol/http1_headers.py
@@ -1,4 +1,4 @@
-"""Header lines of HTTP/1.1 and what they say of a message's length; what is wrong with them, and how much may come."""
+"""HTTP/1.1 header lines: parsing, message length, size limits and the error for protocol violations."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class ProtocolError(Exception):
-    """The peer's bytes are no acceptable HTTP/1.1; `status` is what a server answers before it closes."""
+    """The peer violated HTTP/1.1 or exceeded a limit; a server answers with `status` and closes the connection."""
 
     def __init__(self, reason: str, status: int = 400) -> None:
-        """Keep the reason, one line without the peer's bytes."""
+        """`reason` is one line and contains no bytes received from the peer."""
         super().__init__(reason)
         self.reason = reason
         self.status = status
@@ -22,29 +22,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """The most that a peer may make us hold, bytes and counts."""
+    """Limits on what a peer may send, so that it cannot exhaust memory."""
 
-    line: int = 16_384
-    head: int = 65_536
-    headers: int = 128
-    body: int = 33_554_432
+    line: int = 16_384  # bytes
+    head: int = 65_536  # bytes
+    headers: int = 128  # count
+    body: int = 33_554_432  # bytes
 
 
 def first_value(headers: Headers, name: bytes) -> bytes | None:
-    """The first value of a header, or None."""
-    for known, value in headers:
-        if known == name:
+    """Return the first value of a header, or None."""
+    for header, value in headers:
+        if header == name:
             return value
     return None
 
 
 def has_token(headers: Headers, name: bytes, token: bytes) -> bool:
-    """Whether a comma-separated header lists a token."""
-    return any(token == part.strip().lower() for known, value in headers if known == name for part in value.split(b","))
+    """Return whether a comma-separated header lists a token."""
+    return any(
+        token == part.strip().lower() for header, value in headers if header == name for part in value.split(b",")
+    )
 
 
 def parse_headers(lines: list[bytes], limits: Limits) -> Headers:
-    """Header lines without their line ends. Raises ProtocolError."""
+    """Parse header lines, given without line ends. Raises ProtocolError."""
     if len(lines) > limits.headers:
         raise ProtocolError("too many headers", 431)
     headers: Headers = []
@@ -61,7 +63,7 @@
 
 
 def content_length(headers: Headers) -> int | None:
-    """The one stated length, or None. Raises ProtocolError when it is stated twice or is no number."""
+    """Return the Content-Length, or None. Raises ProtocolError if it is repeated or not a number."""
     values = [value for name, value in headers if name == b"content-length"]
     if not values:
         return None
@@ -71,7 +73,7 @@
 
 
 def is_chunked(headers: Headers, minor: int) -> bool:
-    """Whether the body comes in chunks. Raises ProtocolError for any other transfer coding."""
+    """Return whether the body is chunked. Raises ProtocolError for any other transfer coding."""
     values = [value for name, value in headers if name == b"transfer-encoding"]
     if not values:
         return False
--- a/yardspindle/protocol/http1_write.py
+++ b/yardspindle/protocol/http1_write.py
@@ -1,4 +1,4 @@
-"""What HTTP/1.1 messages look like when they are written; `http1` reads them and gives these out too."""
+"""Serializes HTTP/1.1 messages; `http1` parses them and re-exports these functions."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def write_head(first_line: bytes, headers: Headers) -> bytes:
-    """A head's bytes. Raises ValueError where a name or value would break the message."""
+    """Serialize a start line and headers. Raises ValueError for a header name or value that HTTP does not allow."""
     lines = [first_line]
     for name, value in headers:
         if TOKEN.fullmatch(name) is None or VALUE.fullmatch(value) is None:
@@ -50,13 +50,13 @@
 
 
 def write_response(status: int, headers: Headers, body: bytes | None) -> bytes:
-    """A response's head, with its whole body, or (None) the head of a body in chunks."""
+    """Serialize a response with its whole body, or, if the body is None, only the head of a chunked response."""
     framing = (b"transfer-encoding", b"chunked") if body is None else (b"content-length", str(len(body)).encode())
     return write_head(b"HTTP/1.1 %d %s" % (status, REASONS.get(status, b"-")), [*headers, framing]) + (body or b"")
 
 
 def write_request(method: bytes, target: bytes, headers: Headers, body: bytes) -> bytes:
-    """A request with its whole body."""
+    """Serialize a request with its whole body. Raises ValueError."""
     if TOKEN.fullmatch(method) is None or TARGET.fullmatch(target) is None:
         raise ValueError(f"request line {method!r} {target!r} cannot be written")
     if body or method in (b"POST", b"PUT"):
@@ -65,7 +65,7 @@
 
 
 def write_chunk(data: bytes) -> bytes:
-    """One chunk; empty data gives nothing, as an empty chunk would end the body."""
+    """Serialize one chunk; returns nothing for empty data, as an empty chunk would end the body."""
     return b"%x\r\n%s\r\n" % (len(data), data) if data else b""
 
 
--- a/yardspindle/protocol/sse.py
+++ b/yardspindle/protocol/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events without I/O, as the WHATWG HTML standard defines the stream (section 9.2)."""
+"""Sans-I/O parser and serializer for server-sent events (WHATWG HTML standard, section 9.2)."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class EventTooLarge(Exception):
-    """An event is longer than the parser may hold."""
+    """An event exceeds the size limit of the parser."""
 
 
 @dataclass(slots=True)
 class ServerEvent:
-    """A dispatched event: its data, its type (empty: `message`) and the last id seen."""
+    """A dispatched event: its data, its type (empty for `message`) and the last event id received so far."""
 
     data: bytes
     kind: bytes = b""
@@ -23,26 +23,26 @@
 
 
 class SseParser:
-    """Turns bytes, cut anywhere, into events."""
+    """Parses a byte stream, split at arbitrary positions, into events."""
 
     def __init__(self, max_event_bytes: int = 8_388_608) -> None:
-        """Hold at most so many bytes of an event that is not complete."""
-        self._most = max_event_bytes
+        """Buffer at most `max_event_bytes` of an incomplete event."""
+        self._max_event_bytes = max_event_bytes
         self._buffer = b""
-        self._first = True
+        self._at_start = True
         self._data: list[bytes] = []
-        self._held = 0
+        self._data_bytes = 0
         self._kind = b""
         self._last_id = b""
         self.retry_ms: int | None = None
 
     def feed(self, data: bytes) -> list[ServerEvent]:
-        """Take bytes, give the events that they complete. Raises EventTooLarge."""
-        # Nearly every event of an engine is one whole `data:` line in one piece: taken without the state below.
+        """Add received bytes and return the events that they complete. Raises EventTooLarge."""
+        # Fast path: engines send nearly every event as a single `data:` line that arrives in one piece.
         if (
             not self._buffer
             and not self._data
-            and not self._first
+            and not self._at_start
             and data.startswith(b"data: ")
             and data.endswith(b"\n\n")
             and data.count(b"\n") == 2
@@ -52,11 +52,11 @@
             self._kind = b""
             return [event]
         text = self._buffer + data
-        if self._first:
+        if self._at_start:
             if len(text) < 3 and BOM.startswith(text):
                 self._buffer = text
                 return []
-            self._first = False
+            self._at_start = False
             text = text.removeprefix(BOM)
         events: list[ServerEvent] = []
         at = 0
@@ -64,11 +64,11 @@
             if end.start() < at:
                 continue
             if end.group() == b"\r" and end.end() == len(text):
-                break  # a line feed may follow and belong to it
+                break  # a following line feed would belong to the same line end
             self._line(text[at : end.start()], events)
             at = end.end()
         self._buffer = text[at:]
-        if len(self._buffer) + self._held > self._most:
+        if len(self._buffer) + self._data_bytes > self._max_event_bytes:
             raise EventTooLarge
         return events
 
@@ -76,15 +76,15 @@
         if not line:
             if self._data:
                 events.append(ServerEvent(b"\n".join(self._data), self._kind, self._last_id))
-            self._data, self._held, self._kind = [], 0, b""
+            self._data, self._data_bytes, self._kind = [], 0, b""
             return
         name, colon, value = line.partition(b":")
         if colon and value.startswith(b" "):
             value = value[1:]
         if name == b"data":
             self._data.append(value)
-            self._held += len(value) + 1
-            if self._held > self._most:
+            self._data_bytes += len(value) + 1
+            if self._data_bytes > self._max_event_bytes:
                 raise EventTooLarge
         elif name == b"event":
             self._kind = value
@@ -95,7 +95,7 @@
 
 
 def write_event(data: bytes, kind: bytes = b"", event_id: bytes = b"") -> bytes:
-    """One event's bytes. Raises ValueError for a line end in the type or id."""
+    """Serialize one event. Raises ValueError for a line end in the type or id."""
     if LINE_END.search(kind) or LINE_END.search(event_id):
         raise ValueError("an event's type or id holds a line end")
     head = (b"event: " + kind + b"\n" if kind else b"") + (b"id: " + event_id + b"\n" if event_id else b"")
