--- a/yardspindle/runtime/__init__.py
+++ b/yardspindle/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Scheduler, timers, streams and the World: all that touches time, sockets and chance."""
+"""Scheduler, timers, streams and the World: the only code that accesses clocks, sockets and random numbers."""
--- a/yardspindle/runtime/database.py
+++ b/yardspindle/runtime/database.py
@@ -1,8 +1,9 @@
-"""An embedded database on the real World: SQLite of the standard library, shared by the processes of one machine.
+"""Embedded database of the real World: SQLite from the standard library, shared by the processes of one machine.
 
-No call waits for another process: where one holds the write lock (it may be stopped), `DatabaseBusy` is raised at
-once, and the caller waits on the scheduler. WAL, so that readers never wait for a writer; `synchronous=NORMAL`, so
-that a killed process loses nothing, and a machine without power at most the last transactions, never the file.
+No call blocks on another process, which may be stopped while it holds the write lock: `DatabaseBusy` is raised
+immediately, and the caller waits on the scheduler before it retries. WAL mode lets readers proceed while another
+process writes. With `synchronous=NORMAL` a killed process loses nothing; a power failure can lose the last
+transactions but does not corrupt the file.
 """
 
 from __future__ import annotations
@@ -15,10 +16,10 @@
 
 
 class SqliteDatabase:
-    """See Database."""
+    """Implements Database with one SQLite connection."""
 
     def __init__(self, path: str) -> None:
-        """Open the file, or make it. Raises DatabaseError."""
+        """Open the file, creating it if it does not exist. Raises DatabaseBusy, DatabaseError."""
         try:
             self._connection = sqlite3.connect(path, timeout=0, isolation_level=None)
             self._connection.execute("PRAGMA journal_mode=WAL")
@@ -28,10 +29,10 @@
                 raise DatabaseBusy from None
             raise DatabaseError(f"{path}: {error}") from None
 
-    def run(self, statement: str, arguments: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
-        """Carry out a statement; its rows. Raises DatabaseBusy, DatabaseError."""
+    def run(self, statement: str, parameters: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
+        """Execute a statement and return its rows. Raises DatabaseBusy, DatabaseError."""
         try:
-            return self._connection.execute(statement, arguments).fetchall()
+            return self._connection.execute(statement, parameters).fetchall()
         except sqlite3.OperationalError as error:
             if "locked" in str(error) or "busy" in str(error):
                 raise DatabaseBusy from None
@@ -40,15 +41,15 @@
             raise DatabaseError(str(error)) from None
 
     def begin(self) -> None:
-        """Start a transaction that writes. Raises DatabaseBusy, DatabaseError."""
+        """Start a write transaction. Raises DatabaseBusy, DatabaseError."""
         self.run("BEGIN IMMEDIATE")
 
     def commit(self) -> None:
-        """End it; after DatabaseBusy it is still open. Raises DatabaseBusy, DatabaseError."""
+        """Commit the transaction; it stays open after DatabaseBusy. Raises DatabaseBusy, DatabaseError."""
         self.run("COMMIT")
 
     def roll_back(self) -> None:
-        """Undo it, if one is open."""
+        """Roll back the open transaction, if any."""
         if self._connection.in_transaction:
             self._connection.execute("ROLLBACK")
 
--- a/yardspindle/runtime/detached_process.py
+++ b/yardspindle/runtime/detached_process.py
@@ -1,7 +1,8 @@
-"""A long-lived process beside this one on the real World: it outlives its starter, and is known by id and start.
+"""Long-lived processes of the real World that outlive the program that started them.
 
-A process id comes again, so it is paired with the start time that the kernel keeps; signals go by a handle (pidfd) that
-is opened first and checked after, so that they never reach another process.
+A process id can be reused, so a process is identified by its id together with its start time as recorded by the
+kernel. A signal is sent through a pidfd that is opened before the start time is checked, so it cannot reach another
+process.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 from yardspindle.runtime.real import RealWorld
 from yardspindle.runtime.scheduler import DeadlineExceeded
 
-MARK = "YARDSPINDLE_UNIT"  # environment variable
+MARKER_VARIABLE = "YARDSPINDLE_UNIT"  # environment variable that identifies a process to `find`
 
 
 def start_ticks_of(pid: int) -> int:
-    """When a process started, in the kernel's ticks; 0 when there is none, or only its remains."""
+    """Return a process's start time in clock ticks since boot, or 0 if it does not exist or is a zombie."""
     try:
         with open(f"/proc/{pid}/stat", "rb") as file:
             fields = file.read().rpartition(b")")[2].split()
@@ -30,17 +31,20 @@
 
 
 class DetachedProcess:
-    """A process, ours or one that an earlier start of this program left running."""
+    """A process started by this program, or by an earlier run of it that has since exited."""
 
     def __init__(
         self, world: RealWorld, pid: int, start_ticks: int, process: subprocess.Popen[bytes] | None = None
     ) -> None:
-        """`started`: as `born` told it."""
+        """`start_ticks` as returned by `start_ticks_of`; `process` is given if it is a child of this program."""
         self._world, self.pid, self.start_ticks, self._process = world, pid, start_ticks, process
 
     @classmethod
-    def start(cls, world: RealWorld, argv: Sequence[str], log_path: str, mark: str) -> DetachedProcess:
-        """Start it in a session of its own, output appended to a file, its mark in its environment. Raises OSError."""
+    def start(cls, world: RealWorld, argv: Sequence[str], log_path: str, marker: str) -> DetachedProcess:
+        """Start a process in a session of its own, with `marker` in its environment and its output appended to a file.
+
+        Raises OSError.
+        """
         with open(log_path, "ab") as log:
             process = subprocess.Popen(
                 argv,
@@ -48,54 +52,54 @@
                 stdout=log,
                 stderr=log,
                 start_new_session=True,
-                env={**os.environ, MARK: mark},
+                env={**os.environ, MARKER_VARIABLE: marker},
             )
         return cls(world, process.pid, start_ticks_of(process.pid), process)
 
     @classmethod
-    def find(cls, world: RealWorld, mark: str) -> DetachedProcess | None:
-        """One that was started with a mark, by a program that was killed before it could write its id down."""
-        wanted, found = f"{MARK}={mark}".encode(), []
+    def find(cls, world: RealWorld, marker: str) -> DetachedProcess | None:
+        """Find a process by its marker, for a program that was killed before it could store the process id."""
+        wanted, found = f"{MARKER_VARIABLE}={marker}".encode(), []
         for name in os.listdir("/proc"):
             with contextlib.suppress(OSError):
                 if name.isdigit():
                     with open(f"/proc/{name}/environ", "rb") as file:
                         marked = wanted in file.read().split(b"\0")
                     if marked and (started := start_ticks_of(int(name))):
-                        found.append((started, int(name)))  # its own children carry the mark too: the oldest is it
+                        found.append((started, int(name)))  # its children inherit the marker: take the oldest
         return cls(world, min(found)[1], min(found)[0]) if found else None
 
     def alive(self) -> bool:
-        """Whether it still runs."""
+        """Return whether the process is still running."""
         if self._process is not None and self._process.poll() is not None:
             return False
         return self.start_ticks != 0 and start_ticks_of(self.pid) == self.start_ticks
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to it, or to nobody."""
+        """Send a signal to the process; no effect if it has exited."""
         with contextlib.suppress(OSError):
-            handle = os.pidfd_open(self.pid)
+            pidfd = os.pidfd_open(self.pid)
             try:
                 if start_ticks_of(self.pid) == self.start_ticks:
-                    signal.pidfd_send_signal(handle, number)
+                    signal.pidfd_send_signal(pidfd, number)
             finally:
-                os.close(handle)
+                os.close(pidfd)
 
     def wait(self, until_us: int) -> bool:
-        """Wait for its end; whether it ended in time."""
+        """Wait for the process to exit; return whether it exited by the deadline."""
         try:
-            handle = os.pidfd_open(self.pid)
+            pidfd = os.pidfd_open(self.pid)
         except OSError:
             return True
         try:
             if not self.alive():
                 return True
             with self._world.deadline(until_us):
-                self._world.poller.block(self._world.scheduler, handle, READ_MASK)
+                self._world.poller.block(self._world.scheduler, pidfd, READ_MASK)
             if self._process is not None:
                 self._process.poll()
             return True
         except DeadlineExceeded:
             return False
         finally:
-            os.close(handle)
+            os.close(pidfd)
--- a/yardspindle/runtime/poller.py
+++ b/yardspindle/runtime/poller.py
@@ -1,4 +1,4 @@
-"""The machine's clock and sockets as the scheduler's poller: `select.poll`, one wait for all tasks."""
+"""Poller of the real World: the machine's clock, and one `select.poll` wait on behalf of all tasks."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class PollPoller:
-    """Waits for sockets with `select.poll`; one task may wait for reading and one for writing of each."""
+    """Waits for descriptors with `select.poll`; per descriptor one task may wait to read and one to write."""
 
     def __init__(self) -> None:
-        """Take the clock's start."""
-        self._epoch_ns = time.time_ns() - time.monotonic_ns()
+        """Set the offset from the monotonic clock to the wall clock; it does not change afterwards."""
+        self._clock_offset_ns = time.time_ns() - time.monotonic_ns()
         self._poll = select.poll()
         self._waiting: dict[int, dict[int, Task]] = {}
         self._wake: Callable[[Task], None] = lambda task: None
         self.polls = 0
 
     def now_us(self) -> int:
-        """Microseconds since the epoch."""
-        return (self._epoch_ns + time.monotonic_ns()) // 1_000
+        """Return the time in microseconds since the epoch."""
+        return (self._clock_offset_ns + time.monotonic_ns()) // 1_000
 
     def idle(self) -> bool:
-        """Whether no task waits for a socket."""
+        """Return whether no task waits for a descriptor."""
         return not self._waiting
 
     def wait(self, until_us: int | None) -> None:
-        """Wait for sockets, at most until then."""
+        """Wait until a descriptor is ready or the time is reached; wake the tasks whose descriptors are ready."""
         timeout_ms = None if until_us is None else max(0, -(-(until_us - self.now_us()) // 1_000))
         self.polls += 1
         for descriptor, events in self._poll.poll(timeout_ms):
@@ -44,25 +44,25 @@
                     self._wake(task)
 
     def block(self, scheduler: Scheduler, descriptor: int, mask: int) -> None:
-        """Park the running task until the descriptor is ready."""
+        """Park the running task until the descriptor is ready for reading or writing, as given by `mask`."""
         self._wake = scheduler.wake
         waiting = self._waiting.setdefault(descriptor, {})
-        assert mask not in waiting, "two tasks wait for the same end of one socket"
+        assert mask not in waiting, "two tasks wait for the same direction of one descriptor"
         waiting[mask] = scheduler.current
         self._poll.register(descriptor, sum(waiting))
         try:
             scheduler.park()
         finally:
             del waiting[mask]
-            if self._waiting.get(descriptor) is waiting:  # else the descriptor was closed, and may be reused
+            if self._waiting.get(descriptor) is waiting:  # otherwise the descriptor was closed and may be in use again
                 if waiting:
                     self._poll.register(descriptor, sum(waiting))
                 else:
                     del self._waiting[descriptor]
                     self._poll.unregister(descriptor)
 
-    def forget(self, descriptor: int) -> None:
-        """Wake the tasks that wait for a descriptor about to be closed."""
+    def unregister(self, descriptor: int) -> None:
+        """Stop polling a descriptor that is about to be closed, and wake the tasks that wait for it."""
         waiting = self._waiting.pop(descriptor, None)
         if waiting is not None:
             self._poll.unregister(descriptor)
--- a/yardspindle/runtime/process.py
+++ b/yardspindle/runtime/process.py
@@ -1,4 +1,4 @@
-"""Child processes on the real World: started, read line by line, waited for and ended without blocking the loop."""
+"""Child processes of the real World: started, read, waited for and terminated without blocking the event loop."""
 
 from __future__ import annotations
 
@@ -13,14 +13,17 @@
 
 
 class ChildError(Exception):
-    """The child ended, or said nothing, before it was ready."""
+    """The child exited or timed out before it reported that it was ready."""
 
 
 class Child:
-    """A process of ours; ended by its id alone."""
+    """A child process. Signals are sent to its process id only, never to a group or by name."""
 
     def __init__(self, world: RealWorld, name: str, argv: Sequence[str], log_path: str) -> None:
-        """Start it; its standard error is appended to `log_path`. It gets no terminal signals of ours."""
+        """Start the process with its standard error appended to `log_path`.
+
+        It runs in a session of its own, so signals from this program's terminal do not reach it.
+        """
         self.name = name
         self._world = world
         with open(log_path, "ab") as log:
@@ -28,71 +31,71 @@
                 argv, stdin=subprocess.DEVNULL, stdout=subprocess.PIPE, stderr=log, start_new_session=True
             )
         assert self._process.stdout is not None
-        self._out = self._process.stdout.fileno()
-        os.set_blocking(self._out, False)
+        self._stdout = self._process.stdout.fileno()
+        os.set_blocking(self._stdout, False)
         self._buffer = b""
         self.log_path = log_path
-        self._told = False
+        self._sigterm_sent = False
 
     @property
     def pid(self) -> int:
-        """The process's id."""
+        """Process id."""
         return self._process.pid
 
     def first_line(self, timeout_us: int) -> str:
-        """The first line of its standard output. Raises ChildError."""
+        """Wait for the first line of its standard output and return it. Raises ChildError."""
         try:
             with self._world.deadline(self._world.now_us() + timeout_us):
                 while b"\n" not in self._buffer:
-                    self._world.poller.block(self._world.scheduler, self._out, READ_MASK)
-                    data = os.read(self._out, 4_096)
+                    self._world.poller.block(self._world.scheduler, self._stdout, READ_MASK)
+                    data = os.read(self._stdout, 4_096)
                     if not data:
-                        raise ChildError(f"{self.name} ended before it was ready: {self._last_log()}")
+                        raise ChildError(f"{self.name} exited before it was ready: {self._last_log_line()}")
                     self._buffer += data
         except DeadlineExceeded:
-            raise ChildError(f"{self.name} was not ready in time") from None
+            raise ChildError(f"{self.name} was not ready within {timeout_us / 1e6:g} s") from None
         line, _, self._buffer = self._buffer.partition(b"\n")
         return line.decode()
 
-    def _last_log(self) -> str:
+    def _last_log_line(self) -> str:
         with open(self.log_path, "rb") as file:
             lines = file.read().decode(errors="replace").strip().splitlines()
-        return lines[-1] if lines else "it said nothing"
+        return lines[-1] if lines else "its log is empty"
 
     def running(self) -> bool:
-        """Whether it still runs."""
+        """Return whether the process is still running."""
         return self._process.poll() is None
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, if it still runs."""
+        """Send a signal if the process is still running."""
         if self.running():
             self._process.send_signal(number)
 
     def wait(self, until_us: int) -> int | None:
-        """Its exit code, or None if it still runs at the deadline."""
+        """Wait for the process to exit; return its exit code, or None if it is still running at the deadline."""
         if self._process.poll() is None:
-            handle = os.pidfd_open(self.pid)
+            pidfd = os.pidfd_open(self.pid)
             try:
                 with self._world.deadline(until_us):
-                    self._world.poller.block(self._world.scheduler, handle, READ_MASK)
+                    self._world.poller.block(self._world.scheduler, pidfd, READ_MASK)
             except DeadlineExceeded:
                 return None
             finally:
-                os.close(handle)
+                os.close(pidfd)
         code = self._process.wait()
         if self._process.stdout is not None and not self._process.stdout.closed:
             self._process.stdout.close()
         return code
 
     def terminate(self) -> None:
-        """Send SIGTERM once: a second one would cut its drain short."""
-        if not self._told:
-            self._told = True
+        """Send SIGTERM, only once: a second SIGTERM would cut the drain short. SIGCONT resumes a stopped process."""
+        if not self._sigterm_sent:
+            self._sigterm_sent = True
             self.send(signal.SIGCONT)
             self.send(signal.SIGTERM)
 
     def stop(self, grace_us: int) -> int:
-        """Ask it to end, then end it."""
+        """Send SIGTERM, then SIGKILL if the process is still running after the grace period; return its exit code."""
         self.terminate()
         code = self.wait(self._world.now_us() + grace_us)
         if code is None:
--- a/yardspindle/runtime/real.py
+++ b/yardspindle/runtime/real.py
@@ -1,4 +1,4 @@
-"""The real World: `select.poll`, non-blocking sockets, the machine's clock, files and signals."""
+"""The World of a real machine: its clock, files and signals, and non-blocking sockets with `select.poll`."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
     import zmq
 
 T = TypeVar("T")
-WOULD_BLOCK = (errno.EAGAIN, errno.EWOULDBLOCK)
-# Of the connection that would have been accepted, not of the listener (accept(2) names them): the next may be had.
+WOULD_BLOCK_ERRNOS = (errno.EAGAIN, errno.EWOULDBLOCK)
+# Errors of the connection being accepted rather than of the listener (see accept(2)): further accepts can succeed.
 LOST_IN_ACCEPT = (
     errno.ECONNABORTED,
     errno.EPROTO,
@@ -58,19 +58,19 @@
     errno.EPERM,
     errno.EINTR,
 )
-OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-ACCEPT_PAUSE_US = 50_000  # after the descriptors ran out: time for some connection to close
+EXHAUSTION_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+ACCEPT_RETRY_US = 50_000  # delay before accept is retried when no descriptor was free, for some connection to close
 
 
 class RealStream:
-    """A non-blocking socket as a Stream."""
+    """Implements Stream with a non-blocking TCP socket."""
 
     def __init__(self, world: RealWorld, sock: socket.socket) -> None:
-        """Take over a connected socket."""
+        """Take ownership of a connected socket."""
         self._world = world
         self._sock = sock
         self._descriptor = sock.fileno()
-        self._read_dry = True  # the last read took all there was: wait first, as another try would find nothing
+        self._drained = True  # the last read emptied the receive buffer: wait before the next one
         sock.setblocking(False)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -83,18 +83,18 @@
         while True:
             if self._descriptor < 0:
                 raise StreamError("closed here")
-            if self._read_dry:
+            if self._drained:
                 self._world.poller.block(self._world.scheduler, self._descriptor, READ_MASK)
                 if self._descriptor < 0:
                     raise StreamError("closed here")
-            self._read_dry = True
+            self._drained = True
             try:
                 data = self._sock.recv(limit)
             except OSError as error:
-                if error.errno in WOULD_BLOCK:
+                if error.errno in WOULD_BLOCK_ERRNOS:
                     continue
                 raise StreamError(os.strerror(error.errno or 0)) from None
-            self._read_dry = 0 < len(data) < limit
+            self._drained = 0 < len(data) < limit
             return data
 
     def write(self, data: bytes) -> None:
@@ -107,18 +107,18 @@
                 return
             rest = memoryview(data)[sent:]
         except OSError as error:
-            if error.errno not in WOULD_BLOCK:
+            if error.errno not in WOULD_BLOCK_ERRNOS:
                 raise StreamError(os.strerror(error.errno or 0)) from None
             rest = memoryview(data)
         while rest:
             self._world.poller.block(self._world.scheduler, self._descriptor, WRITE_MASK)
-            self._world.scheduler.raise_interrupt()  # whoever called the writer off takes the rest for never written
+            self._world.scheduler.raise_interrupt()  # the canceller assumes that the rest is not sent
             if self._descriptor < 0:
                 raise StreamError("closed here")
             try:
                 rest = rest[self._sock.send(rest) :]
             except OSError as error:
-                if error.errno not in WOULD_BLOCK:
+                if error.errno not in WOULD_BLOCK_ERRNOS:
                     raise StreamError(os.strerror(error.errno or 0)) from None
 
     def is_idle(self) -> bool:
@@ -128,7 +128,7 @@
         try:
             self._sock.recv(1, socket.MSG_PEEK)
         except OSError as error:
-            return error.errno in WOULD_BLOCK
+            return error.errno in WOULD_BLOCK_ERRNOS
         return False
 
     def wait_input(self) -> None:
@@ -139,13 +139,13 @@
     def send_eof(self) -> None:
         """See Stream."""
         if self._descriptor >= 0:
-            with contextlib.suppress(OSError):  # it is reset: there is nobody to tell
+            with contextlib.suppress(OSError):  # the connection was reset
                 self._sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
         """See Stream."""
         if self._descriptor >= 0:
-            self._world.poller.forget(self._descriptor)
+            self._world.poller.unregister(self._descriptor)
             self._descriptor = -1
             self._sock.close()
 
@@ -157,17 +157,17 @@
 
 
 class RealListener:
-    """A listening socket."""
+    """Implements Listener with a non-blocking TCP socket."""
 
     def __init__(self, world: RealWorld, sock: socket.socket) -> None:
-        """Take over a listening socket."""
+        """Take ownership of a listening socket."""
         self._world = world
         self._sock = sock
         self.host, self.port = sock.getsockname()[:2]
         self.closed = False
 
     def accept(self) -> Stream:
-        """See Listener. When descriptors run out it waits and goes on; the backlog holds the clients."""
+        """See Listener. If no descriptor is free, retries after a delay; meanwhile clients stay in the backlog."""
         while True:
             if self.closed:
                 raise Closed
@@ -175,31 +175,31 @@
                 sock, _ = self._sock.accept()
                 return RealStream(self._world, sock)
             except OSError as error:
-                if error.errno in WOULD_BLOCK:
+                if error.errno in WOULD_BLOCK_ERRNOS:
                     self._world.poller.block(self._world.scheduler, self._sock.fileno(), READ_MASK)
-                elif error.errno in OUT_OF_DESCRIPTORS:
+                elif error.errno in EXHAUSTION_ERRNOS:
                     if self._world.free_descriptor():
                         continue
-                    self._world.sleep_until(self._world.now_us() + ACCEPT_PAUSE_US)
+                    self._world.sleep_until(self._world.now_us() + ACCEPT_RETRY_US)
                 elif error.errno not in LOST_IN_ACCEPT:
                     raise
 
     def stop(self, admit: Callable[[Stream], None]) -> None:
-        """See Listener. With no backlog the kernel answers no SYN once one more has come, and the client asks again."""
+        """See Listener. After `listen(0)` the kernel queues one connection and drops SYNs, which clients resend."""
         if not self.closed:
             with contextlib.suppress(OSError):
-                self._take(admit)
+                self._accept_pending(admit)
                 self._sock.listen(0)
-                self._take(admit)
+                self._accept_pending(admit)
             self.close()
 
-    def _take(self, admit: Callable[[Stream], None]) -> None:
+    def _accept_pending(self, admit: Callable[[Stream], None]) -> None:
         while True:
             try:
                 sock, _ = self._sock.accept()
                 admit(RealStream(self._world, sock))
             except OSError as error:
-                if error.errno in WOULD_BLOCK:
+                if error.errno in WOULD_BLOCK_ERRNOS:
                     return
                 if error.errno not in LOST_IN_ACCEPT:
                     raise
@@ -208,15 +208,15 @@
         """See Listener."""
         if not self.closed:
             self.closed = True
-            self._world.poller.forget(self._sock.fileno())
+            self._world.poller.unregister(self._sock.fileno())
             self._sock.close()
 
 
 class RealWorld:
-    """See World."""
+    """Implements World on the real machine."""
 
     def __init__(self, seed: int | None = None) -> None:
-        """Draw a seed from the system unless one is given."""
+        """Use the given seed, or one from the system's entropy source."""
         self.seed = secrets.randbits(63) if seed is None else seed
         self.poller = PollPoller()
         self.scheduler = Scheduler(self.poller)
@@ -225,11 +225,11 @@
         self._zmq: zmq.Context[zmq.Socket[bytes]] | None = None
 
     def run(self, name: str, function: Callable[..., T], *args: Any) -> T:
-        """Run a program to its end."""
+        """Run a program's main task until it ends, and return its result."""
         try:
             return self.scheduler.run(name, function, *args)
         finally:
-            if self._zmq is not None:  # left to the garbage collector it would wait for its open sockets, for ever
+            if self._zmq is not None:  # left to the garbage collector, it would block forever on open sockets
                 self._zmq.destroy(linger=0)
                 self._zmq = None
 
@@ -280,13 +280,13 @@
         return RealListener(self, sock)
 
     def connect(self, host: str, port: int, deadline_us: int) -> Stream:
-        """See World. Hosts are addresses, not names: a look-up would stop the loop."""
+        """See World. Hosts are IP addresses: resolving a name would block the event loop."""
         try:
             sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:
-            if error.errno in OUT_OF_DESCRIPTORS and self.free_descriptor():
+            if error.errno in EXHAUSTION_ERRNOS and self.free_descriptor():
                 return self.connect(host, port, deadline_us)
-            raise (DescriptorsExhausted if error.errno in OUT_OF_DESCRIPTORS else ConnectReset)(
+            raise (DescriptorsExhausted if error.errno in EXHAUSTION_ERRNOS else ConnectReset)(
                 os.strerror(error.errno or 0)
             ) from None
         limit = self.deadline(deadline_us)
@@ -302,7 +302,7 @@
             return RealStream(self, sock)
         except DeadlineExceeded:
             sock.close()
-            if not limit.passed:  # the caller's own time is up: that says nothing of the host
+            if not limit.passed:  # an enclosing deadline of the caller passed: no evidence of a fault of the host
                 raise
             raise ConnectError("no connection in time") from None
         except OSError as error:
@@ -316,7 +316,7 @@
         self, kind: Literal["sub", "pub", "dealer", "router"], host: str, port: int, topic: bytes = b""
     ) -> MessageSocket:
         """See World."""
-        import zmq  # only here: a program that sends no messages does not pay for the library's memory
+        import zmq  # imported on first use: saves the library's memory in programs that send no messages
 
         from yardspindle.runtime.zeromq import ZmqSocket
 
@@ -331,7 +331,7 @@
     def read_file(self, path: str, max_bytes: int = -1) -> bytes:
         """See World."""
         with open(path, "rb", opener=lambda name, flags: os.open(name, flags | os.O_NONBLOCK)) as file:
-            return file.read(max_bytes) or b""  # None from a pipe that has a writer and holds nothing
+            return file.read(max_bytes) or b""  # None is read from an empty pipe that has a writer
 
     def append_file(self, path: str, data: bytes) -> None:
         """See World."""
@@ -353,8 +353,8 @@
 
     def max_descriptors(self) -> int:
         """See World."""
-        most = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        return 1 << 20 if most == resource.RLIM_INFINITY else most  # infinity is stated as -1
+        soft_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        return 1 << 20 if soft_limit == resource.RLIM_INFINITY else soft_limit  # RLIM_INFINITY is -1
 
     def uptime_us(self) -> int:
         """See World."""
@@ -362,25 +362,23 @@
 
     def database(self, path: str) -> Database:
         """See World."""
-        from yardspindle.runtime.database import SqliteDatabase  # only here: a program without a store has none
+        from yardspindle.runtime.database import SqliteDatabase  # on first use: not loaded in programs without a store
 
         return SqliteDatabase(path)
 
     def stop_on_signals(self) -> None:
-        """Set `stop` at SIGINT or SIGTERM; called from the main thread, inside `run`."""
+        """Set `stop` on SIGINT or SIGTERM, exit on a second one; called once, from the main thread, inside `run`."""
 
         def stop() -> None:
             if self.stop.is_set:
-                os._exit(130)  # a second signal: the drain is not waited for
+                os._exit(130)  # second signal: exit without waiting for the drain
             self.stop.set()
 
         self.on_signals({signals.SIGINT: stop, signals.SIGTERM: stop})
 
     def on_signals(self, handlers: Mapping[signals.Signals, Callable[[], None]]) -> None:
-        """Call back in a task of its own at each signal; called once, from the main thread, inside `run`.
-
-        Woken by a pipe, not by a pair of sockets: that would be one of Unix sockets, which not every place has.
-        """
+        """Call a handler, in a separate task, for each signal; called once, from the main thread, inside `run`."""
+        # A pipe, not a socket pair: not every environment supports Unix sockets.
         reader, writer = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
         signals.set_wakeup_fd(writer, warn_on_full_buffer=False)
         for number in handlers:
--- a/yardspindle/runtime/scheduler.py
+++ b/yardspindle/runtime/scheduler.py
@@ -1,8 +1,9 @@
-"""Tasks on greenlets: spawn, park and wake, cancel, deadlines, channels. Knows no socket and no real clock.
+"""Cooperative scheduler on greenlets: tasks, cancellation, deadlines and channels, independent of sockets and clocks.
 
-One hub greenlet runs the loop: ready tasks in the order they were woken, then timers that are due, then the
-`Poller`, which waits for the outside until the next timer. A real poller waits in `select.poll`; a virtual one
-moves its clock. An error that ends a task goes to whoever joins it, else to the crash hook: it is never lost.
+A hub greenlet runs the event loop: first the ready tasks, in the order in which they were woken, then the timers that
+are due, then the `Poller`, which waits for external events until the next timer. The real poller waits in
+`select.poll`; the virtual one advances its clock. An error that ends a task is raised in the tasks that join it, or
+passed to the crash hook if there are none, so it is never lost.
 """
 
 from __future__ import annotations
@@ -20,43 +21,43 @@
 
 
 class Cancelled(BaseException):
-    """Raised in a task that was cancelled, where it next waits."""
+    """Raised in a cancelled task at the point where it waits or next waits."""
 
 
 class DeadlineExceeded(Exception):
-    """Raised in a task whose deadline passed, where it next waits."""
+    """Raised in a task whose deadline passed, at the point where it waits or next waits."""
 
 
 class Closed(Exception):
-    """The channel or stream was closed."""
+    """The channel, listener or message socket was closed."""
 
 
 class Poller(Protocol):
-    """The outside world, as the loop sees it."""
+    """Source of time and of external events for the event loop."""
 
     def now_us(self) -> int:
-        """Clock, microseconds."""
+        """Return the time in microseconds."""
 
     def wait(self, until_us: int | None) -> None:
-        """Wait for the outside, at most until then (None: without end; at or before now: only look)."""
+        """Wait for external events until a time at most; None waits indefinitely, a past time polls without waiting."""
 
     def idle(self) -> bool:
-        """Whether nothing outside is waited for."""
+        """Return whether no task waits for an external event."""
 
 
 class Gate:
-    """Holds up the tasks behind it while it is shut: several programs on one scheduler, of which one stalls."""
+    """Suspends the tasks of one program while it is shut, to simulate a stalled program on a shared scheduler."""
 
     __slots__ = ("shut", "held")
 
     def __init__(self) -> None:
-        """Open."""
+        """Start open."""
         self.shut = False
         self.held: list[tuple[Task, Any, BaseException | None]] = []
 
 
 class Task:
-    """A function that runs in a greenlet of its own."""
+    """A function that runs in its own greenlet."""
 
     __slots__ = (
         "name",
@@ -73,7 +74,7 @@
     )
 
     def __init__(self, scheduler: Scheduler, name: str, run: Callable[[], Any]) -> None:
-        """Made by `Scheduler.spawn`."""
+        """Create a task; called by `Scheduler.spawn`."""
         self.name = name
         self._scheduler = scheduler
         self.parked = False
@@ -99,11 +100,11 @@
         self._greenlet = greenlet.greenlet(body, scheduler.hub)
 
     def cancel(self) -> None:
-        """Raise `Cancelled` in the task where it waits; no effect on one that has ended."""
+        """Raise `Cancelled` in the task where it waits or next waits; no effect if it has ended."""
         self._scheduler.interrupt(self, Cancelled())
 
     def join(self) -> Any:
-        """Wait for the task's end; give its result or raise its error."""
+        """Wait until the task ends; return its result or raise its error."""
         self._observed = True
         while not self.done:
             self._joiners.append(self._scheduler.current)
@@ -118,19 +119,19 @@
 
 
 class Deadline:
-    """Context manager: raises `DeadlineExceeded` inside once the clock passes `at_us`."""
+    """Context manager that raises `DeadlineExceeded` in its block once the clock reaches `at_us`."""
 
     __slots__ = ("_scheduler", "_at_us", "_timer", "_task", "_error")
 
     def __init__(self, scheduler: Scheduler, at_us: int) -> None:
-        """Made by `Scheduler.deadline`."""
+        """Create a deadline; called by `Scheduler.deadline`."""
         self._scheduler = scheduler
         self._at_us = at_us
         self._timer: TimerHandle | None = None
         self._error = DeadlineExceeded()
 
     def __enter__(self) -> Deadline:
-        """Start to watch the clock."""
+        """Set the timer."""
         self._task = self._scheduler.current
         self._timer = self._scheduler.timers.set(self._at_us, self._fire)
         return self
@@ -140,13 +141,13 @@
 
     @property
     def passed(self) -> bool:
-        """Whether this deadline is what raised."""
+        """Whether this deadline raised its error, as opposed to an enclosing one."""
         return self._error.__traceback__ is not None
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Stop watching; a deadline that fired but was not raised yet is forgotten."""
+        """Cancel the timer, and discard the error if the deadline passed but the error was not raised yet."""
         if self._timer is not None:
             self._timer.cancel()
         if self._error in self._task.interrupts:
@@ -154,10 +155,10 @@
 
 
 class Scheduler:
-    """The loop and its tasks."""
+    """The event loop and its tasks."""
 
     def __init__(self, poller: Poller) -> None:
-        """Run on a poller; nothing runs before `run`."""
+        """Create a scheduler on a poller; tasks start to run in `run`."""
         self.poller = poller
         self.timers = Timers()
         self.hub = greenlet.greenlet(self._loop)
@@ -169,19 +170,19 @@
 
     @property
     def current(self) -> Task:
-        """The task that runs."""
+        """The running task."""
         assert self._current is not None, "called outside any task"
         return self._current
 
     def spawn(self, name: str, function: Callable[..., Any], *args: Any) -> Task:
-        """Start a task; it first runs when the caller next waits."""
+        """Create a task; it starts to run when the caller next waits."""
         task = Task(self, name, lambda: function(*args))
         self.tasks[task] = None
         self._ready.append((task, None, None))
         return task
 
     def run(self, name: str, function: Callable[..., T], *args: Any) -> T:
-        """Run a task and all it spawns on this thread; when it ends, cancel what is left and wait for that."""
+        """Run a task and those it spawns on this thread; when it ends, cancel the others and wait for their end."""
         self.hub = greenlet.greenlet(self._loop, greenlet.getcurrent())
         main = self.spawn(name, function, *args)
         main._observed = True
@@ -193,19 +194,19 @@
         return result
 
     def park(self) -> Any:
-        """Wait until `wake` or `interrupt`; give the value that came with the wake."""
+        """Suspend the running task until `wake` or `interrupt`; return the value passed to `wake`."""
         self.raise_interrupt()
         self.current.parked = True
         return self.hub.switch()
 
     def wake(self, task: Task, value: Any = None) -> None:
-        """Let a parked task go on; no effect on one that is not parked."""
+        """Make a parked task ready to run; no effect if it is not parked."""
         if task.parked:
             task.parked = False
             self._ready.append((task, value, None))
 
     def interrupt(self, task: Task, error: BaseException) -> None:
-        """Raise an error in a task where it waits, or where it next will."""
+        """Raise an error in a task where it waits or next waits; no effect if it has ended."""
         if task.done:
             return
         if task.parked:
@@ -215,24 +216,24 @@
             task.interrupts.append(error)
 
     def raise_interrupt(self) -> None:
-        """Raise what came for the running task after it was woken: asked before what can't be undone."""
+        """Raise an interrupt that arrived after the running task was woken; call this before an irreversible step."""
         if self.current.interrupts:
             raise self.current.interrupts.popleft()
 
     def open_gate(self, gate: Gate) -> None:
-        """Let what was held up run, in the order in which it was woken."""
+        """Open a gate and make the suspended tasks ready, in the order in which they were woken."""
         gate.shut = False
         self._ready.extend(gate.held)
         gate.held.clear()
 
     def yield_now(self) -> None:
-        """Let every other ready task run first."""
+        """Let all other ready tasks run first."""
         self.raise_interrupt()
         self._ready.append((self.current, None, None))
         self.hub.switch()
 
     def sleep_until(self, at_us: int) -> None:
-        """Wait until the clock reaches a time."""
+        """Park the running task until the clock reaches a time."""
         task = self.current
         timer = self.timers.set(at_us, lambda: self.wake(task))
         try:
@@ -241,11 +242,11 @@
             timer.cancel()
 
     def deadline(self, at_us: int) -> Deadline:
-        """Bound the time of a `with` block."""
+        """Return a context manager that limits the time of its block."""
         return Deadline(self, at_us)
 
     def channel(self, capacity: int) -> Channel[Any]:
-        """A bounded queue between tasks."""
+        """Create a bounded queue between tasks."""
         return Channel(self, capacity)
 
     def _ended(self, task: Task) -> None:
@@ -286,15 +287,17 @@
                 continue
             due = self.timers.next_due_us()
             if due is None and self.poller.idle():
-                raise RuntimeError("deadlock: nothing can wake " + ", ".join(t.name for t in self.tasks))
+                raise RuntimeError(
+                    "deadlock: no timer or event can wake " + ", ".join(task.name for task in self.tasks)
+                )
             self.poller.wait(due)
 
 
 class Channel(Generic[T]):
-    """A bounded first-in first-out queue; `put` waits while it is full, `get` while it is empty."""
+    """A bounded FIFO queue; `put` waits while it is full, `get` while it is empty."""
 
     def __init__(self, scheduler: Scheduler, capacity: int) -> None:
-        """Made by `Scheduler.channel`."""
+        """Create a channel; called by `Scheduler.channel`."""
         if capacity < 1:
             raise ValueError(f"capacity: {capacity} is under 1")
         self._scheduler = scheduler
@@ -305,11 +308,11 @@
         self.closed = False
 
     def __len__(self) -> int:
-        """Items that wait."""
+        """Number of queued items."""
         return len(self._items)
 
     def try_put(self, item: T) -> bool:
-        """Put without waiting; False when full. Raises Closed."""
+        """Add an item without waiting; return False if the channel is full. Raises Closed."""
         if self.closed:
             raise Closed
         if len(self._items) >= self._capacity:
@@ -319,12 +322,12 @@
         return True
 
     def put(self, item: T) -> None:
-        """Put, waiting for room. Raises Closed."""
+        """Add an item, waiting while the channel is full. Raises Closed."""
         while not self.try_put(item):
             self._wait(self._putters)
 
     def get(self) -> T:
-        """Take the oldest item, waiting for one. Raises Closed once it is closed and empty."""
+        """Remove and return the oldest item, waiting for one. Raises Closed once the channel is closed and empty."""
         while not self._items:
             if self.closed:
                 raise Closed
@@ -334,7 +337,7 @@
         return item
 
     def drain(self) -> list[T]:
-        """Take all that waits, without waiting."""
+        """Remove and return all queued items without waiting."""
         items = list(self._items)
         self._items.clear()
         for _ in range(len(self._putters)):
@@ -342,7 +345,7 @@
         return items
 
     def close(self) -> None:
-        """No more comes in; what waits can still be taken."""
+        """Reject further items; items already queued can still be read."""
         self.closed = True
         for queue in (self._getters, self._putters):
             while queue:
@@ -366,7 +369,7 @@
 
 
 class Signal:
-    """Set once; tasks wait for it."""
+    """A flag that is set once and that tasks can wait for."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         """Start unset."""
@@ -375,13 +378,13 @@
         self.is_set = False
 
     def set(self) -> None:
-        """Let all that wait, now and later, go on."""
+        """Set the flag and wake the waiting tasks; later calls of `wait` return without waiting."""
         self.is_set = True
         for task in self._waiting:
             self._scheduler.wake(task)
 
     def wait(self) -> None:
-        """Wait until it is set."""
+        """Wait until the flag is set."""
         while not self.is_set:
             task = self._scheduler.current
             self._waiting.append(task)
@@ -392,4 +395,4 @@
 
 
 def _raise_crash(task: Task, error: BaseException) -> None:
-    raise RuntimeError(f"task {task.name} ended with an error that nobody waited for") from error
+    raise RuntimeError(f"task {task.name} failed and no task had joined it") from error
--- a/yardspindle/runtime/timers.py
+++ b/yardspindle/runtime/timers.py
@@ -1,9 +1,9 @@
 """Timers for thousands of deadlines, most of which are cancelled before they are due.
 
-Timers of one tick share a bucket (a dict, so they fire in the order they were set), and a heap holds each tick
-once. Cancelling deletes the timer from its bucket at once: nothing of it stays behind but, at most, the tick's
-number, and there are never more of those than ticks in the span ahead. A plain heap keeps every cancelled timer
-until it would have been due; `benchmarks/timers.py` compares the two.
+Timers that are due at the same tick share a bucket (a dict, so that they fire in the order in which they were set),
+and a heap contains each tick once. Cancelling removes the timer from its bucket immediately and leaves behind at most
+the tick in the heap, so the heap has at most one entry per tick of the time span covered. A plain heap would keep
+every cancelled timer until its due time; `benchmarks/timers.py` compares the two.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 import heapq
 from collections.abc import Callable
 
-TICK_US = 1_000  # a timer is due at the first tick at or after its time; far under any time the router judges
+TICK_US = 1_000  # timer resolution, far finer than any time on which the router bases a decision
 
 
 class TimerHandle:
-    """A timer that can be cancelled, also after it fired."""
+    """Handle to cancel a timer; cancelling is safe even after the timer fired."""
 
     __slots__ = ("_bucket", "callback")
 
@@ -25,12 +25,12 @@
         self._bucket = bucket
 
     def cancel(self) -> None:
-        """Forget the timer; no effect if it fired or was cancelled."""
+        """Remove the timer; no effect if it already fired or was cancelled."""
         self._bucket.pop(self, None)
 
 
 class Timers:
-    """A set of timers on a clock in microseconds that the caller reads."""
+    """A set of timers. The caller reads the clock, in microseconds, and asks for the callbacks that are due."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -38,16 +38,16 @@
         self._ticks: list[int] = []
 
     def __len__(self) -> int:
-        """Timers that are set."""
+        """Number of pending timers."""
         return sum(len(bucket) for bucket in self._buckets.values())
 
     @property
     def heap_size(self) -> int:
-        """Ticks in the heap, those of cancelled timers among them."""
+        """Number of ticks in the heap, including those whose timers were all cancelled."""
         return len(self._ticks)
 
     def set(self, due_us: int, callback: Callable[[], None]) -> TimerHandle:
-        """Call back at the first tick at or after `due_us`."""
+        """Schedule a callback for the first tick at or after `due_us`."""
         tick = -(-due_us // TICK_US)
         bucket = self._buckets.get(tick)
         if bucket is None:
@@ -58,7 +58,7 @@
         return handle
 
     def next_due_us(self) -> int | None:
-        """When the next timer is due, or None."""
+        """Return when the next timer is due, or None if there is none."""
         while self._ticks:
             if self._buckets[self._ticks[0]]:
                 return self._ticks[0] * TICK_US
@@ -66,7 +66,7 @@
         return None
 
     def pop_due(self, now_us: int) -> list[Callable[[], None]]:
-        """Take out the callbacks that are due, in the order of their ticks and then of their setting."""
+        """Remove and return the callbacks that are due, ordered by tick, then by the order in which they were set."""
         due: list[Callable[[], None]] = []
         while self._ticks and self._ticks[0] * TICK_US <= now_us:
             bucket = self._buckets.pop(heapq.heappop(self._ticks))
--- a/yardspindle/runtime/virtual.py
+++ b/yardspindle/runtime/virtual.py
@@ -1,9 +1,9 @@
-"""A World of its own making: all programs of a fleet in one process, on a seeded clock, network and faults.
+"""Deterministic simulation: all programs of a fleet in one process, with a seeded clock, network and faults.
 
-Nothing here waits: the clock jumps to the next due thing. A `Simulation` holds the one scheduler, the one true
-clock, the network and the files; each program has a `VirtualWorld` of it, whose clock may be set apart from the true
-one and may step, and which can be stalled (nothing in it runs, its kernel goes on) and killed (nothing it does
-afterwards has any effect). The same seed plays the same run.
+No real time passes: the clock advances directly to the next timer. A `Simulation` owns the scheduler, the reference
+clock, the network and the files. Each program runs in its own `VirtualWorld`, whose clock can be offset from the
+reference clock and can step. A program can be stalled (its tasks stop, its kernel still accepts connections and data)
+and killed (nothing it does afterwards has any effect). The same seed reproduces the same run.
 """
 
 from __future__ import annotations
@@ -22,44 +22,44 @@
     Signal,
     Task,
 )
-from yardspindle.runtime.virtual_network import Network, VirtualListener, VirtualMessages, VirtualStream
+from yardspindle.runtime.virtual_network import Network, VirtualListener, VirtualMessageSocket, VirtualStream
 from yardspindle.runtime.world import ConnectError, Database, Listener, MessageSocket, Stream
 
 T = TypeVar("T")
-EPOCH_US = 1_700_000_000_000_000  # where every virtual clock starts
+EPOCH_US = 1_700_000_000_000_000  # start of the reference clock
 FIRST_PORT = 20_000
-SKEW_US = 5_000_000
-RETRY_US = 50_000  # how often a connection that hangs is tried anew, as a kernel repeats its SYN
+MAX_SKEW_US = 5_000_000  # bound of the drawn clock offset of a skewed program
+CONNECT_RETRY_US = 50_000  # interval at which a hanging connect is retried, like the kernel's SYN retransmission
 
 
-class JumpingClock:
-    """A poller that never waits."""
+class VirtualClock:
+    """A poller that advances a virtual clock instead of waiting."""
 
     def __init__(self) -> None:
-        """At the epoch."""
+        """Start at EPOCH_US."""
         self._now_us = EPOCH_US
 
     def now_us(self) -> int:
-        """The virtual time."""
+        """Return the virtual time in microseconds."""
         return self._now_us
 
     def wait(self, until_us: int | None) -> None:
-        """Jump to a time; a time that has passed changes nothing."""
+        """Advance the clock to a time; a time in the past has no effect."""
         if until_us is not None:
             self._now_us = max(self._now_us, until_us)
 
     def idle(self) -> bool:
-        """Nothing comes from outside: what no timer wakes is stuck."""
+        """Return True: there are no external events, so tasks that no timer can wake are deadlocked."""
         return True
 
 
 class Simulation:
-    """What all programs of one run share."""
+    """The state that all programs of one simulated run share."""
 
     def __init__(self, seed: int) -> None:
-        """Everything that is drawn comes from the seed."""
+        """Create an empty simulation; all random numbers derive from the seed."""
         self.seed = seed
-        self._clock = JumpingClock()
+        self._clock = VirtualClock()
         self.now_us = self._clock.now_us
         self.scheduler = Scheduler(self._clock)
         self.scheduler.on_crash = self._crash
@@ -68,64 +68,64 @@
         self.network = Network(self)
         self.programs: dict[str, VirtualWorld] = {}
         self.crashes: list[str] = []
-        self._ports = FIRST_PORT
-        self._drawn: dict[str, int] = {}
+        self._last_port = FIRST_PORT
+        self._last_numbers: dict[str, int] = {}
 
     def run(self, name: str, function: Callable[..., T], *args: Any) -> T:
-        """Run a task and all programs to the task's end."""
+        """Run a task, and the programs beside it, until the task ends; return its result."""
         return self.scheduler.run(name, function, *args)
 
     def program(self, name: str, skewed: bool = False) -> VirtualWorld:
-        """The World of a program's start; a name comes again when the program starts again.
+        """Create the World of one run of a program; a restarted program uses the same name again.
 
-        `skewed`: its clock is set apart from the others'.
+        `skewed`: offset its clock from the reference clock by a random amount.
         """
         number = self.next_number(f"program {name}")
         self.programs[name] = VirtualWorld(self, name, number)
         if skewed:
-            self.programs[name].step(self.random(f"clock of {name} {number}").randrange(SKEW_US))
+            self.programs[name].step(self.random(f"clock of {name} {number}").randrange(MAX_SKEW_US))
         return self.programs[name]
 
     def random(self, name: str) -> random.Random:
-        """A random stream of its own for each name."""
+        """Return a seeded random generator; each name has an independent sequence."""
         return random.Random(f"{self.seed} {name}")
 
     def next_number(self, kind: str) -> int:
-        """A running number of its kind."""
-        self._drawn[kind] = self._drawn.get(kind, 0) + 1
-        return self._drawn[kind]
+        """Return the next number, from 1, of a separate sequence for each kind."""
+        self._last_numbers[kind] = self._last_numbers.get(kind, 0) + 1
+        return self._last_numbers[kind]
 
     def next_port(self) -> int:
-        """A port that none has used."""
-        self._ports += 1
-        return self._ports
+        """Return an unused port."""
+        self._last_port += 1
+        return self._last_port
 
     def _crash(self, task: Task, error: BaseException) -> None:
         world = next((world for world in self.programs.values() if world.gate is task.gate), None)
-        if task.gate is None or (world is not None and world.alive):  # what a killed program's tasks do is nothing
+        if task.gate is None or (world is not None and world.alive):  # errors after the kill are ignored
             name = world.name if world is not None else "run"
             self.crashes.append(f"{name}: task {task.name}: {type(error).__name__}: {error}")
 
 
 class VirtualWorld:
-    """See World: one start of one program."""
+    """Implements World for one run of one program, and injects faults into it."""
 
     def __init__(self, sim: Simulation, name: str, number: int = 1) -> None:
-        """Made by `Simulation.program`."""
+        """Create the World of a program; called by `Simulation.program`."""
         self.sim, self.name, self._number = sim, name, number
         self.scheduler = sim.scheduler
         self.stop = Signal(sim.scheduler)
         self.free_descriptor: Callable[[], bool] = lambda: False
         self.gate = Gate()
         self.alive = True
-        self._ahead_us = 0  # of the true clock
+        self._clock_offset_us = 0  # relative to the reference clock
         self._last_us = 0
-        self._late: list[Callable[[], None]] = []  # callbacks that came due while it was stalled
+        self._deferred: list[Callable[[], None]] = []  # callbacks that became due while the program was stalled
 
-    # --- faults
+    # --- Fault injection
 
     def kill(self) -> None:
-        """End it at once: its sockets are reset, and whatever its tasks still do has no effect."""
+        """Kill the program: its sockets are reset, and anything its tasks still do has no effect."""
         if not self.alive:
             return
         self.alive = False
@@ -135,46 +135,46 @@
             self.scheduler.interrupt(task, Cancelled())
 
     def stall(self) -> None:
-        """Run nothing of it until `resume`; its kernel still takes connections and bytes."""
+        """Suspend all its tasks until `resume`; its kernel still accepts connections and data."""
         self.gate.shut = True
 
     def resume(self) -> None:
-        """Go on, with all that has come due."""
+        """Resume its tasks and run the callbacks that became due meanwhile."""
         self.scheduler.open_gate(self.gate)
-        late, self._late = self._late, []
+        late, self._deferred = self._deferred, []
         for callback in late:
             callback()
 
     def step(self, by_us: int) -> None:
-        """Set its clock by so much; set back, it stands still until the time has caught up."""
-        self._ahead_us += by_us
+        """Step its clock; after a step back, `now_us` stays constant until the clock has caught up."""
+        self._clock_offset_us += by_us
 
     @property
     def tasks(self) -> list[Task]:
-        """What runs in it."""
+        """The tasks of the program."""
         return [task for task in self.scheduler.tasks if task.gate is self.gate]
 
-    # --- the World
+    # --- World
 
     def now_us(self) -> int:
         """See World."""
-        now = self.sim.now_us() + self._ahead_us
+        now = self.sim.now_us() + self._clock_offset_us
         if now > self._last_us:
             self._last_us = now
         return self._last_us
 
     def sleep_until(self, at_us: int) -> None:
         """See World."""
-        self._lives()
-        self.scheduler.sleep_until(at_us - self._ahead_us)
+        self._check_alive()
+        self.scheduler.sleep_until(at_us - self._clock_offset_us)
 
     def deadline(self, at_us: int) -> Deadline:
         """See World."""
-        return self.scheduler.deadline(at_us - self._ahead_us)
+        return self.scheduler.deadline(at_us - self._clock_offset_us)
 
     def spawn(self, name: str, function: Callable[..., Any], *args: Any) -> Task:
         """See World."""
-        self._lives()
+        self._check_alive()
         task = self.scheduler.spawn(name, function, *args)
         task.gate = self.gate
         return task
@@ -188,11 +188,11 @@
 
         def due() -> None:
             if self.gate.shut:
-                self._late.append(due)
+                self._deferred.append(due)
             elif self.alive:
                 callback()
 
-        return self.scheduler.timers.set(at_us - self._ahead_us, due).cancel
+        return self.scheduler.timers.set(at_us - self._clock_offset_us, due).cancel
 
     def channel(self, capacity: int) -> Channel[Any]:
         """See World."""
@@ -204,7 +204,7 @@
 
     def listen(self, host: str, port: int, backlog: int = 512) -> Listener:
         """See World."""
-        self._lives()
+        self._check_alive()
         listeners = self.sim.network.listeners
         port = port or self.sim.next_port()
         if (host, port) in listeners:
@@ -214,13 +214,13 @@
 
     def connect(self, host: str, port: int, deadline_us: int) -> Stream:
         """See World."""
-        self._lives()
+        self._check_alive()
         limit = self.deadline(deadline_us)
         try:
             with limit:
                 return self._connect(host, port)
         except DeadlineExceeded:
-            if not limit.passed:  # the caller's own time is up: that says nothing of the host
+            if not limit.passed:  # an enclosing deadline of the caller passed: no evidence of a fault of the host
                 raise
             raise ConnectError("no connection in time") from None
 
@@ -228,27 +228,27 @@
         network = self.sim.network
         while True:
             listener = network.listeners.get((host, port))
-            far_name = listener.world.name if listener is not None else ""
-            there, back = network.path(self.name, far_name), network.path(far_name, self.name)
-            if not (there.cuts or back.cuts or there.hanging):
+            remote_name = listener.world.name if listener is not None else ""
+            outbound, inbound = network.path(self.name, remote_name), network.path(remote_name, self.name)
+            if not (outbound.cuts or inbound.cuts or outbound.hanging):
                 break
-            self.scheduler.sleep_until(self.sim.now_us() + RETRY_US)
-        self.scheduler.sleep_until(self.sim.now_us() + network.latency_us(there) + network.latency_us(back))
-        listener = network.listeners.get((host, port))  # it may have gone meanwhile
-        if listener is None or there.refused:
+            self.scheduler.sleep_until(self.sim.now_us() + CONNECT_RETRY_US)
+        self.scheduler.sleep_until(self.sim.now_us() + network.latency_us(outbound) + network.latency_us(inbound))
+        listener = network.listeners.get((host, port))  # it may have been closed meanwhile
+        if listener is None or outbound.refused:
             raise ConnectError("Connection refused")
-        near, far = VirtualStream(self, host, back), VirtualStream(listener.world, "127.0.0.1", there)
-        near.remote, far.remote = far, near
-        if not listener.queue.try_put(far):
+        local, remote = VirtualStream(self, host, inbound), VirtualStream(listener.world, "127.0.0.1", outbound)
+        local.remote, remote.remote = remote, local
+        if not listener.queue.try_put(remote):
             raise ConnectError("Connection refused")
-        return near
+        return local
 
     def message_socket(
         self, kind: Literal["sub", "pub", "dealer", "router"], host: str, port: int, topic: bytes = b""
     ) -> MessageSocket:
         """See World."""
-        self._lives()
-        return VirtualMessages(self, kind, (host, port or self.sim.next_port()), topic)
+        self._check_alive()
+        return VirtualMessageSocket(self, kind, (host, port or self.sim.next_port()), topic)
 
     def random(self, name: str) -> random.Random:
         """See World."""
@@ -274,7 +274,7 @@
             self.sim.files[path] = data
 
     def max_descriptors(self) -> int:
-        """See World: no bound."""
+        """See World. Descriptors are not limited in the simulation."""
         return 1 << 20
 
     def uptime_us(self) -> int:
@@ -282,9 +282,9 @@
         return self.sim.now_us()
 
     def database(self, path: str) -> Database:
-        """See World. There is none: programs here share a store over the network."""
+        """See World. Not supported: simulated programs share a store over the network."""
         raise OSError(95, "Operation not supported", path)
 
-    def _lives(self) -> None:
+    def _check_alive(self) -> None:
         if not self.alive:
             raise Cancelled
--- a/yardspindle/runtime/virtual_network.py
+++ b/yardspindle/runtime/virtual_network.py
@@ -1,8 +1,9 @@
-"""The network of the virtual World: byte streams, listeners and message sockets between programs in one process.
+"""Simulated network: byte streams, listeners and message sockets between programs in one process.
 
-Each direction between two programs is a `Way` with its own latency, jitter and bandwidth, and it can be cut: what is
-sent on a cut way waits, as TCP keeps sending, and arrives in order once the way is whole again. Windows fill when the
-far side does not read; reads and writes are at times partial. Message sockets lose, double and reorder as told.
+Each direction between two programs is a `NetworkPath` with its own latency, jitter and bandwidth. A path can be cut:
+segments of streams are then held, as TCP would retransmit them, and arrive in order once the path is restored; messages
+are lost. A stream's window fills when the peer does not read, and a random part of reads and writes is partial. Message
+sockets lose, duplicate and reorder messages at the rates of the path.
 """
 
 from __future__ import annotations
@@ -16,118 +17,118 @@
 from yardspindle.runtime.scheduler import Channel, Closed, Scheduler, Task
 from yardspindle.runtime.world import Stream, StreamError
 
-WINDOW_BYTES = 65_536  # sent and not read before a writer waits
-LATENCY_US = (100, 2_000)  # drawn for each piece, unless the way says otherwise
-PARTIAL = 0.05  # of reads and writes, those that take only a part
-REORDERED_US = 200_000  # how much later than its time a message that lost its place comes
+WINDOW_BYTES = 65_536  # unread bytes at the peer above which a writer waits
+LATENCY_US = (100, 2_000)  # default range from which the latency of each segment is drawn
+PARTIAL_IO_PROBABILITY = 0.05  # that a read or write of several bytes transfers only a part
+MAX_EXTRA_DELAY_US = 200_000  # bound of the extra delay of reordered and duplicated messages
 
 
-class Ground(Protocol):
-    """What the network needs of the run that it belongs to."""
+class SimulationContext(Protocol):
+    """What the network needs from the simulation that it belongs to."""
 
     scheduler: Scheduler
 
     @property
     def network(self) -> Network:
-        """The one network of the run."""
+        """The network of the simulation."""
 
     def now_us(self) -> int:
-        """The true clock."""
+        """Return the time of the reference clock in microseconds."""
 
     def random(self, name: str) -> Random:
-        """A random stream of its own for each name."""
+        """Return a seeded random generator; each name has an independent sequence."""
 
     def next_number(self, kind: str) -> int:
-        """A running number of its kind."""
+        """Return the next number of a separate sequence for each kind."""
 
 
 class Program(Protocol):
-    """What the network needs of a program that it serves."""
+    """What the network needs from a program that uses it."""
 
     name: str
     scheduler: Scheduler
 
     @property
-    def sim(self) -> Ground:
-        """The run."""
+    def sim(self) -> SimulationContext:
+        """The simulation."""
 
 
 @dataclass(slots=True)
 class NetworkPath:
-    """What meets the bytes that one program sends another."""
+    """Properties and injected faults of one direction between two programs."""
 
     latency_us: tuple[int, int] = LATENCY_US
-    bytes_per_s: float = 0.0  # 0: no bound
-    cuts: int = 0  # faults may overlap: whole again when the last is over
+    bytes_per_s: float = 0.0  # 0: unlimited
+    cuts: int = 0  # number of active cuts, as faults may overlap; the path works while it is 0
     refused: int = 0  # new connections are refused while above 0
     hanging: int = 0  # new connections hang while above 0
-    loss_rate: float = 0.0  # part of messages (not of bytes: streams lose nothing)
+    loss_rate: float = 0.0  # fraction of messages; streams lose nothing
     duplicate_rate: float = 0.0
     reorder_rate: float = 0.0
-    held: list[Callable[[], None]] = field(default_factory=list)
+    held: list[Callable[[], None]] = field(default_factory=list)  # deliveries deferred by a cut
 
 
 class Network:
-    """All ways, all listeners, all message sockets."""
+    """All paths, listeners, streams and message sockets of a simulation."""
 
-    def __init__(self, sim: Ground) -> None:
-        """Every way starts whole."""
+    def __init__(self, sim: SimulationContext) -> None:
+        """Create a network without faults."""
         self.sim = sim
         self.rng = sim.random("network")
         self.paths: dict[tuple[str, str], NetworkPath] = {}
         self.listeners: dict[tuple[str, int], VirtualListener] = {}
-        self.message_sockets: list[VirtualMessages] = []
+        self.message_sockets: list[VirtualMessageSocket] = []
         self.streams: dict[VirtualStream, None] = {}
         self.segments = 0
 
-    def path(self, near: str, far: str) -> NetworkPath:
-        """From one program to another."""
-        found = self.paths.get((near, far))
-        if found is None:
-            found = self.paths[(near, far)] = NetworkPath()
-        return found
+    def path(self, sender: str, receiver: str) -> NetworkPath:
+        """Return the path from one program to another, creating it on first use."""
+        path = self.paths.get((sender, receiver))
+        if path is None:
+            path = self.paths[(sender, receiver)] = NetworkPath()
+        return path
 
-    def latency_us(self, way: NetworkPath) -> int:
-        """Drawn for one piece."""
-        low, high = way.latency_us
+    def latency_us(self, path: NetworkPath) -> int:
+        """Draw the latency of one segment or message."""
+        low, high = path.latency_us
         return low + int(self.rng.random() * (high - low))
 
-    def cut(self, near: str, far: str) -> None:
-        """Nothing sent from `near` arrives at `far` from now on."""
-        self.path(near, far).cuts += 1
+    def cut(self, sender: str, receiver: str) -> None:
+        """Cut the path: from now on nothing from `sender` arrives at `receiver`."""
+        self.path(sender, receiver).cuts += 1
 
-    def restore(self, near: str, far: str) -> None:
-        """Take one cut back; what waited arrives, in order."""
-        way = self.path(near, far)
-        way.cuts -= 1
-        if not way.cuts:
-            held, way.held = way.held, []
+    def restore(self, sender: str, receiver: str) -> None:
+        """End one cut; when it was the last, the held segments are delivered in order."""
+        path = self.path(sender, receiver)
+        path.cuts -= 1
+        if not path.cuts:
+            held, path.held = path.held, []
             for arrive in held:
                 arrive()
 
-    def close_all(self, world: Program) -> None:
-        """A program was killed: its kernel resets what it had open."""
-        for listener in [row for row in self.listeners.values() if row.world is world]:
+    def close_all(self, program: Program) -> None:
+        """Close the sockets of a killed program and reset its connections, as its kernel would."""
+        for listener in [listener for listener in self.listeners.values() if listener.world is program]:
             listener.close()
-        for stream in [row for row in self.streams if row.world is world]:
+        for stream in [stream for stream in self.streams if stream.world is program]:
             stream.abort()
-        for socket in [row for row in self.message_sockets if row.world is world]:
+        for socket in [socket for socket in self.message_sockets if socket.world is program]:
             socket.close()
 
 
-class Waiting:
-    """One task that waits for something to change."""
+class Waiter:
+    """Parks at most one task until it is woken."""
 
     __slots__ = ("_scheduler", "_task")
 
     def __init__(self, scheduler: Scheduler) -> None:
-        """Nobody waits."""
+        """Start without a waiting task."""
         self._scheduler = scheduler
         self._task: Task | None = None
 
     def wait(self) -> None:
-        """Until `wake`."""
-        assert self._task is None, "two tasks wait for the same end of one stream"
+        """Park the running task until `wake`."""
+        assert self._task is None, "two tasks wait for the same direction of one stream"
         self._task = self._scheduler.current
         try:
             self._scheduler.park()
@@ -135,28 +136,28 @@
             self._task = None
 
     def wake(self) -> None:
-        """No effect when nobody waits."""
+        """Wake the waiting task, if any."""
         if self._task is not None:
             self._scheduler.wake(self._task)
 
 
 class VirtualStream:
-    """One end of a connection."""
+    """Implements Stream: one end of a simulated connection."""
 
-    def __init__(self, world: Program, peer: str, incoming: NetworkPath) -> None:
-        """Made in pairs by `VirtualWorld.connect`; `incoming` is the way to this end."""
+    def __init__(self, world: Program, peer: str, inbound_path: NetworkPath) -> None:
+        """Create one end; `VirtualWorld.connect` creates both. `inbound_path` is the path from the peer to this end."""
         self.peer = peer
         self.world = world
         self.network = world.sim.network
         self.remote: VirtualStream | None = None
-        self._incoming = incoming
+        self._inbound_path = inbound_path
         self._inbox = bytearray()
-        self._on_way = 0  # bytes to this end that were sent and not read
-        self._arrives_us = 0  # when the last piece to this end arrives: pieces keep their order
-        self._held = 0  # pieces to this end that a cut holds up
+        self._unread_bytes = 0  # sent by the peer and not yet read here
+        self._last_arrival_us = 0  # arrival time of the last segment sent to this end; keeps segments in order
+        self._held_segments = 0  # segments to this end held by a cut
         self._ended = self._reset = self._closed = self._finished = False
-        self._readable = Waiting(world.scheduler)
-        self._writable = Waiting(world.scheduler)
+        self._readable = Waiter(world.scheduler)
+        self._writable = Waiter(world.scheduler)
         self.network.streams[self] = None
 
     def read(self, limit: int = 65_536) -> bytes:
@@ -165,11 +166,11 @@
             if self._closed or self._reset:
                 raise StreamError("closed here" if self._closed else "Connection reset by peer")
             if self._inbox:
-                if len(self._inbox) > 1 and self.network.rng.random() < PARTIAL:
+                if len(self._inbox) > 1 and self.network.rng.random() < PARTIAL_IO_PROBABILITY:
                     limit = min(limit, self.network.rng.randrange(1, len(self._inbox)))
                 data = bytes(self._inbox[:limit])
                 del self._inbox[:limit]
-                self._on_way -= len(data)
+                self._unread_bytes -= len(data)
                 if self.remote is not None:
                     self.remote._writable.wake()
                 return data
@@ -181,19 +182,19 @@
         """See Stream."""
         rest = memoryview(data)
         while rest:
-            far = self.remote
-            if self._closed or self._reset or self._finished or far is None:
+            remote = self.remote
+            if self._closed or self._reset or self._finished or remote is None:
                 raise StreamError("Connection reset by peer" if self._reset else "closed here")
-            room = WINDOW_BYTES - far._on_way
+            room = WINDOW_BYTES - remote._unread_bytes
             if room <= 0:
                 self._writable.wait()
-                self.world.scheduler.raise_interrupt()  # whoever called the writer off takes the rest for never written
+                self.world.scheduler.raise_interrupt()  # the canceller assumes that the rest is not sent
                 continue
-            if len(rest) > 1 and self.network.rng.random() < PARTIAL:
+            if len(rest) > 1 and self.network.rng.random() < PARTIAL_IO_PROBABILITY:
                 room = min(room, self.network.rng.randrange(1, len(rest)))
-            piece = bytes(rest[:room])
+            segment = bytes(rest[:room])
             rest = rest[room:]
-            far._come(piece)
+            remote._enqueue(segment)
 
     def is_idle(self) -> bool:
         """See Stream."""
@@ -208,84 +209,85 @@
         """See Stream."""
         if not (self._closed or self._finished or self.remote is None):
             self._finished = True
-            self.remote._later(0, self.remote._end)
+            self.remote._schedule(0, self.remote._receive_eof)
 
     def close(self) -> None:
         """See Stream."""
-        self._leave(lambda far: far._end())
+        self._disconnect(lambda far: far._receive_eof())
 
     def abort(self) -> None:
         """See Stream."""
-        self._leave(lambda far: far.receive_reset())
+        self._disconnect(lambda far: far.receive_reset())
 
     @property
     def open(self) -> bool:
         """Whether this end is neither closed nor reset."""
         return not (self._closed or self._reset)
 
-    def _leave(self, tell: Callable[[VirtualStream], None]) -> None:
+    def _disconnect(self, notify: Callable[[VirtualStream], None]) -> None:
         if self._closed:
             return
         self._closed = True
         self.network.streams.pop(self, None)
         self._readable.wake()
         self._writable.wake()
-        far = self.remote
-        if far is not None:
+        remote = self.remote
+        if remote is not None:
             unread = bool(self._inbox)
-            far._later(0, lambda: far.receive_reset() if unread else tell(far))  # as a kernel does when it drops data
+            # Discarding unread data resets the connection, as in a kernel.
+            remote._schedule(0, lambda: remote.receive_reset() if unread else notify(remote))
 
-    def _later(self, size: int, happen: Callable[[], None]) -> None:
-        """Let something arrive at this end, after all that was sent before it."""
-        way = self._incoming
-        if way.cuts:
-            self._held += 1
+    def _schedule(self, size: int, callback: Callable[[], None]) -> None:
+        """Run a callback when a segment of `size` bytes arrives at this end, after all segments sent before it."""
+        path = self._inbound_path
+        if path.cuts:
+            self._held_segments += 1
 
             def arrive() -> None:
-                self._held -= 1
-                self._send_off(way, size, happen)
+                self._held_segments -= 1
+                self._transmit(path, size, callback)
 
-            way.held.append(arrive)
+            path.held.append(arrive)
         else:
-            self._send_off(way, size, happen)
+            self._transmit(path, size, callback)
 
-    def _send_off(self, way: NetworkPath, size: int, happen: Callable[[], None]) -> None:
+    def _transmit(self, path: NetworkPath, size: int, callback: Callable[[], None]) -> None:
         sim = self.world.sim
         self.network.segments += 1
-        due_us = max(self._arrives_us, sim.now_us() + self.network.latency_us(way))
-        if way.bytes_per_s:
-            due_us += int(size / way.bytes_per_s * 1e6)
-        self._arrives_us = due_us
-        sim.scheduler.timers.set(due_us, happen)
+        due_us = max(self._last_arrival_us, sim.now_us() + self.network.latency_us(path))
+        if path.bytes_per_s:
+            due_us += int(size / path.bytes_per_s * 1e6)
+        self._last_arrival_us = due_us
+        sim.scheduler.timers.set(due_us, callback)
 
-    def _come(self, data: bytes) -> None:
-        self._on_way += len(data)
-        self._later(len(data), lambda: self._arrive(data))
+    def _enqueue(self, data: bytes) -> None:
+        self._unread_bytes += len(data)
+        self._schedule(len(data), lambda: self._receive(data))
 
-    def _arrive(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         if self._closed:
             if self.remote is not None:
-                self.remote._later(0, self.remote.receive_reset)  # nobody reads here any more
+                self.remote._schedule(0, self.remote.receive_reset)  # this end is closed: reset the peer
             return
         self._inbox += data
         self._readable.wake()
 
-    def _end(self) -> None:
+    def _receive_eof(self) -> None:
         self._ended = True
         self._readable.wake()
 
     def receive_reset(self) -> None:
-        """Break the stream as a reset from the peer does."""
+        """Reset this end, as when the peer sends a reset."""
         self._reset = True
         self._readable.wake()
         self._writable.wake()
 
 
 class VirtualListener:
-    """A listening socket."""
+    """Implements Listener in the simulated network."""
 
     def __init__(self, world: Program, host: str, port: int, backlog: int) -> None:
-        """Made by `VirtualWorld.listen`."""
+        """Create a listener; called by `VirtualWorld.listen`."""
         self.host, self.port = host, port
         self.world = world
         self.queue: Channel[VirtualStream] = Channel(world.scheduler, backlog)
@@ -308,18 +310,18 @@
         self.queue.close()
 
 
-class VirtualMessages:
-    """A message socket: what is neither lost nor out of its place keeps its order for each pair."""
+class VirtualMessageSocket:
+    """Implements MessageSocket; messages that are not chosen for reordering arrive in order."""
 
-    def __init__(self, world: Program, kind: str, at: tuple[str, int], topic: bytes) -> None:
-        """Made by `VirtualWorld.message_socket`."""
-        self.world, self._kind, self._at, self._topic = world, kind, at, topic
+    def __init__(self, world: Program, kind: str, address: tuple[str, int], topic: bytes) -> None:
+        """Create a message socket; called by `VirtualWorld.message_socket`."""
+        self.world, self._kind, self._address, self._topic = world, kind, address, topic
         self.network = world.sim.network
-        self.port = at[1] if kind in ("pub", "router") else 0
+        self.port = address[1] if kind in ("pub", "router") else 0
         self.name = f"{kind}{world.sim.next_number('message socket')}".encode()
         self._inbox: deque[list[bytes]] = deque()
-        self._readable = Waiting(world.scheduler)
-        self._arrives_us = 0
+        self._readable = Waiter(world.scheduler)
+        self._last_arrival_us = 0
         self._closed = False
         self.network.message_sockets.append(self)
 
@@ -333,7 +335,9 @@
 
     def send(self, parts: list[bytes]) -> bool:
         """See MessageSocket."""
-        peers = [other for other in self.network.message_sockets if other._at == self._at and other is not self]
+        peers = [
+            other for other in self.network.message_sockets if other._address == self._address and other is not self
+        ]
         match self._kind:
             case "pub":
                 for other in peers:
@@ -358,10 +362,10 @@
             self.network.message_sockets.remove(self)
         self._readable.wake()
 
-    def _deliver(self, sender: VirtualMessages, parts: list[bytes]) -> None:
+    def _deliver(self, sender: VirtualMessageSocket, parts: list[bytes]) -> None:
         network, sim = self.network, self.world.sim
-        way = network.path(sender.world.name, self.world.name)
-        if way.cuts or (way.loss_rate and network.rng.random() < way.loss_rate):
+        path = network.path(sender.world.name, self.world.name)
+        if path.cuts or (path.loss_rate and network.rng.random() < path.loss_rate):
             return
 
         def arrive() -> None:
@@ -369,11 +373,11 @@
                 self._inbox.append(parts)
                 self._readable.wake()
 
-        due_us = sim.now_us() + network.latency_us(way)
-        if way.reorder_rate and network.rng.random() < way.reorder_rate:
-            sim.scheduler.timers.set(due_us + int(network.rng.random() * REORDERED_US), arrive)
+        due_us = sim.now_us() + network.latency_us(path)
+        if path.reorder_rate and network.rng.random() < path.reorder_rate:
+            sim.scheduler.timers.set(due_us + int(network.rng.random() * MAX_EXTRA_DELAY_US), arrive)
             return
-        self._arrives_us = max(self._arrives_us, due_us)
-        sim.scheduler.timers.set(self._arrives_us, arrive)
-        if way.duplicate_rate and network.rng.random() < way.duplicate_rate:
-            sim.scheduler.timers.set(self._arrives_us + int(network.rng.random() * REORDERED_US), arrive)
+        self._last_arrival_us = max(self._last_arrival_us, due_us)
+        sim.scheduler.timers.set(self._last_arrival_us, arrive)
+        if path.duplicate_rate and network.rng.random() < path.duplicate_rate:
+            sim.scheduler.timers.set(self._last_arrival_us + int(network.rng.random() * MAX_EXTRA_DELAY_US), arrive)
--- a/yardspindle/runtime/world.py
+++ b/yardspindle/runtime/world.py
@@ -1,8 +1,8 @@
-"""The World: the one seam through which a program meets time, sockets, files and chance.
+"""The World: the interface through which a program accesses time, sockets, files and random numbers.
 
-A program takes a `World` and nothing else from outside, so that the same code runs on the real machine
-(`RealWorld`) and, later, on a seeded virtual one. Times are whole microseconds since the Unix epoch, read from a
-monotonic clock that was set to the wall clock once, at the start: they never step.
+Programs have no other access to their environment, so the same code runs on the real machine (`RealWorld`) and in a
+seeded simulation (`VirtualWorld`). Times are integer microseconds since the Unix epoch, read from a monotonic clock
+that is set to the wall clock once, at the start, so later changes of the wall clock do not move them.
 """
 
 from __future__ import annotations
@@ -15,46 +15,49 @@
 
 
 class StreamError(Exception):
-    """The connection broke (reset, or nothing can be written any more)."""
+    """The connection is broken: it was reset or closed and cannot be read or written."""
 
 
 class ConnectError(Exception):
-    """No connection was made: nothing was sent."""
+    """No connection was established, so nothing was sent."""
 
 
 class ConnectReset(ConnectError):
-    """It was reset while it was made: that says little of the far side."""
+    """The connection was reset while it was being established, which is weak evidence of a fault of the server."""
 
 
 class DescriptorsExhausted(ConnectReset):
-    """This program has none left: that says nothing of the far side."""
+    """This program has no free file descriptor, which is no evidence of a fault of the server."""
 
 
 class Stream(Protocol):
     """A connected byte stream."""
 
-    peer: str
+    peer: str  # the peer's address, "?" if unknown
 
     def read(self, limit: int = 65_536) -> bytes:
-        """At least one byte, waiting for it; empty at the end. Raises StreamError."""
+        """Wait for data and return at least one byte, or empty bytes at the end of the stream. Raises StreamError."""
 
     def write(self, data: bytes) -> None:
-        """Write all, waiting while the peer takes none. Raises StreamError."""
+        """Write all data, waiting while the peer does not read. Raises StreamError."""
 
     def is_idle(self) -> bool:
-        """Whether the peer has neither sent anything nor closed: an idle connection fit for use."""
+        """Return whether there is no unread input and the peer has not closed: an idle connection can be reused."""
 
     def wait_input(self) -> None:
-        """Wait until the peer sends or closes, and take nothing."""
+        """Wait until the peer sends data or closes, without consuming input."""
 
     def send_eof(self) -> None:
-        """Send no more (FIN), and still read: the first half of a graceful close."""
+        """Close the sending side (FIN) while reading remains possible: the first half of a graceful close."""
 
     def close(self) -> None:
-        """Close; safe to call again. Over bytes that were not read this is a reset, which undoes what was sent."""
+        """Close the connection; safe to call again.
+
+        If received bytes were not read, the peer gets a reset, which may discard data already sent to it.
+        """
 
     def abort(self) -> None:
-        """Close with a reset, dropping what was not sent."""
+        """Close with a reset (RST), discarding unsent data."""
 
 
 class Listener(Protocol):
@@ -64,120 +67,119 @@
     port: int
 
     def accept(self) -> Stream:
-        """Wait for a client."""
+        """Wait for a connection and return it. Raises Closed."""
 
     def stop(self, admit: Callable[[Stream], None]) -> None:
-        """Stop listening; each client that had connected and was not accepted is given to `admit` at once.
+        """Stop listening; each connection that was established but not yet accepted is passed to `admit`.
 
-        A task in `accept` gets Closed.
+        A task that waits in `accept` gets Closed.
         """
 
     def close(self) -> None:
-        """Stop listening at once: whoever had connected and was not accepted is reset."""
+        """Stop listening; connections that were established but not yet accepted are reset."""
 
 
 class MessageSocket(Protocol):
-    """A ZeroMQ socket: whole messages of several parts."""
+    """A ZeroMQ socket for multipart messages."""
 
-    port: int  # where it is bound; 0 when it connects
+    port: int  # port that the socket is bound to; 0 for a socket that connects
 
     def receive(self) -> list[bytes]:
-        """The next message, waiting for it. Raises Closed."""
+        """Wait for the next message and return its parts. Raises Closed."""
 
     def send(self, parts: list[bytes]) -> bool:
-        """Send without waiting; False when the message was dropped."""
+        """Send without waiting; return False if the message was dropped."""
 
     def close(self) -> None:
-        """Close, dropping what was not sent."""
+        """Close, discarding unsent messages."""
 
 
 class Database(Protocol):
-    """Tables in a file. See runtime/database.py for what is raised."""
+    """An SQL database in a file. runtime/database.py documents the exceptions raised."""
 
-    def run(self, statement: str, arguments: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
-        """Carry out a statement; its rows."""
+    def run(self, statement: str, parameters: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
+        """Execute a statement and return its rows."""
 
     def begin(self) -> None:
-        """Start a transaction that writes."""
+        """Start a write transaction."""
 
     def commit(self) -> None:
-        """End it."""
+        """Commit the transaction."""
 
     def roll_back(self) -> None:
-        """Undo it, if one is open."""
+        """Roll back the open transaction, if any."""
 
     def close(self) -> None:
         """Close the file."""
 
 
 class DatabaseBusy(Exception):
-    """Another process holds the lock: try again later."""
+    """Another process holds the database lock; the caller should retry later."""
 
 
 class DatabaseError(Exception):
-    """The file cannot be read or written."""
+    """The database cannot be opened, read or written, or a statement failed."""
 
 
 class World(Protocol):
-    """What a program may use of its surroundings."""
+    """The environment of one program: everything it may use outside its own code."""
 
-    stop: Signal
-    free_descriptor: Callable[
-        [], bool
-    ]  # asked where descriptors have run out: whether it closed something that can be spared
+    stop: Signal  # set when the program should shut down
+    # Called when no file descriptor is free: closes a connection that can be spared; returns whether it closed one.
+    free_descriptor: Callable[[], bool]
 
     def now_us(self) -> int:
-        """Microseconds since the epoch; never goes back."""
+        """Return the time in microseconds since the epoch; it never goes backwards."""
 
     def sleep_until(self, at_us: int) -> None:
-        """Wait until then."""
+        """Park the current task until the given time."""
 
     def deadline(self, at_us: int) -> Deadline:
-        """Bound a `with` block."""
+        """Return a context manager that raises DeadlineExceeded in its block at the given time."""
 
     def spawn(self, name: str, function: Callable[..., Any], *args: Any) -> Task:
-        """Start a task."""
+        """Start a task that runs `function(*args)`."""
 
     def current(self) -> Task:
-        """The task that runs."""
+        """Return the running task."""
 
     def call_at(self, at_us: int, callback: Callable[[], None]) -> Callable[[], None]:
-        """Call back at a time; gives the function that takes it back."""
+        """Schedule a callback and return a function that cancels it."""
 
     def channel(self, capacity: int) -> Channel[Any]:
-        """A bounded queue between tasks."""
+        """Create a bounded queue between tasks."""
 
     def signal(self) -> Signal:
-        """A flag that tasks wait for."""
+        """Create a flag that tasks can wait for."""
 
     def listen(self, host: str, port: int, backlog: int = 512) -> Listener:
-        """Listen; port 0 lets the system choose. Raises OSError."""
+        """Listen on an address; port 0 lets the system choose a free port. Raises OSError."""
 
     def connect(self, host: str, port: int, deadline_us: int) -> Stream:
-        """Connect. Raises ConnectError, also at the deadline, and NoDescriptor at once."""
+        """Connect to an address. Raises ConnectError, also at the deadline, or DescriptorsExhausted without waiting."""
 
     def message_socket(
         self, kind: Literal["sub", "pub", "dealer", "router"], host: str, port: int, topic: bytes = b""
     ) -> MessageSocket:
-        """A ZeroMQ socket: `sub` (of a topic) and `dealer` connect, `pub` and `router` bind. Raises OSError."""
+        """Create a ZeroMQ socket: `sub` (to a topic) and `dealer` connect, `pub` and `router` bind. Raises OSError."""
 
     def random(self, name: str) -> random.Random:
-        """A random stream of its own for each name."""
+        """Return a seeded random generator; each name has an independent sequence."""
 
     def read_file(self, path: str, max_bytes: int = -1) -> bytes:
-        """A file's bytes, up to `most` of them (-1: all), with no wait for a writer of a pipe. Raises OSError."""
+        """Read up to `max_bytes` of a file (-1: all); on a pipe, do not wait for a writer. Raises OSError."""
 
     def append_file(self, path: str, data: bytes) -> None:
-        """Append to a file at once, in one write. Raises OSError."""
+        """Append to a file with a single write. Raises OSError."""
 
     def replace_file(self, path: str, data: bytes) -> None:
-        """Put a file's whole content in its place, on the disk before it returns: old or new, never a part."""
+        """Replace a file atomically, synced to disk on return: readers see the old or the new content, never a part."""
 
     def max_descriptors(self) -> int:
-        """How many descriptors this program may have open."""
+        """Return the number of file descriptors that this program may have open."""
 
     def uptime_us(self) -> int:
-        """Microseconds since the machine started: one clock for all processes on it, which no step moves."""
+        """Return microseconds since the machine booted: a monotonic clock shared by all processes on the machine."""
 
     def database(self, path: str) -> Database:
-        """An embedded database that processes of one machine share. Raises OSError where there is none."""
+        """Open an embedded database that processes of one machine share. Raises OSError where it is not supported."""
--- a/yardspindle/runtime/zeromq.py
+++ b/yardspindle/runtime/zeromq.py
@@ -1,7 +1,7 @@
-"""ZeroMQ sockets inside the scheduler: a task waits for the library's descriptor as for any other.
+"""ZeroMQ sockets on the scheduler: a task waits for the library's descriptor as for any other.
 
-The descriptor tells of changes, not of states: it may stay quiet though a message waits, if a send took the change's
-notice. So a receive always tries first, and sockets that both send and receive look again after a while.
+The descriptor is edge-triggered: it may not become readable although a message is queued, because a send consumed the
+notification. A receive therefore always tries first, and sockets that both send and receive also check periodically.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from yardspindle.runtime.scheduler import Closed, DeadlineExceeded, Scheduler
 
 KINDS = {"sub": zmq.SUB, "pub": zmq.PUB, "dealer": zmq.DEALER, "router": zmq.ROUTER}
-HIGH_WATER_MARK = 10_000  # messages queued for a slow side; past it they are dropped, which shows as a gap
-LOOK_AGAIN_US = 20_000  # for sockets that send too
+HIGH_WATER_MARK = 10_000  # messages queued for a slow peer; further ones are dropped, which the receiver sees as a gap
+RECHECK_US = 20_000  # interval of the check for sockets that also send
 
 
 class ZmqSocket:
-    """See MessageSocket."""
+    """Implements MessageSocket with a ZeroMQ socket."""
 
     def __init__(
         self,
@@ -31,13 +31,13 @@
         port: int,
         topic: bytes,
     ) -> None:
-        """Connect or bind. Raises OSError."""
+        """Connect (`sub`, `dealer`) or bind (`pub`, `router`); port 0 binds to a free port. Raises OSError."""
         self._scheduler, self._poller = scheduler, poller
         self._socket = context.socket(KINDS[kind])
         self._socket.setsockopt(zmq.LINGER, 0)
         self._socket.setsockopt(zmq.RCVHWM, HIGH_WATER_MARK)
         self._socket.setsockopt(zmq.SNDHWM, HIGH_WATER_MARK)
-        self._both = kind in ("dealer", "router")
+        self._bidirectional = kind in ("dealer", "router")
         self.port = 0
         self.closed = False
         try:
@@ -66,10 +66,10 @@
                 pass
             if int(self._socket.getsockopt(zmq.EVENTS)) & zmq.POLLIN:
                 continue
-            if not self._both:
+            if not self._bidirectional:
                 self._poller.block(self._scheduler, self._descriptor, READ_MASK)
                 continue
-            deadline = self._scheduler.deadline(self._poller.now_us() + LOOK_AGAIN_US)
+            deadline = self._scheduler.deadline(self._poller.now_us() + RECHECK_US)
             try:
                 with deadline:
                     self._poller.block(self._scheduler, self._descriptor, READ_MASK)
@@ -91,5 +91,5 @@
         """See MessageSocket."""
         if not self.closed:
             self.closed = True
-            self._poller.forget(self._descriptor)
+            self._poller.unregister(self._descriptor)
             self._socket.close()
