--- a/tests/test_runtime_sockets.py
+++ b/tests/test_runtime_sockets.py
@@ -15,7 +15,7 @@
 import pytest
 
 from tests.test_runtime import world
-from yardspindle.runtime.real import LOST_IN_ACCEPT, RealWorld
+from yardspindle.runtime.real import ACCEPT_CONNECTION_ERRNOS, RealWorld
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.world import ConnectError, Stream, StreamError
 
@@ -192,13 +192,13 @@
 
     def main() -> None:
         listener = w.listen("127.0.0.1", 0)
-        errors = list(LOST_IN_ACCEPT)
+        errors = list(ACCEPT_CONNECTION_ERRNOS)
         listener._sock = FailingSocket(listener._sock, errors)  # type: ignore[attr-defined]
         accepted = w.spawn("accept", listener.accept)
         near = w.connect("127.0.0.1", listener.port, w.now_us() + 1_000_000)
         far: Stream = accepted.join()
         assert not errors
-        errors += LOST_IN_ACCEPT
+        errors += ACCEPT_CONNECTION_ERRNOS
         admitted: list[Stream] = []
         second = w.connect("127.0.0.1", listener.port, w.now_us() + 1_000_000)
         listener.stop(admitted.append)
--- a/yardspindle/runtime/real.py
+++ b/yardspindle/runtime/real.py
@@ -43,7 +43,7 @@
 T = TypeVar("T")
 WOULD_BLOCK_ERRNOS = (errno.EAGAIN, errno.EWOULDBLOCK)
 # Errors of the connection being accepted rather than of the listener (see accept(2)): further accepts can succeed.
-LOST_IN_ACCEPT = (
+ACCEPT_CONNECTION_ERRNOS = (
     errno.ECONNABORTED,
     errno.EPROTO,
     errno.ENETDOWN,
@@ -181,7 +181,7 @@
                     if self._world.free_descriptor():
                         continue
                     self._world.sleep_until(self._world.now_us() + ACCEPT_RETRY_US)
-                elif error.errno not in LOST_IN_ACCEPT:
+                elif error.errno not in ACCEPT_CONNECTION_ERRNOS:
                     raise
 
     def stop(self, admit: Callable[[Stream], None]) -> None:
@@ -201,7 +201,7 @@
             except OSError as error:
                 if error.errno in WOULD_BLOCK_ERRNOS:
                     return
-                if error.errno not in LOST_IN_ACCEPT:
+                if error.errno not in ACCEPT_CONNECTION_ERRNOS:
                     raise
 
     def close(self) -> None:
