--- a/yardspindle/edge/__init__.py
+++ b/yardspindle/edge/__init__.py
@@ -1,1 +1,1 @@
-"""The edge: holds client connections and attempts, carries out what the planner decides."""
+"""The edge: holds client connections, runs attempts at engines and executes the planner's decisions."""
--- a/yardspindle/edge/app.py
+++ b/yardspindle/edge/app.py
@@ -1,4 +1,4 @@
-"""The edge as a program: routes, one handler for chat requests, the core's clock, start and drain."""
+"""The edge program: HTTP routes, the chat request handler, the periodic tick of the core, start-up and drain."""
 
 from __future__ import annotations
 
@@ -35,9 +35,9 @@
 from yardspindle.runtime.world import StreamError, World
 
 VERSION = version("yardspindle")
-TICK_INTERVAL_US = 20_000  # how often the core's own deadlines are looked at; as often as the policy's
+TICK_INTERVAL_US = 20_000  # how often the core's deadlines are checked; the same interval as the policy's
 HOUSEKEEPING_INTERVAL_US = 1_000_000
-PLANNER_WAIT_US = 2_000_000  # how long "ready" waits for a planner; an edge without one only refuses
+PLANNER_WAIT_US = 2_000_000  # how long start-up waits for a planner: without one, the edge refuses every request
 STREAM_HEADERS: http1.Headers = [
     (b"content-type", b"text/event-stream; charset=utf-8"),
     (b"cache-control", b"no-cache"),
@@ -47,21 +47,23 @@
 
 
 class Edge:
-    """One edge."""
+    """One edge: serves clients, links to the planner and sends attempts to engines.
+
+    The decisions about a request are made by `EdgeCore`; the `Executor` carries out its commands."""
 
     def __init__(self, world: World, config: Config) -> None:
-        """Nothing is opened before `start`."""
+        """Opens no sockets; see `start`. Raises ConfigError if the prefix index's tokenizer cannot be loaded."""
         self.world = world
         self.config = config
         self.instance_id = f"{world.random('edge id').getrandbits(48):012x}"
-        self._unsafe = {row.name for row in config.classes if row.effect != "safe"}
-        self._keys = chat.ApiKeys(config)
+        self._unsafe_classes = {row.name for row in config.classes if row.effect != "safe"}
+        self._api_keys = chat.ApiKeys(config)
         self.metrics = EdgeMetrics()
         self.core = EdgeCore(edge_rules(config))
         self.intake = Intake(config)
         edge = config.edge
         self.http_client = HttpClient(world, microseconds(edge.connect_ms), microseconds(edge.engine_idle_ms))
-        self.prefix_tracker = _knowledge(world, config)
+        self.prefix_tracker = _create_prefix_tracker(world, config)
         self.cache_events = (
             CacheEventSubscriber(world, self.prefix_tracker) if self.prefix_tracker is not None else None
         )
@@ -71,8 +73,8 @@
             self._hello,
             self._planner_up,
             self._planner_down,
-            self._servers,
-            self._actions,
+            self._update_servers,
+            self._apply_actions,
             microseconds(edge.planner_silent_ms),
         )
         self.executor = Executor(
@@ -91,15 +93,15 @@
             microseconds(edge.header_ms),
             microseconds(edge.stalled_client_ms),
         )
-        self._numbers = 0
+        self._last_request_number = 0
         self._server: Server | None = None
 
     # --- program
 
     def start(self) -> tuple[str, int]:
-        """Listen and serve; gives the address once a planner decides, or after a while without. Raises OSError."""
+        """Start serving; return the address once a planner is linked, or after a limited wait. Raises OSError."""
         listener = self.world.listen(*split_address(self.config.edge.listen))
-        self._server = Server(self.world, listener, self, self.limits, _fault)
+        self._server = Server(self.world, listener, self, self.limits, _log_handler_error)
         self.world.spawn("accept", self._server.serve)
         self.world.spawn("planner link", self.planner_link.run)
         self.world.spawn("tick", self._tick)
@@ -119,26 +121,26 @@
             with self.world.deadline(self.world.now_us() + PLANNER_WAIT_US):
                 self.planner_link.connected.wait()
         except DeadlineExceeded:
-            log.warning("no planner yet; requests are refused until one is there")
+            log.warning("no planner linked yet; requests are refused until one is")
         return listener.host, listener.port
 
     def drain(self) -> None:
-        """Take no more, let what runs end, then leave."""
+        """Stop accepting connections and let the requests in progress finish, until the drain deadline."""
         assert self._server is not None
         log.info("draining", open_requests=len(self.executor.running))
         self._server.drain(self.world.now_us() + microseconds(self.config.edge.drain_ms))
         self.http_client.close_all()
 
     def _tick(self) -> None:
-        closed_us = self.world.now_us()
+        housekeeping_us = self.world.now_us()
         while True:
             now = self.world.now_us()
             self.world.sleep_until(now + TICK_INTERVAL_US)
             self.planner_link.check_liveness(self.world.now_us())
             if self.core.busy:
                 self.executor.perform(self.core.tick(self.world.now_us()))
-            if now - closed_us > HOUSEKEEPING_INTERVAL_US:
-                closed_us = now
+            if now - housekeeping_us > HOUSEKEEPING_INTERVAL_US:
+                housekeeping_us = now
                 self.http_client.close_expired()
                 if self.prefix_tracker is not None:
                     self.prefix_tracker.check_timeouts(now)
@@ -159,12 +161,12 @@
         self.metrics.planner_up.set(0)
         self.executor.perform(self.core.planner_down(self.world.now_us()))
 
-    def _servers(self, servers: list[ListedServer]) -> None:
+    def _update_servers(self, servers: list[ListedServer]) -> None:
         self.executor.perform(self.core.update_servers(self.world.now_us(), servers))
         if self.cache_events is not None:
             self.cache_events.update_servers(servers)
 
-    def _actions(self, epoch: int, actions: list[i.Action]) -> None:
+    def _apply_actions(self, epoch: int, actions: list[i.Action]) -> None:
         for action in actions:
             self.executor.perform(self.core.apply_action(self.world.now_us(), epoch, action))
 
@@ -175,7 +177,7 @@
         path = head.target.partition(b"?")[0]
         try:
             if path == chat.COMPLETIONS_PATH:
-                self._keys.authenticate(head)
+                self._api_keys.authenticate(head)
                 chat.check_head(head)
                 return None
             if (
@@ -186,16 +188,16 @@
                 raise ApiError(404, "not_found", "There is nothing at this path.")
             if head.method not in (b"GET", b"HEAD"):
                 raise ApiError(405, "method_not_allowed", "Use GET here.", headers=[(b"allow", b"GET, HEAD")])
-            return self._page(path, head)
+            return self._reply_to_get(path, head)
         except ApiError as error:
             return error.reply()
 
-    def _page(self, path: bytes, head: http1.RequestHead) -> Reply:
+    def _reply_to_get(self, path: bytes, head: http1.RequestHead) -> Reply:
         if path == b"/metrics":
             self.metrics.open_requests.set(len(self.core.lifecycle.requests))
             self.metrics.client_connections.set(self._server.connections if self._server else 0)
             if self.prefix_tracker is not None:
-                self._index_metrics(self.prefix_tracker)
+                self._set_index_metrics(self.prefix_tracker)
             return Reply(
                 200, [(b"content-type", b"text/plain; version=0.0.4; charset=utf-8")], self.metrics.exposition()
             )
@@ -205,7 +207,7 @@
                 [JSON_CONTENT_TYPE],
                 msgspec.json.encode({"planner": bool(self.core.epoch)}),
             )
-        self._keys.authenticate(head)
+        self._api_keys.authenticate(head)
         model = chat.model_object(self.config.model)
         if path == chat.MODELS_PATH:
             return Reply(200, [JSON_CONTENT_TYPE], msgspec.json.encode({"object": "list", "data": [model]}))
@@ -213,14 +215,14 @@
             raise ApiError(404, "model_not_found", "There is no such model.", "model")
         return Reply(200, [JSON_CONTENT_TYPE], msgspec.json.encode(model))
 
-    def _index_metrics(self, knowledge: PrefixTracker) -> None:
+    def _set_index_metrics(self, tracker: PrefixTracker) -> None:
         metrics, now = self.metrics, self.world.now_us()
-        metrics.index_blocks.set(len(knowledge.index))
-        metrics.index_predicted.set(knowledge.score.predicted)
-        metrics.index_found.set(knowledge.score.found)
+        metrics.index_blocks.set(len(tracker.index))
+        metrics.index_predicted.set(tracker.score.predicted)
+        metrics.index_found.set(tracker.score.found)
         metrics.index_trust.clear()
-        for name, feed in knowledge.feeds.items():
-            metrics.index_trust.labels(name).set(feed.trust(now) * knowledge.claims.agreement(name))
+        for name, feed in tracker.feeds.items():
+            metrics.index_trust.labels(name).set(feed.trust(now) * tracker.claims.agreement(name))
 
     def malformed(self, error: http1.ProtocolError) -> Reply:
         """See Handler."""
@@ -233,7 +235,7 @@
     def handle(self, exchange: Exchange) -> None:
         """See Handler."""
         try:
-            run = self._take(exchange)
+            run = self._accept(exchange)
         except ApiError as error:
             exchange.reply(error.reply())
             return
@@ -243,74 +245,78 @@
             exchange.on_disconnect = lambda: self._client_disconnected(run)
             self.executor.perform(self.core.request_arrived(run.received_us, run.accepted.request, not run.stream))
             run.done.wait()
-            self._finish(run)
+            self._send_final_answer(run)
         finally:
-            if run.answer is None:  # however this ends, the core must hear of it
+            if run.answer is None:  # however the handler ended, the core must be notified
                 self.executor.perform(self.core.client_disconnected(self.world.now_us(), number))
                 self.metrics.clients_left.labels(run.accepted.request.cls).inc()
             del self.executor.running[number]
-            self._log(run)
+            self._log_request(run)
 
-    def _take(self, exchange: Exchange) -> RunningRequest:
-        tenant = self._keys.authenticate(exchange.head)
-        asked = chat.parse_request(exchange.body, exchange.head, tenant, self.config.model)
+    def _accept(self, exchange: Exchange) -> RunningRequest:
+        tenant = self._api_keys.authenticate(exchange.head)
+        chat_request = chat.parse_request(exchange.body, exchange.head, tenant, self.config.model)
         exchange.body = b""
         now = self.world.now_us()
-        self._numbers += 1
+        self._last_request_number += 1
         try:
-            taken = self.intake.accept(now, self._numbers, asked.request_fields)
+            accepted = self.intake.accept(now, self._last_request_number, chat_request.request_fields)
         except IntakeError as error:
             raise ApiError(400, "invalid_value", str(error), error.param) from None
-        blocks = PromptBlocks()
-        claims: dict[str, float] = {}
+        prompt_blocks = PromptBlocks()
+        claimed_tokens: dict[str, float] = {}
         if self.prefix_tracker is not None:
-            taken, blocks, claims = self._know(now, self.prefix_tracker, taken, asked.request_fields)
-        request_id = f"req-{self.instance_id}-{self._numbers}"
-        head = b""
-        if asked.stream:
-            head = exchange.start(200, [*STREAM_HEADERS, (b"x-request-id", request_id.encode())])
+            accepted, prompt_blocks, claimed_tokens = self._predict_cached_prefixes(
+                now, self.prefix_tracker, accepted, chat_request.request_fields
+            )
+        request_id = f"req-{self.instance_id}-{self._last_request_number}"
+        response_head = b""
+        if chat_request.stream:
+            response_head = exchange.start(200, [*STREAM_HEADERS, (b"x-request-id", request_id.encode())])
         return RunningRequest(
-            taken,
+            accepted,
             request_id,
-            asked.fields,
+            chat_request.fields,
             exchange,
-            head,
-            asked.stream,
-            AnswerTracker(asked.include_usage or not asked.stream),
-            None if asked.stream else CollectedAnswer(),
+            response_head,
+            chat_request.stream,
+            AnswerTracker(chat_request.include_usage or not chat_request.stream),
+            None if chat_request.stream else CollectedAnswer(),
             now,
             self.world.signal(),
-            prompt_blocks=blocks,
-            claimed_tokens=claims,
+            prompt_blocks=prompt_blocks,
+            claimed_tokens=claimed_tokens,
         )
 
-    def _know(
-        self, now: int, knowledge: PrefixTracker, taken: AcceptedRequest, said: RequestFields
+    def _predict_cached_prefixes(
+        self, now: int, tracker: PrefixTracker, accepted: AcceptedRequest, fields: RequestFields
     ) -> tuple[AcceptedRequest, PromptBlocks, dict[str, float]]:
-        """The request with what readers are known to keep of its prompt, and what they claim."""
-        blocks = knowledge.blocks(said.messages, said.tools)
+        """Add to a request the cached prompt tokens predicted for each reader.
+
+        Also returns the prompt's blocks and the tokens that the readers' cache events claim."""
+        prompt_blocks = tracker.blocks(fields.messages, fields.tools)
         readers = {
             s.name: s.number
             for s in self.core.lifecycle.directory.servers.values()
             if s.role is not i.Role.WRITE and s.closed_us is None
         }
-        tokens = taken.request.prompt_tokens
-        claims = knowledge.claimed_tokens(now, blocks, tokens)
-        kept = knowledge.predict(claims, blocks, readers, tokens)
-        if not kept:
-            return taken, blocks, claims
-        told = {readers[name]: float(round(count)) for name, count in kept.items()}  # whole, as in Intake
-        return replace(taken, request=replace(taken.request, kept=told)), blocks, claims
+        prompt_tokens = accepted.request.prompt_tokens
+        claimed_tokens = tracker.claimed_tokens(now, prompt_blocks, prompt_tokens)
+        predicted = tracker.predict(claimed_tokens, prompt_blocks, readers, prompt_tokens)
+        if not predicted:
+            return accepted, prompt_blocks, claimed_tokens
+        kept = {readers[name]: float(round(count)) for name, count in predicted.items()}  # whole tokens, as in Intake
+        return replace(accepted, request=replace(accepted.request, kept=kept)), prompt_blocks, claimed_tokens
 
     def _client_disconnected(self, run: RunningRequest) -> None:
         if run.answer is None:
             self.executor.perform(self.core.client_disconnected(self.world.now_us(), run.accepted.request.request))
         run.done.set()
 
-    def _finish(self, run: RunningRequest) -> None:
+    def _send_final_answer(self, run: RunningRequest) -> None:
         answer, exchange = run.answer, run.exchange
         if answer is None:
-            raise StreamError("the client left")
+            raise StreamError("the client disconnected")
         self.metrics.final_answers.labels(run.accepted.request.cls, answer.final.value, answer.code).inc()
         request_id = run.request_id.encode()
         if answer.final is Final.SERVED:
@@ -323,13 +329,13 @@
             exchange.send(write_event(error, b"error"), run.response_head)
             exchange.abort()
         elif run.client_error is not None and not answer.streamed:
-            status, body = run.client_error  # the engine says that the request itself is at fault
+            status, body = run.client_error  # the engine rejected the request itself
             exchange.reply(Reply(status, [JSON_CONTENT_TYPE, (b"x-request-id", request_id)], body))
         else:
-            final = http_error(answer, run.accepted.request.cls in self._unsafe)
-            exchange.reply(final_reply(final, request_id))
+            http_error_reply = http_error(answer, run.accepted.request.cls in self._unsafe_classes)
+            exchange.reply(final_reply(http_error_reply, request_id))
 
-    def _log(self, run: RunningRequest) -> None:
+    def _log_request(self, run: RunningRequest) -> None:
         now, request, answer = self.world.now_us(), run.accepted.request, run.answer
         counts = run.answer_tracker.counts
         log.info(
@@ -348,7 +354,7 @@
         )
 
 
-def _knowledge(world: World, config: Config) -> PrefixTracker | None:
+def _create_prefix_tracker(world: World, config: Config) -> PrefixTracker | None:
     index = config.index
     if index.mode == "off":
         return None
@@ -369,6 +375,6 @@
     )
 
 
-def _fault(error: BaseException) -> None:
+def _log_handler_error(error: BaseException) -> None:
     if not isinstance(error, (StreamError, DeadlineExceeded)):
         log.error("request handler failed", fault=f"{type(error).__name__}: {error}", exc_info=error)
--- a/yardspindle/edge/executor.py
+++ b/yardspindle/edge/executor.py
@@ -1,7 +1,7 @@
-"""Carries out the core's commands: attempts, places and releases as tasks, answers to the requests' handlers.
+"""Executes the core's commands: runs attempts, place reservations and releases, and hands answers to the handlers.
 
-Commands are carried out in the task that got them and never wait there: whatever waits for a peer is a task of
-its own, so that a slow engine or client holds up nothing but its own request.
+`perform` runs in the task that received the commands and never blocks. Whatever waits for a peer runs in a task of
+its own, so a slow engine or client delays only its own request.
 """
 
 from __future__ import annotations
@@ -28,22 +28,22 @@
 from yardspindle.runtime.scheduler import Cancelled, DeadlineExceeded, Signal, Task
 from yardspindle.runtime.world import StreamError, World
 
-RELEASE_TIMEOUT_US = 1_000_000  # for one try of a release
+RELEASE_TIMEOUT_US = 1_000_000  # for one try of a release; the core retries
 PLACE_TIMEOUT_US = 1_000_000
-READ_TO_END_TIMEOUT_US = 1_000_000  # for the bytes after an answer's last event
+READ_TO_END_TIMEOUT_US = 1_000_000  # for the rest of the response after an answer's last event
 
 log = structlog.get_logger("yardspindle.edge")
 
 
 @dataclass(slots=True)
 class RunningRequest:
-    """A request's I/O."""
+    """The I/O state of one client request, from its arrival to its final answer."""
 
     accepted: AcceptedRequest
     request_id: str
     fields: vllm.Fields
     exchange: Exchange
-    response_head: bytes  # of the streamed answer, sent with its first event
+    response_head: bytes  # of a streamed answer; sent together with its first event
     stream: bool
     answer_tracker: AnswerTracker
     collected: CollectedAnswer | None
@@ -55,20 +55,20 @@
     prompt_blocks: PromptBlocks = PromptBlocks()
     claimed_tokens: dict[str, float] = field(default_factory=dict)
     first_event_us: int = 0
-    awaiting_event_since_us: int = 0  # since when the writer's next event is awaited
-    attempt_written: bool = False  # the last byte of the attempt that is out
+    awaiting_event_since_us: int = 0  # when the wait for the writer's next event began; 0: not waiting
+    attempt_written: bool = False  # whether the last byte of the attempt in flight is written
 
     def mark_written(self) -> None:
-        """The attempt's last byte is written."""
+        """Record that the last byte of the attempt is written."""
         self.attempt_written = True
 
     def timeout_result(self) -> vllm.AttemptResult:
-        """How the attempt ended whose time is up: before its last byte is written nothing of it has run."""
+        """The result of an attempt that timed out: if its last byte was not written, none of it has run."""
         return vllm.AttemptResult(i.Status.TIMEOUT if self.attempt_written else i.Status.MOOT)
 
 
 class Executor:
-    """The hands of the core."""
+    """Executes the commands of `EdgeCore` and reports back how attempts, places and releases ended."""
 
     def __init__(
         self,
@@ -77,39 +77,39 @@
         engines: vllm.EngineClient,
         metrics: EdgeMetrics,
         intake: Intake,
-        stalled_us: int,
-        tell: Callable[[i.Event], None],
-        knowledge: PrefixTracker | None,
+        stream_idle_us: int,
+        notify_planner: Callable[[i.Event], None],
+        tracker: PrefixTracker | None,
     ) -> None:
-        """`stalled_us`: how long a running stream may bring nothing."""
+        """`stream_idle_us`: how long a running answer stream may stay without data."""
         self._world = world
         self._core = core
         self._engines = engines
         self._metrics = metrics
         self._intake = intake
-        self._stalled_us = stalled_us
-        self._tell = tell
-        self._knowledge = knowledge
+        self._stream_idle_us = stream_idle_us
+        self._notify_planner = notify_planner
+        self._tracker = tracker
         self.running: dict[int, RunningRequest] = {}
 
     def perform(self, commands: list[c.Command]) -> None:
-        """Carry out commands, in order, without waiting."""
+        """Execute commands in order, without blocking."""
         for command in commands:
             match command:
                 case c.NotifyPlanner(event):
-                    self._tell(event)
+                    self._notify_planner(event)
                 case c.Read():
-                    self._start(command.request, command.attempt, self._read, command)
+                    self._start_attempt(command.request, command.attempt, self._run_read, command)
                 case c.Write():
-                    self._start(command.request, command.attempt, self._write, command)
+                    self._start_attempt(command.request, command.attempt, self._run_write, command)
                 case c.Abort():
                     run = self.running.get(command.request)
                     if run is not None and command.attempt in run.attempts:
                         run.attempts.pop(command.attempt).cancel()
                 case c.ReservePlace():
-                    self._world.spawn("place", self._ask_place, command)
-                case c.SendRelease(owed):
-                    self._world.spawn("release", self._release, owed)
+                    self._world.spawn("place", self._reserve_place, command)
+                case c.SendRelease(pending):
+                    self._world.spawn("release", self._release, pending)
                 case c.Answer():
                     run = self.running.get(command.request)
                     if run is not None:
@@ -126,63 +126,63 @@
                     run = self.running.get(request)
                     log.error("rule broken", rule=rule, text=text, request_id=run.request_id if run else str(request))
                 case c.ReleaseState() | c.ReleasePlace():
-                    raise AssertionError("a release that the core did not take in hand")
+                    raise AssertionError("EdgeCore must queue releases itself and return them as SendRelease")
 
-    def _start(
-        self, request: int, attempt: int, run_attempt: Callable[[Any, RunningRequest], None], command: c.Read | c.Write
+    def _start_attempt(
+        self, request: int, attempt: int, attempt_task: Callable[[Any, RunningRequest], None], command: c.Read | c.Write
     ) -> None:
         run = self.running[request]
-        run.attempts[attempt] = self._world.spawn("attempt", run_attempt, command, run)
+        run.attempts[attempt] = self._world.spawn("attempt", attempt_task, command, run)
 
-    def _attempt_ended(self, run: RunningRequest, command: c.Read | c.Write, ended: vllm.AttemptResult) -> None:
+    def _attempt_ended(self, run: RunningRequest, command: c.Read | c.Write, result: vllm.AttemptResult) -> None:
         run.attempts.pop(command.attempt, None)
         stage = "read" if isinstance(command, c.Read) else "write"
-        self._metrics.attempts.labels(stage, ended.status.value).inc()
-        if ended.status not in (i.Status.READ, i.Status.SERVED):
+        self._metrics.attempts.labels(stage, result.status.value).inc()
+        if result.status not in (i.Status.READ, i.Status.SERVED):
             log.info(
                 "attempt failed",
                 request_id=run.request_id,
                 stage=stage,
                 server=command.server.name,
-                status=ended.status.value,
-                detail=ended.detail,
+                status=result.status.value,
+                detail=result.detail,
             )
-        if ended.client_error is not None:
-            run.client_error = ended.client_status, ended.client_error
-        if ended.usage is not None:
-            self._intake.learn(run.accepted, ended.usage.prompt_tokens)
-            self._metrics.prompt_tokens.inc(ended.usage.prompt_tokens)
-            self._metrics.cached_tokens.inc(ended.usage.cached_tokens or 0)
-            if ended.status is i.Status.READ and self._knowledge is not None:
-                told = (run.accepted.request.kept or {}).get(command.server.number)
-                self._knowledge.record_read(
+        if result.client_error is not None:
+            run.client_error = result.client_status, result.client_error
+        if result.usage is not None:
+            self._intake.learn(run.accepted, result.usage.prompt_tokens)
+            self._metrics.prompt_tokens.inc(result.usage.prompt_tokens)
+            self._metrics.cached_tokens.inc(result.usage.cached_tokens or 0)
+            if result.status is i.Status.READ and self._tracker is not None:
+                predicted = (run.accepted.request.kept or {}).get(command.server.number)
+                self._tracker.record_read(
                     command.server.name,
                     run.prompt_blocks,
-                    ended.usage.prompt_tokens,
-                    ended.usage.cached_tokens,
-                    told,
+                    result.usage.prompt_tokens,
+                    result.usage.cached_tokens,
+                    predicted,
                     run.claimed_tokens.get(command.server.name),
                 )
         self.perform(
             self._core.attempt_ended(
-                self._world.now_us(), command.request, command.attempt, ended.status, ended.note, ended.state
+                self._world.now_us(), command.request, command.attempt, result.status, result.note, result.state
             )
         )
 
     # --- attempts
 
-    def _read(self, command: c.Read, run: RunningRequest) -> None:
+    def _run_read(self, command: c.Read, run: RunningRequest) -> None:
         run.attempt_written = False
         try:
             with self._world.deadline(command.deadline_us):
-                ended = self._engines.read(
+                result = self._engines.read(
                     command.server, command.request, command.attempt, vllm.read_body(run.fields), run.mark_written
                 )
         except DeadlineExceeded:
-            ended = run.timeout_result()
-        self._attempt_ended(run, command, ended)
+            result = run.timeout_result()
+        self._attempt_ended(run, command, result)
 
-    def _write(self, command: c.Write, run: RunningRequest) -> None:
+    def _run_write(self, command: c.Write, run: RunningRequest) -> None:
         run.attempt_written = False
         try:
             with self._world.deadline(command.deadline_us):
@@ -205,40 +205,40 @@
         if isinstance(answer, vllm.AttemptResult):
             return self._attempt_ended(run, command, answer)
         try:
-            ended = self._relay(command, run, answer, first, batches)
+            result = self._relay(command, run, answer, first, batches)
         finally:
             answer.close()
-        if ended is not None:
-            self._attempt_ended(run, command, ended)
+        if result is not None:
+            self._attempt_ended(run, command, result)
 
     def _relay(
         self, command: c.Write, run: RunningRequest, answer: vllm.AnswerStream, first: list[bytes] | None, batches: Any
     ) -> vllm.AttemptResult | None:
-        """From the first event to the last; None when the request was over before it."""
+        """Forward an answer stream to the client; None if the request had ended before the first event."""
         if first is None:
-            return vllm.AttemptResult(i.Status.RESET, detail="the answer ended before it began")
+            return vllm.AttemptResult(i.Status.RESET, detail="the answer ended before its first event")
         if vllm_error := next((data for data in first[:1] if data.startswith(b'{"error"')), None):
             return vllm.AttemptResult(i.Status.ERROR, detail=vllm_error[:200].decode(errors="replace"))
-        begun, commands = self._core.first_token(self._world.now_us(), command.request, command.attempt)
+        streaming, commands = self._core.first_token(self._world.now_us(), command.request, command.attempt)
         self.perform(commands)
-        if not begun:
+        if not streaming:
             return None
         run.first_event_us = self._world.now_us()
         self._metrics.first_token_seconds.labels(run.accepted.request.cls).observe(
             (run.first_event_us - run.received_us) / 1e6
         )
-        stop_guard = self._guard_stall(run, answer)
+        cancel_guard = self._guard_idle_stream(run, answer)
         try:
-            self._pass_on(run, first)
+            self._forward(run, first)
             while not run.answer_tracker.done and not run.answer_tracker.error:
                 run.awaiting_event_since_us = self._world.now_us()
                 batch = next(batches, None)
                 run.awaiting_event_since_us = 0
                 if batch is None:
                     break
-                self._pass_on(run, batch)
+                self._forward(run, batch)
             if run.answer_tracker.complete:
-                self._finish(answer)
+                self._read_to_end(answer)
                 counts = run.answer_tracker.counts
                 if counts is not None:
                     self._intake.learn(run.accepted, counts.prompt)
@@ -248,49 +248,49 @@
             )
         except (ExchangeBroken, ValueError) as error:
             return vllm.AttemptResult(i.Status.RESET, detail=str(error))
-        except StreamError:  # the client left or takes nothing; the exchange has told the core
+        except StreamError:  # client disconnected or not reading; the exchange has notified the core
             run.exchange.client_disconnected()
             return vllm.AttemptResult(i.Status.CANCELLED)
         finally:
-            stop_guard()
+            cancel_guard()
 
-    def _pass_on(self, run: RunningRequest, batch: list[bytes]) -> None:
-        state = run.answer_tracker
-        passed = [data for data in batch if state.forward(data)]
-        if not passed:
+    def _forward(self, run: RunningRequest, batch: list[bytes]) -> None:
+        tracker = run.answer_tracker
+        forwarded = [data for data in batch if tracker.forward(data)]
+        if not forwarded:
             return
-        self._metrics.streamed_events.inc(len(passed))
+        self._metrics.streamed_events.inc(len(forwarded))
         if run.collected is not None:
-            for data in passed:
+            for data in forwarded:
                 run.collected.add(data)
             return
         head, run.response_head = run.response_head, b""
-        run.exchange.send(b"".join([write_event(data) for data in passed]), head)
+        run.exchange.send(b"".join([write_event(data) for data in forwarded]), head)
 
-    def _finish(self, answer: vllm.AnswerStream) -> None:
+    def _read_to_end(self, answer: vllm.AnswerStream) -> None:
         try:
             with self._world.deadline(self._world.now_us() + READ_TO_END_TIMEOUT_US):
                 answer.read_to_end()
         except (ExchangeBroken, DeadlineExceeded):
-            pass  # the answer was whole; only its connection is not kept
+            pass  # the answer is complete; only its connection cannot be reused
 
-    def _guard_stall(self, run: RunningRequest, answer: vllm.AnswerStream) -> Callable[[], None]:
-        """Break a stream that brings nothing for too long, without a timer for each event."""
+    def _guard_idle_stream(self, run: RunningRequest, answer: vllm.AnswerStream) -> Callable[[], None]:
+        """Abort a stream that stays idle too long; checked every quarter of the limit to avoid a timer per event."""
         cancel: list[Callable[[], None]] = []
 
         def check() -> None:
             now = self._world.now_us()
-            if run.awaiting_event_since_us and now - run.awaiting_event_since_us >= self._stalled_us:
+            if run.awaiting_event_since_us and now - run.awaiting_event_since_us >= self._stream_idle_us:
                 answer.abort()
                 return
-            cancel[0] = self._world.call_at(now + self._stalled_us // 4, check)
+            cancel[0] = self._world.call_at(now + self._stream_idle_us // 4, check)
 
-        cancel.append(self._world.call_at(self._world.now_us() + self._stalled_us // 4, check))
+        cancel.append(self._world.call_at(self._world.now_us() + self._stream_idle_us // 4, check))
         return lambda: cancel[0]()
 
     # --- places and releases
 
-    def _ask_place(self, command: c.ReservePlace) -> None:
+    def _reserve_place(self, command: c.ReservePlace) -> None:
         held: bool | None = None
         try:
             with self._world.deadline(self._world.now_us() + PLACE_TIMEOUT_US):
@@ -303,20 +303,20 @@
             self._core.place_answered(self._world.now_us(), command.request, command.place, command.server, held)
         )
 
-    def _release(self, owed: PendingRelease) -> None:
-        heard = False
+    def _release(self, pending: PendingRelease) -> None:
+        confirmed = False
         try:
             with self._world.deadline(self._world.now_us() + RELEASE_TIMEOUT_US):
-                release = (
-                    self._engines.release_state if owed.kind is ResourceKind.STATE else self._engines.release_place
+                send_release = (
+                    self._engines.release_state if pending.kind is ResourceKind.STATE else self._engines.release_place
                 )
-                heard = release(owed.server, owed.request, owed.number)
+                confirmed = send_release(pending.server, pending.request, pending.number)
         except DeadlineExceeded:
             pass
-        self.perform(self._core.release_settled(self._world.now_us(), owed, heard))
+        self.perform(self._core.release_settled(self._world.now_us(), pending, confirmed))
 
 
 def served_body(run: RunningRequest) -> bytes:
-    """The whole answer of a request that asked for no stream."""
+    """The response body for a request that did not ask for a stream."""
     assert run.collected is not None and run.answer is not None and run.answer.final is Final.SERVED
     return run.collected.body()
--- a/yardspindle/edge/metrics.py
+++ b/yardspindle/edge/metrics.py
@@ -1,4 +1,4 @@
-"""What the edge counts, for Prometheus."""
+"""The Prometheus metrics of the edge."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class EdgeMetrics:
-    """A registry of its own: one for each edge, also where several share a process."""
+    """The metrics of one edge, in a registry of its own because several edges may share a process."""
 
     def __init__(self) -> None:
-        """All at zero."""
+        """Register all metrics at zero."""
         self.registry = CollectorRegistry()
         self.final_answers = Counter(
             "yardspindle_final_answers", "Final answers", ("cls", "final", "code"), registry=self.registry
@@ -61,5 +61,5 @@
         )
 
     def exposition(self) -> bytes:
-        """The exposition format."""
+        """The metrics in Prometheus's text format."""
         return generate_latest(self.registry)
--- a/yardspindle/edge/planner_link.py
+++ b/yardspindle/edge/planner_link.py
@@ -1,7 +1,7 @@
-"""The edge's end of the link: connects, greets, sends events in batches, carries back actions, reconnects.
+"""The edge's end of the link to the planner: handshake, batched events, incoming actions, reconnects.
 
-Events wait in one bounded list while a frame is being written, so a burst becomes few frames. A planner that takes
-none for so long that the list is full is treated as lost: the link is closed, and the core settles what is open.
+Events wait in one bounded list while a frame is written, so a burst is sent in few frames. A planner that reads so
+slowly that the list fills up counts as lost: the link is closed, and the core settles the open requests.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.world import ConnectError, Stream, StreamError, World
 
-MAX_PENDING_EVENTS = 50_000  # events; some seconds of a busy edge
-MIN_RETRY_PAUSE_US = 50_000  # after a lost link; doubled up to the most, so that a dead planner costs little
+MAX_PENDING_EVENTS = 50_000  # a busy edge produces this many in some seconds
+MIN_RETRY_PAUSE_US = 50_000  # after a lost link; doubled up to the maximum, so that a dead planner costs little
 MAX_RETRY_PAUSE_US = 1_000_000
 HANDSHAKE_TIMEOUT_US = 2_000_000
 CONNECT_TIMEOUT_US = 1_000_000
@@ -27,7 +27,7 @@
 
 
 class PlannerLink:
-    """Keeps one link to the planner."""
+    """Keeps one link to the planner, passes events to it and its server lists and actions to the callbacks."""
 
     def __init__(
         self,
@@ -38,11 +38,11 @@
         on_down: Callable[[], None],
         on_servers: Callable[[list[Server]], None],
         on_actions: Callable[[int, list[i.Action]], None],
-        silent_us: int,
+        response_timeout_us: int,
     ) -> None:
-        """`silent_us`: how long a planner may take to answer a batch of events before it is taken for lost.
+        """`response_timeout_us`: how long a planner may take to answer a batch of events before it counts as lost.
 
-        `on_up` and `on_actions` are told the planner's epoch; `on_down` comes once after each `on_up`."""
+        `on_up` and `on_actions` get the planner's epoch; `on_down` is called once after each `on_up`."""
         self._world = world
         self._address = address
         self._hello = hello
@@ -50,36 +50,36 @@
         self._on_down = on_down
         self._on_servers = on_servers
         self._on_actions = on_actions
-        self._pulse = PlannerLiveness(silent_us)
+        self._liveness = PlannerLiveness(response_timeout_us)
         self._pending_events: list[i.Event] = []
-        self._wake = world.channel(1)
+        self._events_available = world.channel(1)
         self._stream: Stream | None = None
-        self._number = 0
+        self._last_sent = 0
         self.last_answered = 0
-        self.connected = world.signal()  # set by the first link that comes up
+        self.connected = world.signal()  # set when the first link is up
 
     def send_event(self, event: i.Event) -> None:
-        """Send an event soon; dropped when there is no link, as the core has settled what it was about."""
+        """Queue an event for the planner. Without a link it is dropped: the core has settled what it concerns."""
         if self._stream is None:
             return
         if len(self._pending_events) >= MAX_PENDING_EVENTS:
-            log.error("planner takes no events", waiting=len(self._pending_events))
+            log.error("planner does not read events; the link is closed", waiting=len(self._pending_events))
             self._pending_events.clear()
             self._stream.abort()
             return
         self._pending_events.append(event)
-        if not len(self._wake):
-            self._wake.try_put(None)
+        if not len(self._events_available):
+            self._events_available.try_put(None)
 
     def check_liveness(self, now_us: int) -> None:
-        """Cut a link whose planner no longer answers; the reading side settles what it had decided."""
-        if self._stream is not None and self._pulse.timed_out(now_us):
-            log.error("planner is silent; the link is cut", answered=self.last_answered, told=self._number)
-            self._pulse.reset(now_us)
+        """Close the link if the planner no longer answers; `run` then reports it as down."""
+        if self._stream is not None and self._liveness.timed_out(now_us):
+            log.error("planner is silent; the link is cut", answered=self.last_answered, told=self._last_sent)
+            self._liveness.reset(now_us)
             self._stream.abort()
 
     def run(self) -> None:
-        """Keep the link until cancelled."""
+        """Connect, and reconnect after each lost link, until cancelled."""
         pause_us = MIN_RETRY_PAUSE_US
         while True:
             try:
@@ -96,29 +96,29 @@
             pause_us = min(2 * pause_us, MAX_RETRY_PAUSE_US)
 
     def _run_session(self, stream: Stream) -> bool:
-        """One link's life; whether it came up."""
+        """Run one link until it is lost; return whether its handshake succeeded."""
         reader = frames.FrameReader()
         try:
             with self._world.deadline(self._world.now_us() + HANDSHAKE_TIMEOUT_US):
                 stream.write(frames.encode(self._hello()))
-                epoch, waiting = self._greeted(stream, reader)
+                epoch, early_frames = self._handshake(stream, reader)
         except (StreamError, DeadlineExceeded, frames.LinkError) as error:
-            log.warning("greeting failed", reason=str(error) or "no answer in time")
+            log.warning("handshake with the planner failed", reason=str(error) or "no answer in time")
             return False
         self._pending_events.clear()
-        self._pulse.reset(self._world.now_us())
+        self._liveness.reset(self._world.now_us())
         self._stream = stream
         sender = None
         try:
             self._on_up(epoch)
             self.connected.set()
-            sender = self._world.spawn("link sender", self._send, stream)
+            sender = self._world.spawn("link sender", self._send_events, stream)
             log.info("planner up", epoch=epoch)
-            for frame in waiting:
-                self._take(epoch, frame)
+            for frame in early_frames:
+                self._handle_frame(epoch, frame)
             while data := stream.read():
                 for frame in reader.feed(data):
-                    self._take(epoch, frame)
+                    self._handle_frame(epoch, frame)
             log.warning("planner lost", reason="it closed the link")
         except (StreamError, frames.LinkError) as error:
             log.warning("planner lost", reason=str(error))
@@ -129,25 +129,25 @@
             self._on_down()
         return True
 
-    def _greeted(self, stream: Stream, reader: frames.FrameReader) -> tuple[int, list[frames.Frame]]:
+    def _handshake(self, stream: Stream, reader: frames.FrameReader) -> tuple[int, list[frames.Frame]]:
         while True:
             data = stream.read()
             if not data:
                 raise frames.LinkError("closed")
-            got = reader.feed(data)
-            if not got:
+            received = reader.feed(data)
+            if not received:
                 continue
-            first = got[0]
+            first = received[0]
             if isinstance(first, frames.Bye):
                 raise frames.LinkError(first.reason)
             if not isinstance(first, frames.Welcome) or first.version != frames.VERSION:
                 raise frames.LinkError("the planner speaks another version")
-            return first.epoch, got[1:]
+            return first.epoch, received[1:]
 
-    def _take(self, epoch: int, frame: frames.Frame) -> None:
+    def _handle_frame(self, epoch: int, frame: frames.Frame) -> None:
         if isinstance(frame, frames.Actions):
             self.last_answered = frame.answers
-            self._pulse.record_answered(self._world.now_us(), frame.answers)
+            self._liveness.record_answered(self._world.now_us(), frame.answers)
             self._on_actions(epoch, [frames.from_wire(action) for action in frame.actions])
         elif isinstance(frame, frames.Servers):
             self._on_servers(frame.servers)
@@ -156,20 +156,20 @@
         else:
             raise frames.LinkError(f"a planner does not send {type(frame).__name__}")
 
-    def _send(self, stream: Stream) -> None:
+    def _send_events(self, stream: Stream) -> None:
         try:
             while True:
-                self._wake.get()
+                self._events_available.get()
                 while self._pending_events and self._stream is stream:
                     events, self._pending_events = self._pending_events, []
-                    self._number += 1
-                    self._pulse.record_sent(self._world.now_us(), self._number)
+                    self._last_sent += 1
+                    self._liveness.record_sent(self._world.now_us(), self._last_sent)
                     stream.write(
                         frames.encode(
                             frames.Events(
-                                self._number, self._world.now_us(), [frames.to_wire(event) for event in events]
+                                self._last_sent, self._world.now_us(), [frames.to_wire(event) for event in events]
                             )
                         )
                     )
         except (StreamError, frames.LinkError):
-            stream.abort()  # the reading side sees it and settles everything
+            stream.abort()  # `_run_session` sees the closed stream and reports the link as down
--- a/yardspindle/planner/__init__.py
+++ b/yardspindle/planner/__init__.py
@@ -1,1 +1,1 @@
-"""The planner: owns the server list and hosts the policy, one for each edge."""
+"""The planner: owns the server list and runs one policy instance for each edge."""
--- a/yardspindle/planner/app.py
+++ b/yardspindle/planner/app.py
@@ -1,7 +1,8 @@
-"""The planner as a program: accepts edges, hosts a policy for each, sends what it decides.
+"""The planner program: accepts links from edges, runs one policy for each and sends the policy's decisions.
 
-It opens no connection to an engine and knows no client. Each edge's link has its own task; a policy's timers run
-on the planner's clock. An edge that cannot keep up with its actions is cut off: it settles and comes back.
+The planner connects to no engine and knows no clients. Each link has its own task; the policies' timers run on the
+planner's clock. An edge that does not read its actions in time is disconnected: it settles its open requests and
+links again.
 """
 
 from __future__ import annotations
@@ -27,37 +28,39 @@
 from yardspindle.runtime.world import Listener, Stream, StreamError, World
 
 HANDSHAKE_TIMEOUT_US = 2_000_000
-WRITE_TIMEOUT_US = 2_000_000  # an edge that takes no action for so long is cut off
+WRITE_TIMEOUT_US = 2_000_000  # an edge that reads no actions for this long is disconnected
 
 VERSION = version("yardspindle")
 log = structlog.get_logger("yardspindle.planner")
 
 
 class Planner:
-    """One planner."""
+    """Serves edges: reads the server list and keeps one `EdgeSession` for each linked edge."""
 
     def __init__(self, world: World, config: Config) -> None:
-        """Nothing is opened before `start`."""
+        """Opens no files or sockets; see `start`."""
         self.world = world
         self.config = config
-        self._agreed = settings_hash(config)
-        self.epoch = max(world.now_us(), 1)  # later starts have later epochs
+        self._settings_hash = settings_hash(config)
+        self.epoch = max(world.now_us(), 1)  # a later start has a higher epoch
         self.server_list = ServerList(config)
-        self.list_file = ServerListFile(world, config.planner.servers, config, self.server_list, self._news)
+        self.list_file = ServerListFile(world, config.planner.servers, config, self.server_list, self._on_list_change)
         self.sessions: list[EdgeSession] = []
         self.metrics = PlannerMetrics()
         self._listener: Listener | None = None
 
     def start(self) -> tuple[str, int]:
-        """Read the list, listen and serve; gives the address. Raises ConfigError and OSError."""
+        """Read the server list, start serving and return the address. Raises ConfigError and OSError."""
         self.list_file.load()
         self._listener = self.world.listen(*split_address(self.config.planner.listen))
         self.world.spawn("servers", self.list_file.run, microseconds(self.config.planner.reread_ms))
         self.world.spawn("accept", self._accept, self._listener)
         if self.config.planner.metrics is not None:
             listener = self.world.listen(*split_address(self.config.planner.metrics))
-            pages = Server(self.world, listener, _Pages(self), ServingLimits(), lambda fault: log.error(str(fault)))
-            self.world.spawn("metrics", pages.serve)
+            metrics_server = Server(
+                self.world, listener, _MetricsPage(self), ServingLimits(), lambda fault: log.error(str(fault))
+            )
+            self.world.spawn("metrics", metrics_server.serve)
         if self.config.fleet.store:
             name = f"planner-{self._listener.host}:{self._listener.port}"
             self.world.spawn(
@@ -79,12 +82,12 @@
                 stream = listener.accept()
             except Closed:
                 return
-            self.world.spawn("edge", self._edge, stream)
+            self.world.spawn("edge", self._serve_edge, stream)
 
-    def _edge(self, stream: Stream) -> None:
+    def _serve_edge(self, stream: Stream) -> None:
         session: EdgeSession | None = None
         try:
-            session = self._greet(stream)
+            session = self._handshake(stream)
             self.sessions.append(session)
             session.run()
         except (StreamError, DeadlineExceeded, frames.LinkError) as error:
@@ -95,21 +98,21 @@
             self.metrics.linked_edges.set(len(self.sessions))
             stream.close()
 
-    def _greet(self, stream: Stream) -> EdgeSession:
+    def _handshake(self, stream: Stream) -> EdgeSession:
         reader = frames.FrameReader()
         with self.world.deadline(self.world.now_us() + HANDSHAKE_TIMEOUT_US):
             while True:
                 data = stream.read()
                 if not data:
-                    raise frames.LinkError("closed before it greeted")
-                got = reader.feed(data)
-                if got:
+                    raise frames.LinkError("closed before the handshake")
+                received = reader.feed(data)
+                if received:
                     break
-        hello = got[0]
+        hello = received[0]
         reason = ""
         if not isinstance(hello, frames.Hello) or hello.version != frames.VERSION:
             reason = f"this planner speaks version {frames.VERSION}"
-        elif hello.settings_hash != self._agreed:
+        elif hello.settings_hash != self._settings_hash:
             reason = "classes, kinds, tenants or rules differ between edge and planner"
         if reason or not isinstance(hello, frames.Hello):
             stream.write(frames.encode(frames.Bye(reason)))
@@ -125,71 +128,73 @@
         log.info("edge up", edge=hello.number, zone=hello.zone)
         session.send(frames.Welcome(frames.VERSION, self.epoch))
         session.server_list_changed()
-        for frame in got[1:]:
+        for frame in received[1:]:
             session.handle_frame(frame)
         return session
 
-    def _news(self) -> None:
+    def _on_list_change(self) -> None:
         for session in list(self.sessions):
             session.server_list_changed()
 
 
 class EdgeSession:
-    """One edge's link and policy."""
+    """The link and the policy of one edge."""
 
     def __init__(
         self, planner: Planner, stream: Stream, reader: frames.FrameReader, planning: PlanningSession, number: int
     ) -> None:
-        """Made by the planner once the edge has greeted."""
+        """Created by the planner after the handshake."""
         self._planner = planner
         self._world = planner.world
         self._stream = stream
         self._reader = reader
         self._planning = planning
         self._number = number
-        self._answers = 0
+        self._last_events_number = 0
         self._timer_us: int | None = None
-        self._cancel_timer = _nothing
-        self._out = self._world.channel(4_096)
+        self._cancel_timer = _no_timer
+        self._send_queue = self._world.channel(4_096)
 
     def run(self) -> None:
-        """Serve until the link ends."""
-        sender = self._world.spawn("edge sender", self._send_all)
+        """Process the edge's frames until the link ends."""
+        sender = self._world.spawn("edge sender", self._run_sender)
         try:
             while data := self._stream.read():
                 for frame in self._reader.feed(data):
                     self.handle_frame(frame)
-            log.info("edge gone", edge=self._number)
+            log.info("edge disconnected", edge=self._number)
         finally:
             self._cancel_timer()
-            self._out.close()
+            self._send_queue.close()
             sender.cancel()
 
     def handle_frame(self, frame: frames.Frame) -> None:
-        """A frame of the edge."""
+        """Pass the events of a frame to the policy. Raises LinkError for any other frame."""
         if isinstance(frame, frames.Bye):
             raise frames.LinkError(frame.reason)
         if not isinstance(frame, frames.Events):
             raise frames.LinkError(f"an edge does not send {type(frame).__name__}")
-        self._answers = frame.number
+        self._last_events_number = frame.number
         self._planner.metrics.events.inc(len(frame.events))
-        self._decided(self._planning.handle_events(frame.now_us, [frames.from_wire(e) for e in frame.events]), True)
+        self._apply_decisions(
+            self._planning.handle_events(frame.now_us, [frames.from_wire(e) for e in frame.events]), True
+        )
 
     def server_list_changed(self) -> None:
-        """The server list changed."""
+        """Send the current server list to the edge and update the policy's members."""
         self.send(frames.Servers(self._planner.server_list.version, self._planner.server_list.addresses()))
-        self._decided(self._planning.update_members(self._world.now_us(), self._planner.server_list))
+        self._apply_decisions(self._planning.update_members(self._world.now_us(), self._planner.server_list))
 
     def send(self, frame: frames.Frame) -> None:
-        """Put a frame on its way."""
-        if self._out.closed:
+        """Queue a frame for the edge; disconnect the edge if its queue is full."""
+        if self._send_queue.closed:
             return
-        if not self._out.try_put(frame):
-            log.error("edge takes no actions", edge=self._number)
+        if not self._send_queue.try_put(frame):
+            log.error("edge does not read its actions; disconnecting", edge=self._number)
             self._stream.abort()
 
-    def _decided(self, decisions: Decisions, answer: bool = False) -> None:
-        roster, metrics = self._planner.server_list, self._planner.metrics
+    def _apply_decisions(self, decisions: Decisions, always_reply: bool = False) -> None:
+        server_list, metrics = self._planner.server_list, self._planner.metrics
         for text in decisions.logs:
             log.info("policy", edge=self._number, text=text)
         for fault in decisions.errors:
@@ -197,42 +202,44 @@
             log.error("policy failed on one event", edge=self._number, fault=fault)
         for action in decisions.actions:
             if isinstance(action, i.Send):
-                metrics.attempts.labels(roster.name(action.server)).inc()
-        if decisions.actions or answer:
-            self.send(frames.Actions(self._answers, [frames.to_wire(action) for action in decisions.actions]))
-        self._arm()
+                metrics.attempts.labels(server_list.name(action.server)).inc()
+        if decisions.actions or always_reply:
+            self.send(
+                frames.Actions(self._last_events_number, [frames.to_wire(action) for action in decisions.actions])
+            )
+        self._arm_timer()
 
-    def _arm(self) -> None:
+    def _arm_timer(self) -> None:
         due_us = self._planning.next_due_us()
         if due_us != self._timer_us:
             self._cancel_timer()
-            self._timer_us, self._cancel_timer = due_us, _nothing
+            self._timer_us, self._cancel_timer = due_us, _no_timer
             if due_us is not None:
-                self._cancel_timer = self._world.call_at(due_us, self._due)
+                self._cancel_timer = self._world.call_at(due_us, self._timer_due)
 
-    def _due(self) -> None:
-        self._timer_us, self._cancel_timer = None, _nothing
-        self._decided(self._planning.tick(self._world.now_us()))
+    def _timer_due(self) -> None:
+        self._timer_us, self._cancel_timer = None, _no_timer
+        self._apply_decisions(self._planning.tick(self._world.now_us()))
 
-    def _send_all(self) -> None:
+    def _run_sender(self) -> None:
         try:
             while True:
-                batch = [self._out.get(), *self._out.drain()]
+                batch = [self._send_queue.get(), *self._send_queue.drain()]
                 with self._world.deadline(self._world.now_us() + WRITE_TIMEOUT_US):
                     self._stream.write(b"".join(frames.encode(frame) for frame in batch))
         except (StreamError, DeadlineExceeded, Closed, frames.LinkError):
-            self._stream.abort()  # the reading side ends the session
+            self._stream.abort()  # `run` sees the closed stream and ends the session
 
 
-def _nothing() -> None:
+def _no_timer() -> None:
     pass
 
 
 class PlannerMetrics:
-    """What the planner counts, for Prometheus."""
+    """The Prometheus metrics of the planner."""
 
     def __init__(self) -> None:
-        """All at zero."""
+        """Register all metrics at zero."""
         self.registry = CollectorRegistry()
         self.linked_edges = Gauge("yardspindle_edges", "Edges that are linked", registry=self.registry)
         self.events = Counter("yardspindle_events", "Events heard", registry=self.registry)
@@ -242,8 +249,8 @@
         )
 
 
-class _Pages:
-    """The planner's `/metrics`."""
+class _MetricsPage:
+    """Serves the planner's `/metrics` page."""
 
     def __init__(self, planner: Planner) -> None:
         self._planner = planner
@@ -258,7 +265,7 @@
         )
 
     def handle(self, exchange: Exchange) -> None:
-        raise AssertionError("every page is answered early")
+        raise AssertionError("early_reply answers every request")
 
     def malformed(self, error: http1.ProtocolError) -> Reply:
         return ApiError(error.status, "malformed_request", error.reason).reply()
