--- a/yardspindle/fleet/departure.py
+++ b/yardspindle/fleet/departure.py
@@ -1,4 +1,4 @@
-"""Asks for leave before a program ends: a permit, as a release would need it, within a bounded time."""
+"""Requests a departure permit before a program shuts down: the same permit that a release needs, in bounded time."""
 
 from __future__ import annotations
 
@@ -19,32 +19,34 @@
 
 
 def request_departure(world: World, config: Config, unit: str) -> bool:
-    """Wait until this unit may go, at most `leave_wait_ms`: the platform ends it soon after. Whether it may."""
+    """Wait for a permit for this unit, at most `leave_wait_ms`, and return whether it was granted.
+
+    The wait is bounded because the platform ends the program soon after its stop signal."""
     until_us = world.now_us() + microseconds(config.fleet.leave_wait_ms)
-    said = ""
+    logged_reason = ""
     while world.now_us() < until_us:
         try:
             store = open_store(world, config.fleet)
             keys = UnitKeys(FleetKeys(config.fleet.name))
             rows = store.range(keys.root, prefix_end(keys.root))
             units = keys.read({row.key: row for row in rows.rows})
-            no = p.check_departure(units.snapshot(config.release.limit, 0), unit)
-            if unit in units.permits:  # perhaps from a call whose answer was lost, or a release's
+            denial = p.check_departure(units.snapshot(config.release.limit, 0), unit)
+            if unit in units.permits:  # from a release, or from a call of ours whose answer was lost
                 log.info("leave was given", unit=unit, by=units.permits[unit].by)
                 return True
-            if no is None:
+            if denial is None:
                 status = units.statuses.get(unit)
                 permit = p.Permit(
                     unit, status.epoch if status is not None else "", unit, "asked to end", since_us=world.now_us()
                 )
                 store.txn(keys.grant_own_permit(units, permit))
-                continue  # read back: it was given, or somebody else was let go meanwhile
-            reason = no.reason
+                continue  # read back: it was granted, or another unit got a permit first
+            reason = denial.reason
         except (StoreError, OSError) as error:
             reason = str(error)
-        if reason != said:
-            said = reason
+        if reason != logged_reason:
+            logged_reason = reason
             log.info("leave is not given now", unit=unit, reason=reason)
         world.sleep_until(min(world.now_us() + RETRY_PAUSE_US, until_us))
-    log.warning("ends without leave: the time to ask is over", unit=unit, reason=said)
+    log.warning("shutting down without leave: the wait has ended", unit=unit, reason=logged_reason)
     return False
--- a/yardspindle/fleet/member_page.py
+++ b/yardspindle/fleet/member_page.py
@@ -1,7 +1,8 @@
-"""A member's page: where a process answers for itself for as long as it lives.
+"""The member page: an HTTP endpoint that every member serves as long as its process runs.
 
-`GET /v1/yardspindle/member` tells its registration and its clock. It has a listener of its own, because a program that
-drains closes the one for its clients and still lives: a refused connection here means that the process is gone.
+`GET /v1/yardspindle/member` returns its registration and its clock. The page has a listener of its own because a
+draining program closes the listener for its clients while it still runs: a refused connection here means that the
+process has ended.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 class MemberStatus(Struct):
-    """What a page says."""
+    """The JSON body of a member page."""
 
     member: Member
     now_us: int
@@ -37,13 +38,13 @@
     """Serves a member's page."""
 
     def __init__(self, world: World, member: Callable[[], Member]) -> None:
-        """`member`: the process as it is now."""
+        """`member` returns the current registration."""
         self._world, self._member = world, member
 
     def start(self, host: str, port: int) -> tuple[str, int]:
-        """Listen. Raises OSError."""
+        """Start serving and return the address. Raises OSError."""
         listener = self._world.listen(host, port)
-        self._world.spawn("member page", Server(self._world, listener, self, ServingLimits(), _nothing).serve)
+        self._world.spawn("member page", Server(self._world, listener, self, ServingLimits(), _ignore_error).serve)
         return listener.host, listener.port
 
     def early_reply(self, head: http1.RequestHead) -> Reply | None:
@@ -54,7 +55,7 @@
 
     def handle(self, exchange: Exchange) -> None:
         """See Handler."""
-        raise AssertionError("every page is answered early")
+        raise AssertionError("early_reply answers every request")
 
     def malformed(self, error: http1.ProtocolError) -> Reply:
         """See Handler."""
@@ -62,7 +63,7 @@
 
 
 def probe_member(http: HttpClient, page: str) -> tuple[ProbeResult, MemberStatus | None]:
-    """What a page says, or what became of asking."""
+    """Request a member page; the status is None unless the member answered."""
     world = http.world
     limit = world.deadline(world.now_us() + PROBE_TIMEOUT_US)
     try:
@@ -83,5 +84,5 @@
         return ProbeResult.NO_ANSWER, None
 
 
-def _nothing(fault: BaseException) -> None:
-    """A client of the page that broke off is of no interest."""
+def _ignore_error(fault: BaseException) -> None:
+    """An aborted request for the page needs no log line."""
--- a/yardspindle/fleet/membership.py
+++ b/yardspindle/fleet/membership.py
@@ -1,7 +1,7 @@
-"""A process as a member of its fleet: a lease, a registration under it, kept alive. Nothing ever waits for it.
+"""Registers a process as a member of its fleet, under a lease that is kept alive. No other work waits for it.
 
-Runs in a task of its own beside whatever the program does. Without the store it tries on, with growing pauses; the
-program is told of each turn (`on_granted`, `on_kept`, `on_failed`), and may do without.
+Runs in a task of its own. While the store is unavailable it retries with growing pauses. Programs that depend on
+the lease are notified by `LeaseCallbacks`; others continue without the store.
 """
 
 from __future__ import annotations
@@ -22,30 +22,30 @@
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.world import World
 
-KEEP_ALIVE_FRACTION = 1 / 3  # of the time to live: how often a lease is kept alive
-LEASE_NOT_FOUND = "requested lease not found"  # as etcd words it
-RETRY_FRACTION = 1 / 12  # of it: the pause after a call that failed; doubled up to the above
+KEEP_ALIVE_FRACTION = 1 / 3  # of the lease's time to live: the interval between keep-alive calls
+LEASE_NOT_FOUND = "requested lease not found"  # etcd's error message, which the embedded store also uses
+RETRY_FRACTION = 1 / 12  # of the time to live: the pause after a failed call; doubled up to the keep-alive interval
 
 log = structlog.get_logger("yardspindle.fleet")
 
 
 @dataclass(slots=True)
 class LeaseCallbacks:
-    """What a program wants to hear. Lease and the clock from before the call; `ttl_us` 0: it has ended."""
+    """Callbacks for the state of the lease. `sent_us` is the time just before the call was sent."""
 
-    on_granted: Callable[[int, int, int], None]
-    on_renewed: Callable[[int, int, int, int], None]  # and the store's revision
-    on_failed: Callable[[bool], None]  # whether while a lease was asked for
+    on_granted: Callable[[int, int, int], None]  # lease, sent_us, ttl_us
+    on_renewed: Callable[[int, int, int, int], None]  # lease, sent_us, ttl_us (0: the lease has ended), store revision
+    on_failed: Callable[[bool], None]  # whether the failed call was for a new lease
 
 
-def _no_turns() -> LeaseCallbacks:
+def _no_callbacks() -> LeaseCallbacks:
     return LeaseCallbacks(
         lambda lease, sent_us, ttl_us: None, lambda lease, sent_us, ttl_us, revision: None, lambda granting: None
     )
 
 
 class Membership:
-    """One process's place in its fleet."""
+    """The lease and the registration of one process in its fleet."""
 
     def __init__(
         self,
@@ -59,45 +59,45 @@
         version: str,
         callbacks: LeaseCallbacks | None = None,
     ) -> None:
-        """Nothing is opened before `start`."""
+        """Opens no sockets and makes no calls; see `start`."""
         self._world, self._store = world, store
         self._ttl_us = microseconds(config.ttl_ms)
         self._listen, self._advertise = config.listen, config.advertise
         self.keys = FleetKeys(config.name)
         self.member = Member(name, kind, epoch, zone=zone, version=version, since_us=world.now_us())
-        self._turns = callbacks or _no_turns()
+        self._callbacks = callbacks or _no_callbacks()
         self.lease = 0
-        self.refusal_reason = ""  # why it is not registered, when that will not mend itself
-        self._changed = world.signal()
-        self._lost = 0  # a lease that its owner has given up
+        self.refusal_reason = ""  # why registration is refused; a retry alone does not help
+        self._update_needed = world.signal()
+        self._abandoned_lease = 0  # a lease that the program has given up
 
     def start(self, host: str, port: int) -> None:
-        """Serve the page and begin to register. Raises OSError: the page's address cannot be had."""
+        """Serve the member page and start registering. Raises OSError if the page's address cannot be bound."""
         host, port = MemberPage(self._world, lambda: self.member).start(host, port)
-        at = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
-        self.member = msgspec.structs.replace(self.member, page=self._advertise or at)
+        address = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
+        self.member = msgspec.structs.replace(self.member, page=self._advertise or address)
         self._world.spawn("membership", self._run)
 
     def set_able(self, able: bool) -> None:
-        """Tell the fleet whether this one takes duties; a change is written soon."""
+        """Set whether this process can take duties; a change is written to the store soon."""
         if able != self.member.able:
             self.member = msgspec.structs.replace(self.member, able=able)
-            self._changed.set()
+            self._update_needed.set()
 
     def replace_lease(self, lease: int) -> None:
-        """Give up a lease, and ask for another."""
+        """Give up a lease and request another; ignored if it is not the current one."""
         if lease and lease == self.lease:
-            self._lost = lease
-            self._changed.set()
+            self._abandoned_lease = lease
+            self._update_needed.set()
 
     def deregister(self) -> None:
-        """Take the registration back: ends the lease. What the epoch left is still looked after."""
+        """Remove the registration by revoking the lease. The sweep still releases what this epoch holds at engines."""
         lease, self.lease = self.lease, -1
         if lease > 0:
             try:
                 self._store.revoke(lease)
             except StoreError as error:
-                log.warning("registration could not be taken back; it ends with its lease", reason=str(error))
+                log.warning("registration not removed; it ends when its lease expires", reason=str(error))
 
     # --- the task
 
@@ -105,89 +105,90 @@
         pause_us = self._ttl_us * RETRY_FRACTION
         while self.lease >= 0:
             try:
-                if self._once():
+                if self._run_lease():
                     pause_us = self._ttl_us * RETRY_FRACTION
                     continue
             except InconsistentStore as error:
                 if str(error) != self.refusal_reason:
                     log.error("the store went back; nothing is taken from it or written to it", reason=str(error))
                 self.refusal_reason = str(error)
-                self._turns.on_failed(True)
+                self._callbacks.on_failed(True)
             except StoreError as error:
                 log.warning("no lease", reason=str(error))
-                self._turns.on_failed(True)
+                self._callbacks.on_failed(True)
             self._world.sleep_until(self._world.now_us() + round(pause_us))
             pause_us = min(2 * pause_us, self._ttl_us * KEEP_ALIVE_FRACTION)
 
-    def _once(self) -> bool:
-        """One lease, from its asking to its end; whether there was one."""
+    def _run_lease(self) -> bool:
+        """Run one lease from its grant to its end; return False if the registration was refused."""
         sent_us = self._world.now_us()
         granted = self._store.grant(self._ttl_us)
         if not self._register(granted.lease):
             self._store.revoke(granted.lease)
             return False
         self.lease = granted.lease
-        self._turns.on_granted(granted.lease, sent_us, granted.ttl_us)
+        self._callbacks.on_granted(granted.lease, sent_us, granted.ttl_us)
         log.info("registered", member=self.member.id, epoch=self.member.epoch, lease=granted.lease)
-        self._keep(granted.lease, sent_us + granted.ttl_us)
+        self._keep_alive(granted.lease, sent_us + granted.ttl_us)
         if self.lease > 0:
             self.lease = 0
             with contextlib.suppress(StoreError):
-                self._store.revoke(granted.lease)  # what lies under it need not wait for its end
+                self._store.revoke(granted.lease)  # its rows need not wait until it expires
         return True
 
     def _register(self, lease: int) -> bool:
-        known: KeyValue | None = None
+        registered: KeyValue | None = None
         while True:
-            if not may_register(known, self.member):
-                assert known is not None
-                reason = f"{self.member.id}: another process is registered under this name: {known.value.decode()}"
-                if reason != self.refusal_reason:  # an earlier start of this one, until its lease ends; or a copy of it
+            if not may_register(registered, self.member):
+                assert registered is not None
+                reason = f"{self.member.id}: another process is registered under this name: {registered.value.decode()}"
+                # An earlier start whose lease still runs, or a second copy of this process.
+                if reason != self.refusal_reason:
                     log.error("not registered", reason=reason)
                 self.refusal_reason = reason
                 return False
-            answer = self._store.txn(self.keys.register(self.member, lease, known))
-            if answer.succeeded:
+            result = self._store.txn(self.keys.register(self.member, lease, registered))
+            if result.succeeded:
                 self.refusal_reason = ""
-                self._changed = self._world.signal()
+                self._update_needed = self._world.signal()
                 return True
-            found = answer.results[0]
-            known = found[0] if found else None
+            rows = result.results[0]
+            registered = rows[0] if rows else None
 
-    def _keep(self, lease: int, until_us: int) -> None:
-        """Keep a lease alive until it is lost or given up."""
+    def _keep_alive(self, lease: int, until_us: int) -> None:
+        """Keep a lease alive until it ends or is given up; write changes of the registration."""
         pause_us, retry_us = self._ttl_us * KEEP_ALIVE_FRACTION, self._ttl_us * RETRY_FRACTION
         wait_us = pause_us
-        while self.lease == lease and self._lost != lease:
+        while self.lease == lease and self._abandoned_lease != lease:
             try:
                 with self._world.deadline(self._world.now_us() + round(wait_us)):
-                    self._changed.wait()
+                    self._update_needed.wait()
             except DeadlineExceeded:
                 pass
-            if self.lease != lease or self._lost == lease:
+            if self.lease != lease or self._abandoned_lease == lease:
                 return
             sent_us = self._world.now_us()
             try:
-                if self._changed.is_set and not self._register(lease):
+                if self._update_needed.is_set and not self._register(lease):
                     return
-                kept = self._store.keep_alive(lease)
+                renewal = self._store.keep_alive(lease)
             except StoreError as error:
                 log.warning("lease not kept alive", reason=str(error))
-                self._turns.on_failed(False)
+                self._callbacks.on_failed(False)
                 if self._world.now_us() >= until_us or LEASE_NOT_FOUND in str(error):
                     return
                 self._world.sleep_until(self._world.now_us() + round(retry_us))
                 wait_us = 0
                 continue
-            self._turns.on_renewed(lease, sent_us, kept.ttl_us, kept.revision)
-            if not kept.ttl_us:
+            self._callbacks.on_renewed(lease, sent_us, renewal.ttl_us, renewal.revision)
+            if not renewal.ttl_us:
                 log.warning("the store has ended the lease", lease=lease)
                 return
-            until_us, wait_us = sent_us + kept.ttl_us, pause_us
+            until_us, wait_us = sent_us + renewal.ttl_us, pause_us
 
 
 def join_fleet(world: World, config: FleetConfig, kind: Kind, name: str, epoch: str, zone: str, version: str) -> None:
-    """Register a program that may do without: a store that cannot be used is logged, never waited for."""
+    """Register a program that does not depend on the store: an unusable store is logged and never waited for."""
     if not config.store:
         return
     host, port = split_address(config.listen)
--- a/yardspindle/fleet/server_list_file.py
+++ b/yardspindle/fleet/server_list_file.py
@@ -1,7 +1,7 @@
-"""The server list from a file, read again every so often; taken whole or not at all.
+"""Reads the server list from a file at a fixed interval; a list is applied completely or not at all.
 
-What is wrong with a file is said once, and again when the fault changes; the list in force stays. Reading is
-cheap beside what a late list costs, and sees every way in which a file can be replaced.
+A rejected file leaves the current list in force and is logged once, and again when the reason changes. The file is
+polled because reading it costs little compared with a late list, and detects every way of replacing a file.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 
 
 class ServerListFile:
-    """Feeds a roster from a file."""
+    """Keeps a `ServerList` up to date with a file."""
 
     def __init__(
-        self, world: World, path: str, config: Config, roster: ServerList, on_change: Callable[[], None]
+        self, world: World, path: str, config: Config, server_list: ServerList, on_change: Callable[[], None]
     ) -> None:
-        """`on_news` is called when a changed list is in force."""
+        """`on_change` is called after a changed list has been applied."""
         self._world = world
         self._path = path
         self._config = config
-        self._roster = roster
-        self._on_news = on_change
+        self._server_list = server_list
+        self._on_change = on_change
         self._data: bytes | None = None
         self.error = ""
         self.rejected_count = 0
 
     def load(self) -> None:
-        """Look at the file. Raises ConfigError when it cannot be taken."""
+        """Read the file and apply it if it changed. Raises ConfigError if it cannot be read or is not valid."""
         try:
             data = self._world.read_file(self._path)
         except OSError as error:
@@ -43,12 +43,12 @@
             return
         document = parse_server_list(self._path, data, self._config)
         self._data = data
-        if self._roster.apply(document):
-            log.info("server list", version=self._roster.version, servers=len(document.servers))
-            self._on_news()
+        if self._server_list.apply(document):
+            log.info("server list", version=self._server_list.version, servers=len(document.servers))
+            self._on_change()
 
-    def run(self, every_us: int) -> None:
-        """Follow the file until cancelled."""
+    def run(self, interval_us: int) -> None:
+        """Reload the file at each interval until cancelled."""
         while True:
             try:
                 self.load()
@@ -58,4 +58,4 @@
                     self.error = str(error)
                     self.rejected_count += 1
                     log.error("server list refused; the one in force stays", reason=self.error)
-            self._world.sleep_until(self._world.now_us() + every_us)
+            self._world.sleep_until(self._world.now_us() + interval_us)
--- a/yardspindle/fleet/store/__init__.py
+++ b/yardspindle/fleet/store/__init__.py
@@ -1,1 +1,1 @@
-"""What the processes of a fleet share, behind one interface: etcd by its JSON gateway, or a file on one machine."""
+"""The key-value store that a fleet shares: etcd through its JSON gateway, or a SQLite file on one machine."""
--- a/yardspindle/fleet/store/embedded.py
+++ b/yardspindle/fleet/store/embedded.py
@@ -1,11 +1,11 @@
-"""The store of one machine: a SQLite file that its processes share, with the same meaning as etcd.
+"""A store for one machine: a SQLite file that its processes share, with etcd's semantics.
 
-Each row is one version of a key (its history, until compacted); the rules of transactions are those of core's
-evaluator. Leases count on the machine's own clock, which is the same for every process and cannot be stepped; after
-a restart of the machine every lease has ended. Whoever calls ends the leases that have run out, in the same
-transaction, so that no process is needed to watch over them.
+Table `versions` holds the history of each key until it is compacted, table `now` the current rows; transactions follow
+`evaluate` in core/fleet/kv.py. Leases use the machine's monotonic clock, which all processes share and which cannot be
+stepped; after a reboot every lease has ended. A write ends expired leases in its own transaction and a read in one
+before it, so no process has to watch over them.
 
-A file that is not ours, or of a later form, is refused and never written to.
+A file with other tables or another schema version is rejected and never written to.
 """
 
 from __future__ import annotations
@@ -38,10 +38,10 @@
 
 T = TypeVar("T")
 SCHEMA_VERSION = 1
-MIN_LOCK_RETRY_US = 1_000  # after a lock that another process held: about a transaction of ours
+MIN_LOCK_RETRY_US = 1_000  # while another process holds the lock: about the time of one transaction
 MAX_LOCK_RETRY_US = 20_000
-WATCH_POLL_US = 20_000  # how often a watch looks: of the order of a hop's time, and a look costs some microseconds
-HISTORY_REVISIONS = 10_000  # of history; past twice that it is compacted
+WATCH_POLL_US = 20_000  # poll interval of a watch: of the order of a network hop; a poll costs some microseconds
+HISTORY_REVISIONS = 10_000  # revisions of history to keep; compacted when twice as many exist
 BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
 COLUMNS = "key, value, made, mod, version, lease"
 TABLES = (
@@ -57,10 +57,12 @@
 
 
 class EmbeddedStore:
-    """See Store."""
+    """Implements Store with a SQLite file."""
 
     def __init__(self, world: World, path: str, call_us: int) -> None:
-        """Open the file, or make it. Raises StoreError: it cannot be read, or is not ours. `call_us` bounds a call."""
+        """Open or create the file; `call_us` bounds each call.
+
+        Raises StoreError if the file cannot be read or is not a store of this schema version."""
         self._world, self._path, self._call_us = world, path, call_us
         try:
             self._boot_id = world.read_file(BOOT_ID_PATH).decode().strip()
@@ -68,15 +70,15 @@
             self._boot_id = ""
         self.last_revision = 0
         self.call_count = 0
-        self._refused = ""  # why this store is not used any more
-        self._db = self._patiently(lambda: world.database(path))
-        self._patiently(self._prepare)
+        self._refusal_reason = ""  # why this store must no longer be used; empty while it may
+        self._db = self._retry_while_locked(lambda: world.database(path))
+        self._retry_while_locked(self._prepare_schema)
 
     # --- calls
 
     def range(self, key: bytes, end: bytes = b"", revision: int = 0) -> RangeResult:
         """See Store."""
-        return self._patiently(lambda: self._range(key, end, revision), reads=True)
+        return self._retry_while_locked(lambda: self._range(key, end, revision), is_read=True)
 
     def txn(self, txn: Txn) -> TxnResult:
         """See Store."""
@@ -87,7 +89,7 @@
         ttl_us = -(-ttl_us // 1_000_000) * 1_000_000
 
         def grant() -> LeaseGrant:
-            lease = int(self._about("last lease")) + 1
+            lease = int(self._metadata("last lease")) + 1
             self._db.run("UPDATE about SET value = ? WHERE name = 'last lease'", (lease,))
             self._db.run(
                 "INSERT INTO leases VALUES (?, ?, ?, ?)",
@@ -100,7 +102,7 @@
     def keep_alive(self, lease: int) -> KeepAliveResult:
         """See Store."""
 
-        def keep() -> KeepAliveResult:
+        def renew() -> KeepAliveResult:
             rows = self._db.run("SELECT ttl_us FROM leases WHERE lease = ?", (lease,))
             if rows:
                 self._db.run(
@@ -108,7 +110,7 @@
                 )
             return KeepAliveResult(rows[0][0] if rows else 0, self._revision())
 
-        return self._write(keep)
+        return self._write(renew)
 
     def revoke(self, lease: int) -> None:
         """See Store."""
@@ -117,12 +119,12 @@
     def remaining_ttl_us(self, lease: int) -> int:
         """See Store."""
 
-        def left() -> int:
+        def remaining() -> int:
             rows = self._db.run("SELECT ends_us FROM leases WHERE lease = ? AND boot = ?", (lease, self._boot_id))
-            left_us = int(rows[0][0]) - self._world.uptime_us() if rows else -1
-            return left_us if left_us > 0 else -1
+            remaining_us = int(rows[0][0]) - self._world.uptime_us() if rows else -1
+            return remaining_us if remaining_us > 0 else -1
 
-        return self._patiently(left, reads=True)
+        return self._retry_while_locked(remaining, is_read=True)
 
     def watch(self, key: bytes, end: bytes, revision: int) -> EmbeddedWatch:
         """See Store."""
@@ -134,13 +136,13 @@
 
     # --- waiting for the lock
 
-    def _patiently(self, act: Callable[[], T], reads: bool = False) -> T:
-        """Try until the lock is free, on the scheduler; at the bound nothing was done."""
+    def _retry_while_locked(self, operation: Callable[[], T], is_read: bool = False) -> T:
+        """Retry until the lock is free, yielding to other tasks; raises NotApplied when the call's time is up."""
         self.call_count += 1
         until_us, pause_us = self._world.now_us() + self._call_us, MIN_LOCK_RETRY_US
         while True:
             try:
-                return self._read_once(act) if reads else act()
+                return self._run_read(operation) if is_read else operation()
             except DatabaseBusy:
                 if self._world.now_us() >= until_us:
                     raise NotApplied(f"{self._path}: another process holds the lock") from None
@@ -149,25 +151,25 @@
             except DatabaseError as error:
                 raise StoreError(f"{self._path}: {error}") from None
 
-    def _read_once(self, act: Callable[[], T]) -> T:
-        """All of a read sees the store at one moment; leases that have run out are ended first."""
-        if self._ended():
-            self._write_once(lambda: None)
+    def _run_read(self, operation: Callable[[], T]) -> T:
+        """End expired leases, then read within one transaction, so that all of a read sees one state of the store."""
+        if self._has_expired_leases():
+            self._run_write(lambda: None)
         self._db.run("BEGIN")
         try:
-            return act()
+            return operation()
         finally:
             self._db.roll_back()
 
-    def _write(self, act: Callable[[], T]) -> T:
-        return self._patiently(lambda: self._write_once(act))
+    def _write(self, operation: Callable[[], T]) -> T:
+        return self._retry_while_locked(lambda: self._run_write(operation))
 
-    def _write_once(self, act: Callable[[], T]) -> T:
-        """One transaction; leases that have run out are ended in it first."""
+    def _run_write(self, operation: Callable[[], T]) -> T:
+        """Run one transaction that first ends expired leases."""
         self._db.begin()
         try:
-            self._expire()
-            done = act()
+            self._expire_leases()
+            result = operation()
         except BadRequest as error:
             self._db.roll_back()
             raise NotApplied(f"{error.code}: {error}") from None
@@ -182,19 +184,19 @@
         except DatabaseError as error:
             self._db.roll_back()
             raise OutcomeUnknown(f"{self._path}: {error}") from None
-        return done
+        return result
 
     # --- inside a transaction
 
-    def _prepare(self) -> None:
+    def _prepare_schema(self) -> None:
         self._db.begin()
         try:
             tables = {row[0] for row in self._db.run("SELECT name FROM sqlite_master WHERE type = 'table'")}
             if tables and "about" not in tables:
                 raise StoreError(f"{self._path}: a database, but none of ours; it is left as it is")
-            if tables and int(self._about("form")) != SCHEMA_VERSION:
+            if tables and int(self._metadata("form")) != SCHEMA_VERSION:
                 raise StoreError(
-                    f"{self._path}: of form {self._about('form')}, this version reads form {SCHEMA_VERSION}"
+                    f"{self._path}: schema version {self._metadata('form')}, this program reads {SCHEMA_VERSION}"
                 )
             if not tables:
                 for statement in TABLES:
@@ -208,22 +210,25 @@
             raise
         self._db.commit()
 
-    def _about(self, name: str) -> Any:
+    def _metadata(self, name: str) -> Any:
         return self._db.run("SELECT value FROM about WHERE name = ?", (name,))[0][0]
 
     def _revision(self) -> int:
-        revision = int(self._about("revision"))
-        if revision < self.last_revision:  # from then on for good: catching up would only hide it
-            self._refused = f"{self._path} stands at revision {revision}; it had told {self.last_revision}"
-        if self._refused:
-            raise InconsistentStore(self._refused)
+        revision = int(self._metadata("revision"))
+        if revision < self.last_revision:  # permanent: once the store catches up, the loss could no longer be seen
+            self._refusal_reason = f"{self._path} stands at revision {revision}; it had told {self.last_revision}"
+        if self._refusal_reason:
+            raise InconsistentStore(self._refusal_reason)
         self.last_revision = revision
         return revision
 
     def rows(self, key: bytes, end: bytes) -> list[KeyValue]:
         """See kv.Reader."""
-        where, arguments = _range(key, end)
-        return [_row(row) for row in self._db.run(f"SELECT {COLUMNS} FROM now WHERE {where} ORDER BY key", arguments)]
+        where, arguments = _range_condition(key, end)
+        return [
+            _to_key_value(row)
+            for row in self._db.run(f"SELECT {COLUMNS} FROM now WHERE {where} ORDER BY key", arguments)
+        ]
 
     def has_lease(self, lease: int) -> bool:
         """See kv.Reader."""
@@ -235,13 +240,13 @@
             return RangeResult(now, tuple(self.rows(key, end)))
         if revision > now:
             raise NotApplied("11: etcdserver: mvcc: required revision is a future revision")
-        if revision < int(self._about("compacted")):
-            raise Compacted(int(self._about("compacted")))
-        where, arguments = _range(key, end)
+        if revision < int(self._metadata("compacted")):
+            raise Compacted(int(self._metadata("compacted")))
+        where, arguments = _range_condition(key, end)
         return RangeResult(
             now,
             tuple(
-                _row(row)
+                _to_key_value(row)
                 for row in self._db.run(
                     f"SELECT {COLUMNS} FROM versions AS v WHERE {where} AND removed = 0 AND mod ="
                     " (SELECT max(mod) FROM versions WHERE key = v.key AND mod <= ?) ORDER BY key",
@@ -251,9 +256,9 @@
         )
 
     def _txn(self, txn: Txn) -> TxnResult:
-        answer, changes = evaluate(txn, self, self._revision())
+        result, changes = evaluate(txn, self, self._revision())
         self._commit(changes)
-        return answer
+        return result
 
     def _commit(self, changes: tuple[Change, ...]) -> None:
         if not changes:
@@ -273,11 +278,11 @@
                 )
         revision = changes[0].row.mod
         self._db.run("UPDATE about SET value = ? WHERE name = 'revision'", (revision,))
-        if revision - int(self._about("compacted")) > 2 * HISTORY_REVISIONS:
+        if revision - int(self._metadata("compacted")) > 2 * HISTORY_REVISIONS:
             self._compact(revision - HISTORY_REVISIONS)
 
     def _compact(self, revision: int) -> None:
-        """Keep of each key's history what is needed to read from that revision on."""
+        """Delete the versions that no read at or after the given revision needs."""
         self._db.run(
             "DELETE FROM versions WHERE mod < ? AND (removed OR mod <"
             " (SELECT max(mod) FROM versions AS v WHERE v.key = versions.key AND v.mod <= ?))",
@@ -286,17 +291,17 @@
         self._db.run("UPDATE about SET value = ? WHERE name = 'compacted'", (revision,))
 
     def compact(self, revision: int) -> None:
-        """Forget history before a revision."""
+        """Delete the history before a revision."""
         self._write(lambda: self._compact(revision))
 
-    def _ended(self) -> bool:
+    def _has_expired_leases(self) -> bool:
         return bool(
             self._db.run(
                 "SELECT 1 FROM leases WHERE ends_us <= ? OR boot <> ? LIMIT 1", (self._world.uptime_us(), self._boot_id)
             )
         )
 
-    def _expire(self) -> None:
+    def _expire_leases(self) -> None:
         for (lease,) in self._db.run(
             "SELECT lease FROM leases WHERE ends_us <= ? OR boot <> ? ORDER BY lease",
             (self._world.uptime_us(), self._boot_id),
@@ -310,39 +315,39 @@
         self._db.run("DELETE FROM leases WHERE lease = ?", (lease,))
 
     def changes_since(self, key: bytes, end: bytes, revision: int) -> Changes:
-        """The changes of a range from a revision on. Raises Compacted."""
+        """The changes of a range since a revision, inclusive. Raises Compacted."""
 
         def read() -> Changes:
             now = self._revision()
             if now < revision:
                 return Changes(now)
-            if revision <= int(self._about("compacted")):
-                raise Compacted(int(self._about("compacted")))
-            where, arguments = _range(key, end)
+            if revision <= int(self._metadata("compacted")):
+                raise Compacted(int(self._metadata("compacted")))
+            where, arguments = _range_condition(key, end)
             rows = self._db.run(
                 f"SELECT {COLUMNS}, removed FROM versions WHERE {where} AND mod >= ? AND mod <= ? ORDER BY mod, key",
                 (*arguments, revision, now),
             )
-            return Changes(now, tuple(Change(_row(row[:6]), bool(row[6])) for row in rows))
+            return Changes(now, tuple(Change(_to_key_value(row[:6]), bool(row[6])) for row in rows))
 
-        return self._patiently(read, reads=True)
+        return self._retry_while_locked(read, is_read=True)
 
 
 class EmbeddedWatch:
-    """See Watch. It looks every so often: reading the revision costs some microseconds."""
+    """Implements Watch by polling, which is cheap: reading the revision costs some microseconds."""
 
     def __init__(self, store: EmbeddedStore, key: bytes, end: bytes, revision: int) -> None:
-        """Nothing is opened."""
+        """Opens nothing; `next` reads from the store."""
         self._store, self._key, self._end = store, key, end
-        self._next = revision
+        self._next_revision = revision
 
     def next(self) -> Changes:
         """See Watch."""
         world = self._store._world
         while True:
-            changes = self._store.changes_since(self._key, self._end, self._next)
-            if changes.revision >= self._next:
-                self._next = changes.revision + 1
+            changes = self._store.changes_since(self._key, self._end, self._next_revision)
+            if changes.revision >= self._next_revision:
+                self._next_revision = changes.revision + 1
                 return changes
             world.sleep_until(world.now_us() + WATCH_POLL_US)
 
@@ -350,12 +355,12 @@
         """See Watch."""
 
 
-def _range(key: bytes, end: bytes) -> tuple[str, tuple[bytes, ...]]:
+def _range_condition(key: bytes, end: bytes) -> tuple[str, tuple[bytes, ...]]:
     if not end:
         return "key = ?", (key,)
     return ("key >= ?", (key,)) if end == b"\0" else ("key >= ? AND key < ?", (key, end))
 
 
-def _row(row: tuple[Any, ...]) -> KeyValue:
+def _to_key_value(row: tuple[Any, ...]) -> KeyValue:
     key, value, made, mod, version, lease = row
     return KeyValue(key, value, made, mod, version, lease)
--- a/yardspindle/fleet/store/etcd.py
+++ b/yardspindle/fleet/store/etcd.py
@@ -1,8 +1,8 @@
-"""etcd v3 by its published JSON gateway, over the project's HTTP client: several endpoints, each call bounded.
+"""etcd v3 through its JSON gateway: several endpoints, each call bounded in time.
 
-Reads are linearizable (never `serializable`), so an answer that is behind one heard before the call was made proves
-that the store went back, as after an old backup was restored; such a store is refused until this process restarts.
-A write goes to another endpoint only when the first one proves that it did nothing.
+Reads are linearizable (never `serializable`). An answer with a lower revision than one received before the call
+therefore proves that the store lost data, for example because an old backup was restored; such a store is not used
+until this process restarts. A write is retried at another endpoint only if the first one proves that it did nothing.
 """
 
 from __future__ import annotations
@@ -29,29 +29,30 @@
 
 T = TypeVar("T")
 JSON_HEADERS: http1.Headers = [(b"content-type", b"application/json")]
-CONNECT_TIMEOUT_US = 300_000  # an endpoint that cannot be connected to costs no more before the next is tried
+CONNECT_TIMEOUT_US = 300_000  # an endpoint without a connection by then is skipped
 MAX_IDLE_US = 30_000_000
-# gRPC codes by which nothing was done: invalid argument, not found, already exists, permission, precondition,
-# out of range, unimplemented, unauthenticated. Any other may come after the leader took the request.
+# gRPC codes that prove that nothing was done: invalid argument, not found, already exists, permission denied,
+# failed precondition, out of range, unimplemented, unauthenticated. Any other can also follow after the leader has
+# accepted the request.
 NOT_APPLIED_CODES = frozenset((3, 5, 6, 7, 9, 11, 12, 16))
-NO_LEADER = "etcdserver: no leader"  # said before a request is proposed
+NO_LEADER = "etcdserver: no leader"  # the error of a member that has not proposed the request
 COMPACTED = "required revision has been compacted"
 
 
 class EtcdStore:
-    """See Store."""
+    """Implements Store with an etcd cluster."""
 
     def __init__(self, world: World, endpoints: Sequence[tuple[str, int]], call_us: int) -> None:
-        """`call_us`: the bound of one call to one endpoint."""
+        """`call_us` bounds one call to one endpoint."""
         self._world = world
         self._endpoints = list(endpoints)
-        self._at = 0
+        self._endpoint_index = 0
         self._call_us = call_us
         self._http = HttpClient(world, min(CONNECT_TIMEOUT_US, call_us), MAX_IDLE_US)
-        self.last_revision = 0  # the highest revision heard
+        self.last_revision = 0  # the highest revision received
         self.cluster_id = 0
         self.call_count = 0
-        self._refused = ""  # why this store is not used any more
+        self._refusal_reason = ""  # why this store must no longer be used; empty while it may
 
     def range(self, key: bytes, end: bytes = b"", revision: int = 0) -> RangeResult:
         """See Store."""
@@ -61,13 +62,13 @@
 
     def txn(self, txn: Txn) -> TxnResult:
         """See Store."""
-        data, before = self._call(j.TXN_PATH, j.encode_txn(txn), writes=True)
+        data, min_revision = self._call(j.TXN_PATH, j.encode_txn(txn), is_write=True)
         try:
-            answer = j.decode_txn_result(data)
-            self._check_header(before, j.decode(data, j.TxnResponse).header)
+            result = j.decode_txn_result(data)
+            self._check_header(min_revision, j.decode(data, j.TxnResponse).header)
         except j.MalformedMessage as error:
             raise OutcomeUnknown(f"the answer is malformed: {error}") from None
-        return answer
+        return result
 
     def grant(self, ttl_us: int) -> LeaseGrant:
         """See Store."""
@@ -78,7 +79,10 @@
     def keep_alive(self, lease: int) -> KeepAliveResult:
         """See Store."""
         reply = self._ask(
-            j.LEASE_KEEP_ALIVE_PATH, msgspec.json.encode(j.LeaseRequest(ID=str(lease))), j.KeepAliveMessage, writes=True
+            j.LEASE_KEEP_ALIVE_PATH,
+            msgspec.json.encode(j.LeaseRequest(ID=str(lease))),
+            j.KeepAliveMessage,
+            writes=True,
         )
         return KeepAliveResult(int(reply.result.TTL) * 1_000_000, int(reply.result.header.revision))
 
@@ -103,48 +107,50 @@
     def watch(self, key: bytes, end: bytes, revision: int) -> EtcdWatch:
         """See Store."""
         call = j.WatchRequest(j.WatchCreateRequest(j.encode_base64(key), j.encode_base64(end), str(revision), True))
-        response = self._respond(j.WATCH_PATH, msgspec.json.encode(call), False, self._world.signal())
+        response = self._send(j.WATCH_PATH, msgspec.json.encode(call), False, self._world.signal())
         return EtcdWatch(self, response)
 
     # --- calls
 
     def _ask(self, target: bytes, body: bytes, kind: type[T], writes: bool) -> T:
-        data, before = self._call(target, body, writes)
+        data, min_revision = self._call(target, body, writes)
         try:
             reply = j.decode(data, kind)
         except j.MalformedMessage as error:
             raise (OutcomeUnknown if writes else NotApplied)(f"the answer is malformed: {error}") from None
         header = getattr(reply, "header", None) or getattr(getattr(reply, "result", None), "header", None)
         if header is not None:
-            self._check_header(before, header)
+            self._check_header(min_revision, header)
         return reply
 
-    def _call(self, target: bytes, body: bytes, writes: bool) -> tuple[bytes, int]:
-        """An answer's body, and the highest revision heard before the call."""
-        before = self.last_revision
+    def _call(self, target: bytes, body: bytes, is_write: bool) -> tuple[bytes, int]:
+        """The response body, and the highest revision received before the call."""
+        min_revision = self.last_revision
         limit = self._world.deadline(self._world.now_us() + self._call_us * max(len(self._endpoints), 1))
         sent = self._world.signal()
         try:
             with limit:
-                response = self._respond(target, body, writes, sent)
+                response = self._send(target, body, is_write, sent)
                 try:
-                    return response.read_all(), before
+                    return response.read_all(), min_revision
                 except ExchangeBroken as error:
-                    raise (OutcomeUnknown if writes else NotApplied)(f"broken off: {error}") from None
+                    raise (OutcomeUnknown if is_write else NotApplied)(f"the answer was interrupted: {error}") from None
                 finally:
                     response.close()
         except DeadlineExceeded:
             if not limit.passed:
                 raise
-            raise (OutcomeUnknown if writes and sent.is_set else NotApplied)("no answer in time") from None
+            raise (OutcomeUnknown if is_write and sent.is_set else NotApplied)("no answer in time") from None
 
-    def _respond(self, target: bytes, body: bytes, writes: bool, sent: Signal) -> Response:
-        """The first endpoint's answer that is one, its head read; each tried once. `sent`: set once one was asked."""
-        why = "no endpoint"
-        if self._refused:
-            raise InconsistentStore(self._refused)
+    def _send(self, target: bytes, body: bytes, is_write: bool, sent: Signal) -> Response:
+        """Try each endpoint once and return the first successful response with only its head read.
+
+        `sent` is set when the request has been sent to an endpoint."""
+        reason = "no endpoint"
+        if self._refusal_reason:
+            raise InconsistentStore(self._refusal_reason)
         for _ in range(len(self._endpoints)):
-            host, port = self._endpoints[self._at]
+            host, port = self._endpoints[self._endpoint_index]
             self.call_count += 1
             limit = self._world.deadline(self._world.now_us() + self._call_us)
             try:
@@ -155,53 +161,53 @@
                     error = j.decode_error(response.read_all())
                     response.close()
             except (ConnectError, NotSent) as broken:
-                why = str(broken)
+                reason = str(broken)
             except ExchangeBroken as broken:
-                if writes:
-                    self._next()
+                if is_write:
+                    self._next_endpoint()
                     raise OutcomeUnknown(str(broken)) from None
-                why = str(broken)
+                reason = str(broken)
             except DeadlineExceeded:
                 if not limit.passed:
                     raise
-                if writes and sent.is_set:
-                    self._next()
+                if is_write and sent.is_set:
+                    self._next_endpoint()
                     raise OutcomeUnknown("no answer in time") from None
-                why = "no answer in time" if sent.is_set else "no connection in time"
+                reason = "no answer in time" if sent.is_set else "no connection in time"
             else:
-                why = f"{error.code}: {error}"
-                if COMPACTED in why:
+                reason = f"{error.code}: {error}"
+                if COMPACTED in reason:
                     raise Compacted(0)
                 if error.code in NOT_APPLIED_CODES:
-                    raise NotApplied(why)
-                if writes and str(error) != NO_LEADER:
-                    self._next()
-                    raise OutcomeUnknown(why)
-            self._next()
-        raise NotApplied(why)
-
-    def _next(self) -> None:
-        self._at = (self._at + 1) % max(len(self._endpoints), 1)
-
-    def _check_header(self, before: int, header: j.ResponseHeader) -> None:
-        """Refuse an answer from before what was heard, or from another cluster."""
+                    raise NotApplied(reason)
+                if is_write and str(error) != NO_LEADER:
+                    self._next_endpoint()
+                    raise OutcomeUnknown(reason)
+            self._next_endpoint()
+        raise NotApplied(reason)
+
+    def _next_endpoint(self) -> None:
+        self._endpoint_index = (self._endpoint_index + 1) % max(len(self._endpoints), 1)
+
+    def _check_header(self, min_revision: int, header: j.ResponseHeader) -> None:
+        """Raise InconsistentStore if the answer is older than `min_revision` or from another cluster."""
         revision, cluster = int(header.revision), int(header.cluster_id)
         if self.cluster_id and cluster and cluster != self.cluster_id:
-            self._refused = f"the store is another cluster ({cluster}, was {self.cluster_id})"
-        elif revision < before:
-            self._refused = f"the store stands at revision {revision}; it had told {before}"
-        if self._refused:
-            raise InconsistentStore(self._refused)
+            self._refusal_reason = f"the store is another cluster ({cluster}, was {self.cluster_id})"
+        elif revision < min_revision:
+            self._refusal_reason = f"the store stands at revision {revision}; it had told {min_revision}"
+        if self._refusal_reason:
+            raise InconsistentStore(self._refusal_reason)
         self.cluster_id = cluster or self.cluster_id
         self.last_revision = max(self.last_revision, revision)
 
 
 class EtcdWatch:
-    """See Watch."""
+    """Implements Watch on a streamed response of the gateway."""
 
-    def __init__(self, gateway: EtcdStore, response: Response) -> None:
-        """Take over the stream."""
-        self._gateway = gateway
+    def __init__(self, store: EtcdStore, response: Response) -> None:
+        """Takes over `response`, which `close` closes."""
+        self._store = store
         self._response = response
         self._buffer = b""
 
@@ -210,34 +216,34 @@
         while True:
             line, found, rest = self._buffer.partition(b"\n")
             if not found:
-                self._buffer += self._piece()
+                self._buffer += self._read_chunk()
                 continue
             self._buffer = rest
             if not line.strip():
                 continue
             try:
-                stream = j.decode(line, j.WatchMessage)
+                message = j.decode(line, j.WatchMessage)
             except j.MalformedMessage as error:
                 raise WatchBroken(f"malformed: {error}") from None
-            if stream.error is not None or stream.result is None:
-                raise WatchBroken(stream.error.message if stream.error is not None else "neither result nor error")
-            reply = stream.result
-            if int(reply.compact_revision):
-                raise Compacted(int(reply.compact_revision))
-            if reply.canceled:
-                raise WatchBroken(reply.cancel_reason or "cancelled")
-            self._gateway._check_header(0, reply.header)
-            # That a watch stands says how far the store is, not how far the watch: what lies before is still to come.
-            return Changes(0) if reply.created else j.decode_changes(reply)
-
-    def _piece(self) -> bytes:
+            if message.error is not None or message.result is None:
+                raise WatchBroken(message.error.message if message.error is not None else "neither result nor error")
+            response = message.result
+            if int(response.compact_revision):
+                raise Compacted(int(response.compact_revision))
+            if response.canceled:
+                raise WatchBroken(response.cancel_reason or "cancelled")
+            self._store._check_header(0, response.header)
+            # The header of `created` has the store's revision, not the watch's: earlier changes are still to come.
+            return Changes(0) if response.created else j.decode_changes(response)
+
+    def _read_chunk(self) -> bytes:
         try:
-            piece = self._response.read()
+            chunk = self._response.read()
         except ExchangeBroken as error:
             raise WatchBroken(str(error)) from None
-        if piece is None:
+        if chunk is None:
             raise WatchBroken("the stream ended")
-        return piece
+        return chunk
 
     def close(self) -> None:
         """See Watch."""
--- a/yardspindle/fleet/store/etcd_json.py
+++ b/yardspindle/fleet/store/etcd_json.py
@@ -1,7 +1,7 @@
-"""The JSON of etcd's gateway: what goes to `/v3/...` and what comes back. Bytes in and out, no I/O.
+"""Encodes and decodes the JSON requests and responses of etcd's gateway (`/v3/...`). No I/O.
 
-As the gateway writes protobuf: field names in snake case, 64-bit integers as strings, bytes in base64, zero values
-left out, enums by name. Both ends use it: the client, and the stand-in that serves the model.
+This is protobuf's JSON mapping as the gateway writes it: snake-case field names, 64-bit integers as strings, bytes in
+base64, zero values left out, enums by name. Used by the client and by the simulated etcd server.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 COMPACT_PATH, WATCH_PATH = b"/v3/kv/compaction", b"/v3/watch"
 
 T = TypeVar("T")
-JsonInt = int | str  # as the gateway reads both and writes strings
+JsonInt = int | str  # the gateway reads both and writes strings
 TARGETS: dict[Target, tuple[str, str]] = {
     "version": ("VERSION", "version"),
     "create": ("CREATE", "create_revision"),
@@ -46,16 +46,16 @@
 
 
 class MalformedMessage(Exception):
-    """What came is not what the gateway's description says."""
+    """A message that does not follow the gateway's schema."""
 
 
 def encode_base64(data: bytes) -> str:
-    """Bytes as JSON has them."""
+    """Encode bytes as the gateway's JSON does."""
     return base64.b64encode(data).decode()
 
 
 def decode_base64(text: str) -> bytes:
-    """Bytes from JSON. Raises Malformed."""
+    """Decode bytes of the gateway's JSON. Raises MalformedMessage."""
     try:
         return base64.b64decode(text, validate=True)
     except ValueError:
@@ -63,7 +63,7 @@
 
 
 class ResponseHeader(Struct):
-    """With every answer."""
+    """The header of every response."""
 
     cluster_id: JsonInt = 0
     member_id: JsonInt = 0
@@ -72,7 +72,7 @@
 
 
 class JsonRow(Struct, omit_defaults=True):
-    """A key."""
+    """A key-value pair."""
 
     key: str = ""
     create_revision: JsonInt = 0
@@ -83,7 +83,7 @@
 
 
 class RangeRequest(Struct, omit_defaults=True):
-    """`/v3/kv/range`."""
+    """A request to `/v3/kv/range`."""
 
     key: str = ""
     range_end: str = ""
@@ -92,7 +92,7 @@
 
 
 class RangeResponse(Struct, omit_defaults=True):
-    """Its answer."""
+    """The response of `/v3/kv/range`."""
 
     header: ResponseHeader = field(default_factory=ResponseHeader)
     kvs: list[JsonRow] = field(default_factory=list)
@@ -101,7 +101,7 @@
 
 
 class PutRequest(Struct, omit_defaults=True):
-    """An operation of a transaction."""
+    """A put operation of a transaction."""
 
     key: str = ""
     value: str = ""
@@ -109,14 +109,14 @@
 
 
 class DeleteRangeRequest(Struct, omit_defaults=True):
-    """An operation of a transaction."""
+    """A delete operation of a transaction."""
 
     key: str = ""
     range_end: str = ""
 
 
 class RequestOp(Struct, omit_defaults=True):
-    """One of the three."""
+    """An operation of a transaction; exactly one field is set."""
 
     request_range: RangeRequest | None = None
     request_put: PutRequest | None = None
@@ -124,7 +124,7 @@
 
 
 class JsonCompare(Struct, omit_defaults=True):
-    """A condition."""
+    """A condition of a transaction."""
 
     result: str = "EQUAL"
     target: str = "VERSION"
@@ -137,7 +137,7 @@
 
 
 class TxnRequest(Struct, omit_defaults=True):
-    """`/v3/kv/txn`."""
+    """A request to `/v3/kv/txn`."""
 
     compare: list[JsonCompare] = field(default_factory=list)
     success: list[RequestOp] = field(default_factory=list)
@@ -145,7 +145,7 @@
 
 
 class ResponseOp(Struct, omit_defaults=True):
-    """What an operation found."""
+    """The result of one operation."""
 
     response_range: RangeResponse | None = None
     response_put: dict[str, Any] | None = None
@@ -153,7 +153,7 @@
 
 
 class TxnResponse(Struct, omit_defaults=True):
-    """Its answer."""
+    """The response of `/v3/kv/txn`."""
 
     header: ResponseHeader = field(default_factory=ResponseHeader)
     succeeded: bool = False
@@ -161,14 +161,14 @@
 
 
 class LeaseRequest(Struct, omit_defaults=True):
-    """`/v3/lease/...`."""
+    """A request to `/v3/lease/...`."""
 
     ID: JsonInt = 0
     TTL: JsonInt = 0
 
 
 class LeaseResponse(Struct, omit_defaults=True):
-    """Its answer."""
+    """The response of `/v3/lease/...`."""
 
     header: ResponseHeader = field(default_factory=ResponseHeader)
     ID: JsonInt = 0
@@ -177,13 +177,13 @@
 
 
 class KeepAliveMessage(Struct):
-    """Keeping alive is a stream: each answer is wrapped."""
+    """A message of the keep-alive stream, which wraps each response."""
 
     result: LeaseResponse = field(default_factory=LeaseResponse)
 
 
 class WatchCreateRequest(Struct, omit_defaults=True):
-    """What is to be followed."""
+    """The range to watch and its start revision."""
 
     key: str = ""
     range_end: str = ""
@@ -192,20 +192,20 @@
 
 
 class WatchRequest(Struct, omit_defaults=True):
-    """`/v3/watch`."""
+    """A request to `/v3/watch`."""
 
     create_request: WatchCreateRequest = field(default_factory=WatchCreateRequest)
 
 
 class WatchEvent(Struct, omit_defaults=True):
-    """A change; PUT is the default and left out."""
+    """A change of a key; PUT is the default and left out."""
 
     type: Literal["PUT", "DELETE"] = "PUT"
     kv: JsonRow = field(default_factory=JsonRow)
 
 
 class WatchResponse(Struct, omit_defaults=True):
-    """One answer of a watch."""
+    """One response of a watch."""
 
     header: ResponseHeader = field(default_factory=ResponseHeader)
     created: bool = False
@@ -216,7 +216,7 @@
 
 
 class ErrorResponse(Struct, omit_defaults=True):
-    """A call that failed: gRPC's code and words."""
+    """The response of a failed call: gRPC code and message."""
 
     error: str = ""
     code: int = 2
@@ -224,14 +224,14 @@
 
 
 class WatchMessage(Struct):
-    """As it comes on the stream."""
+    """A message of the watch stream: a response or an error."""
 
     result: WatchResponse | None = None
     error: ErrorResponse | None = None
 
 
 def encode_row(row: KeyValue) -> JsonRow:
-    """A row as JSON has it."""
+    """Convert a row to its JSON form."""
     return JsonRow(
         encode_base64(row.key),
         str(row.create),
@@ -243,7 +243,7 @@
 
 
 def decode_row(row: JsonRow) -> KeyValue:
-    """A row from JSON."""
+    """Convert a row from its JSON form. Raises MalformedMessage."""
     return KeyValue(
         decode_base64(row.key),
         decode_base64(row.value),
@@ -255,7 +255,7 @@
 
 
 def encode_op(op: Op) -> RequestOp:
-    """An operation as JSON has it."""
+    """Convert an operation to its JSON form."""
     match op:
         case Get(key, end):
             return RequestOp(request_range=RangeRequest(encode_base64(key), encode_base64(end)))
@@ -266,7 +266,7 @@
 
 
 def decode_op(call: RequestOp) -> Op:
-    """An operation from JSON. Raises Malformed."""
+    """Convert an operation from its JSON form. Raises MalformedMessage."""
     if call.request_range is not None:
         return Get(decode_base64(call.request_range.key), decode_base64(call.request_range.range_end))
     if call.request_put is not None:
@@ -279,13 +279,13 @@
 
 
 def encode_txn(txn: Txn) -> bytes:
-    """A transaction as JSON."""
+    """Encode a transaction request."""
     compare = []
     for c in txn.compare:
         target, name = TARGETS[c.target]
-        want = encode_base64(c.expected) if isinstance(c.expected, bytes) else str(c.expected)
+        expected = encode_base64(c.expected) if isinstance(c.expected, bytes) else str(c.expected)
         call = JsonCompare(RELATIONS[c.relation], target, encode_base64(c.key))
-        setattr(call, name, want)
+        setattr(call, name, expected)
         compare.append(call)
     return msgspec.json.encode(
         TxnRequest(compare, [encode_op(op) for op in txn.then], [encode_op(op) for op in txn.otherwise])
@@ -293,7 +293,7 @@
 
 
 def decode_txn(data: bytes) -> Txn:
-    """A transaction from JSON. Raises Malformed."""
+    """Decode a transaction request. Raises MalformedMessage."""
     call = decode(data, TxnRequest)
     compare = []
     for c in call.compare:
@@ -301,61 +301,61 @@
         relation = next((name for name, wire in RELATIONS.items() if wire == c.result), None)
         if target is None or relation is None:
             raise MalformedMessage("a condition of no known kind")
-        want = getattr(c, TARGETS[target][1])
+        expected = getattr(c, TARGETS[target][1])
         compare.append(
             Compare(
                 decode_base64(c.key),
                 target,
                 relation,
-                decode_base64(want or "") if target == "value" else int(want or 0),
+                decode_base64(expected or "") if target == "value" else int(expected or 0),
             )
         )
     return Txn(tuple(compare), tuple(decode_op(op) for op in call.success), tuple(decode_op(op) for op in call.failure))
 
 
-def encode_txn_result(txn: Txn, answer: TxnResult, header: ResponseHeader) -> bytes:
-    """A transaction's answer as JSON."""
-    replies = []
-    for op, found in zip(txn.then if answer.succeeded else txn.otherwise, answer.results, strict=True):
+def encode_txn_result(txn: Txn, result: TxnResult, header: ResponseHeader) -> bytes:
+    """Encode the response to a transaction."""
+    responses = []
+    for op, rows in zip(txn.then if result.succeeded else txn.otherwise, result.results, strict=True):
         match op:
             case Get():
-                replies.append(
+                responses.append(
                     ResponseOp(
-                        response_range=RangeResponse(header, [encode_row(row) for row in found], count=str(len(found)))
+                        response_range=RangeResponse(header, [encode_row(row) for row in rows], count=str(len(rows)))
                     )
                 )
             case Put():
-                replies.append(ResponseOp(response_put={}))
+                responses.append(ResponseOp(response_put={}))
             case Delete():
-                replies.append(ResponseOp(response_delete_range={}))
-    return msgspec.json.encode(TxnResponse(header, answer.succeeded, replies))
+                responses.append(ResponseOp(response_delete_range={}))
+    return msgspec.json.encode(TxnResponse(header, result.succeeded, responses))
 
 
 def decode_txn_result(data: bytes) -> TxnResult:
-    """A transaction's answer from JSON. Raises Malformed."""
-    reply = decode(data, TxnResponse)
-    found = tuple(
-        tuple(decode_row(row) for row in r.response_range.kvs) if r.response_range else () for r in reply.responses
+    """Decode the response to a transaction. Raises MalformedMessage."""
+    response = decode(data, TxnResponse)
+    results = tuple(
+        tuple(decode_row(row) for row in r.response_range.kvs) if r.response_range else () for r in response.responses
     )
-    return TxnResult(int(reply.header.revision), reply.succeeded, found)
+    return TxnResult(int(response.header.revision), response.succeeded, results)
 
 
 def encode_changes(changes: Changes, header: ResponseHeader) -> bytes:
-    """Changes as one line of a watch."""
+    """Encode changes as one line of a watch stream."""
     events = [WatchEvent("DELETE" if c.removed else "PUT", encode_row(c.row)) for c in changes.changes]
     return msgspec.json.encode(WatchMessage(WatchResponse(header, events=events))) + b"\n"
 
 
-def decode_changes(reply: WatchResponse) -> Changes:
-    """Changes from a watch's answer."""
+def decode_changes(response: WatchResponse) -> Changes:
+    """Convert the events of a watch response."""
     return Changes(
-        int(reply.header.revision),
-        tuple(Change(decode_row(event.kv), event.type == "DELETE") for event in reply.events),
+        int(response.header.revision),
+        tuple(Change(decode_row(event.kv), event.type == "DELETE") for event in response.events),
     )
 
 
 def decode(data: bytes, kind: type[T]) -> T:
-    """JSON as a checked value. Raises Malformed."""
+    """Decode and validate JSON as the given type. Raises MalformedMessage."""
     try:
         return msgspec.json.decode(data, type=kind, strict=False)
     except (msgspec.DecodeError, ValueError) as error:
@@ -363,7 +363,7 @@
 
 
 def decode_error(data: bytes) -> BadRequest:
-    """A failed call's code and words; what is no such answer counts as code 2, unknown."""
+    """Decode the error of a failed call; anything else counts as gRPC code 2 (unknown)."""
     try:
         error = msgspec.json.decode(data, type=ErrorResponse)
     except msgspec.DecodeError:
--- a/yardspindle/fleet/store/factory.py
+++ b/yardspindle/fleet/store/factory.py
@@ -1,4 +1,4 @@
-"""The store that a configuration names."""
+"""Creates the store that the configuration selects."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def open_store(world: World, config: FleetConfig) -> Store:
-    """Open it; a store over the network is not asked yet. Raises StoreError, OSError: a file that cannot be used."""
+    """Open the store. etcd is not contacted yet; a file that cannot be used raises StoreError or OSError."""
     call_us = microseconds(config.call_ms)
-    place = config.store[0]
-    if place.startswith("file:"):
-        return EmbeddedStore(world, place.removeprefix("file:"), call_us)
+    location = config.store[0]
+    if location.startswith("file:"):
+        return EmbeddedStore(world, location.removeprefix("file:"), call_us)
     return EtcdStore(world, [split_address(row.removeprefix("http://")) for row in config.store], call_us)
--- a/yardspindle/fleet/store/interface.py
+++ b/yardspindle/fleet/store/interface.py
@@ -1,7 +1,7 @@
-"""The one interface of a store. Every call may wait; the caller bounds it with a deadline of its World.
+"""The interface that all stores implement. Every call may block; callers can bound it with a deadline of their World.
 
-A call ends in one of three ways: with an answer; with `NotDone`, which proves that nothing was changed; or with
-`Unknown`, after which a change may or may not have been made, and must be read back before anything rests on it.
+A call ends in one of three ways: with an answer; with `NotApplied`, which proves that nothing was changed; or with
+`OutcomeUnknown`, after which a change may or may not have been made and must be read back before it is relied on.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class NotApplied(StoreError):
-    """Nothing was changed: nobody was reached, or the store refused."""
+    """Nothing was changed: no endpoint was reached, or the store rejected the call."""
 
 
 class OutcomeUnknown(StoreError):
@@ -25,16 +25,16 @@
 
 
 class InconsistentStore(StoreError):
-    """The store is behind what it has told before, as after an old backup was restored: it is not to be used."""
+    """The store contradicts its earlier answers (an old backup was restored, another cluster) and must not be used."""
 
 
 class WatchBroken(StoreError):
-    """The watch ended; what it missed is to be read anew."""
+    """The watch ended; what it missed must be read again."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """A lease. `ttl_us`: what the store gave, which may differ from what was asked for."""
+    """A new lease. `ttl_us` is what the store granted; it may differ from the requested time."""
 
     lease: int
     ttl_us: int
@@ -42,44 +42,46 @@
 
 @dataclass(frozen=True, slots=True)
 class KeepAliveResult:
-    """A lease was kept alive: the time it lives on, 0 when it had ended; and the store's revision."""
+    """The answer to a keep-alive: the lease's remaining time, 0 if it had ended, and the store's revision."""
 
     ttl_us: int
     revision: int
 
 
 class Watch(Protocol):
-    """Changes of a range from a revision on, in order, none left out."""
+    """The changes of a range from a revision on, in order and without gaps."""
 
     def next(self) -> Changes:
-        """The next changes, waiting for them; now and then empty ones, to say that nothing changed up to a revision.
+        """Wait for the next changes; an empty result means that nothing changed up to its revision.
 
-        Raises WatchBroken, Compacted, WentBack."""
+        Raises WatchBroken, Compacted, InconsistentStore."""
 
     def close(self) -> None:
-        """Let go of it."""
+        """End the watch."""
 
 
 class Store(Protocol):
-    """A store. All raise NotDone, Unknown or WentBack; reads never raise Unknown."""
+    """A key-value store with etcd's semantics.
+
+    All calls may raise NotApplied, OutcomeUnknown or InconsistentStore; reads never raise OutcomeUnknown."""
 
     def range(self, key: bytes, end: bytes = b"", revision: int = 0) -> RangeResult:
-        """The rows of a range, now or at a revision. Raises Compacted."""
+        """The rows of a range, at the current or a given revision. Raises Compacted."""
 
     def txn(self, txn: Txn) -> TxnResult:
-        """A transaction."""
+        """Execute a transaction atomically."""
 
     def grant(self, ttl_us: int) -> LeaseGrant:
-        """A new lease of at least that time (whole seconds, rounded up)."""
+        """Create a lease of at least the given time, rounded up to whole seconds."""
 
     def keep_alive(self, lease: int) -> KeepAliveResult:
-        """Count a lease's time anew."""
+        """Restart a lease's time to live."""
 
     def revoke(self, lease: int) -> None:
-        """End a lease, and with it its keys. One that has ended is no error."""
+        """End a lease and delete its keys. No error if it has already ended."""
 
     def remaining_ttl_us(self, lease: int) -> int:
-        """How long a lease lives on; -1 when it has ended."""
+        """The remaining time of a lease; -1 if it has ended."""
 
     def watch(self, key: bytes, end: bytes, revision: int) -> Watch:
-        """Follow a range from a revision on."""
+        """Watch a range from a revision on."""
