--- a/yardspindle/__init__.py
+++ b/yardspindle/__init__.py
@@ -1,6 +1,6 @@
-"""A router for language models that read prompts and write answers on separate engines.
+"""A router for language models whose prefill (read) and decode (write) stages run on separate engines.
 
-The decisions alone (`Policy` and `yardspindle.interface`) need the standard library only.
+`Policy` and `yardspindle.interface`, which make the routing decisions, need only the standard library.
 """
 
 from yardspindle.policy import Policy
--- a/yardspindle/__main__.py
+++ b/yardspindle/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m yardspindle`: the command line."""
+"""Runs the command line: `python -m yardspindle`."""
 
 from yardspindle.cli.main import main
 
--- a/yardspindle/cli/__init__.py
+++ b/yardspindle/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one file a sub-command."""
+"""The command line, with one module for each sub-command or group."""
--- a/yardspindle/cli/common.py
+++ b/yardspindle/cli/common.py
@@ -1,4 +1,4 @@
-"""What the sub-commands share: logs, configuration, the program's run until a signal, one-line errors."""
+"""Shared by the sub-commands: logging, configuration, running a program until a signal, one-line errors."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 class CliError(click.ClickException):
-    """One line on standard error, exit code 2."""
+    """An error that prints one line on standard error and exits with code 2."""
 
     exit_code = 2
 
     def show(self, file: object = None) -> None:
-        """Print the line."""
+        """Print the message without click's prefix."""
         click.echo(self.message, err=True)
 
 
 def configure_logging(config: LogConfig) -> None:
-    """Structured logs on standard error."""
+    """Send structured logs to standard error."""
     renderer: structlog.typing.Processor = (
         structlog.processors.JSONRenderer() if config.format == "json" else structlog.dev.ConsoleRenderer()
     )
@@ -45,7 +45,7 @@
 
 
 def load_config(path: str | None) -> Config:
-    """The configuration in a file, or the defaults."""
+    """Load a configuration file; without a path, the defaults. Raises CliError."""
     if path is None:
         return parse("defaults", b"")
     try:
@@ -62,7 +62,9 @@
 def run_until_stopped(
     name: str, world: RealWorld, start: Callable[[], str], stop: Callable[[], None], where: str
 ) -> None:
-    """Start, print the ready line, serve until a signal, stop. `where` names file and key in port errors."""
+    """Run a program: start it, print the ready line, wait for a stop signal, stop it.
+
+    `where` is put before an OSError's text and names the setting at fault. Raises CliError if the start fails."""
 
     def program() -> None:
         world.stop_on_signals()
@@ -77,8 +79,8 @@
         world.stop.wait()
         stop()
 
-    def crashed(task: object, error: BaseException) -> None:
+    def log_crash(task: object, error: BaseException) -> None:
         structlog.get_logger("yardspindle").error("task failed", task=getattr(task, "name", "?"), exc_info=error)
 
-    world.scheduler.on_crash = crashed
+    world.scheduler.on_crash = log_crash
     world.run(name, program)
--- a/yardspindle/cli/config.py
+++ b/yardspindle/cli/config.py
@@ -1,4 +1,4 @@
-"""`yardspindle config check FILE`: says what is wrong with a configuration, or that nothing is."""
+"""`yardspindle config check FILE`: validates a configuration file and, optionally, a server list."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 @config_group.command("check")
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--servers", type=click.Path(dir_okay=False), help="Check this server list too.")
-def check(file: str, servers: str | None) -> None:
-    """Check a configuration file; exit 0 when it can be used, else 2 with one line."""
+@click.option("--servers", type=click.Path(dir_okay=False), help="Server list to check as well.")
+def check_command(file: str, servers: str | None) -> None:
+    """Check a configuration file; exit 0 if it is valid, else print one line and exit 2."""
     config = load_config(file)
     if servers is not None:
         try:
--- a/yardspindle/cli/edge.py
+++ b/yardspindle/cli/edge.py
@@ -1,4 +1,4 @@
-"""`yardspindle edge FILE`: one edge."""
+"""`yardspindle edge FILE`: runs an edge."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 @click.command("edge")
 @click.argument("file", type=click.Path(dir_okay=False))
 def edge_command(file: str) -> None:
-    """Run an edge: it holds client connections and carries out what its planner decides."""
+    """Run an edge: it holds client connections and executes its planner's decisions."""
     config = load_config(file)
     configure_logging(config.log)
     world = RealWorld()
--- a/yardspindle/cli/engine.py
+++ b/yardspindle/cli/engine.py
@@ -1,4 +1,4 @@
-"""`yardspindle engine`: one stand-in engine, for trying the router without a model."""
+"""`yardspindle engine`: runs a simulated engine, to try the router without a model."""
 
 from __future__ import annotations
 
@@ -12,13 +12,20 @@
 
 
 @click.command("engine")
-@click.option("--settings", "file", type=click.Path(dir_okay=False), help="JSON file with its settings.")
+@click.option("--settings", "file", type=click.Path(dir_okay=False), help="JSON file with the engine's settings.")
 @click.option("--host", default="127.0.0.1", show_default=True)
-@click.option("--port", default=0, type=click.IntRange(0, 65_535), help="0: chosen by the system.")
-@click.option("--events-port", default=0, type=click.IntRange(0, 65_535), help="For cache events, if it has them.")
-@click.option("--replay-port", default=0, type=click.IntRange(0, 65_535), help="For asking for missed ones.")
+@click.option("--port", default=0, type=click.IntRange(0, 65_535), help="0: any free port.")
+@click.option(
+    "--events-port",
+    default=0,
+    type=click.IntRange(0, 65_535),
+    help="Port for cache events, if the settings enable them.",
+)
+@click.option(
+    "--replay-port", default=0, type=click.IntRange(0, 65_535), help="Port for replays of missed cache events."
+)
 def engine_command(file: str | None, host: str, port: int, events_port: int, replay_port: int) -> None:
-    """Run a stand-in engine that reads, writes, or both; no model is behind it."""
+    """Run a simulated engine that reads, writes, or both, without a model."""
     settings = EngineSettings()
     if file is not None:
         try:
@@ -32,7 +39,7 @@
     engine = StandInEngine(world, settings)
 
     def start() -> str:
-        at = engine.start(host, port, events_port, replay_port)
-        return f"http://{at[0]}:{at[1]}/v1 {engine.events_port} {engine.replay_port}"
+        address = engine.start(host, port, events_port, replay_port)
+        return f"http://{address[0]}:{address[1]}/v1 {engine.events_port} {engine.replay_port}"
 
     run_until_stopped("engine", world, start, lambda: None, f"--port: {host}:{port}")
--- a/yardspindle/cli/fleet.py
+++ b/yardspindle/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`yardspindle fleet members` and `fleet duties`: what the store tells of the fleet."""
+"""`yardspindle fleet members` and `fleet duties`: print the fleet's members and duties from the store."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from yardspindle.fleet.store.interface import Store, StoreError
 from yardspindle.runtime.real import RealWorld
 
-AGAIN_US = 1_000_000  # between two looks with --watch
+WATCH_INTERVAL_US = 1_000_000  # between two reads with --watch
 
 Row = dict[str, Any]
 
 
 @click.group("fleet")
 def fleet_group() -> None:
-    """The processes of a fleet, by what they share."""
+    """Members and duties of a fleet, read from its store."""
 
 
-def _shown(
+def _print_rows(
     file: str, as_json: bool, watch: bool, columns: tuple[str, ...], rows_of: Callable[[Store, FleetKeys], list[Row]]
 ) -> None:
     config = load_config(file)
@@ -46,7 +46,7 @@
                     click.echo(_table(columns, rows))
                 if not watch or world.stop.is_set:
                     return
-                world.sleep_until(world.now_us() + AGAIN_US)
+                world.sleep_until(world.now_us() + WATCH_INTERVAL_US)
         except (StoreError, OSError) as error:
             raise CliError(f"{file}: fleet.store: {', '.join(config.fleet.store)}: {error}") from None
 
@@ -55,15 +55,15 @@
 
 def _table(columns: tuple[str, ...], rows: list[Row]) -> str:
     lines = [columns, *(tuple(str(row[name]) for name in columns) for row in rows)]
-    widths = [max(len(line[at]) for line in lines) for at in range(len(columns))]
+    widths = [max(len(line[column]) for line in lines) for column in range(len(columns))]
     return "\n".join(
         "  ".join(cell.ljust(width) for cell, width in zip(line, widths, strict=True)).rstrip() for line in lines
     )
 
 
-def _left_s(store: Store, lease: int) -> float | None:
-    left_us = store.remaining_ttl_us(lease) if lease else -1
-    return round(left_us / 1e6, 1) if left_us >= 0 else None
+def _remaining_ttl_s(store: Store, lease: int) -> float | None:
+    ttl_us = store.remaining_ttl_us(lease) if lease else -1
+    return round(ttl_us / 1e6, 1) if ttl_us >= 0 else None
 
 
 def _members(store: Store, keys: FleetKeys) -> list[Row]:
@@ -80,7 +80,7 @@
                     "page": member.page,
                     "version": member.version,
                     "able": member.able,
-                    "left_s": _left_s(store, row.lease),
+                    "left_s": _remaining_ttl_s(store, row.lease),
                 }
             )
     return rows
@@ -97,7 +97,7 @@
                 "epoch": owner.epoch if owner else "?",
                 "fence": row.create,
                 "since_us": owner.since_us if owner else 0,
-                "left_s": _left_s(store, row.lease),
+                "left_s": _remaining_ttl_s(store, row.lease),
             }
         )
     return rows
@@ -105,17 +105,17 @@
 
 @fleet_group.command("members")
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--json", "as_json", is_flag=True, help="One JSON list a look.")
-@click.option("--watch", is_flag=True, help="Look again every second.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON, one list per read.")
+@click.option("--watch", is_flag=True, help="Repeat every second.")
 def members_command(file: str, as_json: bool, watch: bool) -> None:
-    """Who is registered: kind, name, epoch, page, and how long the registration lasts."""
-    _shown(file, as_json, watch, ("kind", "name", "epoch", "zone", "page", "version", "able", "left_s"), _members)
+    """List registered members: kind, name, epoch, page, and how long the registration lasts."""
+    _print_rows(file, as_json, watch, ("kind", "name", "epoch", "zone", "page", "version", "able", "left_s"), _members)
 
 
 @fleet_group.command("duties")
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--json", "as_json", is_flag=True, help="One JSON list a look.")
-@click.option("--watch", is_flag=True, help="Look again every second.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON, one list per read.")
+@click.option("--watch", is_flag=True, help="Repeat every second.")
 def duties_command(file: str, as_json: bool, watch: bool) -> None:
-    """Who owns which duty: owner, fence, since when by the owner's clock, and how long its lease lasts."""
-    _shown(file, as_json, watch, ("duty", "owner", "epoch", "fence", "since_us", "left_s"), _duties)
+    """List duties: owner, fence, start by the owner's clock, and how long the lease lasts."""
+    _print_rows(file, as_json, watch, ("duty", "owner", "epoch", "fence", "since_us", "left_s"), _duties)
--- a/yardspindle/cli/lab.py
+++ b/yardspindle/cli/lab.py
@@ -1,4 +1,4 @@
-"""`yardspindle lab`: scripted bad days with their audit, open-loop load, and comparisons of two settings."""
+"""`yardspindle lab`: scripted fault scenarios with an audit, open-loop load, comparisons of two configurations."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @click.group("lab")
 def lab_group() -> None:
-    """The laboratory: runs on loopback that end by themselves."""
+    """Test runs on loopback or on simulated time; each ends by itself."""
 
 
 lab_group.add_command(seeds_command)
@@ -32,10 +32,10 @@
 
 @lab_group.command("day")
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--seed", type=int, help="Instead of the file's.")
-@click.option("--keep", type=click.Path(file_okay=False, exists=True), help="Folder that gets the journals.")
+@click.option("--seed", type=int, help="Seed to use instead of the file's.")
+@click.option("--keep", type=click.Path(file_okay=False, exists=True), help="Directory to keep the journals in.")
 def day_command(file: str, seed: int | None, keep: str | None) -> None:
-    """Play a day; exit 0 when all rules were kept, 1 when one broke."""
+    """Run a scripted day; exit 0 if no rule was violated, else 1."""
     configure_logging(LogConfig(format="console", level="warning"))
     try:
         day = load_day(file)
@@ -54,10 +54,10 @@
 
 
 @lab_group.command("etcd")
-@click.option("--listen", default="127.0.0.1:0", show_default=True, help="HOST:PORT; port 0: chosen by the system.")
-@click.option("--journal", default="", help="File that gets every request and answer as a line of JSON.")
+@click.option("--listen", default="127.0.0.1:0", show_default=True, help="HOST:PORT; port 0: any free port.")
+@click.option("--journal", default="", help="File to log every request and response to, as JSON lines.")
 def etcd_command(listen: str, journal: str) -> None:
-    """Run a stand-in for etcd's JSON gateway, with faults on command."""
+    """Run a simulated etcd server (JSON gateway) that injects faults on request."""
     if re.fullmatch(ADDRESS, listen) is None:
         raise CliError(f"--listen: {listen}: not an address with a port")
     world = RealWorld()
@@ -72,11 +72,11 @@
 
 @lab_group.command("load")
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--at", "address", help="Edge on loopback, HOST:PORT; else a small fleet is started.")
+@click.option("--at", "address", help="Edge on loopback, HOST:PORT; default: start a small fleet.")
 def load_command(file: str, address: str | None) -> None:
-    """Send drawn traffic, open loop, and print latencies from the intended send time."""
-    traffic = _traffic(file)
-    click.echo(_play(traffic, {}, address).summary())
+    """Send random open-loop traffic and print latencies, measured from the intended send times."""
+    traffic = _load_traffic(file)
+    click.echo(_run_traffic(traffic, {}, address).summary())
 
 
 @lab_group.command("compare")
@@ -84,19 +84,21 @@
 @click.argument("a", type=click.Path(dir_okay=False))
 @click.argument("b", type=click.Path(dir_okay=False))
 def compare_command(file: str, a: str, b: str) -> None:
-    """Play the same traffic on two settings, A and B (TOML laid over the small fleet's), and pair the requests."""
-    traffic = _traffic(file)
+    """Run the same traffic on two configurations and compare each request.
+
+    A and B are TOML files whose settings override those of the small fleet."""
+    traffic = _load_traffic(file)
     reports = []
     for name, path in (("A", a), ("B", b)):
-        load_config(path)  # one clear line for a bad file, before anything starts
+        load_config(path)  # report an invalid file before anything starts
         with open(path, "rb") as source:
-            report = _play(traffic, tomllib.load(source), None)
+            report = _run_traffic(traffic, tomllib.load(source), None)
         click.echo(f"{name} ({path})\n{report.summary()}")
         reports.append(report)
     click.echo(compare_runs(reports[0], reports[1], traffic.seed))
 
 
-def _traffic(file: str) -> Traffic:
+def _load_traffic(file: str) -> Traffic:
     configure_logging(LogConfig(format="console", level="warning"))
     try:
         return load_traffic(file)
@@ -106,7 +108,7 @@
         raise CliError(str(error)) from None
 
 
-def _play(traffic: Traffic, settings: dict[str, Any], address: str | None) -> LoadReport:
+def _run_traffic(traffic: Traffic, settings: dict[str, Any], address: str | None) -> LoadReport:
     if address is not None and not address.startswith(("127.", "[::1]")):
         raise CliError(f"--at: {address}: not an address of this machine's loopback")
     world = RealWorld(traffic.seed)
--- a/yardspindle/cli/main.py
+++ b/yardspindle/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line's root."""
+"""The root command, which collects all sub-commands."""
 
 from __future__ import annotations
 
--- a/yardspindle/cli/plan.py
+++ b/yardspindle/cli/plan.py
@@ -1,4 +1,4 @@
-"""`yardspindle plan FILE`: one planner."""
+"""`yardspindle plan FILE`: runs a planner."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 @click.command("plan")
 @click.argument("file", type=click.Path(dir_okay=False))
 def plan_command(file: str) -> None:
-    """Run a planner: it follows the server list and decides for the edges that link to it."""
+    """Run a planner: it reads the server list and decides for the edges that link to it."""
     config = load_config(file)
     configure_logging(config.log)
     world = RealWorld()
--- a/yardspindle/cli/release.py
+++ b/yardspindle/cli/release.py
@@ -1,4 +1,4 @@
-"""`yardspindle release ...`, `drain`, `undrain`: what operators say of releases and units, kept with name and time."""
+"""`yardspindle release ...`, `drain`, `undrain`: operator commands for releases and units, kept in the audit log."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from yardspindle.runtime.real import RealWorld
 
 CONFIG = click.argument("config", type=click.Path(dir_okay=False))
-BY = click.option("--by", required=True, help="Who says so; kept in the audit trail.")
-WHY = click.option("--why", default="", help="Why; kept in the audit trail.")
+BY = click.option("--by", required=True, help="Operator's name, for the audit log.")
+WHY = click.option("--why", default="", help="Reason, for the audit log.")
 
 
-def _with_store(file: str, act: Callable[[RealWorld, Config, Store, UnitKeys, ReleaseView], None]) -> None:
+def _with_store(file: str, action: Callable[[RealWorld, Config, Store, UnitKeys, ReleaseView], None]) -> None:
     config = load_config(file)
     if not config.fleet.store:
         raise CliError(f"{file}: fleet.store: missing")
@@ -34,17 +34,19 @@
             store = open_store(world, config.fleet)
             keys = UnitKeys(FleetKeys(config.fleet.name))
             rows = store.range(keys.root, prefix_end(keys.root))
-            act(world, config, store, keys, keys.read({row.key: row for row in rows.rows}))
+            action(world, config, store, keys, keys.read({row.key: row for row in rows.rows}))
         except OutcomeUnknown as error:
-            raise CliError(f"the answer was lost ({error}): look at `release status` before you say it again") from None
+            raise CliError(
+                f"the answer was lost ({error}): check `release status` before repeating the command"
+            ) from None
         except (StoreError, OSError) as error:
             raise CliError(f"{file}: fleet.store: {', '.join(config.fleet.store)}: {error}") from None
 
     world.run("release", run)
 
 
-def _plan(file: str, units: ReleaseView, limits: tuple[Limit, ...], now_us: int) -> r.Release:
-    """A plan's file as a release. Raises Failure with one line for all that is wrong with it."""
+def _load_plan(file: str, units: ReleaseView, limits: tuple[Limit, ...], now_us: int) -> r.Release:
+    """Read a plan file and create its release. Raises CliError with one line that lists all faults."""
     try:
         with open(file, "rb") as source:
             plan = decode_toml(file, source.read(), r.PlanFile)
@@ -55,25 +57,25 @@
     wanted = list(plan.units) or [unit for unit, place in units.placements.items() if place.kind == plan.kind]
     if not wanted:
         raise CliError(f"{file}: units: the fleet has no {plan.kind}")
-    wrong = p.permanent_denials(units.placements.values(), limits, wanted)
-    if wrong:
-        raise CliError(f"{file}: units: {'; '.join(wrong)}")
+    denials = p.permanent_denials(units.placements.values(), limits, wanted)
+    if denials:
+        raise CliError(f"{file}: units: {'; '.join(denials)}")
     return r.create_release(f"{plan.version}-{now_us // 1_000_000}", plan, units.placements)
 
 
 @click.group("release")
 def release_group() -> None:
-    """Rolling releases, agreed across the fleet."""
+    """Rolling releases across the fleet."""
 
 
 @release_group.command("plan")
 @CONFIG
 @click.argument("plan", type=click.Path(dir_okay=False))
 def plan_command(config: str, plan: str) -> None:
-    """Show the waves of a plan; nothing moves."""
+    """Show the waves of a plan without starting it."""
 
     def show(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: ReleaseView) -> None:
-        release = _plan(plan, units, loaded.release.limit, world.now_us())
+        release = _load_plan(plan, units, loaded.release.limit, world.now_us())
         for number, wave in enumerate(release.waves, 1):
             click.echo(f"wave {number}: {', '.join(wave)}")
 
@@ -86,77 +88,79 @@
 @BY
 @WHY
 def start_command(config: str, plan: str, by: str, why: str) -> None:
-    """Begin a release; one at a time."""
+    """Start a release; only one can run at a time."""
 
-    def begin(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: ReleaseView) -> None:
+    def start(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: ReleaseView) -> None:
         if units.release is not None and units.release.phase in ("running", "halted", "going back"):
             raise CliError(f"release {units.release.id} is {units.release.phase}: abandon it or let it end first")
         now = world.now_us()
-        release = _plan(plan, units, loaded.release.limit, now)
+        release = _load_plan(plan, units, loaded.release.limit, now)
         if not store.txn(
             keys.update_release_by_operator(units, release, AuditEntry(now, by, f"release {release.id}: start", why))
         ).succeeded:
-            raise CliError("somebody else has said something meanwhile: look at `release status`")
+            raise CliError("the release was changed by another command: check `release status`")
         click.echo(release.id)
 
-    _with_store(config, begin)
+    _with_store(config, start)
 
 
-def _word(word: str) -> click.Command:
-    @click.command(word)
+def _operator_command(verb: str) -> click.Command:
+    @click.command(verb)
     @CONFIG
     @BY
     @WHY
     def command(config: str, by: str, why: str) -> None:
-        def say(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: ReleaseView) -> None:
+        def apply_command(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: ReleaseView) -> None:
             if units.release is None:
                 raise CliError("there is no release")
-            told = r.apply_operator_command(units.release, word, why)
-            if isinstance(told, str):
-                raise CliError(told)
-            entry = AuditEntry(world.now_us(), by, f"release {told.id}: {word}", why)
-            if not store.txn(keys.update_release_by_operator(units, told, entry)).succeeded:
-                raise CliError("the release has moved meanwhile: look at `release status`")
-            click.echo(f"{told.id}: {told.phase}")
+            updated = r.apply_operator_command(units.release, verb, why)
+            if isinstance(updated, str):
+                raise CliError(updated)
+            entry = AuditEntry(world.now_us(), by, f"release {updated.id}: {verb}", why)
+            if not store.txn(keys.update_release_by_operator(units, updated, entry)).succeeded:
+                raise CliError("the release has advanced in the meantime: check `release status`")
+            click.echo(f"{updated.id}: {updated.phase}")
 
-        _with_store(config, say)
+        _with_store(config, apply_command)
 
     command.help = {
-        "halt": "Give no more permits.",
-        "resume": "Go on after a halt; the comparison begins anew.",
-        "back": "Go back to the version before, newest wave first.",
-        "abandon": "End it where it is; what is out comes back by itself.",
-    }[word]
+        "halt": "Stop granting permits.",
+        "resume": "Continue after a halt; the comparison of versions restarts.",
+        "back": "Roll back to the previous version, newest wave first.",
+        "abandon": "End the release as it is; units that are out come back by themselves.",
+    }[verb]
     return command
 
 
-for one in ("halt", "resume", "back", "abandon"):
-    release_group.add_command(_word(one))
+for verb in ("halt", "resume", "back", "abandon"):
+    release_group.add_command(_operator_command(verb))
 
 
 @release_group.command("status")
 @CONFIG
 @click.option("--json", "as_json", is_flag=True)
 def status_command(config: str, as_json: bool) -> None:
-    """The release, who is out and why, and limits that are exceeded."""
+    """Show the release, unavailable units with reasons, and exceeded limits."""
 
     def show(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: ReleaseView) -> None:
         fleet = units.snapshot(loaded.release.limit, 0)
-        release, gone, broken = units.release, p.unavailable_units(fleet), p.violated_limits(fleet)
+        release, unavailable, violations = units.release, p.unavailable_units(fleet), p.violated_limits(fleet)
         if as_json:
             click.echo(
                 msgspec.json.encode(
-                    {"release": release, "out": gone, "exceeded": broken, "units": units.statuses}
+                    {"release": release, "out": unavailable, "exceeded": violations, "units": units.statuses}
                 ).decode()
             )
             return
         if release is not None:
             click.echo(f"{release.id}: {release.phase}, wave {release.wave + 1} of {len(release.waves)} {release.why}")
         for unit, status in sorted(units.statuses.items()):
-            click.echo(f"{unit}  {status.standing}  {status.version}  {gone.get(unit, '')} {status.refused}".rstrip())
-        for unit in sorted(set(gone) - set(units.statuses)):
-            click.echo(f"{unit}  {gone[unit]}")
-        for line in broken:
+            click.echo(
+                f"{unit}  {status.standing}  {status.version}  {unavailable.get(unit, '')} {status.refused}".rstrip()
+            )
+        for unit in sorted(set(unavailable) - set(units.statuses)):
+            click.echo(f"{unit}  {unavailable[unit]}")
+        for line in violations:
             click.echo(f"exceeded: {line}")
 
     _with_store(config, show)
@@ -165,7 +169,7 @@
 @release_group.command("log")
 @CONFIG
 def log_command(config: str) -> None:
-    """The audit trail: time (Unix seconds), who, what, why."""
+    """Show the audit log: time (Unix seconds), operator, action, reason."""
 
     def show(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: ReleaseView) -> None:
         for _, entry in sorted(units.audit_log.items()):
@@ -174,20 +178,27 @@
     _with_store(config, show)
 
 
-def _wish(config: str, names: tuple[str, ...], wish: DrainRequest) -> None:
-    def say(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: ReleaseView) -> None:
+def _request_drains(config: str, names: tuple[str, ...], drain_request: DrainRequest) -> None:
+    def send(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: ReleaseView) -> None:
         unknown = [name for name in names if name not in units.placements]
         if unknown:
             raise CliError(f"there is no such unit: {', '.join(unknown)}")
         fleet = units.snapshot(loaded.release.limit, 0)
         for name in names:
-            no = p.check_departure(fleet, name) if wish.do == "drain" else None
+            denial = p.check_departure(fleet, name) if drain_request.do == "drain" else None
             store.txn(
-                keys.request_drain(name, wish, AuditEntry(world.now_us(), wish.by, f"{wish.do} {name}", wish.why))
+                keys.request_drain(
+                    name,
+                    drain_request,
+                    AuditEntry(world.now_us(), drain_request.by, f"{drain_request.do} {name}", drain_request.why),
+                )
+            )
+            click.echo(
+                f"{name}: {drain_request.do} requested"
+                + (f"; not possible now: {denial.reason}" if denial is not None else "")
             )
-            click.echo(f"{name}: {wish.do} asked for" + (f"; not now: {no.reason}" if no is not None else ""))
 
-    _with_store(config, say)
+    _with_store(config, send)
 
 
 @click.command("drain")
@@ -196,8 +207,8 @@
 @BY
 @WHY
 def drain_command(config: str, units: tuple[str, ...], by: str, why: str) -> None:
-    """Ask for units to be drained, as soon as limits allow."""
-    _wish(config, units, DrainRequest("drain", by, why))
+    """Request that units are drained as soon as the limits allow."""
+    _request_drains(config, units, DrainRequest("drain", by, why))
 
 
 @click.command("undrain")
@@ -206,5 +217,5 @@
 @BY
 @WHY
 def undrain_command(config: str, units: tuple[str, ...], by: str, why: str) -> None:
-    """Let drained units back in, or take a wish to drain back."""
-    _wish(config, units, DrainRequest("undrain", by, why))
+    """Return drained units to service, or withdraw a drain request."""
+    _request_drains(config, units, DrainRequest("undrain", by, why))
--- a/yardspindle/cli/simulation.py
+++ b/yardspindle/cli/simulation.py
@@ -1,4 +1,4 @@
-"""`yardspindle lab seeds`, `seed` and `shrink`: seeded worlds on the virtual clock."""
+"""`yardspindle lab seeds`, `seed` and `shrink`: seeded simulations on virtual time."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 from yardspindle.lab.script import Script, draw_script
 from yardspindle.lab.traffic_simulation import run_script
 
-QUIET = 50  # above every level that the programs log at
+ABOVE_ALL_LEVELS = 50  # higher than every level that the programs log at
 
 
 @click.command("seeds")
 @click.option("--first", default=0, type=click.IntRange(0), help="First seed.")
-@click.option("--count", default=1_000, type=click.IntRange(1), help="How many.")
+@click.option("--count", default=1_000, type=click.IntRange(1), help="Number of seeds.")
 @click.option("--jobs", default=os.cpu_count() or 1, type=click.IntRange(1, 256), help="Processes.")
-@click.option("--transitions/--no-transitions", default=True, help="Count the life cycles' steps.")
+@click.option("--transitions/--no-transitions", default=True, help="Count the state transitions of the life cycles.")
 @click.option(
     "--world",
     default="traffic",
     show_default=True,
     type=click.Choice(["traffic", "fleet"]),
-    help="Clients, dispatchers and engines; or stewards, store and what they act on.",
+    help="traffic: clients, dispatchers and engines; fleet: stewards, the store and the processes they act on.",
 )
 def seeds_command(first: int, count: int, jobs: int, transitions: bool, world: str) -> None:
-    """Play many seeded worlds; exit 0 when none failed, 1 when one did. Ctrl-C stops with what there is."""
+    """Run many seeded simulations; exit 0 if none failed, else 1. Ctrl-C stops early and prints the results so far."""
     tally = seeds.SeedSummary()
     stopped = False
     try:
@@ -57,14 +57,14 @@
 @click.command("seed")
 @click.argument("seed", type=click.IntRange(0), required=False)
 @click.option("--script", "file", type=click.Path(dir_okay=False), help="A script's file instead of a seed.")
-@click.option("--trace", is_flag=True, help="Print all that clients and boxes see, and the programs' logs.")
+@click.option("--trace", is_flag=True, help="Print what clients and engines see, and the programs' logs.")
 @click.option("--world", default="traffic", show_default=True, type=click.Choice(["traffic", "fleet"]))
 def seed_command(seed: int | None, file: str | None, trace: bool, world: str) -> None:
-    """Play one world; exit 0 when it breaks nothing, 1 when it does."""
+    """Run one simulation; exit 0 if no rule was violated, else 1."""
     if world == "fleet":
         return _fleet_seed(seed, file, trace)
-    script = _script(seed, file)
-    _logs(trace)
+    script = _load_script(seed, file)
+    _configure_logging(trace)
     for fault in script.faults:
         click.echo(str(fault))
     outcome = run_script(script, click.echo if trace else None)
@@ -79,8 +79,8 @@
 
 def _fleet_seed(seed: int | None, file: str | None, trace: bool) -> None:
     if seed is None or file is not None:
-        raise CliError("a world of the fleet is played by its seed")
-    _logs(trace)
+        raise CliError("a fleet simulation needs a seed and takes no script")
+    _configure_logging(trace)
     script = draw_fleet_script(seed)
     for fault in script.faults:
         click.echo(str(fault))
@@ -97,17 +97,17 @@
 @click.argument("seed", type=click.IntRange(0), required=False)
 @click.option("--script", "file", type=click.Path(dir_okay=False), help="A script's file instead of a seed.")
 def shrink_command(seed: int | None, file: str | None) -> None:
-    """Cut a failing world down to the fewest faults and requests, and print it as a script."""
-    script = _script(seed, file)
-    _logs(False)
+    """Reduce a failing simulation to the fewest faults and requests and print it as a script."""
+    script = _load_script(seed, file)
+    _configure_logging(False)
     try:
-        small = seeds.shrink(script, lambda text: click.echo(text, err=True))
+        shrunk = seeds.shrink(script, lambda text: click.echo(text, err=True))
     except ValueError as error:
         raise CliError(f"seed {script.seed}: {error}") from None
-    click.echo(msgspec.json.encode(small).decode())
+    click.echo(msgspec.json.encode(shrunk).decode())
 
 
-def _script(seed: int | None, file: str | None) -> Script:
+def _load_script(seed: int | None, file: str | None) -> Script:
     if (seed is None) == (file is None):
         raise CliError("give either a seed or --script FILE")
     if file is None:
@@ -122,8 +122,8 @@
         raise CliError(f"{file}: {error}") from None
 
 
-def _logs(trace: bool) -> None:
+def _configure_logging(trace: bool) -> None:
     if trace:
         configure_logging(LogConfig(format="console", level="info"))
     else:
-        structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(QUIET))
+        structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(ABOVE_ALL_LEVELS))
--- a/yardspindle/cli/steward.py
+++ b/yardspindle/cli/steward.py
@@ -1,4 +1,4 @@
-"""`yardspindle steward FILE`: one steward, for work on behalf of the whole fleet."""
+"""`yardspindle steward FILE`: runs a steward, which does work on behalf of the whole fleet."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 @click.command("steward")
 @click.argument("file", type=click.Path(dir_okay=False))
 def steward_command(file: str) -> None:
-    """Run a steward: it takes duties of the fleet, one owner each. Any number of them may run."""
+    """Run a steward: it takes over duties of the fleet, each with one owner. Any number of stewards may run."""
     config = load_config(file)
     configure_logging(config.log)
     if not config.fleet.store:
-        raise CliError(f"{file}: fleet.store: missing; a steward shares its duties through a store")
+        raise CliError(f"{file}: fleet.store: missing; stewards need a store to share their duties")
     world = RealWorld()
     running: list[Steward] = []
 
--- a/yardspindle/cli/unit.py
+++ b/yardspindle/cli/unit.py
@@ -1,4 +1,4 @@
-"""`yardspindle unit FILE`: the program beside one dispatcher or model host."""
+"""`yardspindle unit FILE`: runs the supervisor of one dispatcher or model host."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 @click.command("unit")
 @click.argument("file", type=click.Path(dir_okay=False))
 def unit_command(file: str) -> None:
-    """Run the program beside a unit: it starts the unit, tells how it is, and carries out its orders."""
+    """Run a unit's supervisor: it starts the unit, reports its status and executes its orders."""
     try:
         with open(file, "rb") as source:
             unit_file = decode_toml(file, source.read(), UnitFile)
--- a/yardspindle/cli/up.py
+++ b/yardspindle/cli/up.py
@@ -1,4 +1,4 @@
-"""`yardspindle up`: one dispatcher and stand-in engines on loopback, with nothing configured and nothing left."""
+"""`yardspindle up`: runs one dispatcher with simulated engines on loopback; needs no configuration, leaves no files."""
 
 from __future__ import annotations
 
@@ -12,12 +12,16 @@
 
 
 @click.command("up")
-@click.option("--port", default=0, type=click.IntRange(0, 65_535), help="0: chosen by the system.")
+@click.option("--port", default=0, type=click.IntRange(0, 65_535), help="0: any free port.")
 @click.option(
-    "--cells", default=2, show_default=True, type=click.IntRange(1, 16), help="Cells, each of a reader and a writer."
+    "--cells",
+    default=2,
+    show_default=True,
+    type=click.IntRange(1, 16),
+    help="Number of cells, each with one reader and one writer.",
 )
 def up_command(port: int, cells: int) -> None:
-    """Start a whole router with stand-in engines; the first line says where it serves."""
+    """Start a complete router with simulated engines; the first line of output has its address."""
     configure_logging(LogConfig(format="console"))
     world = RealWorld()
     fleet = small_fleet(world, cells, shared_store=True)
