--- a/yardspindle/fleet/membership.py
+++ b/yardspindle/fleet/membership.py
@@ -66,7 +66,7 @@
         self.keys = FleetKeys(config.name)
         self.member = Member(name, kind, epoch, zone=zone, version=version, since_us=world.now_us())
         self._callbacks = callbacks or _no_callbacks()
-        self.lease = 0
+        self.lease = 0  # 0: none; -1: deregistered
         self.refusal_reason = ""  # why registration is refused; a retry alone does not help
         self._update_needed = world.signal()
         self._abandoned_lease = 0  # a lease that the program has given up
