--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -202,7 +202,7 @@
                 seen += [(c.row.key, c.removed) for c in watch.next().changes]
         watch.close()
         if isinstance(store, EtcdStore):
-            store._ask(b"/v3/kv/compaction", b'{"revision":"%d"}' % last, dict, writes=True)
+            store._request(b"/v3/kv/compaction", b'{"revision":"%d"}' % last, dict, is_write=True)
         else:
             store.compact(last)  # type: ignore[attr-defined]
         with pytest.raises(Compacted), world.deadline(world.now_us() + 5 * S):
--- a/yardspindle/fleet/store/etcd.py
+++ b/yardspindle/fleet/store/etcd.py
@@ -57,7 +57,7 @@
     def range(self, key: bytes, end: bytes = b"", revision: int = 0) -> RangeResult:
         """See Store."""
         call = j.RangeRequest(j.encode_base64(key), j.encode_base64(end), str(revision) if revision else 0)
-        reply = self._ask(j.RANGE_PATH, msgspec.json.encode(call), j.RangeResponse, writes=False)
+        reply = self._request(j.RANGE_PATH, msgspec.json.encode(call), j.RangeResponse, is_write=False)
         return RangeResult(int(reply.header.revision), tuple(j.decode_row(row) for row in reply.kvs))
 
     def txn(self, txn: Txn) -> TxnResult:
@@ -73,24 +73,24 @@
     def grant(self, ttl_us: int) -> LeaseGrant:
         """See Store."""
         call = j.LeaseRequest(TTL=str(-(-ttl_us // 1_000_000)))
-        reply = self._ask(j.LEASE_GRANT_PATH, msgspec.json.encode(call), j.LeaseResponse, writes=True)
+        reply = self._request(j.LEASE_GRANT_PATH, msgspec.json.encode(call), j.LeaseResponse, is_write=True)
         return LeaseGrant(int(reply.ID), int(reply.TTL) * 1_000_000)
 
     def keep_alive(self, lease: int) -> KeepAliveResult:
         """See Store."""
-        reply = self._ask(
+        reply = self._request(
             j.LEASE_KEEP_ALIVE_PATH,
             msgspec.json.encode(j.LeaseRequest(ID=str(lease))),
             j.KeepAliveMessage,
-            writes=True,
+            is_write=True,
         )
         return KeepAliveResult(int(reply.result.TTL) * 1_000_000, int(reply.result.header.revision))
 
     def revoke(self, lease: int) -> None:
         """See Store."""
         try:
-            self._ask(
-                j.LEASE_REVOKE_PATH, msgspec.json.encode(j.LeaseRequest(ID=str(lease))), j.LeaseResponse, writes=True
+            self._request(
+                j.LEASE_REVOKE_PATH, msgspec.json.encode(j.LeaseRequest(ID=str(lease))), j.LeaseResponse, is_write=True
             )
         except NotApplied as error:
             if "requested lease not found" not in str(error):
@@ -98,8 +98,8 @@
 
     def remaining_ttl_us(self, lease: int) -> int:
         """See Store."""
-        reply = self._ask(
-            j.LEASE_TTL_PATH, msgspec.json.encode(j.LeaseRequest(ID=str(lease))), j.LeaseResponse, writes=False
+        reply = self._request(
+            j.LEASE_TTL_PATH, msgspec.json.encode(j.LeaseRequest(ID=str(lease))), j.LeaseResponse, is_write=False
         )
         left = int(reply.TTL)
         return left * 1_000_000 if left > 0 else left
@@ -112,12 +112,12 @@
 
     # --- calls
 
-    def _ask(self, target: bytes, body: bytes, kind: type[T], writes: bool) -> T:
-        data, min_revision = self._call(target, body, writes)
+    def _request(self, target: bytes, body: bytes, kind: type[T], is_write: bool) -> T:
+        data, min_revision = self._call(target, body, is_write)
         try:
             reply = j.decode(data, kind)
         except j.MalformedMessage as error:
-            raise (OutcomeUnknown if writes else NotApplied)(f"the answer is malformed: {error}") from None
+            raise (OutcomeUnknown if is_write else NotApplied)(f"the answer is malformed: {error}") from None
         header = getattr(reply, "header", None) or getattr(getattr(reply, "result", None), "header", None)
         if header is not None:
             self._check_header(min_revision, header)
