--- a/tests/crossing_clients.py
+++ b/tests/crossing_clients.py
@@ -1,11 +1,11 @@
-"""Clients for worlds of crossings: they ask, read, leave, flood and rest, and write down what they see."""
+"""Simulated clients of crossing worlds: they send, read, leave, flood and idle, and record what they see."""
 
 from __future__ import annotations
 
 import contextlib
 from typing import TYPE_CHECKING
 
-from tests.crossing_draw import FRESH_REST, Ask
+from tests.crossing_draw import IDLE_UNUSED, PlannedRequest
 from tests.world_ledger import Asked
 from yardspindle.core.request import timeouts
 from yardspindle.protocol import http1
@@ -15,13 +15,15 @@
 if TYPE_CHECKING:
     from tests.crossing_worlds import World
 
-PATIENCE_US = 1_500_000  # past the time of a request
-STREAM_US = 12_000_000
-CONNECTS_AFTER_TERM_US = 200_000
-RESTED_US = 1_000_000  # a new connection that has brought nothing for so long is one between requests
+ANSWER_SLACK_US = 1_500_000  # a client waits for its answer this long past the deadline
+MAX_STREAM_US = 12_000_000  # a client reads a stream for this long
+MAX_CONNECT_AFTER_SIGTERM_US = 200_000
+MAX_FRESH_US = 1_000_000  # after this an unused connection may be closed like an idle one
 
 
-def written(number: bytes, cls: bytes, deadline_ms: int, session: bytes, body: bytes = b'{"stream":true}') -> bytes:
+def request_bytes(
+    number: bytes, cls: bytes, deadline_ms: int, session: bytes, body: bytes = b'{"stream":true}'
+) -> bytes:
     headers = [
         (b"host", b"api"),
         (b"req-id", number),
@@ -34,76 +36,81 @@
 
 
 class Connection:
-    """A client's connection."""
+    """A client's connection; `left`: the client closed it."""
 
     def __init__(self, stream: Stream, made_us: int) -> None:
         self.stream, self.made_us = stream, made_us
         self.parser = http1.ResponseParser()
         self.used = False
-        self.left = self.floods = False
+        self.left = self.flooding = False
 
 
 class CrossingClients:
-    """All clients of a world."""
+    """All clients of a world; `open` maps ids of unanswered requests to them and their connections."""
 
     def __init__(self, world: World) -> None:
         self.world, self.platform, self.ledger = world, world.platform, world.ledger
         self.rng = world.sim.random("clients")
         self.now_us = world.sim.now_us
-        self.open: dict[bytes, tuple[Ask, Connection]] = {}
+        self.open: dict[bytes, tuple[PlannedRequest, Connection]] = {}
         self.terminated: Signal = self.platform.clients.signal()
-        self.crossing_us = 0  # when a dispatcher that was told to end shuts its resting connections
+        self.close_idle_us = 0  # when a dispatcher in graceful shutdown closes its idle connections
 
     def run(self) -> None:
-        """Play all clients to their end."""
+        """Runs all clients to their end."""
         spawn = self.platform.clients.spawn
         began_us = self.now_us()
-        tasks = [spawn("client", self.client, asks, began_us) for asks in self.world.plan.clients]
+        tasks = [spawn("client", self.run_client, asks, began_us) for asks in self.world.plan.clients]
         if any(crossing.event == "sigterm" for crossing in self.world.plan.crossings):
-            tasks += [spawn("waits", self.waits, at) for at in range(3)]
-        if self.world.plan.rest:
-            tasks.append(spawn("rests", self.rests, self.world.plan.rest == FRESH_REST))
+            tasks += [spawn("waits", self.reuse_at_shutdown, at) for at in range(3)]
+        if self.world.plan.idle_client:
+            tasks.append(spawn("rests", self.reuse_at_idle_timeout, self.world.plan.idle_client == IDLE_UNUSED))
         for task in tasks:
             task.join()
 
-    def client(self, asks: list[Ask], began_us: int) -> None:
+    def run_client(self, asks: list[PlannedRequest], began_us: int) -> None:
         connection: Connection | None = None
         for ask in asks:
             self.platform.clients.sleep_until(began_us + ask.at_us)
-            if connection is not None and (ask.new or not connection.stream.is_idle()):
+            if connection is not None and (ask.new_connection or not connection.stream.is_idle()):
                 connection.stream.close()
                 connection = None
             connection = self.ask(ask, connection)
 
-    def waits(self, at: int) -> None:
-        """Keeps a connection and uses it again in the moment in which a dispatcher that ends shuts it."""
+    def reuse_at_shutdown(self, at: int) -> None:
+        """Keeps a connection idle and uses it again at the moment a graceful shutdown closes it."""
         row = self.world.plan.settings["services"][at % 2]
-        ask = Ask(b"w%d.0" % at, 0, row["name"], row["idempotency"], int(row["give-up-us"]) // 1_000, b"w", False)
+        ask = PlannedRequest(
+            b"w%d.0" % at, 0, row["name"], row["idempotency"], int(row["give-up-us"]) // 1_000, b"w", False
+        )
         self.platform.sleep(5_000)
         connection = self.ask(ask, None)
         with contextlib.suppress(DeadlineExceeded), self.platform.clients.deadline(self.now_us() + 15_000_000):
             self.terminated.wait()
         if connection is not None and self.terminated.is_set:
-            self.platform.clients.sleep_until(self.crossing_us + self.rng.randrange(-4_000, 2_000))
-            self.ask(Ask(b"w%d.1" % at, 0, ask.cls, ask.effect, ask.deadline_ms, b"w", False), connection)
+            self.platform.clients.sleep_until(self.close_idle_us + self.rng.randrange(-4_000, 2_000))
+            self.ask(PlannedRequest(b"w%d.1" % at, 0, ask.cls, ask.effect, ask.deadline_ms, b"w", False), connection)
 
-    def rests(self, fresh: bool) -> None:
-        """Rests until the dispatcher shuts the connection, and asks in that moment."""
+    def reuse_at_idle_timeout(self, fresh: bool) -> None:
+        """Stays idle until the dispatcher closes the connection, and sends a request at that moment.
+
+        `fresh`: on a connection that has not been used before.
+        """
         row = self.world.plan.settings["services"][0]
-        ask = Ask(b"r.0", 0, row["name"], row["idempotency"], int(row["give-up-us"]) // 1_000, b"r", False)
+        ask = PlannedRequest(b"r.0", 0, row["name"], row["idempotency"], int(row["give-up-us"]) // 1_000, b"r", False)
         self.platform.sleep(5_000)
         connection = self.connect() if fresh else self.ask(ask, None)
         if connection is not None:
             rest_us = timeouts.CLIENT_REQUEST_US if fresh else timeouts.IDLE_CLIENT_US
             self.platform.sleep(rest_us + self.rng.randrange(-6_000, 4_000))
-            self.ask(Ask(b"r.1", 0, ask.cls, ask.effect, ask.deadline_ms, b"r", False), connection)
+            self.ask(PlannedRequest(b"r.1", 0, ask.cls, ask.effect, ask.deadline_ms, b"r", False), connection)
 
     # --- one request
 
     def connect(self) -> Connection | None:
-        """A new connection; none after the dispatcher was told to end."""
+        """A new connection; None if refused, or too long after the dispatcher's SIGTERM."""
         term_us = self.ledger.term_us
-        if term_us is not None and self.now_us() > term_us + CONNECTS_AFTER_TERM_US:
+        if term_us is not None and self.now_us() > term_us + MAX_CONNECT_AFTER_SIGTERM_US:
             return None
         try:
             return Connection(self.platform.connect(), self.now_us())
@@ -111,63 +118,63 @@
             self.ledger.unserved.append(f"a client's connection was not made: {error}")
             return None
 
-    def ask(self, ask: Ask, connection: Connection | None) -> Connection | None:
-        """Ask and read the answer; the connection, if it can be used again."""
+    def ask(self, ask: PlannedRequest, connection: Connection | None) -> Connection | None:
+        """Sends a request and reads its answer; returns the connection if it can be used again."""
         connection = connection or self.connect()
         if connection is None:
             return None
-        fresh = not connection.used and self.now_us() < connection.made_us + RESTED_US
+        fresh = not connection.used and self.now_us() < connection.made_us + MAX_FRESH_US
         connection.used = True
         self.open[ask.number] = ask, connection
-        data = written(ask.number, ask.cls.encode(), ask.deadline_ms, ask.session)
+        data = request_bytes(ask.number, ask.cls.encode(), ask.deadline_ms, ask.session)
         try:
             connection.stream.write(data[:-1])
             self.platform.sleep(self.world.before("client_sent", ask.number, None) or 0)
             connection.stream.write(data[-1:])
-            row = Asked(ask.number, ask.effect, ask.deadline_ms * 1_000, self.now_us(), fresh)
-            self.ledger.asked[ask.number] = row
+            record = Asked(ask.number, ask.effect, ask.deadline_ms * 1_000, self.now_us(), fresh)
+            self.ledger.asked[ask.number] = record
             self.world.after("client_sent", ask.number, None)
-            keep = self.read(row, connection)
+            keep = self.read_response(record, connection)
         except StreamError:
             known = self.ledger.asked.get(ask.number)
             if known is not None and not connection.left and known.whole_us is None:
                 known.closed_us = self.now_us()
             keep = False
         self.open.pop(ask.number, None)
-        if connection.left or connection.floods:  # a flood ends with the close
+        if connection.left or connection.flooding:  # a flood closes the connection itself
             return None
         if not keep:
             self.close(ask.number, connection)
         return connection if keep else None
 
-    def read(self, row: Asked, connection: Connection) -> bool:
-        """The answer, piece by piece; whether the connection can be used again. Raises StreamError."""
+    def read_response(self, record: Asked, connection: Connection) -> bool:
+        """Reads the answer piece by piece; returns whether the connection can be used again. Raises StreamError."""
         parser = connection.parser
         parser.expect_response(b"POST")
-        limit_us, keep = row.sent_us + row.deadline_us + PATIENCE_US, False
+        limit_us, keep = record.sent_us + record.deadline_us + ANSWER_SLACK_US, False
         with contextlib.suppress(DeadlineExceeded), self.platform.clients.deadline(limit_us):
-            keep = self.head(row, connection)
-        if row.status == 200:
-            with contextlib.suppress(DeadlineExceeded), self.platform.clients.deadline(self.now_us() + STREAM_US):
-                keep = self.rest(row, connection, keep)
-        elif row.status:
+            keep = self.read_head(record, connection)
+        if record.status == 200:
+            with contextlib.suppress(DeadlineExceeded), self.platform.clients.deadline(self.now_us() + MAX_STREAM_US):
+                keep = self.read_body(record, connection, keep)
+        elif record.status:
             with contextlib.suppress(DeadlineExceeded), self.platform.clients.deadline(self.now_us() + 500_000):
-                keep = self.rest(row, connection, keep)
-        if row.whole_us is not None:
-            row.stray = bytes(parser.buffer)
-        return keep and row.whole_us is not None
+                keep = self.read_body(record, connection, keep)
+        if record.whole_us is not None:
+            record.stray = bytes(parser.buffer)
+        return keep and record.whole_us is not None
 
-    def head(self, row: Asked, connection: Connection) -> bool:
+    def read_head(self, record: Asked, connection: Connection) -> bool:
         while (event := connection.parser.next_event()) is None:
             data = connection.stream.read()
             if not data:
                 raise StreamError("closed")
             connection.parser.feed(data)
         assert isinstance(event, http1.ResponseHead)
-        row.status = event.status
+        record.status = event.status
         return http1.keeps_alive(event)
 
-    def rest(self, row: Asked, connection: Connection, keep: bool) -> bool:
+    def read_body(self, record: Asked, connection: Connection, keep: bool) -> bool:
         parser = connection.parser
         while True:
             event = parser.next_event()
@@ -177,24 +184,24 @@
                     raise StreamError("closed")
                 parser.feed(data)
             elif isinstance(event, http1.Data):
-                row.body += event.data
-                row.pieces.append((self.now_us(), len(row.body)))
+                record.body += event.data
+                record.pieces.append((self.now_us(), len(record.body)))
             elif isinstance(event, http1.End):
-                row.whole_us = self.now_us()
+                record.whole_us = self.now_us()
                 return keep
 
     # --- leaving
 
     def close(self, number: bytes, connection: Connection, reset: bool = False) -> None:
-        """The client closes: it has gone."""
+        """The client closes its connection and records that it left."""
         connection.left = True
         row = self.ledger.asked.get(number)
         if row is not None and row.whole_us is None and row.closed_us is None:
             row.left_us = self.now_us()
         (connection.stream.abort if reset else connection.stream.close)()
 
-    def leave(self, number: bytes, reset: bool) -> Ask | None:
-        """The client of an open request closes."""
+    def disconnect(self, number: bytes, reset: bool) -> PlannedRequest | None:
+        """The client of an unanswered request leaves; returns the request."""
         known = self.open.pop(number, None)
         if known is None:
             return None
@@ -202,21 +209,21 @@
         return known[0]
 
     def flood(self, number: bytes, size: int) -> None:
-        """The client of an open request sends many more and closes."""
+        """The client of an unanswered request sends many more requests, up to `size` bytes, and closes."""
         known = self.open.get(number)
         if known is None or number not in self.ledger.asked:
             return
         ask, connection = known
-        if connection.floods:
+        if connection.flooding:
             return
-        connection.floods = True
+        connection.flooding = True
 
-        def pour() -> None:
+        def send_requests() -> None:
             sent = at = 0
             with contextlib.suppress(StreamError):
                 while sent < size and not connection.left:
                     more = b"%s.p%d" % (number, at)
-                    data = written(
+                    data = request_bytes(
                         more,
                         ask.cls.encode(),
                         ask.deadline_ms,
@@ -227,8 +234,8 @@
                     self.ledger.asked[more] = Asked(more, ask.effect, ask.deadline_ms * 1_000, self.now_us(), False)
                     sent, at = sent + len(data), at + 1
 
-        def go() -> None:
-            task = self.platform.clients.spawn("pour", pour)
+        def send_and_close() -> None:
+            task = self.platform.clients.spawn("pour", send_requests)
             with contextlib.suppress(DeadlineExceeded), self.platform.clients.deadline(self.now_us() + 20_000):
                 task.join()
             self.open.pop(number, None)
@@ -237,4 +244,4 @@
                 if more.startswith(number + b".p"):
                     row.left_us = self.now_us()
 
-        self.platform.clients.spawn("flood", go)
+        self.platform.clients.spawn("flood", send_and_close)
--- a/tests/crossing_draw.py
+++ b/tests/crossing_draw.py
@@ -1,4 +1,4 @@
-"""What the seed of a world of crossings draws: settings, hosts, requests, and events at steps of requests."""
+"""Draws a crossing world from its seed: settings, hosts, requests, and events at steps of requests."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from tests.platform_standin import SETTINGS
 
-RIGHT_AFTER_US = 1  # in the step's own microsecond, but after it
-OFFSETS_US = (-20_000, -3_000, -1_000, 0, RIGHT_AFTER_US, 1_000, 20_000)  # 3 ms: a way there and a way back
-MADE_BY_THE_DISPATCHER = ("read_first", "read_last", "place_last", "write_first", "write_last")
-STEPS = ("client_sent", *MADE_BY_THE_DISPATCHER, "read_answer", "place_answer", "first_token", "chunk", "last_chunk")
-CLIENT = ("client_fin", "client_rst", "client_flood", "client_again")
-HOST = (
+RIGHT_AFTER_US = 1  # in the same microsecond as the step, but after it
+OFFSETS_US = (-20_000, -3_000, -1_000, 0, RIGHT_AFTER_US, 1_000, 20_000)  # 3 ms: about one round trip
+DISPATCHER_STEPS = ("read_first", "read_last", "place_last", "write_first", "write_last")
+STEPS = ("client_sent", *DISPATCHER_STEPS, "read_answer", "place_answer", "first_token", "chunk", "last_chunk")
+CLIENT_EVENTS = ("client_fin", "client_rst", "client_flood", "client_again")
+HOST_EVENTS = (
     "host_rst",
     "host_fin",
     "host_silent",
@@ -29,37 +29,38 @@
     "host_fin_last",
     "host_rests",
 )
-DISCOVERY = ("drain", "gone", "watch_silent", "watch_reset", "agent_down", "list_other", "moved")
-WHOLE = ("sigterm", "idle")
-EVENTS = (*CLIENT, *HOST, *DISCOVERY, *WHOLE)
-WAYS = ("cut_there", "cut_back", "cut_both", "host_again")  # drawn apart: worlds without one are what they were
-WAYS_PART = 0.4
-WEIGHT = {"sigterm": 3, "idle": 0.5, "drain": 2, "host_second": 3, **dict.fromkeys(CLIENT, 2.0)}
-UNHEARD, ENDING = {"watch_silent", "watch_reset", "agent_down", "moved"}, {"drain", "gone"}
-STEADY_US = (250_000, 8_500_000)  # asks so often, for so long: what discovery had to tell counts by then
-KEPT_REST, FRESH_REST = "kept", "fresh"
+DISCOVERY_EVENTS = ("drain", "gone", "watch_silent", "watch_reset", "agent_down", "list_other", "moved")
+PROCESS_EVENTS = ("sigterm", "idle")
+EVENTS = (*CLIENT_EVENTS, *HOST_EVENTS, *DISCOVERY_EVENTS, *PROCESS_EVENTS)
+# Drawn from a generator of their own, which leaves all other draws of a seed unchanged.
+NETWORK_EVENTS = ("cut_there", "cut_back", "cut_both", "host_again")
+NETWORK_EVENT_SHARE = 0.4
+WEIGHTS = {"sigterm": 3, "idle": 0.5, "drain": 2, "host_second": 3, **dict.fromkeys(CLIENT_EVENTS, 2.0)}
+DISCOVERY_OUTAGES, HOST_REMOVALS = {"watch_silent", "watch_reset", "agent_down", "moved"}, {"drain", "gone"}
+STEADY_INTERVAL_AND_END_US = (250_000, 8_500_000)  # by the end the dispatcher must know what discovery withheld
+IDLE_USED, IDLE_UNUSED = "kept", "fresh"
 
 
 @dataclass(frozen=True, slots=True)
 class Crossing:
-    """An event at a step of a request."""
+    """An event that strikes at a step of a request, or a little before or after it; `salt` seeds its own choices."""
 
     event: str
     number: bytes
     step: str
     offset_us: int
     salt: int
-    at_us: int | None = None  # known from a play without it
+    at_us: int | None = None  # the event's time, known from a run without it
 
     @property
     def after_sent(self) -> bool:
-        """A flood comes behind a whole request."""
+        """Whether the event follows its step despite a negative offset: a flood follows a complete request."""
         return self.event == "client_flood" and self.step == "client_sent"
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """A request that a client will make."""
+class PlannedRequest:
+    """A request that a client is to send."""
 
     number: bytes
     at_us: int
@@ -67,23 +68,24 @@
     effect: str
     deadline_ms: int
     session: bytes
-    new: bool  # on a new connection
+    new_connection: bool  # whether on a new connection
 
 
 @dataclass
 class Plan:
-    """All that is drawn before the world begins."""
+    """All that is drawn before the world starts."""
 
     seed: int
     settings: dict[str, Any]
     flavors: list[str]
     conn_idle_us: int
-    clients: list[list[Ask]]
+    clients: list[list[PlannedRequest]]
     crossings: list[Crossing]
-    rest: str = ""  # a client that rests until it is shut out: on a kept connection, or a new one
+    idle_client: str = ""  # a client that idles until its connection is closed: IDLE_USED, IDLE_UNUSED or none
 
 
 def draw(seed: int) -> Plan:
+    """The plan of a seed's world: two to four events, most of them at steps of one request."""
     rng = Random(f"crossing {seed}")
     settings = draw_settings(rng)
     flavors = ["reads"] * rng.randrange(2, 5) + ["writes"] * rng.randrange(2, 5)
@@ -93,14 +95,14 @@
     crossings: list[Crossing] = []
     target, step = rng.choice(asks), rng.choice(STEPS)
     for _ in range(rng.randrange(2, 5)):
-        draw_of = rng.random()
-        if draw_of < 0.4:  # at another step of the same request
+        choice = rng.random()
+        if choice < 0.4:  # at another step of the same request
             step = rng.choice(STEPS)
-        elif draw_of < 0.6:
+        elif choice < 0.6:
             target, step = rng.choice(asks), rng.choice(STEPS)
-        event = rng.choices(EVENTS, [WEIGHT.get(name, 1) for name in EVENTS])[0]
+        event = rng.choices(EVENTS, [WEIGHTS.get(name, 1) for name in EVENTS])[0]
         crossings.append(Crossing(event, target.number, step, rng.choice(OFFSETS_US), rng.randrange(1 << 30)))
-        if event == "host_second" and rng.random() < 0.3:  # and the connection is wanted again just then
+        if event == "host_second" and rng.random() < 0.3:  # and the connection is reused at that moment
             crossings[-1] = replace(crossings[-1], step="read_last", offset_us=0)
             crossings.append(
                 Crossing(
@@ -111,24 +113,26 @@
                     rng.randrange(1 << 30),
                 )
             )
-    crossings += ways(seed, asks, crossings)
+    crossings += draw_network_events(seed, asks, crossings)
     events = {crossing.event for crossing in crossings}
-    if events & UNHEARD and events & ENDING:
-        clients.append(steady(rng, settings))
+    if events & DISCOVERY_OUTAGES and events & HOST_REMOVALS:
+        clients.append(draw_steady_client(rng, settings))
     rest = ""
     if "idle" in events:
-        rest = rng.choice((KEPT_REST, FRESH_REST))
+        rest = rng.choice((IDLE_USED, IDLE_UNUSED))
     idle_us = int(settings["allowed"]["conn-idle-us"])
     return Plan(seed, settings, flavors, idle_us, clients, crossings, rest)
 
 
-def ways(seed: int, asks: list[Ask], crossings: list[Crossing]) -> list[Crossing]:
-    """The way to a host is cut for a while, or a host dies and comes back cold, at a step of a request that is met."""
+def draw_network_events(seed: int, asks: list[PlannedRequest], crossings: list[Crossing]) -> list[Crossing]:
+    """In some worlds, cuts the path to a host or restarts a host at a step of a request."""
     rng = Random(f"ways {seed}")
-    if rng.random() >= WAYS_PART:
+    if rng.random() >= NETWORK_EVENT_SHARE:
         return []
     number = rng.choice(crossings).number if rng.random() < 0.7 else rng.choice(asks).number
-    return [Crossing(rng.choice(WAYS), number, rng.choice(STEPS), rng.choice(OFFSETS_US), rng.randrange(1 << 30))]
+    return [
+        Crossing(rng.choice(NETWORK_EVENTS), number, rng.choice(STEPS), rng.choice(OFFSETS_US), rng.randrange(1 << 30))
+    ]
 
 
 def draw_settings(rng: Random) -> dict[str, Any]:
@@ -156,16 +160,18 @@
     return settings
 
 
-def steady(rng: Random, settings: dict[str, Any]) -> list[Ask]:
-    """A client that asks again and again, also after what was not heard counts as told."""
+def draw_steady_client(rng: Random, settings: dict[str, Any]) -> list[PlannedRequest]:
+    """A client that sends requests until after the dispatcher must know what discovery withheld."""
     row = rng.choice(settings["services"])
     return [
-        Ask(b"t.%d" % turn, at_us, row["name"], row["idempotency"], int(row["give-up-us"]) // 1_000, b"t", False)
-        for turn, at_us in enumerate(range(20_000, STEADY_US[1], STEADY_US[0]))
+        PlannedRequest(
+            b"t.%d" % turn, at_us, row["name"], row["idempotency"], int(row["give-up-us"]) // 1_000, b"t", False
+        )
+        for turn, at_us in enumerate(range(20_000, STEADY_INTERVAL_AND_END_US[1], STEADY_INTERVAL_AND_END_US[0]))
     ]
 
 
-def draw_client(rng: Random, settings: dict[str, Any], at: int, world_us: int) -> list[Ask]:
+def draw_client(rng: Random, settings: dict[str, Any], at: int, world_us: int) -> list[PlannedRequest]:
     session = b"s%d" % rng.randrange(3)
     asks = []
     for turn, at_us in enumerate(sorted(rng.randrange(10_000, world_us) for _ in range(rng.randrange(1, 4)))):
@@ -173,7 +179,7 @@
         longest_ms = int(row["give-up-us"]) // 1_000
         deadline_ms = longest_ms if rng.random() < 0.7 else max(400, rng.randrange(longest_ms // 2, longest_ms + 1))
         asks.append(
-            Ask(
+            PlannedRequest(
                 b"c%d.%d" % (at, turn), at_us, row["name"], row["idempotency"], deadline_ms, session, rng.random() < 0.3
             )
         )
--- a/tests/crossing_hosts.py
+++ b/tests/crossing_hosts.py
@@ -1,4 +1,4 @@
-"""Stand-in hosts and discovery for worlds of crossings: events can meet each step, each byte goes to the ledger."""
+"""Simulated hosts and discovery for crossing worlds: events may strike at each step; the ledger records all bytes."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 from yardspindle.runtime.virtual import Simulation, VirtualWorld
 from yardspindle.runtime.world import Stream, StreamError
 
-ID = re.compile(rb"req-id: *([0-9a-z.]+)\r\n|/bootstrap/rooms/([0-9a-z.]+) ")
-FOREVER_US = 60_000_000
-SILENT_COUNTS_US = 6_000_000  # what a silent watch misses counts as told so long after it fell silent
-MOVED_COUNTS_US = 4_000_000  # and what a new address has, so long after the new configuration
+REQUEST_ID = re.compile(rb"req-id: *([0-9a-z.]+)\r\n|/bootstrap/rooms/([0-9a-z.]+) ")
+NO_ANSWER_US = 60_000_000
+SILENT_WATCH_LIMIT_US = 6_000_000  # after this the dispatcher must know what a silent watch withheld
+MOVED_AGENT_LIMIT_US = 4_000_000  # after this it must know what the agent at a new address lists
 FIRST_REVISION = 9
-MOMENT_US = 5_000  # between what discovery learns and its writing it
+PROPAGATION_US = 5_000  # what was written or listed more recently than this may not have been sent yet
 EVENT = b'data: {"choices":[{"index":0,"delta":{"content":"%s"},"finish_reason":null}]}\n\n'
 USAGE = b'data: {"choices":[],"usage":{"prompt_tokens_details":{"cached_tokens":64}}}\n\n'
 
 
-class Steps(Protocol):
-    """What wants to know of each step: `before` gives how long the step is to be put off."""
+class Observer(Protocol):
+    """Is called around each step; `before` returns the delay of the step in microseconds."""
 
     def before(self, step: str, number: bytes, host: CrossingHost | None) -> int:
-        """A step is about to be made."""
+        """A step is about to happen."""
 
     def after(self, step: str, number: bytes, host: CrossingHost | None) -> None:
-        """It has been made."""
+        """A step has happened."""
 
 
-class Over(Exception):
-    """The exchange has ended: closed by either side."""
+class ExchangeEnded(Exception):
+    """Either side closed the connection during an exchange."""
 
 
 class CrossingHost(Host):
-    """A reader or writer that does what it was ordered for a request."""
+    """A reader or writer that applies the order set for a request, if any, to its next answer."""
 
     platform: CrossingPlatform
 
@@ -49,9 +49,9 @@
         self.work_us = (self.rng.randrange(2_000, 60_000), self.rng.randrange(60_000, 250_000))
         self.gap_us = self.rng.randrange(3_000, 90_000)
         self.reads = flavor == "reads"
-        self.open: dict[bytes, tuple[Attempt, Stream]] = {}  # attempts that are out here
+        self.in_flight: dict[bytes, tuple[Attempt, Stream]] = {}  # attempts in flight here
         self.streams: dict[Stream, bool] = {}  # connections; True: between requests
-        self.gone = False
+        self.dead = False
         super().__init__(platform, name, flavor, address)
 
     # --- connections
@@ -60,15 +60,15 @@
         self.streams[stream] = True
         parser = http1.RequestParser()
         try:
-            while self.one(stream, parser):
+            while self.serve_one(stream, parser):
                 self.streams[stream] = True
-        except (StreamError, Over, DeadlineExceeded):
+        except (StreamError, ExchangeEnded, DeadlineExceeded):
             pass
         self.streams.pop(stream, None)
         stream.close()
 
-    def one(self, to: Stream, parser: http1.RequestParser) -> bool:
-        """One request; whether another may follow."""
+    def serve_one(self, to: Stream, parser: http1.RequestParser) -> bool:
+        """Serves one request; returns whether another may follow on the connection."""
         with self.world.deadline(self.world.now_us() + self.platform.conn_idle_us):
             to.wait_input()
         first_us, attempt = self.world.now_us(), None
@@ -79,9 +79,9 @@
                 if not data:
                     return False
                 self.streams[to] = False
-                found, raw = ID.search(raw + data) if not ID.search(raw) else None, raw + data
+                found, raw = REQUEST_ID.search(raw + data) if not REQUEST_ID.search(raw) else None, raw + data
                 if found and raw.startswith(b"POST"):
-                    attempt = self.begun(to, found[1], first_us) if found[1] else None
+                    attempt = self.begin_attempt(to, found[1], first_us) if found[1] else None
                     if attempt is None:
                         self.platform.ledger.places.append((found[2], self.name, first_us))
                 parser.feed(data)
@@ -91,42 +91,42 @@
                     break
             assert head is not None
             if attempt is None:
-                return self.room(to, head.method, head.target.rpartition(b"/")[2])
+                return self.answer_place(to, head.method, head.target.rpartition(b"/")[2])
             attempt.last_us = self.world.now_us()
             attempt.told_ms = int(head.get(b"req-deadline-ms") or 0)
-            self.made("read_last" if self.reads else "write_last", attempt.id)
+            self.on_dispatcher_step("read_last" if self.reads else "write_last", attempt.id)
             return self.respond(to, attempt)
         finally:
             if attempt is not None:
                 attempt.over_us = attempt.over_us or self.world.now_us()
-                if self.open.get(attempt.id, (None,))[0] is attempt:
-                    del self.open[attempt.id]
+                if self.in_flight.get(attempt.id, (None,))[0] is attempt:
+                    del self.in_flight[attempt.id]
 
-    def begun(self, to: Stream, number: bytes, first_us: int) -> Attempt:
+    def begin_attempt(self, to: Stream, number: bytes, first_us: int) -> Attempt:
         attempt = Attempt(number, self.name, not self.reads, first_us)
         self.platform.ledger.attempts.append(attempt)
-        self.open[number] = attempt, to
-        self.made("read_first" if self.reads else "write_first", number)
+        self.in_flight[number] = attempt, to
+        self.on_dispatcher_step("read_first" if self.reads else "write_first", number)
         return attempt
 
-    def room(self, to: Stream, method: bytes, number: bytes) -> bool:
+    def answer_place(self, to: Stream, method: bytes, number: bytes) -> bool:
         platform = self.platform
         if method == b"DELETE":
             platform.ledger.freed.append((number, self.world.now_us()))
             platform.states.discard(number)
             to.write(plain(204))
             return True
-        self.made("place_last", number)
-        came_us = self.world.now_us()
-        if not any(number in host.open for host in platform.hosts.values() if host.reads):
+        self.on_dispatcher_step("place_last", number)
+        requested_us = self.world.now_us()
+        if not any(number in host.in_flight for host in platform.hosts.values() if host.reads):
             self.wait(to, 300_000)
             to.write(plain(204))
             return True
         self.wait(to, 1_000 + self.rng.randrange(8_000))
         status = 409 if self.rng.random() < 0.15 else 200
-        self.due("place_answer", number, to)
+        self.before_step("place_answer", number, to)
         if status == 200:
-            platform.ledger.holds.append(Hold(number, self.name, True, came_us))  # a write here may take it meanwhile
+            platform.ledger.holds.append(Hold(number, self.name, True, requested_us))  # a write may take it meanwhile
         to.write(plain(status))
         self.platform.steps.after("place_answer", number, self)
         return True
@@ -136,20 +136,20 @@
     def respond(self, to: Stream, attempt: Attempt) -> bool:
         platform, number = self.platform, attempt.id
         self.wait(to, self.rng.randrange(*self.work_us))
-        self.due("read_answer" if self.reads else "first_token", number, to)
+        self.before_step("read_answer" if self.reads else "first_token", number, to)
         order = platform.orders.pop(number, "")
         if order == "silence":
-            self.wait(to, FOREVER_US)
+            self.wait(to, NO_ANSWER_US)
         if order in ("503", "410", "500"):
-            return self.turned_away(to, attempt, int(order) if not self.reads or order != "410" else 503)
+            return self.decline(to, attempt, int(order) if not self.reads or order != "410" else 503)
         if self.reads:
             return self.read(to, attempt, order)
         if number not in platform.states:
             attempt.no_state = True
-            return self.turned_away(to, attempt, 410)
+            return self.decline(to, attempt, 410)
         return self.stream(to, attempt, order)
 
-    def turned_away(self, to: Stream, attempt: Attempt, status: int) -> bool:
+    def decline(self, to: Stream, attempt: Attempt, status: int) -> bool:
         attempt.never_ran = status != 500
         attempt.no_state = attempt.no_state or status == 410
         attempt.over_us = self.world.now_us()
@@ -159,19 +159,19 @@
 
     def read(self, to: Stream, attempt: Attempt, order: str) -> bool:
         answer = plain(202, b'{"cached_tokens":7}')
-        self.keep(attempt)
+        self.keep_state(attempt)
         attempt.over_us = self.world.now_us()
         if order == "cut":
             to.write(answer[:-8])
-            self.break_off(to)
+            self.break_connection(to)
         to.write(answer)
         if order == "second":
-            self.again(to, answer)
+            self.answer_twice(to, answer)
         self.platform.steps.after("read_answer", attempt.id, self)
         return True
 
-    def keep(self, attempt: Attempt) -> None:
-        """The state of a read that ended well is there."""
+    def keep_state(self, attempt: Attempt) -> None:
+        """Keeps the state that a successful read leaves."""
         self.platform.states.add(attempt.id)
         self.platform.ledger.holds.append(Hold(attempt.id, self.name, False, self.world.now_us()))
 
@@ -180,7 +180,7 @@
         if order == "cut":
             attempt.broken_us = self.world.now_us()
             to.write(HEAD)
-            self.break_off(to)
+            self.break_connection(to)
         platform.states.discard(number)
         count = self.rng.randrange(3, 9)
         tag = b"%s-%d" % (number, len(platform.ledger.attempts))
@@ -188,31 +188,31 @@
         for at, event in enumerate(events):
             if at:
                 self.wait(to, self.gap_us if at < count else 1_000)
-                self.due("chunk", number, to)
+                self.before_step("chunk", number, to)
                 order = platform.orders.pop(number, "") or order
             if order == "spoilt" and at:
                 attempt.broken_us = self.world.now_us()
                 to.write(self.rng.choice((b"zz\r\n", b"5\r\nhello!\r\n")))
-                self.wait(to, FOREVER_US)
+                self.wait(to, NO_ANSWER_US)
             if order == "silence":
-                self.wait(to, FOREVER_US)
+                self.wait(to, NO_ANSWER_US)
             attempt.body += event
             attempt.pieces.append((self.world.now_us(), len(attempt.body)))
             to.write((b"" if at else HEAD) + http1.write_chunk(event))
             platform.steps.after("chunk" if at else "first_token", number, self)
-        self.due("last_chunk", number, to)
+        self.before_step("last_chunk", number, to)
         order = platform.orders.pop(number, "") or order
         attempt.finished_us = attempt.over_us = self.world.now_us()
         to.write(http1.LAST_CHUNK)
         if order == "fin_last":
             to.close()
         elif order == "second":
-            self.again(to, HEAD + b"".join(map(http1.write_chunk, events)) + http1.LAST_CHUNK)
+            self.answer_twice(to, HEAD + b"".join(map(http1.write_chunk, events)) + http1.LAST_CHUNK)
         platform.steps.after("last_chunk", number, self)
         return order != "fin_last"
 
-    def again(self, to: Stream, answer: bytes) -> None:
-        """A second answer, right behind the first or some milliseconds late."""
+    def answer_twice(self, to: Stream, answer: bytes) -> None:
+        """Sends a second answer, right behind the first or some milliseconds later."""
         if self.rng.random() < 0.3:
             to.write(answer)
             return
@@ -224,70 +224,68 @@
 
         self.world.spawn("second answer", late)
 
-    def break_off(self, to: Stream) -> None:
-        """End a connection inside an answer."""
+    def break_connection(self, to: Stream) -> None:
+        """Ends the connection inside an answer."""
         (to.close if self.rng.random() < 0.5 else to.abort)()
-        raise Over
+        raise ExchangeEnded
 
-    def hang_up(self, number: bytes, reset: bool) -> None:
-        """End the connection of an attempt that is out here; what a read has done by then may stay."""
-        if number not in self.open:
+    def close_attempt(self, number: bytes, reset: bool) -> None:
+        """Ends the connection of an attempt in flight here; a read's state may remain."""
+        if number not in self.in_flight:
             return
-        attempt, to = self.open.pop(number)
+        attempt, to = self.in_flight.pop(number)
         attempt.over_us = attempt.broken_us = self.world.now_us()
-        if self.reads and attempt.last_us is not None and not self.gone and self.rng.random() < 0.5:
-            self.keep(attempt)
+        if self.reads and attempt.last_us is not None and not self.dead and self.rng.random() < 0.5:
+            self.keep_state(attempt)
         (to.abort if reset else to.close)()
 
-    def leave(self) -> None:
-        """The process dies: its connections are reset, and new ones refused."""
-        self.gone = True
+    def die(self) -> None:
+        """The process dies: its connections are reset, new ones refused."""
+        self.dead = True
         self.platform.ledger.died[self.name] = self.world.now_us()
-        for number in list(self.open):
-            self.hang_up(number, True)
-        for attempt in self.platform.ledger.attempts:  # what was just written is overtaken by the reset
-            if attempt.host == self.name and (attempt.over_us or 0) > self.world.now_us() - MOMENT_US:
+        for number in list(self.in_flight):
+            self.close_attempt(number, True)
+        for attempt in self.platform.ledger.attempts:  # the reset overtakes what was just written
+            if attempt.host == self.name and (attempt.over_us or 0) > self.world.now_us() - PROPAGATION_US:
                 attempt.broken_us = attempt.broken_us or self.world.now_us()
         self.world.kill()
 
-    # --- time
-
     def wait(self, to: Stream, microseconds: int) -> None:
-        """Work for a while. Raises Over once the other side closes."""
+        """Works for this long. Raises ExchangeEnded once the other side closes."""
         with contextlib.suppress(DeadlineExceeded), self.world.deadline(self.world.now_us() + microseconds):
             to.wait_input()
-            raise Over
+            raise ExchangeEnded
 
-    def due(self, step: str, number: bytes, to: Stream) -> None:
-        """A step of this host's own is due. Raises Over if an event closed the connection."""
+    def before_step(self, step: str, number: bytes, to: Stream) -> None:
+        """Runs the events before a step of this host. Raises ExchangeEnded if one closed the connection."""
         put_off_us = self.platform.steps.before(step, number, self)
         if put_off_us:
             self.wait(to, put_off_us)
         if not to.is_idle():
-            raise Over
+            raise ExchangeEnded
 
-    def made(self, step: str, number: bytes) -> None:
-        """A step of the dispatcher's came."""
+    def on_dispatcher_step(self, step: str, number: bytes) -> None:
+        """A step of the dispatcher reached this host."""
         self.platform.steps.before(step, number, self)
         self.platform.steps.after(step, number, self)
 
 
 class CrossingPlatform(Platform):
-    """One dispatcher's surroundings."""
+    """The hosts and discovery of one simulated dispatcher."""
 
     hosts: dict[str, CrossingHost]  # type: ignore[assignment]
 
-    def __init__(self, sim: Simulation, ledger: Ledger, steps: Steps, flavors: list[str], conn_idle_us: int) -> None:
+    def __init__(self, sim: Simulation, ledger: Ledger, steps: Observer, flavors: list[str], conn_idle_us: int) -> None:
         self.ledger, self.steps, self.conn_idle_us = ledger, steps, conn_idle_us
         self.flavors = flavors
-        self.orders: dict[bytes, str] = {}  # what a host is to do with a request's next answer
+        self.orders: dict[bytes, str] = {}  # by request: what its host does to the next answer
         self.rng: Random = sim.random("platform")
         self.changes: list[tuple[int, str]] = []  # revision and host
-        self.undelivered: dict[str, int] = {}  # hosts whose change no list has told yet, and when it came
-        self.silent_since_us = 0  # of the watches that fell silent, until a new call comes; 0: none has
-        self.moved_us = 0
-        self.older = False  # the next list is one of before
-        self.news = Signal(sim.scheduler)
+        self.undelivered: dict[str, int] = {}  # hosts whose change no list has reported yet, and when it happened
+        self.silent_since_us = 0  # since when the watches are silent; 0: they are not
+        self.moved_us = 0  # when the configuration named another agent; 0: never
+        self.stale = False  # the next answer is an outdated list
+        self.changed = Signal(sim.scheduler)
         super().__init__(sim)
 
     def __post_init__(self) -> None:
@@ -300,64 +298,64 @@
     def add(self, name: str, flavor: str, address: str) -> None:
         self.hosts[name] = CrossingHost(self, name, flavor, address)
 
-    def joined(self, name: str) -> None:
-        """Discovery learns of a new host."""
+    def on_host_added(self, name: str) -> None:
+        """Discovery lists a new host."""
         self.revision += 1
         self.changes.append((self.revision, name))
-        self.wake()
+        self.wake_watches()
 
     # --- discovery
 
-    def change(self, host: CrossingHost, phase: str) -> None:
-        """Discovery learns of a host's drain or end."""
+    def change_phase(self, host: CrossingHost, phase: str) -> None:
+        """Discovery lists a host as draining or gone, and the ledger notes when the dispatcher must know."""
         if host.phase != "Ready":
             return
         host.phase = phase
         self.revision += 1
         self.changes.append((self.revision, host.name))
-        counts_us = max(self.sim.now_us(), self.down_until_us)
+        known_us = max(self.sim.now_us(), self.down_until_us)
         if self.silent_since_us:
-            counts_us = max(counts_us, self.silent_since_us + SILENT_COUNTS_US)
+            known_us = max(known_us, self.silent_since_us + SILENT_WATCH_LIMIT_US)
         if self.moved_us:
-            counts_us = max(counts_us, self.moved_us + MOVED_COUNTS_US)
-        self.ledger.told[host.name] = counts_us
+            known_us = max(known_us, self.moved_us + MOVED_AGENT_LIMIT_US)
+        self.ledger.told[host.name] = known_us
         self.undelivered[host.name] = self.sim.now_us()
-        self.wake()
+        self.wake_watches()
 
-    def wake(self) -> None:
-        """Let the watches look for what is new."""
-        news, self.news = self.news, Signal(self.sim.scheduler)
+    def wake_watches(self) -> None:
+        """Makes the waiting watches check for changes."""
+        news, self.changed = self.changed, Signal(self.sim.scheduler)
         news.set()
 
-    def silence(self) -> None:
-        """The watches that are open fall silent."""
+    def silence_watches(self) -> None:
+        """The open watches become silent."""
         self.watches += 1
         self.silent_since_us = self.sim.now_us()
-        self.missed(self.silent_since_us + SILENT_COUNTS_US)
+        self.postpone_undelivered(self.silent_since_us + SILENT_WATCH_LIMIT_US)
 
-    def down(self, microseconds: int) -> None:
-        """The agent is silent for a while and learns nothing."""
+    def stop_agent(self, microseconds: int) -> None:
+        """The agent is silent for this long."""
         self.down_until_us = max(self.down_until_us, self.sim.now_us() + microseconds)
-        self.missed(self.down_until_us)
+        self.postpone_undelivered(self.down_until_us)
 
-    def missed(self, counts_us: int) -> None:
-        """What came in this very moment was not told yet."""
+    def postpone_undelivered(self, known_us: int) -> None:
+        """Changes of this very moment were not delivered: the dispatcher must know them at `known_us` only."""
         for name, at in self.undelivered.items():
-            if at > self.sim.now_us() - MOMENT_US:
-                self.ledger.told[name] = max(self.ledger.told[name], counts_us)
+            if at > self.sim.now_us() - PROPAGATION_US:
+                self.ledger.told[name] = max(self.ledger.told[name], known_us)
 
     def members(self) -> list[dict[str, Any]]:
         return [row for row in super().members() if row["phase"] != "Gone"]
 
-    def listed(self, since: int, below: int) -> bytes:
+    def list_body(self, since: int, below: int) -> bytes:
         rows, complete = super().members(), since < 0 or self.rng.random() < 0.5
         if complete:
             rows = [row for row in rows if row["phase"] != "Gone"]
         else:
             changed = {name for revision, name in self.changes if revision > since}
             rows = [row for row in rows if row["id"] in changed]
-        if self.older:
-            self.older = False
+        if self.stale:
+            self.stale = False
             return json.dumps(
                 {"revision": 0, "complete": True, "members": [{**row, "phase": "Ready"} for row in super().members()]}
             ).encode()
@@ -367,7 +365,7 @@
         return json.dumps({"revision": self.revision - below, "complete": complete, "members": rows}).encode()
 
     def discovery(self, address: str, below: int = 0) -> VirtualWorld:
-        """An agent, whose revisions may begin lower."""
+        """Starts an agent; its revisions are lower by `below`."""
         world = self.sim.program(f"discovery {address}")
         host, _, port = address.rpartition(":")
         listener = world.listen(host, int(port))
@@ -376,7 +374,7 @@
             parser, era = http1.RequestParser(), self.watches
             self.open_watches.append(stream)
 
-            def silent() -> bool:
+            def is_silent() -> bool:
                 return era != self.watches or world.now_us() < self.down_until_us
 
             with contextlib.suppress(StreamError):
@@ -386,12 +384,12 @@
                     query = dict(p.split(b"=") for p in head.target.partition(b"?")[2].split(b"&") if p)
                     index = int(query.get(b"index", -1 - below)) + below
                     until = world.now_us() + int(query.get(b"wait", 0)) * 1_000
-                    while not silent() and index >= self.revision and world.now_us() < until and not self.older:
+                    while not is_silent() and index >= self.revision and world.now_us() < until and not self.stale:
                         with contextlib.suppress(DeadlineExceeded), world.deadline(until):
-                            self.news.wait()
-                    if silent():
+                            self.changed.wait()
+                    if is_silent():
                         world.sleep_until(world.now_us() + 3_600_000_000)
-                    stream.write(plain(200, self.listed(index, below)))
+                    stream.write(plain(200, self.list_body(index, below)))
 
         def accept() -> None:
             while True:
--- a/tests/crossing_ledger.py
+++ b/tests/crossing_ledger.py
@@ -1,4 +1,7 @@
-"""What passed on the sockets of a crossing, and the rules that it is judged by. It shares nothing with the program."""
+"""Records what passed on the sockets of one crossing test and checks it against the platform's rules.
+
+Shares no code with the program under test.
+"""
 
 from __future__ import annotations
 
@@ -9,27 +12,27 @@
 
 from tests.crossing_messages import Message
 
-LEFT_S = 0.1  # after its client closed no attempt of a request begins
-HELD_MORE_S = 0.35  # what is held may be held so long past the release time
-DRAIN_MORE_S = 0.05  # and so long past its grace a draining host may be sent to
-TOLD_MORE_MS = 5.0  # so much more than is left to its client an attempt may tell its host
-LATE_S = 0.5  # an answer that is no stream comes so long after its request's time at the latest
-ENDED_S = 0.3  # a stream that its host has ended is cut by nobody so long after
+LEAVE_SLACK_S = 0.1  # later than this after its client closed, no attempt of a request may start
+HELD_SLACK_S = 0.35  # states and places may be held for this long past the release time
+DRAIN_SLACK_S = 0.05  # a draining host may receive attempts for this long past its grace
+DEADLINE_SLACK_MS = 5.0  # an attempt's deadline may exceed its client's remaining time by this
+ANSWER_SLACK_S = 0.5  # an answer that is not a stream arrives at most this long after the request's deadline
+STREAM_END_SLACK_S = 0.3  # later than this after its host ended a stream, the stream must not be cut
 DECLINED = (503, 504)
 
 
 @dataclass
 class Request:
-    """A client's request: what it is, and what became of it. Times are of the monotonic clock."""
+    """A client's request and its outcome. Times are of the monotonic clock."""
 
     id: bytes
     cls: str
     deadline_ms: int
     data: bytes
-    written: int = 0  # bytes of it
-    asked: float | None = None  # when its last byte was written
-    late: bool = False  # the connection had been ended by then
-    stalled: float = 0.0  # seconds that the machine had kept the programs from running, at that time
+    written: int = 0  # bytes sent so far
+    asked: float | None = None  # when its last byte was sent
+    late: bool = False  # the program had already ended the connection
+    stalled_s: float = 0.0  # `Ledger.stalled_s()` at that time
     left: float | None = None  # when its client closed
     answers: list[tuple[float, Message]] = field(default_factory=list)
 
@@ -58,69 +61,75 @@
 
 @dataclass
 class Attempt:
-    """An attempt whose last byte came to a host."""
+    """An attempt whose last byte reached a host."""
 
     id: bytes
     host: str
     role: str
-    told_ms: float
-    first: float  # when its first byte came
-    at: float  # and its last, as we read it
-    stalled: float
-    arrived: float  # when that had come to the machine
+    deadline_ms: float
+    first_byte_at: float  # when its first byte was read
+    at: float  # when its last byte was read
+    stalled_s: float
+    arrived_at: float  # when the kernel received that byte
     over: float | None = None
-    how: int = 0  # the status of its answer; 0: none, the connection was ended
-    events: bytes = b""  # of its stream
+    how: int = 0  # the status of its answer; 0: the connection ended without one
+    events: bytes = b""  # the events of its stream
     finished: float | None = None  # when the stream's last byte was written
 
 
 class Ledger:
-    """All that passed, in order."""
+    """All that passed in one test, in order, and the checks of the rules.
+
+    A test judges at its end; violations that are certain at once are collected in `seen`.
+    """
 
-    def __init__(self, release_s: float, grace_s: float, stalled: Callable[[], float]) -> None:
-        self.release_s, self.grace_s, self.stalled = release_s, grace_s, stalled
+    def __init__(self, release_s: float, grace_s: float, stalled_s: Callable[[], float]) -> None:
+        """`stalled_s` returns for how many seconds the machine has kept the programs from running so far."""
+        self.release_s, self.grace_s, self.stalled_s = release_s, grace_s, stalled_s
         self.lock = threading.RLock()
         self.requests: list[Request] = []
         self.attempts: list[Attempt] = []
-        self.moves: list[tuple[float, str, bytes]] = []  # what changes what is held: kind, id
-        self.drains: dict[str, float] = {}  # when a host was told to drain
-        self.away: list[tuple[float, float]] = []  # when the program was stopped
-        self.seen: list[str] = []  # breaks that show at once
+        self.moves: list[tuple[float, str, bytes]] = []  # changes of what is held: time, kind, request id
+        self.drains: dict[str, float] = {}  # when discovery reported a host's drain
+        self.away: list[tuple[float, float]] = []  # from when to when the program was stopped
+        self.seen: list[str] = []  # violations found before the end
         self.term: float | None = None
-        self.story: list[tuple[float, str]] = []
+        self.transcript: list[tuple[float, str]] = []
 
-    def say(self, text: str) -> None:
+    def log(self, text: str) -> None:
         with self.lock:
-            self.story.append((monotonic(), text))
+            self.transcript.append((monotonic(), text))
 
-    def awake(self, at: float) -> float:
-        """When the program could know of what happened then."""
+    def observable_at(self, at: float) -> float:
+        """When the program could first observe what happened at a time: after the pause, if it was stopped."""
         return next((to for begun, to in self.away if begun <= at < to), at)
 
-    def stopped(self, begin: float, end: float) -> float:
-        """For how long the program was stopped within a time."""
+    def paused_s(self, begin: float, end: float) -> float:
+        """For how many seconds of an interval the program was stopped."""
         return sum(max(min(to, end) - max(begun, begin), 0.0) for begun, to in self.away)
 
     # --- clients
 
-    def answered(self, requests: list[Request], message: Message) -> None:
-        """A client got an answer, whole or cut."""
+    def on_answer(self, requests: list[Request], message: Message) -> None:
+        """Assigns an answer, complete or cut, to the oldest request without one."""
         with self.lock:
-            self.say(f"answer {message.status} {'whole' if message.whole else 'cut'}")
-            open_one = next((r for r in requests if r.written and not r.answers), None)
+            self.log(f"answer {message.status} {'whole' if message.whole else 'cut'}")
+            open_one = next((request for request in requests if request.written and not request.answers), None)
             if open_one is None:
                 self.seen.append(f"an answer {message.status} with no request before it")
             else:
                 open_one.answers.append((monotonic(), message))
 
-    def ended(self, requests: list[Request], how: str, stray: bytes) -> None:
-        """A client saw its connection ended by the program."""
+    def on_connection_end(self, requests: list[Request], how: str, stray: bytes) -> None:
+        """A client saw the program end its connection; `stray`: bytes left that are no answer."""
         with self.lock:
-            self.say(f"the client sees {how}")
+            self.log(f"the client sees {how}")
             waiting = [
-                r
-                for r in requests
-                if r.left is None and r.written and (not r.answers or r.asked is None or r.asked > r.answers[0][0])
+                request
+                for request in requests
+                if request.left is None
+                and request.written
+                and (not request.answers or request.asked is None or request.asked > request.answers[0][0])
             ]
             if how == "rst" and waiting:
                 self.seen.append(f"{waiting[0].id.decode()}: reset under a request or its answer")
@@ -129,57 +138,57 @@
 
     # --- hosts
 
-    def came(self, attempt: Attempt) -> None:
+    def on_attempt(self, attempt: Attempt) -> None:
         with self.lock:
-            self.say(f"{attempt.role} of {attempt.id.decode()} at {attempt.host}")
+            self.log(f"{attempt.role} of {attempt.id.decode()} at {attempt.host}")
             self.attempts.append(attempt)
             self.moves.append((attempt.at, attempt.role, attempt.id))
 
-    def over(self, attempt: Attempt, how: int) -> None:
-        """It was answered (with this status), or its connection ended (0). Told before the answer is written."""
+    def on_attempt_end(self, attempt: Attempt, how: int) -> None:
+        """An attempt is about to be answered with this status, or its connection ended (0)."""
         with self.lock:
             if attempt.over is not None:
                 return
             attempt.over, attempt.how = monotonic(), how
-            self.say(f"{attempt.role} of {attempt.id.decode()} over: {how}")
+            self.log(f"{attempt.role} of {attempt.id.decode()} over: {how}")
             kind = {202: "left", 200: "served", 410: "lost", 503: "declined", 504: "declined"}.get(how, "ended")
-            if attempt.role == "read":  # one whose connection ended may have ended well just then
+            if attempt.role == "read":  # a read may have succeeded just as its connection ended
                 kind = "left" if how in (0, 202) else "ended"
             self.moves.append((attempt.over, kind, attempt.id))
 
-    def move(self, kind: str, number: bytes) -> None:
-        """A place was asked for ("placed"), or everything was let go of ("freed")."""
+    def on_hold_change(self, kind: str, number: bytes) -> None:
+        """A place was requested ("placed"), or all that a request holds was released ("freed")."""
         with self.lock:
-            self.say(f"{kind} {number.decode()}")
+            self.log(f"{kind} {number.decode()}")
             self.moves.append((monotonic(), kind, number))
 
     def no_place(self, number: bytes) -> None:
-        """The place asked for last was not given."""
+        """The place requested last was not reserved."""
         with self.lock:
-            self.say(f"no place for {number.decode()}")
+            self.log(f"no place for {number.decode()}")
             asked = [move for move in self.moves if move[1:] == ("placed", number)]
             self.moves.remove(asked[-1])
 
-    def read_out(self, number: bytes) -> bool:
-        """Whether a read of this request is out."""
+    def read_in_flight(self, number: bytes) -> bool:
+        """Whether a read of this request is in flight."""
         return any(a.id == number and a.role == "read" and a.over is None for a in self.attempts)
 
-    def asked_place(self, number: bytes) -> bool:
-        """Whether a place was asked for at the latest read of this request."""
+    def place_requested(self, number: bytes) -> bool:
+        """Whether a place was requested since the latest read of this request."""
         with self.lock:
             last = max((a.at for a in self.attempts if a.id == number and a.role == "read"), default=0.0)
             return any(kind == "placed" and known == number and at >= last for at, kind, known in self.moves)
 
     # --- judging
 
-    def holds(self, number: bytes, now: float) -> tuple[float, bool]:
-        """For how long at most something was held for a request with no attempt out; whether it still is."""
+    def longest_hold(self, number: bytes, now: float) -> tuple[float, bool]:
+        """The longest time that something was held for a request with no attempt in flight; whether it still is."""
         held, out, since, longest = False, 0, now, 0.0
         for at, kind, known in sorted(self.moves, key=lambda move: move[0]):
             if known != number:
                 continue
             if held and not out:
-                longest = max(longest, at - self.awake(since))
+                longest = max(longest, at - self.observable_at(since))
             match kind:
                 case "read":
                     out += 1
@@ -195,73 +204,90 @@
                     held = False
             since = at
         if held and not out:
-            longest = max(longest, now - self.awake(since))
+            longest = max(longest, now - self.observable_at(since))
         return longest, held
 
-    def owed(self) -> list[bytes]:
-        """The requests for which something is held."""
+    def held_requests(self) -> list[bytes]:
+        """The requests for which something is still held."""
         with self.lock:
-            return [number for number in {known for _, _, known in self.moves} if self.holds(number, monotonic())[1]]
+            return [
+                number for number in {known for _, _, known in self.moves} if self.longest_hold(number, monotonic())[1]
+            ]
 
     def judge(self) -> list[str]:
-        """Every break of a rule."""
+        """All violations of the rules, one line each."""
         with self.lock:
             found = list(self.seen)
-            for r in self.requests:
-                own = self._own(r)
+            for request in self.requests:
+                own = self._attempts_of(request)
                 found += [
-                    f"{r.id.decode()}: {text}"
+                    f"{request.id.decode()}: {text}"
                     for text in (
-                        *self._answers(r, own),
-                        *self._alone(r, own),
-                        *self._times(r, own),
-                        *self._effect(r, own),
+                        *self._check_answers(request, own),
+                        *self._check_order(request, own),
+                        *self._check_times(request, own),
+                        *self._check_effect(request, own),
                     )
                 ]
             for number in {known for _, _, known in self.moves}:
-                longest, _ = self.holds(number, monotonic())
-                if longest > self.release_s + HELD_MORE_S:
+                longest, _ = self.longest_hold(number, monotonic())
+                if longest > self.release_s + HELD_SLACK_S:
                     found.append(f"{number.decode()}: held for {longest:.2f} s with no attempt out")
-            for a in self.attempts:
-                told = self.drains.get(a.host)
-                if told is not None and a.first > self.awake(told) + self.grace_s + DRAIN_MORE_S:
-                    found.append(f"{a.id.decode()}: sent to {a.host} {a.first - told:.2f} s after it was told to drain")
-            known = {r.id for r in self.requests}
-            found += [f"{a.id.decode()}: nobody asked for this" for a in self.attempts if a.id not in known]
+            for attempt in self.attempts:
+                told = self.drains.get(attempt.host)
+                if told is not None and attempt.first_byte_at > self.observable_at(told) + self.grace_s + DRAIN_SLACK_S:
+                    found.append(
+                        f"{attempt.id.decode()}: sent to {attempt.host} {attempt.first_byte_at - told:.2f} s"
+                        " after it was told to drain"
+                    )
+            known = {request.id for request in self.requests}
+            found += [f"{a.id.decode()}: no client sent this request" for a in self.attempts if a.id not in known]
             return found
 
-    def _own(self, r: Request) -> list[Attempt]:
-        """A request's attempts: where an id came again, those up to then."""
+    def _attempts_of(self, request: Request) -> list[Attempt]:
+        """A request's attempts; where another request used its id again later, those before that."""
         again = min(
-            (s.asked for s in self.requests if s.id == r.id and s.asked and s.asked > (r.asked or 0.0)),
+            (
+                other.asked
+                for other in self.requests
+                if other.id == request.id and other.asked and other.asked > (request.asked or 0.0)
+            ),
             default=float("inf"),
         )
         return sorted(
-            (a for a in self.attempts if a.id == r.id and (r.asked or 0.0) <= a.at < again), key=lambda a: a.at
+            (a for a in self.attempts if a.id == request.id and (request.asked or 0.0) <= a.at < again),
+            key=lambda attempt: attempt.at,
         )
 
-    def _answers(self, r: Request, own: list[Attempt]) -> list[str]:
-        """One final answer, the stream that a host made."""
-        if len(r.answers) > 1:
+    def _check_answers(self, request: Request, own: list[Attempt]) -> list[str]:
+        """Each request gets one final answer, and a stream is the one that a host made."""
+        if len(request.answers) > 1:
             return ["more than one answer"]
-        if r.asked is not None and not r.answers and r.left is None and not r.late:
+        if request.asked is not None and not request.answers and request.left is None and not request.late:
             return ["no answer"]
-        if r.late and own:
+        if request.late and own:
             return ["sent on though it came after the program had ended the connection"]
-        if not r.answers or r.left is not None or r.asked is None:
+        if not request.answers or request.left is not None or request.asked is None:
             return []
-        at, message = r.answers[0]
+        at, message = request.answers[0]
         if message.status != 200:
-            due = r.asked + r.deadline_ms / 1_000 + LATE_S + self.stopped(r.asked, at) + self.stalled() - r.stalled
-            return [f"answered {at - due + LATE_S:.2f} s after its time"] if at > due else []
-        made = next((a for a in own if a.events), None)
+            due = (
+                request.asked
+                + request.deadline_ms / 1_000
+                + ANSWER_SLACK_S
+                + self.paused_s(request.asked, at)
+                + self.stalled_s()
+                - request.stalled_s
+            )
+            return [f"answered {at - due + ANSWER_SLACK_S:.2f} s after its time"] if at > due else []
+        made = next((attempt for attempt in own if attempt.events), None)
         if made is None or not made.events.startswith(message.body):
             return ["a stream that no host made"]
         if message.whole:
             return [] if made.finished is not None and message.body == made.events else ["a part passed on as whole"]
         if (
             made.finished is not None
-            and at - self.awake(made.finished) > ENDED_S
+            and at - self.observable_at(made.finished) > STREAM_END_SLACK_S
             or (made.finished is not None and self.term is None)
         ):
             return ["a stream cut though its host had ended it"]
@@ -269,47 +295,53 @@
             return ["a stream cut while its host writes"]
         return []
 
-    def _alone(self, r: Request, own: list[Attempt]) -> list[str]:
-        """Never two at once, no write before a read's word, and nothing let go of under an attempt."""
+    def _check_order(self, request: Request, own: list[Attempt]) -> list[str]:
+        """Attempts never overlap, a write follows an answered read, and nothing is released during an attempt."""
         found = [
-            f"two attempts at once, at {a.host} and {b.host}"
-            for a, b in zip(own, own[1:], strict=False)
-            if a.over is None or a.over > b.at
+            f"two attempts at once, at {attempt.host} and {other.host}"
+            for attempt, other in zip(own, own[1:], strict=False)
+            if attempt.over is None or attempt.over > other.at
         ]
         found += [
             "written before it was read"
-            for a in own
-            if a.role == "write" and not any(b.how == 202 and b.over is not None and b.over <= a.at for b in own)
+            for attempt in own
+            if attempt.role == "write"
+            and not any(read.how == 202 and read.over is not None and read.over <= attempt.at for read in own)
         ]
-        freed = [at for at, kind, known in self.moves if kind == "freed" and known == r.id]
+        freed = [at for at, kind, known in self.moves if kind == "freed" and known == request.id]
         return found + [
-            f"let go of under its {a.role}"
-            for a in own
-            if any(a.at < at and (a.over is None or at < a.over) for at in freed)
+            f"released during its {attempt.role}"
+            for attempt in own
+            if any(attempt.at < at and (attempt.over is None or at < attempt.over) for at in freed)
         ]
 
-    def _times(self, r: Request, own: list[Attempt]) -> list[str]:
-        """Nothing begins once its client has gone, and no more time is told than is left."""
+    def _check_times(self, request: Request, own: list[Attempt]) -> list[str]:
+        """No attempt starts after its client left, and none gets a deadline later than its client's."""
         found = []
-        for a in own:
-            if r.left is not None and a.arrived > self.awake(r.left) + LEFT_S:
-                found.append(f"{a.role} begun {a.arrived - r.left:.2f} s after its client left")
-            if r.asked is not None:
-                left_ms = r.deadline_ms - (a.arrived - self.awake(r.asked)) * 1_000
-                more_ms = TOLD_MORE_MS + (a.stalled - r.stalled) * 1_000  # what the machine withheld nobody can know
-                if a.told_ms > left_ms + more_ms:
+        for attempt in own:
+            if request.left is not None and attempt.arrived_at > self.observable_at(request.left) + LEAVE_SLACK_S:
+                found.append(f"{attempt.role} begun {attempt.arrived_at - request.left:.2f} s after its client left")
+            if request.asked is not None:
+                left_ms = request.deadline_ms - (attempt.arrived_at - self.observable_at(request.asked)) * 1_000
+                # The program cannot know for how long the machine kept it from running.
+                more_ms = DEADLINE_SLACK_MS + (attempt.stalled_s - request.stalled_s) * 1_000
+                if attempt.deadline_ms > left_ms + more_ms:
                     found.append(
-                        f"{a.role} was told {a.told_ms:.0f} ms with {left_ms:.0f} ms left"
-                        f" (the machine withheld {more_ms - TOLD_MORE_MS:.0f} ms)"
+                        f"{attempt.role} was told {attempt.deadline_ms:.0f} ms with {left_ms:.0f} ms left"
+                        f" (the machine withheld {more_ms - DEADLINE_SLACK_MS:.0f} ms)"
                     )
         return found
 
-    def _effect(self, r: Request, own: list[Attempt]) -> list[str]:
-        """What may have run is neither sent nor refused again."""
-        if r.cls != "order":
+    def _check_effect(self, request: Request, own: list[Attempt]) -> list[str]:
+        """A request that must run at most once is neither resent nor refused once a write may have run."""
+        if request.cls != "order":
             return []
         ran = next((a for a in own if a.role == "write" and a.how not in (*DECLINED, 410)), None)
         if ran is None:
             return []
-        found = ["sent again though it may have run" for a in own if a.at > ran.at]
-        return found + [f"refused ({m.status}) though it may have run" for _, m in r.answers if m.status in (429, 503)]
+        found = ["sent again though it may have run" for attempt in own if attempt.at > ran.at]
+        return found + [
+            f"refused ({message.status}) though it may have run"
+            for _, message in request.answers
+            if message.status in (429, 503)
+        ]
--- a/tests/crossing_messages.py
+++ b/tests/crossing_messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages as the parties of a crossing write and read them; none of the program's own parsing."""
+"""HTTP messages as the clients and hosts of the crossing tests write and parse them, without the program's parser."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass
 class Message:
-    """An HTTP message as far as it has come."""
+    """An HTTP message, possibly incomplete."""
 
     start: bytes
     headers: dict[bytes, bytes]
@@ -20,7 +20,10 @@
 
 
 def read_message(data: bytes, ended: bool = False) -> tuple[Message | None, int]:
-    """The message that begins here, and how many bytes it takes once it is whole."""
+    """Parses the message that begins here; returns it with its size, 0 while incomplete.
+
+    `ended`: the connection has ended, which completes a response without a length.
+    """
     head, found, rest = data.partition(b"\r\n\r\n")
     if not found:
         return None, 0
@@ -42,7 +45,7 @@
                 return message, at
     length = message.headers.get(b"content-length")
     if length is None and start.startswith(b"HTTP/") and message.status not in (204, 304):
-        message.body, message.whole = rest, ended  # it ends with the connection
+        message.body, message.whole = rest, ended  # a response without a length ends with the connection
         return message, len(data) if ended else 0
     size = int(length or 0)
     message.body, message.whole = rest[:size], len(rest) >= size
--- a/tests/crossing_parties.py
+++ b/tests/crossing_parties.py
@@ -1,4 +1,4 @@
-"""Clients and model hosts for crossings: sockets that one thread reads and the test writes to."""
+"""Clients and model hosts of the crossing tests: one thread reads their sockets, and the test writes to them."""
 
 from __future__ import annotations
 
@@ -16,124 +16,130 @@
 from tests.crossing_messages import DONE, EVENT, HEAD, LAST, Message, chunk, plain, read_message
 
 T = TypeVar("T")
-BOUND_S = 10.0  # no step of a test waits longer
-# An address of this process's own: tests beside it ask at ports of 127.0.0.1 whose programs have ended.
+MAX_WAIT_S = 10.0  # of any step of a test
+# A loopback address used by this process only: parallel tests still connect to ports of 127.0.0.1 that they have freed.
 HERE = f"127.{64 + (os.getpid() >> 16) % 64}.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"
-SO_TIMESTAMPNS = 35  # of Linux
-UNKNOWN_S = 0.3  # after which a writer says that it knows of no read for which a place is asked
-TURN_S = 0.02  # how often the agent looks at its clock
+SO_TIMESTAMPNS = 35  # Linux's value
+UNKNOWN_S = 0.3  # after this a writer asked for a place answers that it knows of no such read
+POLL_INTERVAL_S = 0.02  # interval at which due answers are sent
 
 
-class Wire:
-    """The thread that reads all sockets, and what the parties share."""
+class SocketLoop:
+    """The thread that reads all sockets, and the state that clients, hosts and agents share.
+
+    `changed` guards that state and is notified after each read; `ledger` belongs to the current test case.
+    """
 
     def __init__(self) -> None:
-        self.ledger = Ledger(0.0, 0.0, self.stalled)
-        self.news = threading.Condition(threading.RLock())
-        self.calls: list[tuple[Call, str, bytes, int]] = []  # that came to hosts and wait for the test
-        self.later: list[tuple[float, Call, int]] = []  # answers that hosts give by themselves when it is time
-        self.port, self.scenes = 0, 0
+        self.ledger = Ledger(0.0, 0.0, self.stalled_s)
+        self.changed = threading.Condition(threading.RLock())
+        self.calls: list[tuple[Call, str, bytes, int]] = []  # received by hosts, to be answered by the test
+        self.scheduled_answers: list[tuple[float, Call, int]] = []  # when, to which call, status
+        self.port, self.case_count = 0, 0  # the program's port; test cases begun
         self._selector = selectors.DefaultSelector()
         self._ended = False
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def watch(self, sock: Any, readable: Callable[[], None]) -> None:
-        with self.news:
+        with self.changed:
             self._selector.register(sock, selectors.EVENT_READ, readable)
 
     def unwatch(self, sock: Any) -> None:
-        with self.news, contextlib.suppress(KeyError, ValueError):
+        with self.changed, contextlib.suppress(KeyError, ValueError):
             self._selector.unregister(sock)
 
-    def sweep(self) -> None:
-        """Read the ends of hosts' connections that are there already."""
+    def read_pending_ends(self) -> None:
+        """Reads the ends of hosts' connections that have already arrived."""
         for key, _ in self._selector.select(0):
             call = getattr(key.data, "__self__", None)
-            if isinstance(call, Call) and call.ending():
-                call.readable()
+            if isinstance(call, Call) and call.end_is_pending():
+                call.on_readable()
 
-    def number(self, name: str) -> str:
-        """A request's id, which no other scene has."""
-        return f"{self.scenes}.{name}"
+    def full_id(self, name: str) -> str:
+        """A request's id, unique among the test cases."""
+        return f"{self.case_count}.{name}"
 
     def _run(self) -> None:
         while not self._ended:
-            ready = self._selector.select(TURN_S)
-            with self.news:
+            ready = self._selector.select(POLL_INTERVAL_S)
+            with self.changed:
                 for key, _ in ready:
                     if self._selector.get_map().get(key.fd) is key:
                         key.data()
-                self.turn()
+                self.answer_due()
                 if ready:
-                    self.news.notify_all()
+                    self.changed.notify_all()
 
-    def turn(self) -> None:
-        """What is due."""
-        for known in [known for known in self.later if known[0] <= monotonic()]:
-            self.later.remove(known)
+    def answer_due(self) -> None:
+        """Sends the scheduled answers that are due."""
+        for known in [known for known in self.scheduled_answers if known[0] <= monotonic()]:
+            self.scheduled_answers.remove(known)
             known[1].answer(known[2])
 
-    def stalled(self) -> float:
-        """Seconds that the machine has kept the programs from running so far."""
+    def stalled_s(self) -> float:
+        """For how many seconds the machine has kept the program and this process from running so far."""
         return 0.0
 
-    def until(self, what: str, look: Callable[[], T | None]) -> T:
-        """Wait for something to be seen."""
-        until = monotonic() + BOUND_S
-        with self.news:
-            while not (seen := look()):
-                left = until - monotonic()
-                assert left > 0, f"not seen in time: {what}\n" + self.told()
-                self.news.wait(min(left, 0.1))
+    def wait_for(self, what: str, probe: Callable[[], T | None]) -> T:
+        """Waits until `probe` returns something true, and returns it."""
+        deadline = monotonic() + MAX_WAIT_S
+        with self.changed:
+            while not (seen := probe()):
+                left = deadline - monotonic()
+                assert left > 0, f"not seen in time: {what}\n" + self.transcript()
+                self.changed.wait(min(left, 0.1))
             return seen
 
-    def told(self) -> str:
-        """The story so far."""
-        start = self.ledger.story[0][0] if self.ledger.story else 0.0
-        return "\n".join(f"{at - start:8.4f} {text}" for at, text in self.ledger.story)
+    def transcript(self) -> str:
+        """The ledger's transcript so far, as text."""
+        start = self.ledger.transcript[0][0] if self.ledger.transcript else 0.0
+        return "\n".join(f"{at - start:8.4f} {text}" for at, text in self.ledger.transcript)
 
 
 class Party:
-    """A socket of ours: the stage reads it, the test writes to it."""
+    """A socket of the test: the loop's thread reads it, the test writes to it.
+
+    `end` says how the connection ended: "fin", "rst" or "closed here"; empty while it is open.
+    """
 
-    def __init__(self, stage: Wire, sock: socket.socket) -> None:
-        self.stage, self.sock, self.got, self.end, self.refused = stage, sock, b"", "", False
-        sock.settimeout(None)  # else each call would wait for its time-out, MSG_DONTWAIT or not
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, struct.pack("ll", int(BOUND_S), 0))
+    def __init__(self, stage: SocketLoop, sock: socket.socket) -> None:
+        self.stage, self.sock, self.buffer, self.end, self.write_failed = stage, sock, b"", "", False
+        sock.settimeout(None)  # with a time-out, calls would wait despite MSG_DONTWAIT
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, struct.pack("ll", int(MAX_WAIT_S), 0))
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
-        self.arrived = 0.0  # when the last bytes read had come to the machine
-        stage.watch(sock, self.readable)
+        self.arrived = 0.0  # when the kernel received the bytes read last
+        stage.watch(sock, self.on_readable)
 
-    def readable(self) -> None:
+    def on_readable(self) -> None:
         self.arrived = monotonic()
         try:
-            data, more, _, _ = self.sock.recvmsg(1 << 20, 64, socket.MSG_DONTWAIT)
+            data, control, _, _ = self.sock.recvmsg(1 << 20, 64, socket.MSG_DONTWAIT)
         except BlockingIOError:
             return
         except OSError:
             data, self.end = b"", "rst"
         else:
-            for _, kind, stamp in more:
+            for _, kind, stamp in control:
                 if kind == SO_TIMESTAMPNS and data:
                     seconds, nanoseconds = struct.unpack("qq", stamp)
                     self.arrived -= max(time() - seconds - nanoseconds / 1e9, 0.0)
-        self.got += data
+        self.buffer += data
         if not data:
             self.end = self.end or "fin"
             self.stage.unwatch(self.sock)
-        self.came()
+        self.on_data()
 
-    def came(self) -> None:
-        """Something was read, or the end."""
+    def on_data(self) -> None:
+        """Called after data, or the connection's end, was read."""
 
     def send(self, data: bytes) -> None:
         try:
             self.sock.sendall(data)
-        except OSError:  # the other end has gone; this takes the error from the socket
-            self.refused = True
+        except OSError:  # the peer closed; this consumes the socket's pending error
+            self.write_failed = True
 
-    def finish(self) -> None:
+    def shutdown_write(self) -> None:
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
@@ -144,8 +150,8 @@
         self.sock.close()
         self.end = self.end or "closed here"
 
-    def ending(self) -> bool:
-        """Whether the other end's end is the next thing to read."""
+    def end_is_pending(self) -> bool:
+        """Whether the next thing to read is the peer's end."""
         try:
             return self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
         except BlockingIOError:
@@ -153,114 +159,119 @@
         except OSError:
             return True
 
-    def ended(self) -> str:
-        """Wait for the other end to end the connection: "fin" or "rst"."""
-        return self.stage.until("the connection's end", lambda: self.end)
+    def wait_end(self) -> str:
+        """Waits until the peer ends the connection; returns "fin" or "rst"."""
+        return self.stage.wait_for("the connection's end", lambda: self.end)
 
 
 class Client(Party):
     """A client's connection."""
 
-    def __init__(self, stage: Wire) -> None:
+    def __init__(self, stage: SocketLoop) -> None:
         self.requests: list[Request] = []
         self.answers: list[Message] = []
-        self.now: Message | None = None  # the answer that is coming
-        super().__init__(stage, socket.create_connection((HERE, stage.port), BOUND_S))
+        self.current: Message | None = None  # the answer being received
+        super().__init__(stage, socket.create_connection((HERE, stage.port), MAX_WAIT_S))
 
     def ask(
         self, number: str, cls: str = "ask", deadline_ms: int = 5_000, upto: int | None = None, **more: Any
     ) -> Request:
-        """Send a request, or its first bytes."""
-        r = self.asks(number, cls, deadline_ms, **more)
-        self.more(r, upto)
-        return r
-
-    def asks(self, number: str, cls: str = "ask", deadline_ms: int = 5_000, **more: Any) -> Request:
-        """Make a request that is yet to be sent."""
-        r = request(self.stage.number(number), cls, deadline_ms, **more)
-        self.stage.ledger.requests.append(r)
-        self.requests.append(r)
-        return r
-
-    def more(self, r: Request, upto: int | None = None) -> None:
-        """Send a request's bytes on, up to this one or to the last."""
-        self.late_reset()
-        data = r.data[r.written : upto]
-        r.written += len(data)
-        if r.written == len(r.data):
-            r.stalled, r.asked = self.stage.stalled(), monotonic()
+        """Sends a new request, or its first `upto` bytes."""
+        record = self.prepare(number, cls, deadline_ms, **more)
+        self.send_more(record, upto)
+        return record
+
+    def prepare(self, number: str, cls: str = "ask", deadline_ms: int = 5_000, **more: Any) -> Request:
+        """Creates a request without sending it."""
+        record = request(self.stage.full_id(number), cls, deadline_ms, **more)
+        self.stage.ledger.requests.append(record)
+        self.requests.append(record)
+        return record
+
+    def send_more(self, record: Request, upto: int | None = None) -> None:
+        """Sends the rest of a request, or its bytes up to `upto`."""
+        self.note_late_reset()
+        data = record.data[record.written : upto]
+        record.written += len(data)
+        if record.written == len(record.data):
+            record.stalled_s, record.asked = self.stage.stalled_s(), monotonic()
         self.send(data)
-        r.late = bool(self.end) or self.ending()
+        record.late = bool(self.end) or self.end_is_pending()
 
-    def leave(self, how: str) -> None:
-        """Close in good order, by a reset, or only the sending side."""
+    def disconnect(self, how: str) -> None:
+        """Leaves: "close" closes the socket, "rst" resets it, "fin" shuts down the sending side only."""
         with self.stage.ledger.lock:
-            self.stage.ledger.say(f"the client leaves: {how}")
-            for r in self.requests:
-                r.left = r.left or monotonic()
+            self.stage.ledger.log(f"the client leaves: {how}")
+            for record in self.requests:
+                record.left = record.left or monotonic()
         if how == "fin":
-            self.finish()
+            self.shutdown_write()
         else:
             self.close(reset=how == "rst")
 
-    def came(self) -> None:
-        while self.got:
-            self.now, size = read_message(self.got, self.end == "fin")
-            if self.now is None or not self.now.whole:
+    def on_data(self) -> None:
+        while self.buffer:
+            self.current, size = read_message(self.buffer, self.end == "fin")
+            if self.current is None or not self.current.whole:
                 break
-            self.got = self.got[size:]
-            self._answered(self.now)
+            self.buffer = self.buffer[size:]
+            self._on_answer(self.current)
         if self.end:
-            if self.now is not None and not self.now.whole:
-                self._answered(self.now)
-                self.got = b""
-            self.stage.ledger.ended(self.requests, self.end, self.got)
+            if self.current is not None and not self.current.whole:
+                self._on_answer(self.current)
+                self.buffer = b""
+            self.stage.ledger.on_connection_end(self.requests, self.end, self.buffer)
 
-    def _answered(self, message: Message) -> None:
+    def _on_answer(self, message: Message) -> None:
         self.answers.append(message)
-        self.stage.ledger.answered(self.requests, message)
+        self.stage.ledger.on_answer(self.requests, message)
 
-    def late_reset(self) -> None:
-        """Note a reset that answered bytes written after the other end's end; reading does not show it."""
+    def note_late_reset(self) -> None:
+        """Records a reset in reply to bytes written after the peer's end, which reading does not show."""
         if (
             self.sock.fileno() >= 0
             and self.end == "fin"
-            and (self.refused or self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
+            and (self.write_failed or self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
         ):
             self.end = "rst"
-            self.stage.ledger.ended(self.requests, "rst", b"")
+            self.stage.ledger.on_connection_end(self.requests, "rst", b"")
 
-    def answer(self, which: int = -1) -> Message:
-        """Wait for the answer to the latest request, or to that one."""
+    def wait_answer(self, which: int = -1) -> Message:
+        """Waits for the answer to the latest request, or to the request with this index."""
         count = len(self.requests) if which < 0 else which + 1
-        return self.stage.until("an answer", lambda: self.answers[count - 1] if len(self.answers) >= count else None)
+        return self.stage.wait_for("an answer", lambda: self.answers[count - 1] if len(self.answers) >= count else None)
 
-    def begun(self) -> Message:
-        """Wait for the head of an answer and a part of its body."""
-        return self.stage.until("an answer's beginning", lambda: self.now if self.now and self.now.body else None)
+    def wait_first_data(self) -> Message:
+        """Waits for the head and the first body bytes of an answer."""
+        return self.stage.wait_for(
+            "an answer's beginning", lambda: self.current if self.current and self.current.body else None
+        )
 
 
 class Call(Party):
-    """A connection at a host, and the calls that come on it one after another."""
+    """A connection accepted by a host, and the calls received on it one after another.
+
+    `kind` is the latest call's: "read", "write", "place" (reserve a place) or "free" (release what a request holds).
+    """
 
     def __init__(self, host: Host, sock: socket.socket) -> None:
-        self.host, self.first = host, 0.0
+        self.host, self.first_byte_at = host, 0.0
         self.kind, self.id = "", b""
         self.attempt: Attempt | None = None
-        self.count = 0  # of the calls that came on this connection
-        self.ours = sock.getpeername() in [known.getsockname() for known in host.fill]
+        self.count = 0  # of the calls received on this connection
+        self.is_filler = sock.getpeername() in [known.getsockname() for known in host.backlog_fillers]
         super().__init__(host.stage, sock)
 
-    def came(self) -> None:
-        self.first = self.first or (self.arrived if self.got else 0.0)
-        message, size = read_message(self.got)
+    def on_data(self) -> None:
+        self.first_byte_at = self.first_byte_at or (self.arrived if self.buffer else 0.0)
+        message, size = read_message(self.buffer)
         ledger = self.stage.ledger
         if message is not None and message.whole:
-            self.got = self.got[size:]
+            self.buffer = self.buffer[size:]
             method, target = message.start.split()[:2]
             self.kind = {b"DELETE": "free"}.get(method, "place" if b"/rooms/" in target else self.host.role)
             self.id = message.headers.get(b"req-id") or target.rpartition(b"/")[2]
-            self.stage.sweep()  # what ended before this came is noted before it
+            self.stage.read_pending_ends()  # records first what ended before this call
             self.attempt = None
             if self.kind in ("read", "write"):
                 self.attempt = Attempt(
@@ -268,28 +279,28 @@
                     self.host.name,
                     self.kind,
                     float(message.headers[b"req-deadline-ms"]),
-                    self.first,
+                    self.first_byte_at,
                     monotonic(),
-                    self.stage.stalled(),
+                    self.stage.stalled_s(),
                     self.arrived,
                 )
-                ledger.came(self.attempt)
-            else:  # a place may be held from now on, answered or not
-                ledger.move({"free": "freed", "place": "placed"}[self.kind], self.id)
-            self.first, self.count = 0.0, self.count + 1
-            if self.kind == "place" and self.kind in self.host.auto and not ledger.read_out(self.id):
-                self.stage.later.append((monotonic() + UNKNOWN_S, self, 204))
-            elif self.kind in self.host.auto:
-                self.answer(self.host.auto[self.kind])
+                ledger.on_attempt(self.attempt)
+            else:  # a place may be held from now on, even before it is answered
+                ledger.on_hold_change({"free": "freed", "place": "placed"}[self.kind], self.id)
+            self.first_byte_at, self.count = 0.0, self.count + 1
+            if self.kind == "place" and self.kind in self.host.auto_answers and not ledger.read_in_flight(self.id):
+                self.stage.scheduled_answers.append((monotonic() + UNKNOWN_S, self, 204))
+            elif self.kind in self.host.auto_answers:
+                self.answer(self.host.auto_answers[self.kind])
             else:
                 self.stage.calls.append((self, self.kind, self.id, self.count))
         if self.end and self.attempt is not None:
-            ledger.over(self.attempt, 0)
+            ledger.on_attempt_end(self.attempt, 0)
 
     def answer(self, status: int, body: bytes = b"", *headers: bytes) -> None:
-        """Answer whole."""
+        """Sends a complete answer."""
         if self.attempt is not None:
-            self.stage.ledger.over(self.attempt, status)
+            self.stage.ledger.on_attempt_end(self.attempt, status)
         elif self.kind == "place" and status not in (200, 204):
             self.stage.ledger.no_place(self.id)
         self.send(plain(status, body, *headers))
@@ -297,80 +308,82 @@
     def decline(self, status: int = 503) -> None:
         self.answer(status, b"", b"srv-declined: 1")
 
-    def begin(self, event: bytes = EVENT) -> None:
-        """The head of a stream and its first event."""
-        self._event(event, HEAD)
+    def begin_stream(self, event: bytes = EVENT) -> None:
+        """Sends the head of a stream and its first event."""
+        self._send_event(event, HEAD)
 
-    def event(self, event: bytes = EVENT) -> None:
-        self._event(event, b"")
+    def send_event(self, event: bytes = EVENT) -> None:
+        self._send_event(event, b"")
 
-    def _event(self, event: bytes, before: bytes) -> None:
+    def _send_event(self, event: bytes, before: bytes) -> None:
         assert self.attempt is not None
         self.attempt.events += event
         self.send(before + chunk(event))
 
-    def last(self, fin: bool = False) -> None:
-        """The last event and chunk; with `fin` the connection's end in the same segment."""
+    def end_stream(self, fin: bool = False) -> None:
+        """Sends the last event and chunk; with `fin` also the connection's end, in the same segment."""
         assert self.attempt is not None
         self.attempt.events += DONE
         self.attempt.finished = monotonic()
-        self.stage.ledger.over(self.attempt, 200)
+        self.stage.ledger.on_attempt_end(self.attempt, 200)
         if fin:
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 1)
         self.send(chunk(DONE) + LAST)
         if fin:
-            self.finish()
+            self.shutdown_write()
 
-    def serve(self) -> None:
-        """A whole short stream."""
-        self.begin()
-        self.last()
+    def serve_stream(self) -> None:
+        """Sends a complete stream of one event."""
+        self.begin_stream()
+        self.end_stream()
 
-    def leave(self, reset: bool) -> None:
-        """End the connection."""
+    def disconnect(self, reset: bool) -> None:
+        """Ends the connection without an answer."""
         if self.attempt is not None:
-            self.stage.ledger.over(self.attempt, 0)
+            self.stage.ledger.on_attempt_end(self.attempt, 0)
         self.close(reset)
 
 
 class Host:
-    """A reader or writer. `auto` says which calls it answers by itself, and how."""
+    """A reader or writer; `auto_answers` maps the kinds of calls that it answers without the test to their status."""
 
-    def __init__(self, stage: Wire, name: str, role: str, places: int | None = 200) -> None:
+    def __init__(self, stage: SocketLoop, name: str, role: str, places: int | None = 200) -> None:
         self.stage, self.name, self.role, self.phase = stage, name, role, "Ready"
-        self.auto: dict[str, int] = {"free": 204}
+        self.auto_answers: dict[str, int] = {"free": 204}
         if places is not None:
-            self.auto["place"] = places
+            self.auto_answers["place"] = places
         self.listener = socket.create_server((HERE, 0), backlog=64)
-        self.listener.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)  # what it accepts is stamped from the start
+        self.listener.setsockopt(
+            socket.SOL_SOCKET, SO_TIMESTAMPNS, 1
+        )  # inherited by accepted connections, from their first byte on
         self.connections: list[Call] = []
-        self.fill: list[socket.socket] = []
+        self.backlog_fillers: list[socket.socket] = []
         stage.watch(self.listener, self.accept)
 
     def accept(self) -> None:
         with contextlib.suppress(OSError):
             self.connections.append(Call(self, self.listener.accept()[0]))
-            self.connections[-1].readable()
+            self.connections[-1].on_readable()
 
-    def shut(self) -> None:
-        """Leave every further SYN unanswered: the backlog is full of our own."""
+    def stop_accepting(self) -> None:
+        """Leaves further SYNs unanswered: fills the backlog with connections of the test's own."""
         self.stage.unwatch(self.listener)
         self.listener.listen(0)
-        self.fill.append(socket.create_connection(self.listener.getsockname(), BOUND_S))
+        self.backlog_fillers.append(socket.create_connection(self.listener.getsockname(), MAX_WAIT_S))
 
     def freeze(self) -> None:
-        """Fall silent as a machine that is cut off: what is open stays open and is never read, nothing new comes up."""
+        """Simulates a partition: open connections stay open but are not read, and new ones are not established."""
         for call in self.connections:
             self.stage.unwatch(call.sock)
-        self.shut()
+        self.stop_accepting()
 
     def thaw(self) -> None:
-        """Read what lies in the connections that were open, also in those that were closed meanwhile."""
+        """Reads on in the connections that were open, including those that the program closed meanwhile."""
         for call in self.connections:
             if call.sock.fileno() >= 0 and not call.end:
-                self.stage.watch(call.sock, call.readable)
+                self.stage.watch(call.sock, call.on_readable)
 
-    def open(self) -> None:
+    def resume_accepting(self) -> None:
         self.listener.listen(64)
         self.stage.watch(self.listener, self.accept)
 
--- a/tests/crossing_planted.py
+++ b/tests/crossing_planted.py
@@ -1,6 +1,6 @@
-"""Faults of one line each, to be planted in the program: the ledger of crossings has to find every one of them.
+"""Injected faults of one line each, every one of which the ledger of the crossing worlds has to find.
 
-`python -m tests.crossing_planted [NAME ...]` plays seeds in order for each until a world finds it.
+`python -m tests.crossing_planted [NAME ...]` runs seeds in order for each fault until a world finds it.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from tests.crossing_worlds import play
+from tests.crossing_worlds import breaks_of
 from yardspindle.api.exchange import Exchange
 from yardspindle.api.serving import Server
 from yardspindle.core.hosts.host_list import HostList
@@ -28,30 +28,30 @@
 from yardspindle.node.host_client import HostClient, ResponseStream
 from yardspindle.node.release_tasks import ReleaseTasks
 
-SEEDS_MOST = 300
+MAX_SEEDS = 300
 
 
 @dataclass(frozen=True, slots=True)
 class Planted:
-    """Lines to change, what the ledger is to say, and the seed from which a few find it."""
+    """Lines to change, the violation that the ledger must report, and the seed from which a few find it."""
 
     changes: tuple[tuple[Any, str, str, str], ...]  # owner, method, old text, new text
-    says: str
+    expected_break: str
     first_seed: int = 0
 
 
-def one(owner: Any, method: str, old: str, new: str, says: str, first_seed: int = 0) -> Planted:
-    return Planted(((owner, method, old, new),), says, first_seed)
+def single_change(owner: Any, method: str, old: str, new: str, expected_break: str, first_seed: int = 0) -> Planted:
+    return Planted(((owner, method, old, new),), expected_break, first_seed)
 
 
-# What is said on for calls that may lie unread covers these two faults; they are looked for without it.
-NOT_SAID_AGAIN = (UnreadCalls, "take_due", "due.append(request)", "pass")
+# Repeated releases for calls that may lie unread mask these two faults, so they are tested without them.
+NO_REPEATED_RELEASES = (UnreadCalls, "take_due", "due.append(request)", "pass")
 
 PLANTED: dict[str, Planted] = {
-    "a client's leaving is not told": one(
+    "a client's leaving is not told": single_change(
         Server, "_watch", "exchange.client_disconnected()", "return", "after its client left", 5
     ),
-    "500 is taken for turned away": one(
+    "500 is taken for turned away": single_change(
         HostClient,
         "send",
         "head.status in (503, 504) and declined",
@@ -59,7 +59,7 @@
         "sent again",
         147,
     ),
-    "a drain on the list is passed over": one(
+    "a drain on the list is passed over": single_change(
         HostList,
         "_state",
         "PHASES.get(member.phase, i.State.DRAINING)",
@@ -67,13 +67,13 @@
         "after its drain was told",
         7,
     ),
-    "drains on a list that may lag are passed over": one(
+    "drains on a list that may lag are passed over": single_change(
         HostList, "apply", "self.rejection == MAY_LAG and self._drain(answer)", "False", "after its drain was told", 933
     ),
-    "what is missing on a list that may lag is passed over": one(
+    "what is missing on a list that may lag is passed over": single_change(
         HostList, "_drain", "else host.up_since_ms <= newest", "else False", "after its drain was told", 3_888
     ),
-    "nothing is let go of": one(
+    "nothing is let go of": single_change(
         ReleaseTasks,
         "_release",
         "acknowledged = self._hosts.release(server, self._ids[release.request], late_headers)",
@@ -83,7 +83,7 @@
     ),
     "a word that may have come too early is not said again": Planted(
         (
-            NOT_SAID_AGAIN,
+            NO_REPEATED_RELEASES,
             (
                 RequestCompletion,
                 "_release_all",
@@ -94,12 +94,12 @@
         "was held",
         53_680,
     ),
-    "a word that was not heard counts as heard": one(
+    "a word that was not heard counts as heard": single_change(
         RequestReleases, "settled", "if not confirmed:", "if confirmed and not confirmed:", "was held", 4_052
     ),
     "a read that was called off left nothing": Planted(
         (
-            NOT_SAID_AGAIN,
+            NO_REPEATED_RELEASES,
             (
                 RequestCompletion,
                 "_abort",
@@ -111,10 +111,10 @@
         "was held",
         44,
     ),
-    "what is behind an answer is not looked at": one(
+    "what is behind an answer is not looked at": single_change(
         Response, "close", " and not self.connection.parser.buffered", "", "no host made", 644
     ),
-    "a silent agent is waited for": one(
+    "a silent agent is waited for": single_change(
         DiscoveryClient,
         "_fetch",
         "wait_us + timeouts.AGENT_RESPONSE_US",
@@ -130,7 +130,7 @@
         "no host made",
         704,
     ),
-    "a kept connection does not rest": one(
+    "a kept connection does not rest": single_change(
         HttpClient,
         "_pop_idle",
         "connection.idle_since_us + min_idle_us <=",
@@ -138,7 +138,7 @@
         "two attempts out at once",
         43,
     ),
-    "a cut stream is taken for whole": one(
+    "a cut stream is taken for whole": single_change(
         Executor,
         "_relay",
         'return AttemptResult(i.Status.RESET, detail=f"stream broken: {error}")',
@@ -146,10 +146,10 @@
         "ended as whole",
         26,
     ),
-    "an end of file ends a stream": one(
+    "an end of file ends a stream": single_change(
         ResponseStream, "read", 'raise ExchangeBroken("closed inside the stream")', "return None", "ended as whole", 26
     ),
-    "a spoilt stream is taken for whole": one(
+    "a spoilt stream is taken for whole": single_change(
         Executor,
         "_relay",
         'return AttemptResult(i.Status.ERROR, detail=f"stream spoilt: {error}")',
@@ -157,7 +157,7 @@
         "ended as whole",
         42,
     ),
-    "the end of the process waits for nobody": one(
+    "the end of the process waits for nobody": single_change(
         Server,
         "drain",
         "next(iter(self._connections)).join()",
@@ -165,14 +165,14 @@
         "closed without an answer",
         4,
     ),
-    "attempts are told more time": one(
+    "attempts are told more time": single_change(
         Executor,
         "_late_headers",
         "self._remaining_ms(command))]",
         "(self._remaining_ms(command) + 200))]",
         "more than is left",
     ),
-    "the time left is not looked at when an attempt goes out": one(
+    "the time left is not looked at when an attempt goes out": single_change(
         Lifecycle,
         "remaining_ms",
         "(record.attempt.deadline_us - now_us)",
@@ -180,7 +180,7 @@
         "more than is left",
         40,
     ),
-    "an attempt is called off by name only": one(
+    "an attempt is called off by name only": single_change(
         Executor,
         "_carry_out",
         "known.attempts.pop(attempt).cancel()",
@@ -188,14 +188,14 @@
         "two attempts out at once",
         38,
     ),
-    "a client's pieces are kept back": one(
+    "a client's pieces are kept back": single_change(
         Exchange,
         "send",
         "self._write(head +",
         "self._world.sleep_until(self._world.now_us() + 400_000) or self._write(head +",
         "us late",
     ),
-    "an attempt waits when all has been looked at": one(
+    "an attempt waits when all has been looked at": single_change(
         Executor,
         "_late_headers",
         'return [(b"req-deadline-ms", b"%d" % self._remaining_ms(command))]',
@@ -203,7 +203,7 @@
         '                return [(b"req-deadline-ms", b"%d" % remaining_ms)]',
         "more than is left",
     ),
-    "an attempt that was written has not run": one(
+    "an attempt that was written has not run": single_change(
         HostClient,
         "send",
         "Status.ERROR if error.malformed else Status.RESET, detail=str(error), stale=error.stale",
@@ -214,8 +214,8 @@
 }
 
 
-def changed(owner: Any, method: str, old: str, new: str) -> Callable[..., Any]:
-    """A method with one text changed, which has to be there once."""
+def patched_method(owner: Any, method: str, old: str, new: str) -> Callable[..., Any]:
+    """The method with `old`, which must occur exactly once in its source, replaced by `new`."""
     function = inspect.unwrap(getattr(owner, method))
     source = inspect.getsource(function)
     assert source.count(old) == 1, f"{owner.__name__}.{method} has this {source.count(old)} times: {old}"
@@ -230,31 +230,31 @@
         ),
         function.__globals__,
         space,
-    )  # annotations stay text
+    )  # the flag keeps annotations as text
     planted: Callable[..., Any] = space[method]
     return planted
 
 
 @contextmanager
 def plant(planted: Planted) -> Iterator[None]:
-    """The program with a fault."""
+    """Applies the fault to the program within the context."""
     before = [(owner, method, getattr(owner, method)) for owner, method, _, _ in planted.changes]
     try:
         for owner, method, old, new in planted.changes:
-            setattr(owner, method, changed(owner, method, old, new))
+            setattr(owner, method, patched_method(owner, method, old, new))
         yield
     finally:
         for owner, method, function in before:
             setattr(owner, method, function)
 
 
-def found(planted: Planted, first: int, count: int) -> tuple[int, str] | None:
-    """The first seed in which the ledger says what it is to say, and does not without the fault; and its words."""
+def find_break(planted: Planted, first: int, count: int) -> tuple[int, str] | None:
+    """The first seed in which the ledger reports the expected violation only with the fault, and the report."""
     for seed in range(first, first + count):
         with plant(planted):
-            said = [text for text in play(seed) if planted.says in text]
-        if said and not any(planted.says in text for text in play(seed)):
-            return seed, said[0]
+            reported = [text for text in breaks_of(seed) if planted.expected_break in text]
+        if reported and not any(planted.expected_break in text for text in breaks_of(seed)):
+            return seed, reported[0]
     return None
 
 
@@ -262,7 +262,7 @@
     missed = 0
     for name, planted in PLANTED.items():
         if not names or name in names:
-            first = found(planted, 0, SEEDS_MOST)
+            first = find_break(planted, 0, MAX_SEEDS)
             print(f"{name}: {f'seed {first[0]}: {first[1]}' if first else 'not found'}", flush=True)
             missed += first is None
     return missed
--- a/tests/crossing_worlds.py
+++ b/tests/crossing_worlds.py
@@ -1,7 +1,7 @@
-"""Worlds in which two to four events cross with the protocol's steps, drawn by seeds, judged by an independent ledger.
+"""Simulated worlds in which two to four events strike at the protocol's steps, checked by an independent ledger.
 
-`python -m tests.crossing_worlds FIRST COUNT [-v]` plays seeds and prints the count, the breaks and the time; with
-`-v` also what the dispatcher said, and the book.
+`python -m tests.crossing_worlds FIRST COUNT [-v]` runs seeds and prints the violations, their count and the time; with
+`-v` also the dispatcher's log and the ledger.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field, replace
 
 from tests.crossing_clients import CrossingClients
-from tests.crossing_draw import MADE_BY_THE_DISPATCHER, RIGHT_AFTER_US, Crossing, Plan, draw
+from tests.crossing_draw import DISPATCHER_STEPS, RIGHT_AFTER_US, Crossing, Plan, draw
 from tests.crossing_events import Events
 from tests.crossing_hosts import CrossingHost, CrossingPlatform
 from tests.platform_standin import TOLD
@@ -26,15 +26,18 @@
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.virtual import EPOCH_US, Simulation, VirtualWorld
 
-KILL_MORE_US = 700_000
-KILL_AFTER_MOST_US = 3_000_000
-UNEVEN_PART, UNEVEN_US = 0.3, (100, 6_000)  # of the worlds: a word may overtake a close on another connection
-BELOW = 0.5  # of the moves, those to an agent whose revisions begin anew
-WORLD_MOST_US = 120_000_000
+KILL_GRACE_US = 700_000  # SIGKILL comes this long after the longest deadline, counted from SIGTERM
+MAX_DEADLINE_US = 3_000_000  # the longest deadline counts up to this
+UNEVEN_LATENCY_SHARE, UNEVEN_LATENCY_US = (
+    0.3,
+    (100, 6_000),
+)  # a message may overtake a close on another connection
+LOWER_REVISION_SHARE = 0.5  # of the moves: to an agent whose revisions are lower
+MAX_WORLD_US = 120_000_000
 
 
 class Log(io.StringIO):
-    """What the dispatcher says, with the world's time."""
+    """Collects the dispatcher's log, with the simulated time."""
 
     def __init__(self, sim: Simulation) -> None:
         super().__init__()
@@ -46,57 +49,57 @@
 
 @dataclass
 class World:
-    """One play of one plan."""
+    """One run of a plan."""
 
     plan: Plan
     sim: Simulation
     ledger: Ledger
-    times: dict[tuple[bytes, str], int] = field(default_factory=dict)  # the first time of each step
+    first_step_us: dict[tuple[bytes, str], int] = field(default_factory=dict)  # when each step first happened
     fired: list[str] = field(default_factory=list)
-    waiting: list[Crossing] = field(default_factory=list)
+    pending: list[Crossing] = field(default_factory=list)
     node: Node | None = None
-    leaving_us: int = 0  # told to end
+    sigterm_us: int = 0  # when SIGTERM was sent; 0: not yet
 
     def __post_init__(self) -> None:
-        self.waiting = [c for c in self.plan.crossings if c.at_us is None]
+        self.pending = [c for c in self.plan.crossings if c.at_us is None]
         self.platform = CrossingPlatform(self.sim, self.ledger, self, self.plan.flavors, self.plan.conn_idle_us)
-        if self.sim.random("ways").random() < UNEVEN_PART:
+        if self.sim.random("ways").random() < UNEVEN_LATENCY_SHARE:
             for name in self.platform.hosts:
-                self.sim.network.path("node", name).latency_us = UNEVEN_US
+                self.sim.network.path("node", name).latency_us = UNEVEN_LATENCY_US
         self.events = Events(self)
         self.clients = CrossingClients(self)
 
     # --- steps
 
     def before(self, step: str, number: bytes, host: CrossingHost | None) -> int:
-        self.times.setdefault((number, step), self.sim.now_us())
+        self.first_step_us.setdefault((number, step), self.sim.now_us())
         put_off_us = 0
-        for crossing in self._met(step, number):
+        for crossing in self._pending_at(step, number):
             if crossing.offset_us <= 0 and not crossing.after_sent:
                 self._fire(crossing, host)
                 put_off_us = max(put_off_us, -crossing.offset_us)
         return put_off_us
 
     def after(self, step: str, number: bytes, host: CrossingHost | None) -> None:
-        for crossing in self._met(step, number):
+        for crossing in self._pending_at(step, number):
             if crossing.offset_us <= RIGHT_AFTER_US:
                 self._fire(crossing, host)
             else:
-                self.waiting.remove(crossing)
-                self._at(crossing, self.sim.now_us() + crossing.offset_us, host)
+                self.pending.remove(crossing)
+                self._fire_at(crossing, self.sim.now_us() + crossing.offset_us, host)
 
-    def _met(self, step: str, number: bytes) -> list[Crossing]:
-        return [c for c in self.waiting if c.step == step and c.number == number]
+    def _pending_at(self, step: str, number: bytes) -> list[Crossing]:
+        return [c for c in self.pending if c.step == step and c.number == number]
 
-    def _at(self, crossing: Crossing, at_us: int, host: CrossingHost | None) -> None:
+    def _fire_at(self, crossing: Crossing, at_us: int, host: CrossingHost | None) -> None:
         def due() -> None:
             self.platform.clients.spawn("crossing", self._fire, crossing, host)
 
         self.sim.scheduler.timers.set(at_us, due)
 
     def _fire(self, crossing: Crossing, host: CrossingHost | None) -> None:
-        if crossing in self.waiting:
-            self.waiting.remove(crossing)
+        if crossing in self.pending:
+            self.pending.remove(crossing)
         self.fired.append(crossing.event)
         self.events.fire(crossing, host)
 
@@ -109,24 +112,24 @@
         world.spawn("start", self.node.start).join()
 
     def reload(self) -> None:
-        """Discovery moves: a new configuration comes with SIGHUP."""
+        """Discovery moves to another agent: a new configuration is loaded, as by SIGHUP."""
         assert self.node is not None
         if not self.platform.moved_us:
-            below = self.platform.revision - 1 if self.sim.random("moved").random() < BELOW else 0
+            below = self.platform.revision - 1 if self.sim.random("moved").random() < LOWER_REVISION_SHARE else 0
             self.platform.discovery("10.2.0.9:8500", below)
             self.platform.moved_us = self.sim.now_us()
         data = {"discovery": "10.2.0.9:8500", "settings": self.plan.settings}
         self.node.reload(parse_config(TOLD, json.dumps(data).encode()))
 
     def terminate(self) -> None:
-        """SIGTERM, the program's own way to its end, and SIGKILL."""
+        """Sends SIGTERM; SIGKILL follows if the graceful shutdown takes too long."""
         node = self.node
-        if node is None or self.leaving_us:
+        if node is None or self.sigterm_us:
             return
-        self.leaving_us = self.ledger.term_us = self.sim.now_us()
+        self.sigterm_us = self.ledger.term_us = self.sim.now_us()
         longest_us = max(int(row["give-up-us"]) for row in self.plan.settings["services"])
-        kill_us = self.leaving_us + min(longest_us, KILL_AFTER_MOST_US) + KILL_MORE_US
-        self.clients.crossing_us = shutdown_times(self.leaving_us, longest_us, self.ledger.resume).close_idle_us
+        kill_us = self.sigterm_us + min(longest_us, MAX_DEADLINE_US) + KILL_GRACE_US
+        self.clients.close_idle_us = shutdown_times(self.sigterm_us, longest_us, self.ledger.resume).close_idle_us
         self.clients.terminated.set()
         world = node.world
         assert isinstance(world, VirtualWorld)
@@ -134,7 +137,7 @@
         def end() -> None:
             with contextlib.suppress(DeadlineExceeded), self.platform.clients.deadline(kill_us):
                 drained.join()
-                for task in world.tasks:  # as the loop does when the program's first task has ended
+                for task in world.tasks:  # as the event loop does when the program's first task has ended
                     task.cancel()
                 self.platform.sleep(1_000)
             if self.sim.now_us() >= kill_us:
@@ -149,13 +152,13 @@
         self.start()
         for crossing in self.plan.crossings:
             if crossing.at_us is not None:
-                self._at(crossing, crossing.at_us, None)
+                self._fire_at(crossing, crossing.at_us, None)
         self.clients.run()
         self.platform.sleep(1_500_000)
 
 
-def once(plan: Plan) -> tuple[World, list[str], str]:
-    """Play a plan: the world, its breaks, and what the dispatcher said."""
+def run_plan(plan: Plan) -> tuple[World, list[str], str]:
+    """Runs a plan; returns the world, the violations and the dispatcher's log."""
     sim = Simulation(plan.seed)
     family, allowed = plan.settings["family-info"], plan.settings["allowed"]
     rules = plan.settings["obligations"]["drain-grace-us"], family["let-go-by-us"], allowed["most-tries"]
@@ -169,33 +172,36 @@
     with contextlib.redirect_stderr(log):
         world = sim.run("main", main)
     breaks = world.ledger.judge(sim.now_us()) + [f"crash: {text}" for text in sim.crashes]
-    if sim.now_us() - EPOCH_US > WORLD_MOST_US:
+    if sim.now_us() - EPOCH_US > MAX_WORLD_US:
         breaks.append("the world did not end")
     return world, breaks, log.getvalue()
 
 
-def world_of(seed: int) -> tuple[World, list[str], str]:
-    """Play a seed. What is to come before a step of the dispatcher's own needs a play without it first."""
+def run_seed(seed: int) -> tuple[World, list[str], str]:
+    """Runs a seed's plan.
+
+    An event before a step of the dispatcher needs a run without it first, which tells the step's time.
+    """
     plan = draw(seed)
     for at, crossing in enumerate(plan.crossings):
-        if crossing.offset_us < 0 and crossing.step in MADE_BY_THE_DISPATCHER:
-            rest = [c for c in plan.crossings if c is not crossing and (c.at_us is not None or c.offset_us >= 0)]
-            world, _, _ = once(replace(plan, crossings=rest))
-            when = world.times.get((crossing.number, crossing.step))
+        if crossing.offset_us < 0 and crossing.step in DISPATCHER_STEPS:
+            others = [c for c in plan.crossings if c is not crossing and (c.at_us is not None or c.offset_us >= 0)]
+            world, _, _ = run_plan(replace(plan, crossings=others))
+            when = world.first_step_us.get((crossing.number, crossing.step))
             plan.crossings[at] = replace(crossing, at_us=when + crossing.offset_us if when else None, offset_us=0)
-    return once(plan)
+    return run_plan(plan)
 
 
-def play(seed: int) -> list[str]:
-    """The breaks that the ledger finds in one world."""
-    return world_of(seed)[1]
+def breaks_of(seed: int) -> list[str]:
+    """The violations that the ledger finds in a seed's world."""
+    return run_seed(seed)[1]
 
 
 def main(arguments: list[str]) -> int:
     first, count = int(arguments[0]), int(arguments[1])
     began, broken, fired = time.monotonic(), 0, Counter[str]()
     for seed in range(first, first + count):
-        world, breaks, log = world_of(seed)
+        world, breaks, log = run_seed(seed)
         fired.update(world.fired)
         broken += bool(breaks)
         for text in breaks:
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -1,7 +1,7 @@
-"""The real dispatcher between clients, hosts and an agent of ours on loopback, which take their steps when told to.
+"""Runs the real dispatcher between clients, hosts and a discovery agent that the test controls step by step.
 
-One thread reads all their sockets and notes what comes in a ledger; the test writes, ends connections and sends
-signals, and waits for what a party has seen. `Stage.stopped` puts several events before one turn of the program.
+One thread reads all their sockets and records what arrives in a ledger; the test writes, ends connections, sends
+signals and waits for what was read. `Stage.paused` makes several events visible to the program in one turn of its loop.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from typing import Any
 
 from tests.crossing_agent import Agent
-from tests.crossing_ledger import HELD_MORE_S, Ledger
-from tests.crossing_parties import BOUND_S, HERE, Call, Client, Host, Wire
+from tests.crossing_ledger import HELD_SLACK_S, Ledger
+from tests.crossing_parties import HERE, MAX_WAIT_S, Call, Client, Host, SocketLoop
 
 RELEASE_S = 0.3
 GRACE_S = 0.25
-PLACE_S = 0.05  # most places are asked for within that time after their read has come
-STARTS = 3
-TICKS = os.sysconf("SC_CLK_TCK")
-DUE_S = 0.01  # past its time a timer of the program is due
+PLACE_S = 0.05  # most places are requested within this time after their read arrived
+MAX_STARTS = 3
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+TIMER_MARGIN_S = 0.01  # this long after its time, a timer of the program is surely due
 SETTINGS: dict[str, Any] = {
     "me": 0,
     "instances": 1,
@@ -60,11 +60,12 @@
     "the policy failed",
     "Traceback",
 )
-LATE = "rule broken rule=one final answer"  # its own clock goes on while it is stopped: the ledger judges that
+# Reported falsely after a pause, during which the program's clock runs on; the ledger checks this rule instead.
+LATE = "rule broken rule=one final answer"
 
 
-class Stage(Wire):
-    """A dispatcher and its surroundings."""
+class Stage(SocketLoop):
+    """A dispatcher process with its clients, hosts and agent; one ledger for each test case."""
 
     ROOT = Path(__file__).parent.parent
 
@@ -76,21 +77,22 @@
         writers: int = 1,
         package: Path = ROOT,
         sockets: int = 256,
-        heard: bool = True,
+        agent_answers: bool = True,
         descriptors: int = 0,
         resume: bool = True,
         **allowed: Any,
     ) -> None:
-        """`heard`: the agent answers; else the program is given once it waits for the agent's first list.
+        """Starts the program and waits until it is ready.
 
-        `descriptors`: how many the machine gives the program; 0: as many as us.
+        `agent_answers`: whether the agent does; if not, waits only until the program waits for its first list.
+        `descriptors`: the program's limit of file descriptors; 0: that of this process.
         """
         super().__init__()
         self.folder, self.package, self.sockets, self.descriptors = folder, package, sockets, descriptors
         self.log: list[tuple[float, str]] = []
         self.clients: list[Client] = []
         self.hosts: list[Host] = []
-        self._made, self._rest, self._seen = 0, b"", 0
+        self._host_groups, self._partial_line, self._judged_lines = 0, b"", 0
         self.give_up_s = give_up_ms / 1_000
         services = [
             {"name": name, "goal-time-us": give_up_ms * 500, "give-up-us": give_up_ms * 1_000, "idempotency": effect}
@@ -105,15 +107,15 @@
         }
         self._thread.start()
         self.agent = Agent(self, self.new_hosts(readers, writers, 200))
-        self.agent.silent = not heard
-        self.scene()
-        for _ in range(STARTS):
+        self.agent.silent = not agent_answers
+        self.begin_case()
+        for _ in range(MAX_STARTS):
             if self._start():
                 return
         raise AssertionError(f"no start: {self.log}")
 
     def _start(self) -> bool:
-        """Start the program; whether it is ready: its port may have been taken by a connection meanwhile."""
+        """Starts the program; returns whether it is ready. A connection may have taken its port in the meantime."""
         spare = socket.create_server((HERE, 0))
         self.port = spare.getsockname()[1]
         spare.close()
@@ -136,15 +138,15 @@
             preexec_fn=self._limit,
         )
         assert self.node.stderr is not None
-        self._errors = self.node.stderr.fileno()
+        self._stderr = self.node.stderr.fileno()
         seen = len(self.log)
-        self.watch(self._errors, self._read_log)
-        calls = self.agent.asked
-        return not self.until(
+        self.watch(self._stderr, self._read_log)
+        calls = self.agent.call_count
+        return not self.wait_for(
             "a start",
             lambda: (
                 "waits"
-                if self.agent.silent and self.agent.asked > calls
+                if self.agent.silent and self.agent.call_count > calls
                 else next((row for _, row in self.log[seen:] if row.startswith(("ready", "ROUTER_LISTEN"))), "")
             ),
         ).startswith("R")
@@ -154,8 +156,8 @@
             resource.setrlimit(resource.RLIMIT_NOFILE, (self.descriptors, self.descriptors))
 
     def configure(self, agent: Agent) -> None:
-        """Write the configuration file."""
-        known = {"known": json.loads(agent.listed())} if agent.silent else {}
+        """Writes the configuration file with this agent's address."""
+        known = {"known": json.loads(agent.list_body())} if agent.silent else {}
         self.config.write_text(
             json.dumps(
                 {"settings": self.settings, "discovery": agent.address, "limits": {"sockets": self.sockets}, **known}
@@ -168,10 +170,10 @@
     def __exit__(self, *_: object) -> None:
         if self.node.poll() is None:
             self.node.kill()
-        self.node.wait(BOUND_S)
+        self.node.wait(MAX_WAIT_S)
         self._ended = True
-        self._thread.join(BOUND_S)
-        with self.news:
+        self._thread.join(MAX_WAIT_S)
+        with self.changed:
             for key in list(self._selector.get_map().values()):
                 if not isinstance(key.fileobj, int):
                     key.fileobj.close()  # type: ignore[attr-defined]
@@ -179,28 +181,28 @@
         assert self.node.stderr is not None
         self.node.stderr.close()
 
-    # --- parties
+    # --- clients and hosts
 
     def new_hosts(self, readers: int, writers: int, places: int | None = 200) -> list[Host]:
-        self._made += 1
+        self._host_groups += 1
         names = [("read", at) for at in range(readers)] + [("write", at) for at in range(writers)]
-        self.hosts = [Host(self, f"{role}er-{self._made}-{at}", role, places) for role, at in names]
+        self.hosts = [Host(self, f"{role}er-{self._host_groups}-{at}", role, places) for role, at in names]
         return self.hosts
 
-    def scene(self) -> None:
-        """A new ledger: what came before is judged."""
-        with self.news:
-            self.ledger = Ledger(RELEASE_S, GRACE_S, self.stalled)
+    def begin_case(self) -> None:
+        """Begins a test case with a new ledger; what happened before has been judged."""
+        with self.changed:
+            self.ledger = Ledger(RELEASE_S, GRACE_S, self.stalled_s)
             self.calls.clear()
-            self.scenes, self.clean, self.judged = self.scenes + 1, False, False
+            self.case_count, self.passed, self.judged = self.case_count + 1, False, False
 
-    def fresh(self, readers: int = 1, writers: int = 1, places: int | None = 200) -> None:
-        """New hosts instead of the old, of which the program knows nothing, and a new ledger."""
-        self.agent.tell(*self.new_hosts(readers, writers, places))
+    def reset(self, readers: int = 1, writers: int = 1, places: int | None = 200) -> None:
+        """Replaces the hosts by new ones, closes the clients and begins a test case."""
+        self.agent.publish_and_wait(*self.new_hosts(readers, writers, places))
         for client in self.clients:
             client.close()
         self.clients.clear()
-        self.scene()
+        self.begin_case()
 
     def client(self) -> Client:
         self.clients.append(Client(self))
@@ -209,150 +211,156 @@
     def host(self, role: str, at: int = 0) -> Host:
         return [host for host in self.hosts if host.role == role][at]
 
-    def call(self, kind: str, number: str | None = None) -> Call:
-        """Wait for the next call of a kind at any host."""
-        wanted = None if number is None else self.number(number).encode()
+    def wait_call(self, kind: str, number: str | None = None) -> Call:
+        """Waits for the next call of a kind at any host; a read's place is requested before it returns."""
+        wanted = None if number is None else self.full_id(number).encode()
 
-        def look() -> Call | None:
+        def take_call() -> Call | None:
             for known in self.calls:
                 if known[1] == kind and wanted in (None, known[2]):
                     self.calls.remove(known)
                     return known[0]
             return None
 
-        call = self.until(f"a {kind} of {number}", look)
+        call = self.wait_for(f"a {kind} of {number}", take_call)
         if kind == "read":
-            self._with_its_place(call.id)
+            self._wait_place(call.id)
         return call
 
-    def _with_its_place(self, number: bytes) -> None:
-        """Give a read's place the time to be asked for before the read is answered."""
+    def _wait_place(self, number: bytes) -> None:
+        """Waits up to PLACE_S for a read's place to be requested, so that the read is answered after that."""
         until = monotonic() + PLACE_S
-        with self.news:
-            while not self.ledger.asked_place(number) and monotonic() < until:
-                self.news.wait(until - monotonic())
+        with self.changed:
+            while not self.ledger.place_requested(number) and monotonic() < until:
+                self.changed.wait(until - monotonic())
 
-    def play(self, *clients: Client) -> None:
-        """Read and write whatever comes until each of these clients has its answer, or sees its connection end."""
+    def serve_until_answered(self, *clients: Client) -> None:
+        """Serves all calls until each of these clients has all its answers or its connection has ended."""
 
-        def over(client: Client) -> bool:
+        def finished(client: Client) -> bool:
             return bool(client.end) or len(client.answers) >= len(client.requests)
 
-        while self.until("calls or answers", lambda: bool(self.calls) or all(map(over, clients))):
-            with self.news:
+        while self.wait_for("calls or answers", lambda: bool(self.calls) or all(map(finished, clients))):
+            with self.changed:
                 if not self.calls:
                     return
                 call, kind, _, _ = self.calls.pop(0)
             if kind == "read":
-                self._with_its_place(call.id)
+                self._wait_place(call.id)
                 call.answer(202)
             elif kind == "write":
-                call.serve()
+                call.serve_stream()
             else:
                 call.answer({"place": 200, "free": 204}[kind])
 
-    def _syn(self, host: Host) -> bool:
+    def _syn_is_pending(self, host: Host) -> bool:
         port = f"{host.listener.getsockname()[1]:04X}"
         rows = [row.split() for row in Path("/proc/net/tcp").read_text().splitlines()[1:]]
         return any(row[2].endswith(f":{port}") and row[3] == "02" for row in rows)
 
-    def connecting(self, host: Host) -> None:
-        """Wait until the program's connection to a host is being made: its SYN is out, unanswered."""
-        self.until(f"a connection to {host.name}", lambda: self._syn(host))
+    def wait_connecting(self, host: Host) -> None:
+        """Waits until the program is connecting to a host: its SYN is unanswered."""
+        self.wait_for(f"a connection to {host.name}", lambda: self._syn_is_pending(host))
 
-    def connected(self, host: Host) -> None:
-        """Wait until no connection to a host is being made, and those that were are used or ended."""
-        self.until(
+    def wait_connected(self, host: Host) -> None:
+        """Waits until no connection to a host is being established, and all established ones were used or ended."""
+        self.wait_for(
             f"no more connections to {host.name}",
-            lambda: not self._syn(host) and all(call.end or call.count for call in host.connections if not call.ours),
+            lambda: (
+                not self._syn_is_pending(host)
+                and all(call.end or call.count for call in host.connections if not call.is_filler)
+            ),
         )
 
     # --- the program
 
-    def signal(self, number: signal.Signals) -> None:
-        with self.news:
-            self.ledger.say(number.name)
+    def send_signal(self, number: signal.Signals) -> None:
+        with self.changed:
+            self.ledger.log(number.name)
             if number is signal.SIGTERM:
                 self.ledger.term = monotonic()
         self.node.send_signal(number)
 
     @contextlib.contextmanager
-    def stopped(self) -> Iterator[None]:
-        """What is done meanwhile the program finds all at once."""
+    def paused(self) -> Iterator[None]:
+        """Stops the program; on its return it finds all that was done meanwhile at once."""
         begun = monotonic()
         self.node.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, self.node.pid, os.WSTOPPED)
         try:
             yield
         finally:
-            with self.news:
+            with self.changed:
                 self.ledger.away.append((begun, monotonic()))
-                self.ledger.say(f"stopped for {monotonic() - begun:.3f} s")
+                self.ledger.log(f"stopped for {monotonic() - begun:.3f} s")
             self.node.send_signal(signal.SIGCONT)
 
-    def at(self, time: float) -> None:
-        """Wait for the clock: a timer of the program has to be due."""
+    def wait_until(self, time: float) -> None:
+        """Waits until a time of the monotonic clock."""
         sleep(max(time - monotonic(), 0.0))
 
     def _read_log(self) -> None:
-        data = os.read(self._errors, 1 << 16)
+        data = os.read(self._stderr, 1 << 16)
         if not data:
-            self.unwatch(self._errors)
-        *lines, self._rest = (self._rest + data).split(b"\n")
+            self.unwatch(self._stderr)
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         for line in lines:
             self.log.append((monotonic(), line.decode()))
-            self.ledger.say(f"log: {line.decode()}")
+            self.ledger.log(f"log: {line.decode()}")
 
-    def line(self, text: str) -> float:
-        """Wait for a line of the program's log; when it came."""
-        return self.until(
+    def wait_log_line(self, text: str) -> float:
+        """Waits for a line of the program's log; returns when it was read."""
+        return self.wait_for(
             f"the line {text!r}", lambda: next((at for at, row in self.log if row.startswith(text)), None)
         )
 
-    def exited(self) -> int:
-        """Wait for the program's end."""
-        return self.node.wait(BOUND_S)
+    def wait_exit(self) -> int:
+        """Waits for the program's end; returns its exit status."""
+        return self.node.wait(MAX_WAIT_S)
 
-    def busy(self) -> float:
-        """Seconds of processor time that the program has used so far."""
-        return sum(map(int, Path(f"/proc/{self.node.pid}/stat").read_text().rpartition(")")[2].split()[11:13])) / TICKS
+    def cpu_seconds(self) -> float:
+        """The processor time that the program has used so far."""
+        return (
+            sum(map(int, Path(f"/proc/{self.node.pid}/stat").read_text().rpartition(")")[2].split()[11:13]))
+            / TICKS_PER_S
+        )
 
     def open_descriptors(self) -> int:
         return len(os.listdir(f"/proc/{self.node.pid}/fd"))
 
-    def memory(self) -> int:
-        """The most bytes that the program has held so far."""
+    def peak_memory(self) -> int:
+        """The program's peak resident memory so far, in bytes."""
         rows = Path(f"/proc/{self.node.pid}/status").read_text().splitlines()
         return next(int(row.split()[1]) * 1_024 for row in rows if row.startswith("VmHWM"))
 
-    def stalled(self) -> float:
-        """See Wire: what the scheduler says of the program and of our own threads, and the machine of itself."""
+    def stalled_s(self) -> float:
+        """See SocketLoop: run-queue wait of the program and of this process's threads, plus stolen time."""
         waited = 0
         for task in (f"/proc/{self.node.pid}", *map(str, Path("/proc/self/task").iterdir())):
             with contextlib.suppress(OSError, IndexError):
                 waited += int(Path(task, "schedstat").read_text().split()[1])
         stolen = int(Path("/proc/stat").read_text().split()[8])
-        return waited / 1e9 + stolen / TICKS
+        return waited / 1e9 + stolen / TICKS_PER_S
 
-    def turn(self) -> None:
-        """See Wire."""
-        super().turn()
+    def answer_due(self) -> None:
+        """See SocketLoop; also answers the agent's calls that are due."""
+        super().answer_due()
         for call in self.agent.calls if hasattr(self, "agent") else ():
-            call.due()
+            call.answer_if_due()
 
     # --- judging
 
     def judge(self) -> list[str]:
-        """Every break, once what is held has been let go of, or was held for too long."""
+        """All violations, once all that was held has been released or was held for too long."""
         self.judged = True
-        until = monotonic() + RELEASE_S + HELD_MORE_S + 0.1
-        with self.news:
-            while self.ledger.owed() and monotonic() < until:
-                self.news.wait(0.05)
+        until = monotonic() + RELEASE_S + HELD_SLACK_S + 0.1
+        with self.changed:
+            while self.ledger.held_requests() and monotonic() < until:
+                self.changed.wait(0.05)
             for client in self.clients:
-                client.late_reset()
-            rows = self.log[self._seen :]
-            self._seen = len(self.log)
+                client.note_late_reset()
+            rows = self.log[self._judged_lines :]
+            self._judged_lines = len(self.log)
             found = self.ledger.judge() + [
                 row for _, row in rows if row.startswith(TROUBLE) and not row.startswith(LATE)
             ]
@@ -360,30 +368,30 @@
                 found.append(f"the program ended with {self.node.returncode}")
             return found
 
-    def failed(self, number: str) -> None:
-        """Wait for the word that an attempt of a request failed."""
-        self.line(f"attempt failed id={self.number(number)} ")
+    def wait_attempt_failed(self, number: str) -> None:
+        """Waits for the log line of a failed attempt of this request."""
+        self.wait_log_line(f"attempt failed id={self.full_id(number)} ")
 
     def check(self) -> None:
-        """Nothing is broken."""
+        """Asserts that no rule was violated."""
         found = self.judge()
-        assert not found, "\n".join([*found, "", self.told()])
-        self.clean = True
+        assert not found, "\n".join([*found, "", self.transcript()])
+        self.passed = True
 
 
 class Shared:
-    """A stage for one test after another; after one that failed the next gets a new program."""
+    """A stage shared by the tests of a module; after a failed test the next one gets a new program."""
 
     def __init__(self, folder: Path, **settings: Any) -> None:
         self.folder, self.settings = folder, settings
         self.stage: Stage | None = None
 
     def fresh(self) -> Stage:
-        if self.stage is not None and not self.stage.clean:
+        if self.stage is not None and not self.stage.passed:
             self.close()
         if self.stage is None:
             self.stage = Stage(self.folder, **self.settings)
-        self.stage.fresh()
+        self.stage.reset()
         return self.stage
 
     def close(self) -> None:
--- a/tests/planted_crossings.py
+++ b/tests/planted_crossings.py
@@ -1,7 +1,7 @@
-"""Faults to plant into a copy of the program, a line each, and the crossing that has to find it.
+"""Injected faults of one line each for a copy of the program, and the crossing test that has to find each.
 
-A fault that a second layer makes up for is not here: the edge's interlocks and the policy each keep an order from
-being sent twice, and a host that drains from being chosen.
+Faults masked by a second layer are left out: the edge's interlocks and the policy each prevent that an order is sent
+twice and that a draining host is chosen.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 
 @dataclass(frozen=True)
 class Plant:
-    """`line` of a file becomes `by`; `crossing` then fails, and says this."""
+    """`line` of a file becomes `replacement`; `crossing` must then fail with `expected_break`."""
 
     file: str
     line: str
-    by: str
+    replacement: str
     crossing: Callable[[Stage], None]
-    says: str
+    expected_break: str
 
 
 def patched(folder: Path, plant: Plant) -> Path:
-    """A copy of the package with the fault."""
+    """Copies the package into the folder with the fault applied."""
     shutil.copytree(Stage.ROOT / "yardspindle", folder / "yardspindle", ignore=shutil.ignore_patterns("__pycache__"))
     file = folder / "yardspindle" / plant.file
     text = file.read_text()
     lines = [row.strip() for row in text.splitlines()]
-    assert lines.count(plant.line) == 1, f"{plant.file}: not there once: {plant.line}"
+    assert lines.count(plant.line) == 1, f"{plant.file}: must occur once: {plant.line}"
     at = lines.index(plant.line)
     rows = text.splitlines()
-    rows[at] = rows[at].replace(plant.line, plant.by)
+    rows[at] = rows[at].replace(plant.line, plant.replacement)
     file.write_text("\n".join(rows) + "\n")
     return folder
 
@@ -54,7 +54,7 @@
         "known.attempts.pop(attempt).cancel()",
         "known.attempts.pop(attempt)",
         lambda stage: clients.flood(stage, "rst", 0),
-        "let go of under its read",
+        "released during its read",
     ),
     "a_kept_connection_is_not_looked_at": Plant(
         "runtime/real.py",
@@ -106,7 +106,7 @@
         "was told 5000 ms",
     ),
     "events_are_dropped": Plant(
-        "node/executor.py", "exchange.send(data)", "pass", clients.plainly, "a part passed on as whole"
+        "node/executor.py", "exchange.send(data)", "pass", clients.serve_two_requests, "a part passed on as whole"
     ),
     "a_broken_stream_counts_as_ended": Plant(
         "node/host_client.py",
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,75 +1,79 @@
-"""Crossings of a client's steps with those of hosts at the real dispatcher."""
+"""Steps of a client that cross with steps of hosts, at the real dispatcher.
+
+The orders are: the first step before the second, the second before the first, and both in one turn of the program's
+loop, in either order.
+"""
 
 from __future__ import annotations
 
 import pytest
 
-from tests.crossing_ledger import LEFT_S
+from tests.crossing_ledger import LEAVE_SLACK_S
 from tests.crossings import Stage
 from yardspindle.api.request_queue import MAX_QUEUED_REQUESTS
 
-LEAVING = ("fin", "close", "rst")
+CLOSE_KINDS = ("fin", "close", "rst")
 PHASES = ("before the read", "read out", "write out", "streaming")
-FLOOD_MOST = 4_000_000  # bytes by which one client's flood may make the program grow
+MAX_FLOOD_GROWTH = 4_000_000  # bytes by which one client's flood may grow the program's memory
 ORDERS = ("first", "second", "one turn", "one turn, second")
 
 
-def plainly(stage: Stage) -> None:
+def serve_two_requests(stage: Stage) -> None:
     client = stage.client()
     for number in ("a", "b"):
         client.ask(number)
-        stage.call("read", number).answer(202, b'{"cached_tokens":0}')
-        write = stage.call("write", number)
-        write.begin()
-        client.begun()
-        write.event()
-        write.last()
-        assert client.answer().status == 200
+        stage.wait_call("read", number).answer(202, b'{"cached_tokens":0}')
+        write = stage.wait_call("write", number)
+        write.begin_stream()
+        client.wait_first_data()
+        write.send_event()
+        write.end_stream()
+        assert client.wait_answer().status == 200
     stage.check()
 
 
 def test_a_request_is_read_and_written(stage: Stage) -> None:
-    plainly(stage)
+    serve_two_requests(stage)
 
 
 # --- a client that leaves
 
 
 def flood(stage: Stage, how: str, count: int = 5, body: int = 61_000, phase: str = "read out") -> None:
-    """Much more comes after the first request, and the end."""
+    """A client sends many more requests behind its first one and leaves."""
 
     def more() -> None:
-        client.send(b"".join(client.asks(f"more-{at}", body=b"{%s}" % (b" " * body)).data for at in range(count)))
-        client.leave(how)
+        client.send(b"".join(client.prepare(f"more-{at}", body=b"{%s}" % (b" " * body)).data for at in range(count)))
+        client.disconnect(how)
 
-    client, before = stage.client(), stage.memory()
+    client, before = stage.client(), stage.peak_memory()
     if phase == "before the read":
         client.ask("before")
-        stage.play(client)
-        with stage.stopped():
+        stage.serve_until_answered(client)
+        with stage.paused():
             client.ask("first")
             more()
     else:
         client.ask("first")
-        read = stage.call("read", "first")
+        read = stage.wait_call("read", "first")
         if phase == "read out":
             more()
         else:
             read.answer(202)
-            write = stage.call("write", "first")
+            write = stage.wait_call("write", "first")
             if phase == "streaming":
-                write.begin()
-                client.begun()
+                write.begin_stream()
+                client.wait_first_data()
             more()
-            write.ended()
-    stage.at(client.requests[-1].left + 2 * LEFT_S)  # type: ignore[operator]
+            write.wait_end()
+    stage.wait_until(client.requests[-1].left + 2 * LEAVE_SLACK_S)  # type: ignore[operator]
     if phase == "read out":
-        read.answer(202)  # unless it was called off
-    assert stage.memory() - before < FLOOD_MOST
+        read.answer(202)  # in case it was not cancelled
+    assert stage.peak_memory() - before < MAX_FLOOD_GROWTH
     stage.check()
 
 
-@pytest.mark.parametrize("how", LEAVING)
+@pytest.mark.parametrize("how", CLOSE_KINDS)
 @pytest.mark.parametrize("phase", PHASES)
 @pytest.mark.parametrize("count,body", [(5, 61_000), (3 * MAX_QUEUED_REQUESTS, 10)])
 def test_a_client_sends_much_and_goes_while_its_first_request_waits(
@@ -78,40 +82,40 @@
     flood(stage, how, 1 if phase == "before the read" and body > 10 else count, body, phase)
 
 
-@pytest.mark.parametrize("how", LEAVING)
+@pytest.mark.parametrize("how", CLOSE_KINDS)
 def test_a_client_goes_while_its_read_is_out(stage: Stage, how: str) -> None:
     flood(stage, how, count=0)
 
 
-@pytest.mark.parametrize("how", LEAVING)
+@pytest.mark.parametrize("how", CLOSE_KINDS)
 def test_a_client_goes_while_the_connection_of_its_write_does_not_come_up(stage: Stage, how: str) -> None:
-    stage.fresh(places=None)
+    stage.reset(places=None)
     client = stage.client()
     client.ask("a")
-    read, writer = stage.call("read"), stage.host("write")
-    stage.call("place").answer(200, b"", b"connection: close")
-    writer.shut()
+    read, writer = stage.wait_call("read"), stage.host("write")
+    stage.wait_call("place").answer(200, b"", b"connection: close")
+    writer.stop_accepting()
     read.answer(202)
-    stage.connecting(writer)
-    client.leave(how)
-    writer.open()
+    stage.wait_connecting(writer)
+    client.disconnect(how)
+    writer.resume_accepting()
     stage.check()
 
 
 @pytest.mark.parametrize("status", [200, 204, 409])
-@pytest.mark.parametrize("how", LEAVING)
+@pytest.mark.parametrize("how", CLOSE_KINDS)
 def test_a_client_goes_while_its_place_is_asked(stage: Stage, how: str, status: int) -> None:
-    stage.fresh(places=None)
+    stage.reset(places=None)
     client = stage.client()
     client.ask("a")
-    read, place = stage.call("read"), stage.call("place")
-    client.leave(how)
-    read.ended()
+    read, place = stage.wait_call("read"), stage.wait_call("place")
+    client.disconnect(how)
+    read.wait_end()
     place.answer(status)
     stage.check()
 
 
-@pytest.mark.parametrize("how", LEAVING)
+@pytest.mark.parametrize("how", CLOSE_KINDS)
 def test_a_client_goes_between_the_answer_of_its_read_and_the_next_write(stage: Stage, how: str) -> None:
     leaving_between(stage, how)
 
@@ -119,84 +123,84 @@
 def leaving_between(stage: Stage, how: str) -> None:
     client = stage.client()
     client.ask("a")
-    stage.call("read").answer(202)
-    stage.call("write").decline()
-    stage.failed("a")
-    client.leave(how)
+    stage.wait_call("read").answer(202)
+    stage.wait_call("write").decline()
+    stage.wait_attempt_failed("a")
+    client.disconnect(how)
     stage.check()
 
 
 def read_answer_and_leaving(stage: Stage, how: str, order: str) -> None:
     client = stage.client()
     client.ask("a")
-    read = stage.call("read")
+    read = stage.wait_call("read")
     match order:
         case "first":
             read.answer(202)
-            stage.call("write")
-            client.leave(how)
+            stage.wait_call("write")
+            client.disconnect(how)
         case "second":
-            client.leave(how)
-            read.ended()
+            client.disconnect(how)
+            read.wait_end()
             read.answer(202)
         case "one turn":
-            with stage.stopped():
+            with stage.paused():
                 read.answer(202)
-                client.leave(how)
+                client.disconnect(how)
         case _:
-            with stage.stopped():
-                client.leave(how)
+            with stage.paused():
+                client.disconnect(how)
                 read.answer(202)
     stage.check()
 
 
-@pytest.mark.parametrize("how", LEAVING)
+@pytest.mark.parametrize("how", CLOSE_KINDS)
 @pytest.mark.parametrize("order", ORDERS)
 def test_a_read_is_answered_as_its_client_goes(stage: Stage, how: str, order: str) -> None:
     read_answer_and_leaving(stage, how, order)
 
 
-@pytest.mark.parametrize("how", LEAVING)
+@pytest.mark.parametrize("how", CLOSE_KINDS)
 def test_a_client_goes_as_its_stream_ends(stage: Stage, how: str) -> None:
     client = stage.client()
     client.ask("a")
-    stage.call("read").answer(202)
-    write = stage.call("write")
-    write.begin()
-    client.begun()
-    with stage.stopped():
-        write.last()
-        client.leave(how)
+    stage.wait_call("read").answer(202)
+    write = stage.wait_call("write")
+    write.begin_stream()
+    client.wait_first_data()
+    with stage.paused():
+        write.end_stream()
+        client.disconnect(how)
     stage.check()
 
 
 def same_id(stage: Stage, order: str) -> None:
-    """Another connection asks by the same id while the first request is let go of."""
+    """Another connection sends a request with the same id while what the first one holds is released."""
     for host in stage.hosts:
-        host.auto.pop("free")
+        host.auto_answers.pop("free")
     client, second = stage.client(), stage.client()
     client.ask("x")
-    stage.call("read").answer(202)
-    stage.call("write").decline()
-    stage.failed("x")
+    stage.wait_call("read").answer(202)
+    stage.wait_call("write").decline()
+    stage.wait_attempt_failed("x")
     if order == "first":
-        client.leave("close")
-        free = stage.call("free", "x")
+        client.disconnect("close")
+        free = stage.wait_call("free", "x")
         second.ask("x")
         free.answer(204)
     elif order == "second":
         second.ask("x")
-        second.answer()
-        client.leave("close")
-        stage.call("free", "x").answer(204)
+        second.wait_answer()
+        client.disconnect("close")
+        stage.wait_call("free", "x").answer(204)
     else:
-        with stage.stopped():
-            client.leave("close")
+        with stage.paused():
+            client.disconnect("close")
             second.ask("x")
     for host in stage.hosts:
-        host.auto["free"] = 204
-    stage.play(second)
-    assert second.answer()
+        host.auto_answers["free"] = 204
+    stage.serve_until_answered(second)
+    assert second.wait_answer()
     stage.check()
 
 
@@ -205,33 +209,33 @@
     same_id(stage, order)
 
 
-# --- a client's time
+# --- a client's deadline
 
 
 def first_token_and_deadline(stage: Stage, cls: str, order: str) -> None:
     client = stage.client()
-    r = client.ask("a", cls, deadline_ms=400)
-    stage.call("read").answer(202)
-    write = stage.call("write")
-    due = (r.asked or 0.0) + 0.4
+    request = client.ask("a", cls, deadline_ms=400)
+    stage.wait_call("read").answer(202)
+    write = stage.wait_call("write")
+    due = (request.asked or 0.0) + 0.4
     match order:
         case "first":
-            write.begin()
-            client.begun()
-            stage.at(due + 0.05)
+            write.begin_stream()
+            client.wait_first_data()
+            stage.wait_until(due + 0.05)
         case "second":
-            write.ended()
-            write.begin()
+            write.wait_end()
+            write.begin_stream()
         case _:
-            stage.at(due - 0.03)
-            with stage.stopped():
+            stage.wait_until(due - 0.03)
+            with stage.paused():
                 if order == "one turn":
-                    write.begin()
-                stage.at(due + 0.01)
+                    write.begin_stream()
+                stage.wait_until(due + 0.01)
                 if order != "one turn":
-                    write.begin()
-    write.last()
-    client.answer()
+                    write.begin_stream()
+    write.end_stream()
+    client.wait_answer()
     stage.check()
 
 
@@ -248,20 +252,20 @@
     client = stage.client()
     size = 300_000 if bad == "large" else 200_000
     body = b"{%s}" % (b" " * size)
-    r = client.ask("a", cls="none" if bad == "class" else "ask", upto=500, body=body)
+    request = client.ask("a", cls="none" if bad == "class" else "ask", upto=500, body=body)
     match order:
         case "first":  # the answer, then the rest
-            client.answer()
-            client.more(r, 100_000)
-            client.more(r)
+            client.wait_answer()
+            client.send_more(request, 100_000)
+            client.send_more(request)
         case "second":
-            client.more(r)
+            client.send_more(request)
         case _:
-            with stage.stopped():
-                client.more(r, len(r.data) - 1)
-            client.more(r)
-    assert client.answer().status == (413 if bad == "large" else 400)
-    stage.at((r.asked or 0.0) + 0.05)
+            with stage.paused():
+                client.send_more(request, len(request.data) - 1)
+            client.send_more(request)
+    assert client.wait_answer().status == (413 if bad == "large" else 400)
+    stage.wait_until((request.asked or 0.0) + 0.05)
     stage.check()
 
 
--- a/tests/test_crossings_descriptors.py
+++ b/tests/test_crossings_descriptors.py
@@ -1,4 +1,4 @@
-"""The real program as its descriptors run out: at accept, at a connection to a host, at a release."""
+"""The real program when file descriptors run out: at accept, at a connection to a host, at a release."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 import pytest
 
+from tests.crossing_parties import Call
 from tests.crossings import Stage
 from tests.platform_standin import Platform
 from tests.test_node import play
@@ -15,20 +16,20 @@
 from yardspindle.node.app import Node
 from yardspindle.runtime.world import DescriptorsExhausted
 
-LOOK_S = 0.5  # for so long the processor time of a program that cannot accept is looked at
-BUSY_MOST = 0.3  # of it; one that spins uses all
+CPU_SAMPLE_S = 0.5  # the processor time of a program that cannot accept is measured for this long
+MAX_CPU_SHARE = 0.3  # of that time; a program that spins uses all of it
 
 
-def streaming(stage: Stage, count: int) -> list[Any]:
-    """So many requests stream: each holds a client's and a host's descriptor."""
+def start_streams(stage: Stage, count: int) -> list[Call]:
+    """Starts this many streams; each holds a descriptor for its client and one for its host."""
     writes = []
     for at in range(count):
         client = stage.client()
         client.ask(f"stream-{at}")
-        stage.call("read").answer(202)
-        writes.append(stage.call("write"))
-        writes[-1].begin()
-        client.begun()
+        stage.wait_call("read").answer(202)
+        writes.append(stage.wait_call("write"))
+        writes[-1].begin_stream()
+        client.wait_first_data()
     return writes
 
 
@@ -36,28 +37,30 @@
     with Stage(tmp_path, sockets=256, descriptors=40) as stage:
         for _ in range(60):
             stage.client()
-        stage.until("room for no more", lambda: sum(bool(client.end) for client in stage.clients) > 60 - 40)
+        stage.wait_for(
+            "no room for more connections", lambda: sum(bool(client.end) for client in stage.clients) > 60 - 40
+        )
         client = stage.client()
         client.ask("a")
-        stage.play(client)
-        assert client.answer().status == 200
+        stage.serve_until_answered(client)
+        assert client.wait_answer().status == 200
         stage.check()
 
 
 def test_a_program_that_cannot_accept_waits_and_goes_on(tmp_path: Path) -> None:
     with Stage(tmp_path, sockets=MIN_SOCKETS, descriptors=MIN_SOCKETS) as stage:
-        writes = streaming(stage, 4)
+        writes = start_streams(stage, 4)
         more = [stage.client() for _ in range(6)]
-        stage.until("no descriptor left", lambda: stage.open_descriptors() == MIN_SOCKETS)
-        begun = stage.busy()
-        stage.at(monotonic() + LOOK_S)
-        assert stage.busy() - begun < BUSY_MOST * LOOK_S
+        stage.wait_for("no descriptor left", lambda: stage.open_descriptors() == MIN_SOCKETS)
+        begun = stage.cpu_seconds()
+        stage.wait_until(monotonic() + CPU_SAMPLE_S)
+        assert stage.cpu_seconds() - begun < MAX_CPU_SHARE * CPU_SAMPLE_S
         for write in writes:
-            write.last()
+            write.end_stream()
         more[0].ask("more")
-        stage.play(more[0], *stage.clients[:4])
-        assert [client.answer().whole for client in stage.clients[:4]] == [True] * 4
-        assert more[0].answer().status == 200
+        stage.serve_until_answered(more[0], *stage.clients[:4])
+        assert [client.wait_answer().whole for client in stage.clients[:4]] == [True] * 4
+        assert more[0].wait_answer().status == 200
         stage.check()
 
 
@@ -66,40 +69,40 @@
     with Stage(tmp_path, sockets=MIN_SOCKETS, descriptors=MIN_SOCKETS, readers=hosts, writers=hosts) as stage:
         clients = [stage.client() for _ in range(6)]
         for client in clients:
-            client.ask("known", cls="none")  # it is accepted
-            client.answer()
+            client.ask("known", cls="none")  # its connection is accepted
+            client.wait_answer()
         for turn in range(4):
             for at, client in enumerate(clients):
                 client.ask(f"r{turn}-{at}", key=f"k{at}")
-            stage.play(*clients)
-            assert [client.answer().status for client in clients] == [200] * 6
-        assert not [row for _, row in stage.log if "ejected" in row]  # nobody is ejected
+            stage.serve_until_answered(*clients)
+            assert [client.wait_answer().status for client in clients] == [200] * 6
+        assert not [row for _, row in stage.log if "ejected" in row]
         stage.check()
 
 
 def test_what_is_held_is_let_go_of_though_no_descriptor_is_left(tmp_path: Path) -> None:
     with Stage(tmp_path, sockets=MIN_SOCKETS, descriptors=MIN_SOCKETS) as stage:
-        writes, client = streaming(stage, 3), stage.client()
+        writes, client = start_streams(stage, 3), stage.client()
         client.ask("held")
-        read = stage.call("read")
+        read = stage.wait_call("read")
         for _ in range(8):
             stage.client()
         read.answer(202)
-        write = stage.call("write", "held")
+        write = stage.wait_call("write", "held")
         write.decline()
-        client.leave("rst")
-        for one in writes:
-            one.last()
+        client.disconnect("rst")
+        for streaming_write in writes:
+            streaming_write.end_stream()
         stage.check()
 
 
 def test_a_connection_for_which_no_descriptor_is_left_ejects_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
     def main(platform: Platform, node: Node) -> Any:
-        def none(*_: Any) -> None:
+        def connect(*_: Any) -> None:
             raise DescriptorsExhausted("Too many open files")
 
         with monkeypatch.context() as patch:
-            patch.setattr(node.world, "connect", none)
+            patch.setattr(node.world, "connect", connect)
             answer = platform.ask(b"9b1f03aa5c7e2d41", deadline_ms=3_000)
             assert answer.status == 503
             assert not node.core.request_releases._last_failure_us
--- a/tests/test_crossings_hosts.py
+++ b/tests/test_crossings_hosts.py
@@ -1,4 +1,4 @@
-"""Crossings of the steps of hosts and of discovery at the real dispatcher."""
+"""Steps of hosts and of discovery that cross with other steps, at the real dispatcher."""
 
 from __future__ import annotations
 
@@ -14,51 +14,51 @@
 from tests.crossings import GRACE_S, Shared, Stage
 
 ORDERS = ("first", "second", "one turn", "one turn, second")
-REST_S = 0.03  # after its last answer a connection is used again
+REUSE_DELAY_S = 0.03  # this long after its last answer a connection is reused
 STRAY = b'data: {"choices":[{"index":0,"delta":{"content":"stray"}}]}\n\n'
 
 
-def served(stage: Stage, client: Client, number: str) -> tuple[Call, Call]:
-    """A request that is served: the connections of its read and its write."""
+def serve_request(stage: Stage, client: Client, number: str) -> tuple[Call, Call]:
+    """Serves a request; returns the connections of its read and its write."""
     client.ask(number)
-    read = stage.call("read", number)
+    read = stage.wait_call("read", number)
     read.answer(202)
-    write = stage.call("write", number)
-    write.serve()
-    assert client.answer().status == 200
+    write = stage.wait_call("write", number)
+    write.serve_stream()
+    assert client.wait_answer().status == 200
     return read, write
 
 
-# --- connections that are kept; these come first, since a program that has seen one break keeps others for less long
+# --- idle connections; first in this file, since a program that saw one break keeps others for a shorter time
 
 
 def second_answer(stage: Stage, role: str, order: str, rested: bool = False) -> None:
-    """A few milliseconds after an answer its host says another: the next request must not take it."""
+    """A host sends a second answer milliseconds after the first; the next request must not take it."""
     client = stage.client()
-    read, write = served(stage, client, "a")
-    stage.at(monotonic() + (REST_S if rested else 0.0))
+    read, write = serve_request(stage, client, "a")
+    stage.wait_until(monotonic() + (REUSE_DELAY_S if rested else 0.0))
     at, stray = (read, plain(202)) if role == "read" else (write, HEAD + chunk(STRAY) + LAST)
     if order == "first":
         at.send(stray)
         client.ask("b")
     elif order == "one turn":
-        with stage.stopped():
+        with stage.paused():
             at.send(stray)
             client.ask("b")
     else:
-        with stage.stopped():
+        with stage.paused():
             client.ask("b")
             at.send(stray)
-    follow(stage, client)
+    serve_next_request(stage, client)
 
 
-def follow(stage: Stage, client: Client) -> None:
-    """The next request is read and written; another is served meanwhile, so that a wrong step has time to show."""
-    read = stage.call("read", "b")
-    served(stage, stage.client(), "other")
+def serve_next_request(stage: Stage, client: Client) -> None:
+    """Serves the next request, and another one meanwhile, so that a wrong step has time to show."""
+    read = stage.wait_call("read", "b")
+    serve_request(stage, stage.client(), "other")
     read.answer(202)
-    stage.call("write", "b").serve()
-    assert client.answer().status == 200
+    stage.wait_call("write", "b").serve_stream()
+    assert client.wait_answer().status == 200
     stage.check()
 
 
@@ -77,52 +77,52 @@
 def two_answers(stage: Stage, role: str) -> None:
     client = stage.client()
     client.ask("a")
-    read = stage.call("read")
-    with stage.stopped():
+    read = stage.wait_call("read")
+    with stage.paused():
         read.answer(202)
         if role == "read":
             read.send(plain(202))
-    write = stage.call("write")
-    with stage.stopped():
-        write.serve()
+    write = stage.wait_call("write")
+    with stage.paused():
+        write.serve_stream()
         if role == "write":
             write.send(HEAD + chunk(STRAY) + LAST)
-    assert client.answer().status == 200
-    stage.at(monotonic() + REST_S)
+    assert client.wait_answer().status == 200
+    stage.wait_until(monotonic() + REUSE_DELAY_S)
     client.ask("b")
-    follow(stage, client)
+    serve_next_request(stage, client)
 
 
 def end_with_the_answer(stage: Stage, role: str, order: str) -> None:
-    """A host ends its connection with its last byte: the answer counts, the connection is used no more."""
+    """A host closes its connection with its last byte: the answer counts, the connection is not reused."""
     client = stage.client()
     client.ask("a")
-    read = stage.call("read")
+    read = stage.wait_call("read")
     if role == "read":
-        with stage.stopped():
+        with stage.paused():
             read.answer(202)
-            read.finish()
+            read.shutdown_write()
             if order == "one turn":
                 client.ask("b")
-        stage.call("write", "a").serve()
+        stage.wait_call("write", "a").serve_stream()
     else:
         read.answer(202)
-        write = stage.call("write")
-        write.begin()
-        client.begun()
+        write = stage.wait_call("write")
+        write.begin_stream()
+        client.wait_first_data()
         if order == "one turn":
-            with stage.stopped():
-                write.last(fin=True)
+            with stage.paused():
+                write.end_stream(fin=True)
                 client.ask("b")
         else:
-            write.last(fin=True)
-            assert client.answer().status == 200
+            write.end_stream(fin=True)
+            assert client.wait_answer().status == 200
     if order == "one turn":
-        stage.call("read", "b").answer(202)
-        stage.call("write", "b").serve()
-        client.answer()
+        stage.wait_call("read", "b").answer(202)
+        stage.wait_call("write", "b").serve_stream()
+        client.wait_answer()
     else:
-        served(stage, client, "b")
+        serve_request(stage, client, "b")
     assert [m.status for m in client.answers] == [200, 200]
     stage.check()
 
@@ -136,18 +136,18 @@
 def test_a_host_ends_a_kept_connection_as_the_next_request_comes(stage: Stage) -> None:
     client = stage.client()
     for number, first in (("b", "host"), ("c", "client")):
-        read, write = served(stage, client, "a" + number)
-        stage.at(monotonic() + REST_S)
-        with stage.stopped():
+        read, write = serve_request(stage, client, "a" + number)
+        stage.wait_until(monotonic() + REUSE_DELAY_S)
+        with stage.paused():
             if first == "client":
                 client.ask(number)
-            read.finish()
+            read.shutdown_write()
             write.close(reset=True)
             if first == "host":
                 client.ask(number)
-        stage.call("read", number).answer(202)
-        stage.call("write", number).serve()
-        assert client.answer().status == 200
+        stage.wait_call("read", number).answer(202)
+        stage.wait_call("write", number).serve_stream()
+        assert client.wait_answer().status == 200
     stage.check()
 
 
@@ -155,33 +155,33 @@
 
 
 def place_and_reset(stage: Stage, status: int, order: str) -> None:
-    """A place is answered as the read that it is meant for fails."""
-    stage.fresh(readers=2, writers=2, places=None)
+    """A place is answered as its read fails."""
+    stage.reset(readers=2, writers=2, places=None)
     client = stage.client()
     client.ask("a")
-    read, place = stage.call("read"), stage.call("place")
+    read, place = stage.wait_call("read"), stage.wait_call("place")
     for host in stage.hosts:
-        host.auto["place"] = 200  # to the next read's
+        host.auto_answers["place"] = 200  # for the next read
     match order:
         case "first":
             place.answer(status)
-            read.leave(reset=True)
+            read.disconnect(reset=True)
         case "second":
-            read.leave(reset=True)
-            stage.failed("a")
+            read.disconnect(reset=True)
+            stage.wait_attempt_failed("a")
             place.answer(status)
         case "one turn":
-            with stage.stopped():
+            with stage.paused():
                 place.answer(status)
-                read.leave(reset=True)
+                read.disconnect(reset=True)
         case _:
-            with stage.stopped():
-                read.leave(reset=True)
+            with stage.paused():
+                read.disconnect(reset=True)
                 place.answer(status)
-    again = stage.call("read")
+    again = stage.wait_call("read")
     again.answer(202)
-    stage.play(client)
-    assert client.answer().status == 200
+    stage.serve_until_answered(client)
+    assert client.wait_answer().status == 200
     stage.check()
 
 
@@ -192,21 +192,21 @@
 
 
 def cut_after_head(stage: Stage, role: str, cls: str, reset: bool, data: bytes) -> None:
-    """An answer breaks after its head, or within its first event."""
-    stage.fresh(readers=2, writers=2)
+    """An answer breaks before, in or after its head, or within its first event."""
+    stage.reset(readers=2, writers=2)
     client = stage.client()
     client.ask("a", cls, deadline_ms=1_000)
-    read = stage.call("read")
+    read = stage.wait_call("read")
     if role == "read":
         read.send(data)
-        read.leave(reset)
+        read.disconnect(reset)
     else:
         read.answer(202)
-        write = stage.call("write")
+        write = stage.wait_call("write")
         write.send(data)
-        write.leave(reset)
-    stage.play(client)
-    assert client.answer()
+        write.disconnect(reset)
+    stage.serve_until_answered(client)
+    assert client.wait_answer()
     stage.check()
 
 
@@ -239,14 +239,14 @@
 def broken_stream(stage: Stage, reset: bool) -> None:
     client = stage.client()
     client.ask("a")
-    stage.call("read").answer(202)
-    write = stage.call("write")
-    write.begin()
-    client.begun()
-    with stage.stopped():
-        write.event()
-        write.leave(reset)
-    assert client.answer()
+    stage.wait_call("read").answer(202)
+    write = stage.wait_call("write")
+    write.begin_stream()
+    client.wait_first_data()
+    with stage.paused():
+        write.send_event()
+        write.disconnect(reset)
+    assert client.wait_answer()
     stage.check()
 
 
@@ -263,46 +263,48 @@
 def discovery_moves(stage: Stage, order: str) -> None:
     """A new configuration names another agent as the old one answers a last time."""
     old, agent = stage.hosts, stage.agent
-    watch = stage.until("a watch", agent.waiting)
-    late = stage.new_hosts(1, 1)  # that only the old agent names
+    watch = stage.wait_for("a watch", agent.pending_watch)
+    late = stage.new_hosts(1, 1)  # listed by the old agent only
     new = stage.agent = Agent(stage, stage.new_hosts(1, 1))
     new.revision = agent.revision + 5
     stage.configure(new)
-    with stage.news:
-        agent.silent, watch.open = True, False
-        agent.revision += 9 if order in ("second", "half") else 1  # what comes after the move must not count as news
-    word = plain(200, agent.listed(late))
+    with stage.changed:
+        agent.silent, watch.pending = True, False
+        agent.revision += 9 if order in ("second", "half") else 1  # after the move it must not count as newer
+    word = plain(200, agent.list_body(late))
     match order:
         case "first":
             watch.send(word)
-            stage.until("a watch of the late list", lambda: any(call.index == agent.revision for call in agent.calls))
-            stage.signal(signal.SIGHUP)
+            stage.wait_for(
+                "a watch of the late list", lambda: any(call.index == agent.revision for call in agent.calls)
+            )
+            stage.send_signal(signal.SIGHUP)
         case "second":
-            stage.signal(signal.SIGHUP)
-            stage.until("a call", lambda: new.asked)
+            stage.send_signal(signal.SIGHUP)
+            stage.wait_for("a call", lambda: new.call_count)
             watch.send(word)
         case "one turn":
-            with stage.stopped():
+            with stage.paused():
                 watch.send(word)
-                stage.signal(signal.SIGHUP)
+                stage.send_signal(signal.SIGHUP)
         case "one turn, second":
-            with stage.stopped():
-                stage.signal(signal.SIGHUP)
+            with stage.paused():
+                stage.send_signal(signal.SIGHUP)
                 watch.send(word)
         case _:
             watch.send(word[: len(word) // 2])
-            stage.signal(signal.SIGHUP)
-            stage.until("a call", lambda: new.asked)
+            stage.send_signal(signal.SIGHUP)
+            stage.wait_for("a call", lambda: new.call_count)
             watch.send(word[len(word) // 2 :])
-    stage.until("a watch at the new address", new.waiting)
+    stage.wait_for("a watch at the new address", new.pending_watch)
     client = stage.client()
     client.ask("a")
-    read = stage.call("read")
+    read = stage.wait_call("read")
     assert read.host is new.hosts[0] and read.host not in (*old, *late)
     read.answer(202)
-    stage.call("write").serve()
-    assert client.answer().status == 200
-    stage.until("the end of the old watch", lambda: watch.end)
+    stage.wait_call("write").serve_stream()
+    assert client.wait_answer().status == 200
+    stage.wait_for("the end of the old watch", lambda: watch.end)
     stage.check()
 
 
@@ -313,42 +315,42 @@
 
 @pytest.fixture(scope="module")
 def patient(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Shared]:
-    """Connections may be long in coming up: a SYN is sent again after a second."""
+    """Allows connections time to be established: the kernel repeats a SYN after a second."""
     shared = Shared(tmp_path_factory.mktemp("patient"), connect_timeout_us=1_500_000)
     yield shared
     shared.close()
 
 
 def drain_and_connection(stage: Stage, order: str, role: str) -> None:
-    """A host is told to drain while a connection to it does not come up; it does later than the grace allows."""
-    stage.fresh(readers=2, writers=2)
+    """A host starts to drain while a connection to it is being made, which succeeds only after the grace."""
+    stage.reset(readers=2, writers=2)
     first, other = stage.host(role), stage.host(role, 1)
     rest = [host for host in stage.hosts if host.role != role]
-    stage.agent.tell(first, *rest)
+    stage.agent.publish_and_wait(first, *rest)
     if order != "second":
-        first.shut()
+        first.stop_accepting()
     client = stage.client()
     if order == "one turn":
-        with stage.stopped():
+        with stage.paused():
             client.ask("a")
             first.phase = "Terminating"
-            stage.agent.write(first, other, *rest)
+            stage.agent.publish(first, other, *rest)
     else:
         if order == "first":
             client.ask("a")
             if role == "write":
-                stage.call("read").answer(202)
-            stage.connecting(first)
+                stage.wait_call("read").answer(202)
+            stage.wait_connecting(first)
         first.phase = "Terminating"
-        stage.agent.tell(first, other, *rest)
+        stage.agent.publish_and_wait(first, other, *rest)
         if order == "second":
             client.ask("a")
     if order != "second":
-        stage.at(stage.ledger.drains[first.name] + GRACE_S)
-        first.open()
-    stage.play(client)
-    assert client.answer().status == 200
-    stage.connected(first)
+        stage.wait_until(stage.ledger.drains[first.name] + GRACE_S)
+        first.resume_accepting()
+    stage.serve_until_answered(client)
+    assert client.wait_answer().status == 200
+    stage.wait_connected(first)
     stage.check()
 
 
--- a/tests/test_crossings_pieces.py
+++ b/tests/test_crossings_pieces.py
@@ -1,7 +1,7 @@
-"""A request that comes byte by byte on a connection that was idle at SIGTERM, across the steps of the drain.
+"""A request that arrives byte by byte across the steps of the drain, on a connection that was idle at SIGTERM.
 
-See test_crossings_drain.py for the steps' times. Where clients do not ask for a stream's rest, requests are refused
-from the close of idle connections on, and the process ends with its last connection.
+See test_crossings_drain.py for the times. Where clients do not resume streams, requests are refused as soon as idle
+connections are closed, and the process exits with its last connection.
 """
 
 from __future__ import annotations
@@ -12,63 +12,72 @@
 
 import pytest
 
-from tests.crossings import DUE_S, Stage
-from tests.test_crossings_drain import AHEAD_S, CLOSE_S, GIVE_UP_MS, GONE_S, LEAVE_S, ask, in_time, rested
+from tests.crossings import TIMER_MARGIN_S, Stage
+from tests.test_crossings_drain import (
+    AHEAD_S,
+    CLOSE_S,
+    CUT_S,
+    EXIT_S,
+    GIVE_UP_MS,
+    ask,
+    idle_clients,
+    retry_until_in_time,
+)
 
-BEGIN_S = 0.55  # after SIGTERM the first bytes are written
-PIECES = 100  # of one to three bytes, the last of them one
-STEPS = {  # resume, when the last byte comes (before or after a step), what it is answered
+FIRST_BYTES_S = 0.55  # the first bytes are written this long after SIGTERM
+PIECES = 100  # of one to three bytes each, the last of one
+SHUTDOWN_STEPS = {  # the step's time after SIGTERM; the status for a last byte before it, by `resume`
     "before the close": (CLOSE_S, {True: 200, False: 200}),
-    "before the refusal": (LEAVE_S, {True: 200, False: 503}),
-    "before the end": (GONE_S, {True: 503, False: 503}),
+    "before the refusal": (CUT_S, {True: 200, False: 503}),
+    "before the end": (EXIT_S, {True: 503, False: 503}),
 }
 
 
-def in_pieces(folder: Path, resume: bool, step: str, crossing: bool) -> list[str] | None:
-    """The last byte comes a little before a step, or (`crossing`) in the turn of the program in which it is due."""
-    due, statuses = STEPS[step]
+def send_in_pieces(folder: Path, resume: bool, step: str, crossing: bool) -> list[str] | None:
+    """The last byte arrives a little before a step, or (`crossing`) in the turn in which the step is due."""
+    due, statuses = SHUTDOWN_STEPS[step]
     with Stage(folder, GIVE_UP_MS, resume=resume) as stage:
-        clients = rested(stage, "rested")
+        clients = idle_clients(stage, "rested")
         least = monotonic()
-        stage.signal(signal.SIGTERM)
-        told = stage.line("draining")
+        stage.send_signal(signal.SIGTERM)
+        told = stage.wait_log_line("draining")
         clients["new"] = stage.client()
-        stage.at(least + BEGIN_S)
+        stage.wait_until(least + FIRST_BYTES_S)
         for name, client in clients.items():
             ask(client, name, upto=1)
         requests = [client.requests[-1] for client in clients.values()]
         for at in range(1, PIECES):
-            stage.at(least + BEGIN_S + (due - AHEAD_S - BEGIN_S) * at / PIECES)
+            stage.wait_until(least + FIRST_BYTES_S + (due - AHEAD_S - FIRST_BYTES_S) * at / PIECES)
             for client, r in zip(clients.values(), requests, strict=True):
-                client.more(r, (len(r.data) - 1) * at // PIECES)
+                client.send_more(r, (len(r.data) - 1) * at // PIECES)
         if crossing:
-            with stage.stopped():
+            with stage.paused():
                 if monotonic() > least + due:
                     return None
                 for client, r in zip(clients.values(), requests, strict=True):
-                    client.more(r, len(r.data) - 1)
-                    client.more(r)
-                stage.at(told + due + DUE_S)
+                    client.send_more(r, len(r.data) - 1)
+                    client.send_more(r)
+                stage.wait_until(told + due + TIMER_MARGIN_S)
         else:
             for client, r in zip(clients.values(), requests, strict=True):
-                client.more(r, len(r.data) - 1)
-                client.more(r)
+                client.send_more(r, len(r.data) - 1)
+                client.send_more(r)
             if monotonic() > least + due:
                 return None
-        stage.play(*clients.values())
-        seen = [client.answer().status for client in clients.values()]
-        assert stage.exited() == 0
+        stage.serve_until_answered(*clients.values())
+        seen = [client.wait_answer().status for client in clients.values()]
+        assert stage.wait_exit() == 0
         if not crossing:
             assert seen == [statuses[resume]] * 2
         for client in clients.values():
-            client.ended()
+            client.wait_end()
         return stage.judge()
 
 
 @pytest.mark.parametrize("crossing", [False, True])
-@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("step", SHUTDOWN_STEPS)
 @pytest.mark.parametrize("resume", [True, False])
 def test_a_request_comes_byte_by_byte_across_a_step_of_the_drain(
     tmp_path: Path, resume: bool, step: str, crossing: bool
 ) -> None:
-    assert not in_time(lambda folder: in_pieces(folder, resume, step, crossing), tmp_path)
+    assert not retry_until_in_time(lambda folder: send_in_pieces(folder, resume, step, crossing), tmp_path)
