--- a/tests/crossing_draw.py
+++ b/tests/crossing_draw.py
@@ -125,7 +125,7 @@
 
 
 def draw_network_events(seed: int, asks: list[PlannedRequest], crossings: list[Crossing]) -> list[Crossing]:
-    """In some worlds, cuts the path to a host or restarts a host at a step of a request."""
+    """In some worlds, cuts the path to a host or restarts a host, at a step of a request that exists."""
     rng = Random(f"ways {seed}")
     if rng.random() >= NETWORK_EVENT_SHARE:
         return []
--- a/tests/crossing_hosts.py
+++ b/tests/crossing_hosts.py
@@ -371,15 +371,15 @@
         listener = world.listen(host, int(port))
 
         def serve(stream: Stream) -> None:
-            parser, era = http1.RequestParser(), self.watches
+            parser, generation = http1.RequestParser(), self.watches
             self.open_watches.append(stream)
 
             def is_silent() -> bool:
-                return era != self.watches or world.now_us() < self.down_until_us
+                return generation != self.watches or world.now_us() < self.down_until_us
 
             with contextlib.suppress(StreamError):
                 while (head := read_request(stream, parser)) is not None:
-                    if era == self.watches:
+                    if generation == self.watches:
                         self.silent_since_us = 0
                     query = dict(p.split(b"=") for p in head.target.partition(b"?")[2].split(b"&") if p)
                     index = int(query.get(b"index", -1 - below)) + below
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -112,7 +112,7 @@
         for _ in range(MAX_STARTS):
             if self._start():
                 return
-        raise AssertionError(f"no start: {self.log}")
+        raise AssertionError(f"the program did not start: {self.log}")
 
     def _start(self) -> bool:
         """Starts the program; returns whether it is ready. A connection may have taken its port in the meantime."""
--- a/tests/test_crossing_worlds.py
+++ b/tests/test_crossing_worlds.py
@@ -33,8 +33,8 @@
 
 def test_the_same_seed_plays_the_same_world() -> None:
     for seed in REPEATED_SEEDS:
-        (one, breaks, log), (two, again, said) = run_seed(seed), run_seed(seed)
-        assert one.ledger.rows() == two.ledger.rows() and breaks == again and log == said
+        (first, breaks, log), (second, breaks_again, log_again) = run_seed(seed), run_seed(seed)
+        assert first.ledger.rows() == second.ledger.rows() and breaks == breaks_again and log == log_again
 
 
 @pytest.mark.parametrize("name", PLANTED)
--- a/tests/test_crossings_descriptors.py
+++ b/tests/test_crossings_descriptors.py
@@ -52,9 +52,9 @@
         writes = start_streams(stage, 4)
         more = [stage.client() for _ in range(6)]
         stage.wait_for("no descriptor left", lambda: stage.open_descriptors() == MIN_SOCKETS)
-        begun = stage.cpu_seconds()
+        used_s = stage.cpu_seconds()
         stage.wait_until(monotonic() + CPU_SAMPLE_S)
-        assert stage.cpu_seconds() - begun < MAX_CPU_SHARE * CPU_SAMPLE_S
+        assert stage.cpu_seconds() - used_s < MAX_CPU_SHARE * CPU_SAMPLE_S
         for write in writes:
             write.end_stream()
         more[0].ask("more")
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -85,7 +85,7 @@
     asked = reset_watch(stage, old) if phase == "a whole list is awaited" else silence_watch(stage, old)
     stage.configure(new)
     with stage.paused():
-        begun = monotonic()
+        signalled_at = monotonic()
         stage.send_signal(signal.SIGHUP)
         if phase == "half an answer has come":
             asked.send(plain(200, old.list_body())[:40])
@@ -94,14 +94,14 @@
     drained.phase = "Terminating"
     first = stage.wait_for("a call", lambda: next((call for call in new.calls if call.pending), None))
     with stage.changed:
-        new.silent, word = False, plain(200, new.list_body())
+        new.silent, answer = False, plain(200, new.list_body())
         if phase in ("the first call is reset", "its first answer comes by halves"):
             first.pending = False
     if phase == "the first call is reset":
         first.close(reset=True)
     elif phase == "its first answer comes by halves":
-        first.send(word[:40])
-        first.send(word[40:])
+        first.send(answer[:40])
+        first.send(answer[40:])
     stage.wait_for(
         "another call for the whole list", lambda: new.call_count > 2 and all(c.index < 0 for c in new.calls)
     )
@@ -111,7 +111,7 @@
     stage.wait_until(monotonic() + GRACE_S + 0.1)
     serve_requests(stage, 4)
     stage.wait_for("a watch of its list", new.pending_watch)
-    assert monotonic() - begun < MAX_MOVE_S + stage.ledger.paused_s(begun, monotonic())
+    assert monotonic() - signalled_at < MAX_MOVE_S + stage.ledger.paused_s(signalled_at, monotonic())
     assert not old.pending_watch()
 
 
@@ -156,9 +156,9 @@
     with stage.changed:
         agent.hosts, agent.revision = stage.new_hosts(1, 1), agent.revision + 1
         agent.silent = False
-    begun = monotonic()
+    signalled_at = monotonic()
     stage.send_signal(signal.SIGHUP)
     stage.wait_for("a watch of the new list", agent.pending_watch)
-    assert monotonic() - begun < MAX_MOVE_S + stage.ledger.paused_s(begun, monotonic())
+    assert monotonic() - signalled_at < MAX_MOVE_S + stage.ledger.paused_s(signalled_at, monotonic())
     stage.wait_for("the end of the silent watch", lambda: watch.end)
     serve_requests(stage)
--- a/tests/test_crossings_drain.py
+++ b/tests/test_crossings_drain.py
@@ -39,11 +39,11 @@
     client.ask(f"{name.replace(' ', '-')}-1", upto=upto, deadline_ms=1_300)
 
 
-def retry_until_in_time(play: Callable[[Path], list[str] | None], folder: Path) -> list[str]:
-    """Runs `play` until the program was stopped before the intended step; it returns None if not."""
+def retry_until_in_time(scenario: Callable[[Path], list[str] | None], folder: Path) -> list[str]:
+    """Runs `scenario` until the program was stopped before the intended step; it returns None if not."""
     for at in range(MAX_TRIES):
         (folder / str(at)).mkdir()
-        if (found := play(folder / str(at))) is not None:
+        if (found := scenario(folder / str(at))) is not None:
             return found
     raise AssertionError("the machine is too slow for this")
 
@@ -56,20 +56,20 @@
             ask(clients["before the signal"], "before the signal")
             stage.send_signal(signal.SIGTERM)
             ask(clients["with the signal"], "with the signal")
-            least = monotonic()
-        told = stage.wait_log_line("draining")
+            signalled_at = monotonic()
+        draining_at = stage.wait_log_line("draining")
         ask(clients["after it"], "after it")
         stage.serve_until_answered(clients["before the signal"], clients["with the signal"], clients["after it"])
-        stage.wait_until(least + CLOSE_S - AHEAD_S)
+        stage.wait_until(signalled_at + CLOSE_S - AHEAD_S)
         with stage.paused():
-            if monotonic() > least + CLOSE_S:
+            if monotonic() > signalled_at + CLOSE_S:
                 return None
             ask(clients["whole"], "whole")
             ask(clients["half"], "half", upto=60)
             clients |= {name: stage.client() for name in NEW}
             ask(clients["new"], "new")
             ask(clients["new half"], "new half", upto=60)
-            stage.wait_until(told + CLOSE_S + TIMER_MARGIN_S)
+            stage.wait_until(draining_at + CLOSE_S + TIMER_MARGIN_S)
         for name in ("half", "new half"):
             clients[name].send_more(clients[name].requests[-1])
         stage.serve_until_answered(clients["whole"], clients["half"], clients["new"], clients["new half"])
@@ -108,26 +108,26 @@
     """
     with Stage(folder, GIVE_UP_MS) as stage:
         clients, writes = {name: stage.client() for name in STREAMS}, dict[str, Call]()
-        least = monotonic()
+        signalled_at = monotonic()
         stage.send_signal(signal.SIGTERM)
-        told = stage.wait_log_line("draining")
+        draining_at = stage.wait_log_line("draining")
         for name, client in clients.items():
             client.ask(name.replace(" ", "-"), deadline_ms=1_300)
             stage.wait_call("read").answer(202)
             writes[name] = stage.wait_call("write")
             writes[name].begin_stream()
             client.wait_first_data()
-        stage.wait_until(least + CUT_S - AHEAD_S * (1 if busy else 2))
+        stage.wait_until(signalled_at + CUT_S - AHEAD_S * (1 if busy else 2))
         writes["before the last step"].end_stream()
         clients["before the last step"].wait_answer()
         if not busy:
-            stage.wait_until(least + CUT_S - AHEAD_S)
+            stage.wait_until(signalled_at + CUT_S - AHEAD_S)
         with stage.paused():
-            if monotonic() > least + CUT_S:
+            if monotonic() > signalled_at + CUT_S:
                 return None
             writes["in its turn"].end_stream()
             writes["in its turn with the end"].end_stream(fin=True)
-            stage.wait_until(told + CUT_S + TIMER_MARGIN_S)
+            stage.wait_until(draining_at + CUT_S + TIMER_MARGIN_S)
         clients["after it"].wait_end()
         writes["after it"].end_stream()
         assert [clients[name].wait_answer().whole for name in STREAMS[:3]] == [True, True, True]
@@ -191,18 +191,18 @@
 def close_unused_connection(folder: Path) -> list[str] | None:
     """A connection without any bytes is closed as its first bytes arrive."""
     with Stage(folder) as stage:
-        least = monotonic()
+        earliest = monotonic()
         clients = {name: stage.client() for name in ("whole", "half", "none")}
         clients["none"].ask("seen")  # all three have been accepted
         stage.serve_until_answered(clients["none"])
-        most = monotonic()
-        stage.wait_until(least + UNUSED_CONNECTION_S - AHEAD_S)
+        latest = monotonic()
+        stage.wait_until(earliest + UNUSED_CONNECTION_S - AHEAD_S)
         with stage.paused():
-            if monotonic() > least + UNUSED_CONNECTION_S:
+            if monotonic() > earliest + UNUSED_CONNECTION_S:
                 return None
             ask(clients["whole"], "whole")
             ask(clients["half"], "half", upto=60)
-            stage.wait_until(most + UNUSED_CONNECTION_S + TIMER_MARGIN_S)
+            stage.wait_until(latest + UNUSED_CONNECTION_S + TIMER_MARGIN_S)
         clients["half"].send_more(clients["half"].requests[-1])
         stage.serve_until_answered(clients["whole"], clients["half"])
         return stage.judge()
--- a/tests/test_crossings_hosts.py
+++ b/tests/test_crossings_hosts.py
@@ -37,18 +37,18 @@
     client = stage.client()
     read, write = serve_request(stage, client, "a")
     stage.wait_until(monotonic() + (REUSE_DELAY_S if rested else 0.0))
-    at, stray = (read, plain(202)) if role == "read" else (write, HEAD + chunk(STRAY) + LAST)
+    call, stray = (read, plain(202)) if role == "read" else (write, HEAD + chunk(STRAY) + LAST)
     if order == "first":
-        at.send(stray)
+        call.send(stray)
         client.ask("b")
     elif order == "one turn":
         with stage.paused():
-            at.send(stray)
+            call.send(stray)
             client.ask("b")
     else:
         with stage.paused():
             client.ask("b")
-            at.send(stray)
+            call.send(stray)
     serve_next_request(stage, client)
 
 
@@ -271,10 +271,10 @@
     with stage.changed:
         agent.silent, watch.pending = True, False
         agent.revision += 9 if order in ("second", "half") else 1  # after the move it must not count as newer
-    word = plain(200, agent.list_body(late))
+    answer = plain(200, agent.list_body(late))
     match order:
         case "first":
-            watch.send(word)
+            watch.send(answer)
             stage.wait_for(
                 "a watch of the late list", lambda: any(call.index == agent.revision for call in agent.calls)
             )
@@ -282,20 +282,20 @@
         case "second":
             stage.send_signal(signal.SIGHUP)
             stage.wait_for("a call", lambda: new.call_count)
-            watch.send(word)
+            watch.send(answer)
         case "one turn":
             with stage.paused():
-                watch.send(word)
+                watch.send(answer)
                 stage.send_signal(signal.SIGHUP)
         case "one turn, second":
             with stage.paused():
                 stage.send_signal(signal.SIGHUP)
-                watch.send(word)
+                watch.send(answer)
         case _:
-            watch.send(word[: len(word) // 2])
+            watch.send(answer[: len(answer) // 2])
             stage.send_signal(signal.SIGHUP)
             stage.wait_for("a call", lambda: new.call_count)
-            watch.send(word[len(word) // 2 :])
+            watch.send(answer[len(answer) // 2 :])
     stage.wait_for("a watch at the new address", new.pending_watch)
     client = stage.client()
     client.ask("a")
--- a/tests/test_crossings_pieces.py
+++ b/tests/test_crossings_pieces.py
@@ -38,37 +38,37 @@
     due, statuses = SHUTDOWN_STEPS[step]
     with Stage(folder, GIVE_UP_MS, resume=resume) as stage:
         clients = idle_clients(stage, "rested")
-        least = monotonic()
+        signalled_at = monotonic()
         stage.send_signal(signal.SIGTERM)
-        told = stage.wait_log_line("draining")
+        draining_at = stage.wait_log_line("draining")
         clients["new"] = stage.client()
-        stage.wait_until(least + FIRST_BYTES_S)
+        stage.wait_until(signalled_at + FIRST_BYTES_S)
         for name, client in clients.items():
             ask(client, name, upto=1)
         requests = [client.requests[-1] for client in clients.values()]
         for at in range(1, PIECES):
-            stage.wait_until(least + FIRST_BYTES_S + (due - AHEAD_S - FIRST_BYTES_S) * at / PIECES)
-            for client, r in zip(clients.values(), requests, strict=True):
-                client.send_more(r, (len(r.data) - 1) * at // PIECES)
+            stage.wait_until(signalled_at + FIRST_BYTES_S + (due - AHEAD_S - FIRST_BYTES_S) * at / PIECES)
+            for client, request in zip(clients.values(), requests, strict=True):
+                client.send_more(request, (len(request.data) - 1) * at // PIECES)
         if crossing:
             with stage.paused():
-                if monotonic() > least + due:
+                if monotonic() > signalled_at + due:
                     return None
-                for client, r in zip(clients.values(), requests, strict=True):
-                    client.send_more(r, len(r.data) - 1)
-                    client.send_more(r)
-                stage.wait_until(told + due + TIMER_MARGIN_S)
+                for client, request in zip(clients.values(), requests, strict=True):
+                    client.send_more(request, len(request.data) - 1)
+                    client.send_more(request)
+                stage.wait_until(draining_at + due + TIMER_MARGIN_S)
         else:
-            for client, r in zip(clients.values(), requests, strict=True):
-                client.send_more(r, len(r.data) - 1)
-                client.send_more(r)
-            if monotonic() > least + due:
+            for client, request in zip(clients.values(), requests, strict=True):
+                client.send_more(request, len(request.data) - 1)
+                client.send_more(request)
+            if monotonic() > signalled_at + due:
                 return None
         stage.serve_until_answered(*clients.values())
-        seen = [client.wait_answer().status for client in clients.values()]
+        answered = [client.wait_answer().status for client in clients.values()]
         assert stage.wait_exit() == 0
         if not crossing:
-            assert seen == [statuses[resume]] * 2
+            assert answered == [statuses[resume]] * 2
         for client in clients.values():
             client.wait_end()
         return stage.judge()
--- a/tests/test_crossings_start.py
+++ b/tests/test_crossings_start.py
@@ -22,45 +22,45 @@
     """A load balancer that keeps probing whether the program is up."""
 
     def __init__(self, stage: SocketLoop) -> None:
-        self.seen: list[int] = []
+        self.statuses: list[int] = []
         super().__init__(stage)
         self.send(UP_REQUEST)
 
     def _on_answer(self, message: Message) -> None:
-        self.seen.append(message.status)
+        self.statuses.append(message.status)
         if not self.end:
             self.send(UP_REQUEST)
 
 
 def test_sigterm_comes_while_the_first_list_is_waited_for(tmp_path: Path) -> None:
     with Stage(tmp_path, GIVE_UP_MS, agent_answers=False) as stage:
-        begun = monotonic()
-        looker, clients = UpProber(stage), [stage.client() for _ in range(2)]
+        started_at = monotonic()
+        prober, clients = UpProber(stage), [stage.client() for _ in range(2)]
         clients[0].ask("before", deadline_ms=1_300)
         read = stage.wait_call("read", "before")
-        told = monotonic()
+        signalled_at = monotonic()
         stage.send_signal(signal.SIGTERM)
-        assert stage.wait_log_line("draining") - told < PROMPT_S
+        assert stage.wait_log_line("draining") - signalled_at < PROMPT_S
         clients[1].ask("after", deadline_ms=1_300)
         read.answer(202)
         stage.serve_until_answered(*clients)
         assert [client.wait_answer().status for client in clients] == [200, 200]
-        looker.wait_end()
-        assert monotonic() - told < CLOSE_S + PROMPT_S
+        prober.wait_end()
+        assert monotonic() - signalled_at < CLOSE_S + PROMPT_S
         assert stage.wait_exit() == 0
-        assert monotonic() - told < EXIT_S + PROMPT_S and monotonic() - begun < FIRST_LIST_S
-        assert set(looker.seen) == {503} and not [row for _, row in stage.log if row.startswith("ready")]
+        assert monotonic() - signalled_at < EXIT_S + PROMPT_S and monotonic() - started_at < FIRST_LIST_S
+        assert set(prober.statuses) == {503} and not [row for _, row in stage.log if row.startswith("ready")]
         stage.check()
 
 
 def test_sighup_comes_while_the_first_list_is_waited_for(tmp_path: Path) -> None:
     with Stage(tmp_path, agent_answers=False) as stage:
-        begun = monotonic()
+        started_at = monotonic()
         stage.agent = Agent(stage, stage.hosts)
         stage.configure(stage.agent)
         stage.send_signal(signal.SIGHUP)
         stage.wait_log_line("ready")
-        assert monotonic() - begun < PROMPT_S
+        assert monotonic() - started_at < PROMPT_S
         client = stage.client()
         client.ask("a")
         stage.serve_until_answered(client)
--- a/tests/test_held_silent_hosts.py
+++ b/tests/test_held_silent_hosts.py
@@ -47,10 +47,10 @@
     client = client_with_idle_connections(stage, writers)
     client.ask("held", cls, deadline_ms=3_000)
     stage.wait_call("read", "held").answer(202)
-    freed = stage.full_id("held").encode()
+    held = stage.full_id("held").encode()
     stage.wait_for(
         "the release",
-        lambda: any(kind == "freed" and number == freed for _, kind, number in stage.ledger.moves),
+        lambda: any(kind == "freed" and number == held for _, kind, number in stage.ledger.moves),
     )
     if cls == "order":  # it may have run: it fails at once, without a retry
         assert client.wait_answer().status in (502, 504)
@@ -70,10 +70,10 @@
     assert client.wait_answer().status == 200
     served = monotonic()
     place.wait_end()
-    freed = stage.full_id("a").encode()
+    held = stage.full_id("a").encode()
     stage.wait_for(
         "two releases, as the call may have been read after the first",
-        lambda: sum(kind == "freed" and number == freed for _, kind, number in stage.ledger.moves) > 1,
+        lambda: sum(kind == "freed" and number == held for _, kind, number in stage.ledger.moves) > 1,
     )
     assert monotonic() - served < RELEASE_S + HELD_SLACK_S
     stage.check()
