--- a/tests/crossing_clients.py
+++ b/tests/crossing_clients.py
@@ -101,8 +101,8 @@
         self.platform.sleep(5_000)
         connection = self.connect() if fresh else self.ask(ask, None)
         if connection is not None:
-            rest_us = timeouts.CLIENT_REQUEST_US if fresh else timeouts.IDLE_CLIENT_US
-            self.platform.sleep(rest_us + self.rng.randrange(-6_000, 4_000))
+            idle_us = timeouts.CLIENT_REQUEST_US if fresh else timeouts.IDLE_CLIENT_US
+            self.platform.sleep(idle_us + self.rng.randrange(-6_000, 4_000))
             self.ask(PlannedRequest(b"r.1", 0, ask.cls, ask.effect, ask.deadline_ms, b"r", False), connection)
 
     # --- one request
@@ -136,9 +136,9 @@
             self.world.after("client_sent", ask.number, None)
             keep = self.read_response(record, connection)
         except StreamError:
-            known = self.ledger.asked.get(ask.number)
-            if known is not None and not connection.left and known.whole_us is None:
-                known.closed_us = self.now_us()
+            entry = self.ledger.asked.get(ask.number)
+            if entry is not None and not connection.left and entry.whole_us is None:
+                entry.closed_us = self.now_us()
             keep = False
         self.open.pop(ask.number, None)
         if connection.left or connection.flooding:  # a flood closes the connection itself
@@ -202,18 +202,18 @@
 
     def disconnect(self, number: bytes, reset: bool) -> PlannedRequest | None:
         """The client of an unanswered request leaves; returns the request."""
-        known = self.open.pop(number, None)
-        if known is None:
+        entry = self.open.pop(number, None)
+        if entry is None:
             return None
-        self.close(number, known[1], reset)
-        return known[0]
+        self.close(number, entry[1], reset)
+        return entry[0]
 
     def flood(self, number: bytes, size: int) -> None:
         """The client of an unanswered request sends many more requests, up to `size` bytes, and closes."""
-        known = self.open.get(number)
-        if known is None or number not in self.ledger.asked:
+        entry = self.open.get(number)
+        if entry is None or number not in self.ledger.asked:
             return
-        ask, connection = known
+        ask, connection = entry
         if connection.flooding:
             return
         connection.flooding = True
--- a/tests/crossing_hosts.py
+++ b/tests/crossing_hosts.py
@@ -258,9 +258,9 @@
 
     def before_step(self, step: str, number: bytes, to: Stream) -> None:
         """Runs the events before a step of this host. Raises ExchangeEnded if one closed the connection."""
-        put_off_us = self.platform.steps.before(step, number, self)
-        if put_off_us:
-            self.wait(to, put_off_us)
+        delay_us = self.platform.steps.before(step, number, self)
+        if delay_us:
+            self.wait(to, delay_us)
         if not to.is_idle():
             raise ExchangeEnded
 
@@ -324,8 +324,8 @@
 
     def wake_watches(self) -> None:
         """Makes the waiting watches check for changes."""
-        news, self.changed = self.changed, Signal(self.sim.scheduler)
-        news.set()
+        previous, self.changed = self.changed, Signal(self.sim.scheduler)
+        previous.set()
 
     def silence_watches(self) -> None:
         """The open watches become silent."""
--- a/tests/crossing_worlds.py
+++ b/tests/crossing_worlds.py
@@ -28,10 +28,8 @@
 
 KILL_GRACE_US = 700_000  # SIGKILL comes this long after the longest deadline, counted from SIGTERM
 MAX_DEADLINE_US = 3_000_000  # the longest deadline counts up to this
-UNEVEN_LATENCY_SHARE, UNEVEN_LATENCY_US = (
-    0.3,
-    (100, 6_000),
-)  # a message may overtake a close on another connection
+# In this share of the worlds latencies vary, so that a message may overtake a close on another connection.
+UNEVEN_LATENCY_SHARE, UNEVEN_LATENCY_US = 0.3, (100, 6_000)
 LOWER_REVISION_SHARE = 0.5  # of the moves: to an agent whose revisions are lower
 MAX_WORLD_US = 120_000_000
 
@@ -73,12 +71,12 @@
 
     def before(self, step: str, number: bytes, host: CrossingHost | None) -> int:
         self.first_step_us.setdefault((number, step), self.sim.now_us())
-        put_off_us = 0
+        delay_us = 0
         for crossing in self._pending_at(step, number):
             if crossing.offset_us <= 0 and not crossing.after_sent:
                 self._fire(crossing, host)
-                put_off_us = max(put_off_us, -crossing.offset_us)
-        return put_off_us
+                delay_us = max(delay_us, -crossing.offset_us)
+        return delay_us
 
     def after(self, step: str, number: bytes, host: CrossingHost | None) -> None:
         for crossing in self._pending_at(step, number):
