--- a/yardspindle/lab/__init__.py
+++ b/yardspindle/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: stand-in engines, scripted days, the audit of what passed on the sockets."""
+"""Test bench: stand-in engines, generated load, fault injection, and an audit of what was seen on the sockets."""
--- a/yardspindle/lab/audit.py
+++ b/yardspindle/lab/audit.py
@@ -59,118 +59,118 @@
 
 
 def audit_journals(
-    client_lines: Iterable[JournalLine], box_lines: Iterable[JournalLine], figures: AuditLimits
+    client_lines: Iterable[JournalLine], box_lines: Iterable[JournalLine], limits: AuditLimits
 ) -> AuditReport:
     """Check a day from its journals."""
-    checks = Audit(figures)
+    checks = Audit(limits)
     lines = [*box_lines, *client_lines]
     for line in sorted(lines, key=lambda row: row["t"]):  # stable: a box's line before a client's of the same time
-        checks.take(line)
-    return checks.end()
+        checks.record(line)
+    return checks.finish()
 
 
 @dataclass(slots=True)
 class _Edge:
     """What is known of an edge by the port its clients use."""
 
-    away: Spans = field(default_factory=list)  # when it was stalled or (to the end) killed
+    outages: Spans = field(default_factory=list)  # when it was stalled or (to the end) killed
     killed: bool = False
 
 
 @dataclass(slots=True)
 class _Hold:
-    since: int
+    since_us: int
 
 
 class Audit:
     """The checks, fed line by line."""
 
-    def __init__(self, figures: AuditLimits) -> None:
+    def __init__(self, limits: AuditLimits) -> None:
         """Nothing was seen."""
         self.report = AuditReport()
-        self._figures = figures
-        self._slack_us = int(figures.slack_ms * 1_000)
+        self._limits = limits
+        self._slack_us = int(limits.slack_ms * 1_000)
         self._now = 0
-        self._tries: dict[str, JournalLine] = {}
-        self._finals: Counter[str] = Counter()
+        self._sends: dict[str, JournalLine] = {}
+        self._final_counts: Counter[str] = Counter()
         self._edges: dict[int, _Edge] = defaultdict(_Edge)
-        self._away: dict[str, Spans] = defaultdict(list)  # by the prefix of an edge's ids
+        self._edge_outages: dict[str, Spans] = defaultdict(list)  # by the prefix of an edge's ids
         self._runs: dict[str, list[JournalLine]] = defaultdict(list)
-        self._lab_of: dict[str, str] = {}
+        self._try_of_run: dict[str, str] = {}
         self._ends: dict[tuple[str, str], JournalLine] = {}
-        self._orders: Counter[str] = Counter()
-        self._whole: dict[str, int] = {}
-        self._draining: dict[str, int] = {}
-        self._out: dict[str, Spans] = defaultdict(list)  # by request: from, to
-        self._attempts: dict[tuple[str, str], list[int]] = {}
+        self._order_runs: Counter[str] = Counter()
+        self._complete_events: dict[str, int] = {}
+        self._draining_since: dict[str, int] = {}
+        self._attempt_spans: dict[str, Spans] = defaultdict(list)  # by request: from, to
+        self._open_attempts: dict[tuple[str, str], list[int]] = {}
         self._stages: dict[str, str] = {}
         self._holds: dict[tuple[str, str], _Hold] = {}
-        self._blind: dict[str, Spans] = defaultdict(list)  # by box: when nothing could reach it
+        self._unreachable: dict[str, Spans] = defaultdict(list)  # by box: when nothing could reach it
         self._hung: dict[str, Spans] = defaultdict(list)  # by box: when it answered nothing
-        self._said: set[tuple[str, str]] = set()  # holds and attempts whose break was told
-        self._for: dict[str, str] = {}  # by attempt: the try that it is for
-        self._left: dict[str, int] = {}  # tries whose client hung up: when
+        self._reported: set[tuple[str, str]] = set()  # holds and attempts whose break was told
+        self._try_of_attempt: dict[str, str] = {}  # by attempt: the try that it is for
+        self._hung_up_us: dict[str, int] = {}  # tries whose client hung up: when
 
-    def take(self, line: JournalLine) -> None:
+    def record(self, line: JournalLine) -> None:
         """The next line."""
         self._now = max(self._now, line["t"])
         if "try" in line:
-            self._client(line)
+            self._client_line(line)
         elif line["ev"].startswith("edge "):
-            self._edge(line)
+            self._edge_line(line)
         else:
-            self._box(line)
+            self._engine_line(line)
 
-    def until(self, now_us: int) -> None:
+    def check_until(self, now_us: int) -> None:
         """Check what is held by now; the report grows by what is held too long."""
         self._now = max(self._now, now_us)
         for box, name in list(self._holds):
-            self._held_too_long(box, name, now_us)
-        for (box, name), (since, _) in list(self._attempts.items()):
-            self._for_nobody(box, name, since, now_us)
+            self._check_hold(box, name, now_us)
+        for (box, name), (since, _) in list(self._open_attempts.items()):
+            self._check_abandoned(box, name, since, now_us)
 
-    def end(self) -> AuditReport:
+    def finish(self) -> AuditReport:
         """No more lines come."""
-        self.until(self._now)
-        for name in self._tries:
-            if self._finals[name] != 1:
-                self.report.add_violation("one final answer", f"{name}: {self._finals[name]} final answers")
+        self.check_until(self._now)
+        for name in self._sends:
+            if self._final_counts[name] != 1:
+                self.report.add_violation("one final answer", f"{name}: {self._final_counts[name]} final answers")
         for name, rows in self._runs.items():
-            self._broken_off(name, rows)
+            self._check_interrupted(name, rows)
         waiting = [
             line
             for line in self._ends.values()
-            if line["stage"] == "write" and line["how"] == "client gone" and line["id"] not in self._lab_of
+            if line["stage"] == "write" and line["how"] == "client gone" and line["id"] not in self._try_of_run
         ]
         self.report.counts["requests given up while they waited for their state"] += len(waiting)
         return self.report
 
     # --- edges
 
-    def _edge(self, line: JournalLine) -> None:
-        edge, spans = self._edges[line["edge"]], self._away[line["prefix"]]
+    def _edge_line(self, line: JournalLine) -> None:
+        edge, spans = self._edges[line["edge"]], self._edge_outages[line["prefix"]]
         if line["ev"] in ("edge woke", "edge started"):
-            _close(edge.away, line["t"] + self._slack_us)
+            _close(edge.outages, line["t"] + self._slack_us)
             _close(spans, line["t"])  # of a new start no id is known yet: the killed one's stay open
             return
-        edge.away.append([line["t"], FOREVER])
+        edge.outages.append([line["t"], FOREVER])
         spans.append([line["t"], FOREVER])
         edge.killed = edge.killed or line["ev"] == "edge killed"
 
     # --- rule 1: one final answer for each try, in time, nothing after it
 
-    def _client(self, line: JournalLine) -> None:
+    def _client_line(self, line: JournalLine) -> None:
         name, report = line["try"], self.report
         if line["ev"] == "send":
-            self._tries[name] = {**line, "outcome": ""}
+            self._sends[name] = {**line, "outcome": ""}
             return
-        self._finals[name] += 1
-        known = self._tries[name]
+        self._final_counts[name] += 1
+        known = self._sends[name]
         if line["outcome"] == "left" and line.get("code") == "hung up":
-            self._left[name] = line["t"]
+            self._hung_up_us[name] = line["t"]
         known.update(outcome=line["outcome"], code=line["code"], end_t=line["t"], events=line["events"])
         report.outcomes.setdefault(known["cls"], Counter())[line["outcome"]] += 1
-        away = any(start <= line["t"] and end >= known["t"] for start, end in self._edges[known["edge"]].away)
+        away = any(start <= line["t"] and end >= known["t"] for start, end in self._edges[known["edge"]].outages)
         if line["outcome"] in ("lost", "late"):
             if away:
                 report.counts["answers lost or late with their edge"] += 1
@@ -185,32 +185,36 @@
         if answered and waited > known["deadline_us"]:
             report.counts["answers past the client's time, within the measuring slack"] += 1
         if line["outcome"] == "served":
-            if name not in self._whole:
+            if name not in self._complete_events:
                 report.add_violation("one final answer", f"{name} was served and no engine wrote it whole")
-            elif line["events"] not in (1, self._whole[name]):
-                report.add_violation("one final answer", f"{name}: {line['events']} events of {self._whole[name]}")
-        if line["outcome"] == "refused" and known["cls"] in self._figures.unsafe and self._runs.get(name):
+            elif line["events"] not in (1, self._complete_events[name]):
+                report.add_violation(
+                    "one final answer", f"{name}: {line['events']} events of {self._complete_events[name]}"
+                )
+        if line["outcome"] == "refused" and known["cls"] in self._limits.unsafe and self._runs.get(name):
             report.add_violation("no effect twice", f"{name} ran and was refused")
 
     # --- rule 2: what must not run twice does not, and what was refused did not run
 
-    def _run(self, line: JournalLine) -> None:
+    def _run_started(self, line: JournalLine) -> None:
         name, report = line["lab"], self.report
         rows = self._runs[name]
         rows.append(line)
-        self._lab_of[line["id"]] = name
-        known = self._tries.get(name)
+        self._try_of_run[line["id"]] = name
+        known = self._sends.get(name)
         if known is None:
             report.add_violation("no effect twice", f"{name} ran and no client sent it")
-        elif known["cls"] in self._figures.unsafe:
-            self._orders[known["order"]] += 1
-            if self._orders[known["order"]] > 1:
-                report.add_violation("no effect twice", f"{known['order']} ran {self._orders[known['order']]} times")
+        elif known["cls"] in self._limits.unsafe:
+            self._order_runs[known["order"]] += 1
+            if self._order_runs[known["order"]] > 1:
+                report.add_violation(
+                    "no effect twice", f"{known['order']} ran {self._order_runs[known['order']]} times"
+                )
             if known["outcome"] == "refused":
                 report.add_violation("no effect twice", f"{name} ran and was refused")
 
     def _run_ended(self, line: JournalLine) -> None:
-        rows = self._runs.get(self._lab_of.get(line["id"], ""), [])
+        rows = self._runs.get(self._try_of_run.get(line["id"], ""), [])
         for first, second in zip(rows, rows[1:], strict=False):
             here = first["box"] == line["box"] and first["id"] == line["id"]
             if here and line["t"] > second["t"] + self._slack_us:
@@ -218,9 +222,9 @@
                     "no effect twice", f"{line['id']} ran at {first['box']} and {second['box']} at once"
                 )
 
-    def _broken_off(self, name: str, rows: list[JournalLine]) -> None:
-        known = self._tries.get(name)
-        if known is None or known["cls"] not in self._figures.unsafe:
+    def _check_interrupted(self, name: str, rows: list[JournalLine]) -> None:
+        known = self._sends.get(name)
+        if known is None or known["cls"] not in self._limits.unsafe:
             return
         cut = [row for row in rows if (end := self._ends.get((row["box"], row["id"]))) is None or end["how"] == "reset"]
         if cut and known["outcome"] not in ("left", "lost", "late"):
@@ -232,47 +236,49 @@
 
     # --- boxes, and rules 3 and 4
 
-    def _box(self, line: JournalLine) -> None:
+    def _engine_line(self, line: JournalLine) -> None:
         box, name, t, report = line["box"], line["id"], line["t"], self.report
         match line["ev"]:
             case "arrive":
-                self._drain_kept(line)
+                self._check_drain(line)
                 span = [t, FOREVER]
                 self._stages[name] = line["stage"]
-                self._attempts[(box, name)] = span
-                self._for[name] = line.get("lab", "")
-                self._out[_request(name)].append(span)
+                self._open_attempts[(box, name)] = span
+                self._try_of_attempt[name] = line.get("lab", "")
+                self._attempt_spans[_request_of(name)].append(span)
             case "end" | "gone":
-                if (box, name) in self._attempts:
-                    self._attempts.pop((box, name))[1] = t
-                if line["ev"] == "end" and (line["stage"] == "write" or name in self._lab_of):
+                if (box, name) in self._open_attempts:
+                    self._open_attempts.pop((box, name))[1] = t
+                if line["ev"] == "end" and (line["stage"] == "write" or name in self._try_of_run):
                     self._ends[(box, name)] = line
                     self._run_ended(line)
             case "run":
-                self._run(line)
-            case "sent" if line.get("whole") and name in self._lab_of:
-                self._whole[self._lab_of[name]] = line["tokens"]
+                self._run_started(line)
+            case "sent" if line.get("whole") and name in self._try_of_run:
+                self._complete_events[self._try_of_run[name]] = line["tokens"]
             case "hold state" | "hold place":
                 self._holds[(box, name)] = _Hold(t)
             case "fetched" | "take place" | "release":
-                self._let_go(box, name, t)
+                self._end_hold(box, name, t)
             case "expire":
                 hold = self._holds.get((box, name))
-                since = hold.since if hold is not None else t
-                excused = self._spans(self._deaf(box), since, t) or self._spans(self._away[_edge_of(name)], since, t)
+                since = hold.since_us if hold is not None else t
+                excused = self._overlaps(self._unresponsive_spans(box), since, t) or self._overlaps(
+                    self._edge_outages[_edge_of(name)], since, t
+                )
                 if not excused:  # else nobody could tell it to let go
                     report.add_violation("nothing left pinned", f"{name} lapsed at {box}")
-                self._let_go(box, name, t)
+                self._end_hold(box, name, t)
             case "killed":
-                self._killed(box, t)
+                self._engine_killed(box, t)
             case "fell":
                 report.add_violation("no cold server pushed over", f"{box} fell at {t}")
             case "control":
                 self._control(box, line["do"], t)
             case "blind":
-                self._blind[box].append([t, FOREVER])
+                self._unreachable[box].append([t, FOREVER])
             case "seen":
-                self._see(box, t)
+                self._reachable_again(box, t)
             case _:
                 pass
 
@@ -283,71 +289,71 @@
             case "wake":
                 _close(self._hung[box], t)
             case "listed_draining":
-                self._draining[box] = t
+                self._draining_since[box] = t
                 self.report.counts["drains"] += 1
             case "listed_serving":
-                self._draining.pop(box, None)
+                self._draining_since.pop(box, None)
             case _:
                 pass
 
-    def _see(self, box: str, t: int) -> None:
-        for span in self._blind[box]:  # the oldest that is still open: faults may overlap
+    def _reachable_again(self, box: str, t: int) -> None:
+        for span in self._unreachable[box]:  # the oldest that is still open: faults may overlap
             if span[1] == FOREVER:
                 span[1] = t
                 return
 
-    def _drain_kept(self, line: JournalLine) -> None:
+    def _check_drain(self, line: JournalLine) -> None:
         """Nothing new after the list told, was read, and the grace has passed."""
-        since = self._draining.get(line["box"])
-        allowed_us = (self._figures.drain_grace_ms + self._figures.list_ms) * 1_000 + self._slack_us
+        since = self._draining_since.get(line["box"])
+        allowed_us = (self._limits.drain_grace_ms + self._limits.list_ms) * 1_000 + self._slack_us
         if since is not None and line["t"] > since + allowed_us:
             self.report.add_violation("drains kept", f"{line['id']} came to {line['box']} {line['t'] - since} us late")
 
-    def _killed(self, box: str, t: int) -> None:
+    def _engine_killed(self, box: str, t: int) -> None:
         for key in [key for key in self._holds if key[0] == box]:
-            self._let_go(*key, t)
-        for key in [key for key in self._attempts if key[0] == box]:
-            self._attempts.pop(key)[1] = t
-            part = "stream" if key[1] in self._lab_of else "read" if self._stages[key[1]] == "read" else "move"
+            self._end_hold(*key, t)
+        for key in [key for key in self._open_attempts if key[0] == box]:
+            self._open_attempts.pop(key)[1] = t
+            part = "stream" if key[1] in self._try_of_run else "read" if self._stages[key[1]] == "read" else "move"
             self.report.counts[f"attempts whose box died mid-{part}"] += 1
         _close(self._hung[box], t)
 
     # --- rule 5: a state or place without an attempt out is used or let go in time
 
-    def _let_go(self, box: str, name: str, t: int) -> None:
+    def _end_hold(self, box: str, name: str, t: int) -> None:
         if (box, name) in self._holds:
             self.report.counts["states and places held"] += 1
-            self._held_too_long(box, name, t)
+            self._check_hold(box, name, t)
             del self._holds[(box, name)]
 
-    def _held_too_long(self, box: str, name: str, t: int) -> None:
+    def _check_hold(self, box: str, name: str, t: int) -> None:
         hold = self._holds[(box, name)]
-        away = self._away[_edge_of(name)]
-        left = self._figures.hold_ms * 1.1 * 1_000 + self._slack_us
-        blind = [span for by_box in (self._blind, self._hung) for spans in by_box.values() for span in spans]
-        free = _uncovered(hold.since, t, self._out[_request(name)] + blind + away)
-        orphaned = t - hold.since > left and away and away[-1][1] == FOREVER and not blind
-        if (free > self._figures.release_ms * 1_000 + self._slack_us or orphaned) and (box, name) not in self._said:
-            self._said.add((box, name))
+        away = self._edge_outages[_edge_of(name)]
+        left = self._limits.hold_ms * 1.1 * 1_000 + self._slack_us
+        blind = [span for by_box in (self._unreachable, self._hung) for spans in by_box.values() for span in spans]
+        free = _longest_uncovered(hold.since_us, t, self._attempt_spans[_request_of(name)] + blind + away)
+        orphaned = t - hold.since_us > left and away and away[-1][1] == FOREVER and not blind
+        if (free > self._limits.release_ms * 1_000 + self._slack_us or orphaned) and (box, name) not in self._reported:
+            self._reported.add((box, name))
             self.report.add_violation("nothing left pinned", f"{name} at {box} for {free} us with no attempt out")
 
-    def _for_nobody(self, box: str, name: str, since: int, now_us: int) -> None:
+    def _check_abandoned(self, box: str, name: str, since: int, now_us: int) -> None:
         """An attempt goes on though its client hung up."""
-        left_us = self._left.get(self._for.get(name, ""))
-        if left_us is None or (box, name) in self._said:
+        left_us = self._hung_up_us.get(self._try_of_attempt.get(name, ""))
+        if left_us is None or (box, name) in self._reported:
             return
         told_us = max(left_us, since)
-        free = _uncovered(told_us, now_us, self._deaf(box) + self._away[_edge_of(name)])
-        if free > self._figures.left_ms * 1_000 + self._slack_us:
-            self._said.add((box, name))
+        free = _longest_uncovered(told_us, now_us, self._unresponsive_spans(box) + self._edge_outages[_edge_of(name)])
+        if free > self._limits.left_ms * 1_000 + self._slack_us:
+            self._reported.add((box, name))
             self.report.add_violation("nothing left pinned", f"{name} at {box} goes on {free} us after its client left")
 
-    def _deaf(self, box: str) -> Spans:
+    def _unresponsive_spans(self, box: str) -> Spans:
         """When it could not be told to let go."""
-        return self._blind[box] + self._hung[box]
+        return self._unreachable[box] + self._hung[box]
 
     @staticmethod
-    def _spans(spans: Spans, start: int, end: int) -> bool:
+    def _overlaps(spans: Spans, start: int, end: int) -> bool:
         return any(a <= end and b >= start for a, b in spans)
 
 
@@ -356,7 +362,7 @@
         spans[-1][1] = min(spans[-1][1], t)
 
 
-def _request(name: str) -> str:
+def _request_of(name: str) -> str:
     return name.rpartition(".")[0]
 
 
@@ -364,7 +370,7 @@
     return name.partition("-")[0]
 
 
-def _uncovered(start: int, end: int, spans: Spans) -> int:
+def _longest_uncovered(start: int, end: int, spans: Spans) -> int:
     """The longest part of a time that none of the spans covers."""
     longest, at = 0, start
     for a, b in sorted(spans):
--- a/yardspindle/lab/block_cache.py
+++ b/yardspindle/lab/block_cache.py
@@ -1,7 +1,7 @@
-"""A stand-in engine's kept texts: blocks, least recently used out first, and the events that tell of them.
+"""A stand-in engine's prefix cache: an LRU of token blocks that publishes cache events.
 
-Events are those of vLLM, in numbered batches, with the last ones kept for replay. Names of blocks are salted as an
-engine's are: nobody outside can compute them.
+Events are vLLM's, in numbered batches; the latest batches are kept for replay. Published block hashes are salted, as
+an engine's are, so that no other process can compute them.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class BlockCache:
-    """Room for so many blocks."""
+    """An LRU cache with room for `capacity` blocks."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         publish: Callable[[int, bytes], None],
         now_s: Callable[[], float],
     ) -> None:
-        """`publish` gets each batch's number and bytes."""
+        """`publish` is called with each batch's number and encoded bytes."""
         self.capacity, self.block_size = capacity, block_size
         self._salt = salt
         self._publish = publish
@@ -38,21 +38,21 @@
         self._number = 0
 
     def cached_prefix_blocks(self, hashes: list[int]) -> int:
-        """Blocks of a chain that are kept."""
+        """How many leading blocks of a chain are cached."""
         for depth, block in enumerate(hashes):
             if block not in self.blocks:
                 return depth
         return len(hashes)
 
     def prompt_hashes(self, packed: bytes) -> list[int]:
-        """A prompt's blocks."""
+        """Hashes of a prompt's full blocks, from its packed tokens."""
         return block_hashes(packed, self.block_size)
 
     def insert(self, hashes: list[int], packed: bytes) -> None:
-        """A prompt was read: its blocks are kept, the end of the chain to go first."""
+        """Insert the blocks of a prompt that was read; the end of its chain is evicted first."""
         new = [at for at, block in enumerate(hashes) if block not in self.blocks]
         events: list[CacheEvent] = []
-        for at in new:  # one event for each run without a break, as engines tell them
+        for at in new:  # one event for each run of consecutive blocks, as engines send them
             if events and at - 1 in new:
                 stored = events[-1]
                 assert isinstance(stored, BlockStored)
@@ -64,23 +64,23 @@
         for block in reversed(hashes):
             self.blocks.pop(block, None)
             self.blocks[block] = None
-        gone: list[int | bytes] = []
+        evicted: list[int | bytes] = []
         while len(self.blocks) > self.capacity:
-            gone.append(self.blocks.popitem(last=False)[0] ^ self._salt)
-        if gone:
-            events.append(BlockRemoved(gone))
-        self._tell(events)
+            evicted.append(self.blocks.popitem(last=False)[0] ^ self._salt)
+        if evicted:
+            events.append(BlockRemoved(evicted))
+        self._publish_events(events)
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Drop all blocks."""
         self.blocks.clear()
-        self._tell([AllBlocksCleared()])
+        self._publish_events([AllBlocksCleared()])
 
     def _tokens(self, packed: bytes, at: int) -> list[int]:
-        step = 4 * self.block_size
-        return list(memoryview(packed[at * step : (at + 1) * step]).cast("I"))
+        block_bytes = 4 * self.block_size  # a packed token is 4 bytes
+        return list(memoryview(packed[at * block_bytes : (at + 1) * block_bytes]).cast("I"))
 
-    def _tell(self, events: list[CacheEvent]) -> None:
+    def _publish_events(self, events: list[CacheEvent]) -> None:
         if events:
             data = msgspec.msgpack.encode(Batch(self._now_s(), events))
             self.replay_buffer.append((self._number, data))
--- a/yardspindle/lab/clients.py
+++ b/yardspindle/lab/clients.py
@@ -20,7 +20,7 @@
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.world import World
 
-GRACE_US = 1_000_000  # beyond its deadline a client still listens for so long, to see what comes late
+LISTEN_GRACE_US = 1_000_000  # beyond its deadline a client still listens for so long, to see what comes late
 WORDS = (
     "price",
     "of",
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class RequestPlan:
     """One request as drawn."""
 
     number: int
@@ -80,17 +80,19 @@
     pause_us: int
 
 
-def draw_request(rng: random.Random, number: int, classes: tuple[ClientClass, ...], habits: ClientHabits) -> Plan:
+def draw_request(
+    rng: random.Random, number: int, classes: tuple[ClientClass, ...], habits: ClientHabits
+) -> RequestPlan:
     """The request numbered so."""
     cls = rng.choices(classes, [row.share for row in classes])[0]
-    leaves = rng.random() < habits.hang_up
-    return Plan(
+    hangs_up = rng.random() < habits.hang_up
+    return RequestPlan(
         number,
         cls,
         rng.randrange(max(habits.openings, 1)),
         rng.randint(1, 2 * habits.words),
         rng.random() >= habits.whole,
-        int(rng.uniform(0, 0.4e6)) if leaves else 0,
+        int(rng.uniform(0, 0.4e6)) if hangs_up else 0,
         rng.random() < habits.stop_reading,
         int(rng.uniform(0.5, 1.0) * cls.give_up_ms * 1_000),
         int(rng.uniform(0.5, 1.5) * 200_000),
@@ -98,7 +100,7 @@
 
 
 @dataclass(slots=True)
-class _Seen:
+class _TryResult:
     """What the client has seen of a try."""
 
     outcome: str = ""
@@ -107,7 +109,7 @@
     retry_ms: float = 0.0
     events: int = 0
     extra: int = 0
-    first_us: int = 0
+    first_token_us: int = 0
 
 
 class Clients:
@@ -121,11 +123,11 @@
         self._habits = habits
         self._http = HttpClient(world, 1_000_000, 4_000_000)
 
-    def request(self, plan: Plan, edges: list[tuple[str, int]]) -> None:
+    def request(self, plan: RequestPlan, edges: list[tuple[str, int]]) -> None:
         """One request with its retries, each at the next edge."""
         for attempt in range(1 + self._habits.retries):
             edge = edges[(plan.number + attempt) % len(edges)]
-            seen = self.try_once(plan, attempt, edge)
+            seen = self.send_once(plan, attempt, edge)
             if seen.outcome not in ("refused", "unreachable") or attempt == self._habits.retries:
                 return
             wait_us = int(seen.retry_ms * 1_000) or plan.pause_us
@@ -135,11 +137,11 @@
         """Close the connections that are kept."""
         self._http.close_all()
 
-    def try_once(self, plan: Plan, attempt: int, edge: tuple[str, int]) -> _Seen:
+    def send_once(self, plan: RequestPlan, attempt: int, edge: tuple[str, int]) -> _TryResult:
         """One try, without a retry."""
         name = f"q{plan.number}.{attempt}"
         started = self._world.now_us()
-        seen = _Seen()
+        seen = _TryResult()
         self._note(
             {
                 "t": started,
@@ -151,21 +153,21 @@
                 "deadline_us": plan.deadline_us,
             }
         )
-        until = started + (plan.hang_up_us or plan.deadline_us + GRACE_US)
+        until = started + (plan.hang_up_us or plan.deadline_us + LISTEN_GRACE_US)
         try:
             with self._world.deadline(until) as deadline:
                 response = self._send(plan, name, edge)
                 seen.status = response.head.status
                 if seen.status != 200:
-                    self._refusal(seen, response)
+                    self._read_refusal(seen, response)
                 elif not plan.stream:
                     response.read_all()
                     response.close()
                     seen.outcome, seen.events = "served", 1
                 else:
-                    self._until_first(seen, response)
+                    self._stream_started(seen, response)
             if not seen.outcome:
-                self._stream(plan, seen, response)
+                self._read_stream(plan, seen, response)
         except DeadlineExceeded:
             assert deadline.passed
             seen.outcome, seen.code = ("left", "hung up") if plan.hang_up_us else ("late", "")
@@ -184,12 +186,12 @@
                 "status": seen.status,
                 "events": seen.events,
                 "extra": seen.extra,
-                "first_t": seen.first_us or now,
+                "first_t": seen.first_token_us or now,
             }
         )
         return seen
 
-    def _send(self, plan: Plan, name: str, edge: tuple[str, int]) -> Response:
+    def _send(self, plan: RequestPlan, name: str, edge: tuple[str, int]) -> Response:
         opening = " ".join(WORDS[(plan.opening + at) % len(WORDS)] for at in range(self._habits.opening_words))
         text = " ".join(WORDS[(plan.number + at) % len(WORDS)] for at in range(plan.words))
         body = msgspec.json.encode(
@@ -207,7 +209,7 @@
         headers: http1.Headers = [(b"content-type", b"application/json")]
         return self._http.request(*edge, b"POST", b"/v1/chat/completions", headers, body)
 
-    def _refusal(self, seen: _Seen, response: Response) -> None:
+    def _read_refusal(self, seen: _TryResult, response: Response) -> None:
         body: Any = msgspec.json.decode(response.read_all())
         seen.code = str(body["error"]["code"])
         advised = response.head.get(b"retry-after-ms")
@@ -215,11 +217,11 @@
         seen.outcome = "refused" if seen.status in (429, 503) and advised else "failed"
         response.close()
 
-    def _until_first(self, seen: _Seen, response: Response) -> None:
+    def _stream_started(self, seen: _TryResult, response: Response) -> None:
         """Status and first token come together: the stream has begun."""
-        seen.first_us = self._world.now_us()
+        seen.first_token_us = self._world.now_us()
 
-    def _stream(self, plan: Plan, seen: _Seen, response: Response) -> None:
+    def _read_stream(self, plan: RequestPlan, seen: _TryResult, response: Response) -> None:
         parser = SseParser()
         try:
             if plan.stop_reading:
--- a/yardspindle/lab/day.py
+++ b/yardspindle/lab/day.py
@@ -41,7 +41,7 @@
     worth: Positive = 1.0
 
 
-class Trouble(Struct, forbid_unknown_fields=True, frozen=True):
+class DayFault(Struct, forbid_unknown_fields=True, frozen=True):
     """What goes wrong, when, and where: a box by name, or one drawn of a role or a rack (cell)."""
 
     at_s: Annotated[float, Meta(ge=0)]
@@ -86,7 +86,7 @@
     box: dict[str, Any] = {}
     rules: dict[str, Any] = {}
     habits: ClientHabits = msgspec.field(default_factory=ClientHabits)
-    troubles: tuple[Trouble, ...] = ()
+    troubles: tuple[DayFault, ...] = ()
 
 
 def load_day(path: str) -> Day:
@@ -95,7 +95,7 @@
         day = decode_toml(path, file.read(), Day)
     if not day.classes:
         raise ConfigError(f"{path}: classes: empty")
-    names = set(_box_names(day))
+    names = set(_engine_names(day))
     for at, trouble in enumerate(day.troubles):
         if trouble.box and trouble.box not in names:
             raise ConfigError(f"{path}: troubles[{at}].box: no such box: {trouble.box}")
@@ -106,7 +106,7 @@
     return day
 
 
-def _box_names(day: Day) -> list[str]:
+def _engine_names(day: Day) -> list[str]:
     return [
         f"{kind}{rack}-{n}"
         for rack in range(day.racks)
@@ -149,18 +149,18 @@
             [Dispatcher(number) for number in range(day.dispatchers)],
         )
         folder = journal_folder or self.fleet.folder.name
-        self.box_journal = os.path.join(folder, "boxes.jsonl")
+        self.engine_journal = os.path.join(folder, "boxes.jsonl")
         self.client_journal = os.path.join(folder, "clients.jsonl")
-        for path in (self.box_journal, self.client_journal):
+        for path in (self.engine_journal, self.client_journal):
             open(path, "wb").close()
-        for name in _box_names(day):
+        for name in _engine_names(day):
             kind, rack = name[:6], int(name[6:].split("-")[0])
             settings = msgspec.convert(
                 {
                     "name": name,
                     "role": "read" if kind == "reader" else "write",
                     "events": kind == "reader",
-                    "journal": self.box_journal,
+                    "journal": self.engine_journal,
                     "cold_ms": day.cold_ms,
                     "start_capacity": rules["start_capacity"],
                     "fall_multiple": rules.get("fall_multiple", 2.5),
@@ -181,14 +181,14 @@
             self.fleet.start()
             self.fleet.engines = [self._cold_from_now(box) for box in self.fleet.engines]
             started = world.now_us()
-            troubles = [world.spawn("trouble", self._trouble, trouble, started) for trouble in day.troubles]
-            requests = self._load(started)
+            troubles = [world.spawn("trouble", self._run_fault, trouble, started) for trouble in day.troubles]
+            requests = self._send_requests(started)
             for task in (*requests, *troubles):
                 task.join()
             world.sleep_until(world.now_us() + SETTLE_US)
         finally:
             codes = self.fleet.stop()
-        report = self.audited()
+        report = self.audit()
         self.fleet.remove_files()
         for name, code in codes.items():
             if name.startswith(("edge", "planner")) and code not in (0, -signal.SIGKILL):
@@ -199,7 +199,7 @@
         box.settings = msgspec.structs.replace(box.settings, cold_ms=self.day.cold_ms)
         return box
 
-    def audited(self) -> AuditReport:
+    def audit(self) -> AuditReport:
         """Audit the journals as they are."""
         rules = self.day.rules
         figures = AuditLimits(
@@ -207,9 +207,9 @@
             drain_grace_ms=rules.get("drain_grace_ms", 500.0),
             unsafe=tuple(c.name for c in self.day.classes if c.effect == "unsafe"),
         )
-        return audit_journals(read_journal(self.client_journal), read_journal(self.box_journal), figures)
+        return audit_journals(read_journal(self.client_journal), read_journal(self.engine_journal), figures)
 
-    def _load(self, started: int) -> list[Any]:
+    def _send_requests(self, started: int) -> list[Any]:
         day, world = self.day, self.world
         classes = tuple(ClientClass(c.name, c.share, c.give_up_ms, c.answer_tokens) for c in day.classes)
         clients = Clients(
@@ -231,42 +231,44 @@
 
     # --- troubles
 
-    def _trouble(self, trouble: Trouble, started: int) -> None:
-        self.world.sleep_until(started + int(trouble.at_s * 1e6))
-        dispatcher = self.fleet.dispatchers[trouble.dispatcher]
-        if trouble.do.endswith("planner"):
-            self.print_line(f"{trouble.at_s:6.1f} s  {trouble.do} {dispatcher.number}")
-            return self._planner(trouble, dispatcher)
-        if trouble.do == "restart_rack":
-            boxes = [box for box in self.fleet.engines if box.cell == trouble.rack and box.listed]
+    def _run_fault(self, fault: DayFault, started: int) -> None:
+        self.world.sleep_until(started + int(fault.at_s * 1e6))
+        dispatcher = self.fleet.dispatchers[fault.dispatcher]
+        if fault.do.endswith("planner"):
+            self.print_line(f"{fault.at_s:6.1f} s  {fault.do} {dispatcher.number}")
+            return self._apply_to_planner(fault, dispatcher)
+        if fault.do == "restart_rack":
+            boxes = [box for box in self.fleet.engines if box.cell == fault.rack and box.listed]
         else:
-            able = [
+            candidates = [
                 box
                 for box in self.fleet.engines
                 if box.child is not None
                 and box.child.running()
                 and box.state == "serving"
-                and box.kind.startswith(trouble.role)
+                and box.kind.startswith(fault.role)
             ]
-            named = [box for box in self.fleet.engines if box.settings.name == trouble.box]
-            boxes = named or ([self._caught(trouble.when, able)] if trouble.when else self.rng.sample(able, 1))
-        self.print_line(f"{trouble.at_s:6.1f} s  {trouble.do} {', '.join(box.settings.name for box in boxes)}")
+            named = [box for box in self.fleet.engines if box.settings.name == fault.box]
+            boxes = named or (
+                [self._wait_for_stage(fault.when, candidates)] if fault.when else self.rng.sample(candidates, 1)
+            )
+        self.print_line(f"{fault.at_s:6.1f} s  {fault.do} {', '.join(box.settings.name for box in boxes)}")
         for box in boxes:
-            self._box(trouble, box)
-        if trouble.do in ("restart", "restart_rack"):
-            self.world.sleep_until(self.world.now_us() + int(trouble.down_s * 1e6))
+            self._apply_to_engine(fault, box)
+        if fault.do in ("restart", "restart_rack"):
+            self.world.sleep_until(self.world.now_us() + int(fault.down_s * 1e6))
             for box in boxes:
-                self.fleet.launch_box(box)
+                self.fleet.launch_engine(box)
             for box in boxes:
-                self.fleet.ready_box(box)
+                self.fleet.wait_engine_ready(box)
             self.fleet.write_list()
 
-    def _caught(self, when: str, able: list[EngineInstance]) -> EngineInstance:
+    def _wait_for_stage(self, when: str, candidates: list[EngineInstance]) -> EngineInstance:
         """The first box that its journal shows in the middle of a read, a move or a stream."""
-        at = os.path.getsize(self.box_journal)
-        boxes = {box.settings.name: box for box in able}
+        at = os.path.getsize(self.engine_journal)
+        boxes = {box.settings.name: box for box in candidates}
         while True:
-            with open(self.box_journal, "rb") as file:
+            with open(self.engine_journal, "rb") as file:
                 file.seek(at)
                 data = file.read()
             whole = data.rfind(b"\n") + 1
@@ -279,37 +281,37 @@
                     return boxes[line["box"]]
             self.world.sleep_until(self.world.now_us() + 2_000)
 
-    def _box(self, trouble: Trouble, box: EngineInstance) -> None:
-        match trouble.do:
+    def _apply_to_engine(self, fault: DayFault, box: EngineInstance) -> None:
+        match fault.do:
             case "kill" | "restart" | "restart_rack":
-                self._kill(box)
+                self._kill_engine(box)
             case "drain" | "remove":
-                box.state, box.listed = "draining", trouble.do == "drain"
+                box.state, box.listed = "draining", fault.do == "drain"
                 self.fleet.write_list()
-                self.control(box, "listed_draining")
+                self.send_control(box, "listed_draining")
             case _:
-                self.control(box, trouble.do, trouble.factor)
+                self.send_control(box, fault.do, fault.factor)
 
-    def _kill(self, box: EngineInstance) -> None:
+    def _kill_engine(self, box: EngineInstance) -> None:
         assert box.child is not None
         box.child.send(signal.SIGKILL)
         box.child.wait(self.world.now_us() + 5_000_000)
         line = {"t": self.world.now_us(), "box": box.settings.name, "ev": "killed", "id": ""}
-        self.world.append_file(self.box_journal, msgspec.json.encode(line) + b"\n")
+        self.world.append_file(self.engine_journal, msgspec.json.encode(line) + b"\n")
 
-    def _planner(self, trouble: Trouble, dispatcher: Dispatcher) -> None:
+    def _apply_to_planner(self, fault: DayFault, dispatcher: Dispatcher) -> None:
         assert dispatcher.planner is not None
-        if trouble.do == "stall_planner":
+        if fault.do == "stall_planner":
             return dispatcher.planner.send(signal.SIGSTOP)
-        if trouble.do == "wake_planner":
+        if fault.do == "wake_planner":
             return dispatcher.planner.send(signal.SIGCONT)
         dispatcher.planner.send(signal.SIGKILL)
         dispatcher.planner.wait(self.world.now_us() + 5_000_000)
-        self.world.sleep_until(self.world.now_us() + int(trouble.down_s * 1e6))
+        self.world.sleep_until(self.world.now_us() + int(fault.down_s * 1e6))
         self.fleet.launch_planner(dispatcher)
-        self.fleet.ready_planner(dispatcher)
+        self.fleet.wait_planner_ready(dispatcher)
 
-    def control(self, box: EngineInstance, do: str, factor: float = 1.0) -> None:
+    def send_control(self, box: EngineInstance, do: str, factor: float = 1.0) -> None:
         """Tell a box to misbehave."""
         try:
             with self.world.deadline(self.world.now_us() + 2_000_000):
--- a/yardspindle/lab/engine.py
+++ b/yardspindle/lab/engine.py
@@ -1,9 +1,9 @@
-"""A stand-in engine: speaks vLLM's two-stage calls and our extension, takes time, and can be told to misbehave.
+"""A stand-in engine: serves vLLM's two-stage calls and yardspindle's extensions, takes time, and injects faults.
 
-It is no emulator of a GPU: a read takes its new tokens at a rate shared by the reads under way, an answer one step
-for each token, slower the more run. What matters is that slots, queue, kept texts, states and places are real
-things that run out, time out and are fetched over a socket by the writer from the reader. Every request, token
-count, hold and release is appended to a journal before its effect can be seen: the audit reads nothing else.
+It does not emulate a GPU: a read processes its uncached tokens, and an answer takes one step per token, both slower
+with more running requests. Slots, queue, prefix cache, states and places are real: they run out and expire, and the
+writer fetches a state from its reader over a socket. Every request, token count, hold and release is appended to a
+journal before its effect is visible; the audit reads no other record of an engine.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from yardspindle.engine.vllm import COMPLETIONS, HOLDS, PLACE_HEADER, PLACES
 from yardspindle.lab.block_cache import BlockCache
 from yardspindle.lab.engine_holds import HoldRegistry
-from yardspindle.lab.engine_settings import Call, Control, EngineSettings, Held, text_of
+from yardspindle.lab.engine_settings import CompletionCall, EngineControl, EngineSettings, Hold, message_text
 from yardspindle.protocol import http1
 from yardspindle.protocol.sse import write_event
 from yardspindle.runtime.scheduler import DeadlineExceeded, Signal
@@ -29,16 +29,16 @@
 
 CONTROL = b"/v1/lab/control"
 FETCH = b"/v1/lab/fetch/"
-TOPIC = b"kv-events"
+EVENTS_TOPIC = b"kv-events"
 END_OF_REPLAY = (-1).to_bytes(8, "big", signed=True)
-FETCH_US = 5_000_000
+FETCH_TIMEOUT_US = 5_000_000
 
 
 class StandInEngine(HoldRegistry):
-    """One stand-in."""
+    """One engine process: HTTP routes, simulated work, cache events and faults set by `POST /v1/lab/control`."""
 
     def __init__(self, world: World, settings: EngineSettings) -> None:
-        """Nothing is opened before `start`."""
+        """Opens no sockets before `start`."""
         super().__init__(world, settings)
         self.tokenizer = ByteTokenizer()
         salt = world.random(f"salt {settings.name} {world.now_us()}").getrandbits(63)
@@ -52,9 +52,9 @@
         self._events: MessageSocket | None = None
         self.events_port = self.replay_port = 0
         self.started_us = world.now_us()
-        self.slow = 1.0
+        self.slowdown = 1.0
         self.reset = False
-        self.hung: Signal | None = None
+        self.hang_signal: Signal | None = None
         self.host, self.port = "", 0
 
     def start(self, host: str, port: int, events_port: int = 0, replay_port: int = 0) -> tuple[str, int]:
@@ -66,7 +66,7 @@
             self.world.spawn("replay", self._replay, replay)
         listener = self.world.listen(host, port)
         self.host, self.port = listener.host, listener.port
-        server = Server(self.world, listener, self, ServingLimits(), self._fault)
+        server = Server(self.world, listener, self, ServingLimits(), self._record_fault)
         self.world.spawn("accept", server.serve)
         self.world.spawn("expiry", self._expire)
         self.record("start")
@@ -74,7 +74,7 @@
 
     def _publish(self, number: int, data: bytes) -> None:
         if self._events is not None:
-            self._events.send([TOPIC, number.to_bytes(8, "big"), data])
+            self._events.send([EVENTS_TOPIC, number.to_bytes(8, "big"), data])
 
     def _replay(self, socket: MessageSocket) -> None:
         while True:
@@ -84,7 +84,7 @@
                     socket.send([client, b"", number.to_bytes(8, "big"), data])
             socket.send([client, b"", END_OF_REPLAY, b""])
 
-    def _fault(self, fault: BaseException) -> None:
+    def _record_fault(self, fault: BaseException) -> None:
         self.record("fault", "", text=f"{type(fault).__name__}: {fault}")
 
     # --- routes
@@ -92,12 +92,12 @@
     def early_reply(self, head: http1.RequestHead) -> Reply | None:
         """See Handler."""
         target = head.target
-        if head.method in (b"DELETE", b"GET") and self.hung is not None:
-            self.hung.wait()
+        if head.method in (b"DELETE", b"GET") and self.hang_signal is not None:
+            self.hang_signal.wait()
         if head.method == b"DELETE" and self.settings.places:
-            return self._let_go(head)
+            return self._handle_release(head)
         if head.method == b"GET" and target == HOLDS and self.settings.holds:
-            return self._told(head)
+            return self._list_holds(head)
         if head.method != b"POST":
             return ApiError(405, "method_not_allowed", "POST only.").reply()
         if target in (COMPLETIONS, CONTROL) or target.startswith(FETCH) or (target == PLACES and self.settings.places):
@@ -115,47 +115,47 @@
             return self._control(exchange)
         if target == COMPLETIONS:
             return self._completion(exchange)
-        if self.hung is not None:
-            self.hung.wait()
+        if self.hang_signal is not None:
+            self.hang_signal.wait()
         if target == PLACES:
-            return self._place(exchange)
+            return self._reserve_place(exchange)
         return self._fetched(exchange, target[len(FETCH) :].decode())
 
     def _completion(self, exchange: Exchange) -> None:
         request = (exchange.head.get(b"x-request-id") or b"").decode()
-        call = msgspec.json.decode(exchange.body, type=Call)
+        call = msgspec.json.decode(exchange.body, type=CompletionCall)
         params = call.kv_transfer_params or {}
         stage = "read" if params.get("do_remote_decode") else "write"
         lab_id = (call.metadata or {}).get("lab_id", "")
         self.record("arrive", request, stage=stage, lab=lab_id)
         gone = self.world.signal()
 
-        def left() -> None:
-            self.record("gone", request)  # seen on the socket, also while it hangs
+        def on_disconnect() -> None:
+            self.record("gone", request)  # the socket is watched even while the engine hangs
             gone.set()
 
-        exchange.on_disconnect = left
-        if self.hung is not None:
-            self.hung.wait()
-        ended = "failed"
+        exchange.on_disconnect = on_disconnect
+        if self.hang_signal is not None:
+            self.hang_signal.wait()
+        outcome = "failed"
         try:
-            ended = (self._read if stage == "read" else self._write)(exchange, request, call, params, lab_id, gone)
+            outcome = (self._read if stage == "read" else self._write)(exchange, request, call, params, lab_id, gone)
         except StreamError:
-            ended = "client gone"
+            outcome = "client gone"
         finally:
-            self.record("end", request, stage=stage, how=ended)
+            self.record("end", request, stage=stage, how=outcome)
 
     def _control(self, exchange: Exchange) -> None:
-        control = msgspec.json.decode(exchange.body, type=Control)
+        control = msgspec.json.decode(exchange.body, type=EngineControl)
         self.record("control", "", do=control.do)
         match control.do:
             case "hang":
-                self.hung = self.hung or self.world.signal()
-            case "wake" if self.hung is not None:
-                self.hung.set()
-                self.hung = None
+                self.hang_signal = self.hang_signal or self.world.signal()
+            case "wake" if self.hang_signal is not None:
+                self.hang_signal.set()
+                self.hang_signal = None
             case "slow":
-                self.slow = control.factor
+                self.slowdown = control.factor
             case "forget":
                 self.cache.clear()
             case "reset_streams":
@@ -166,7 +166,7 @@
             case "full":
                 self.full = True
             case "normal":
-                self.slow, self.full, self.draining = 1.0, False, False
+                self.slowdown, self.full, self.draining = 1.0, False, False
         exchange.reply(Reply(200, [JSON_CONTENT_TYPE], b"{}"))
 
     def _stop_resets(self) -> None:
@@ -175,105 +175,110 @@
     # --- capacity
 
     def _warmth(self) -> float:
+        """Fraction of full speed: rises linearly from `start_capacity` to 1 during `cold_ms` after the start."""
         age_ms = (self.world.now_us() - self.started_us) / 1_000
         if age_ms >= self.settings.cold_ms:
             return 1.0
         return self.settings.start_capacity + (1 - self.settings.start_capacity) * age_ms / self.settings.cold_ms
 
-    def _pause(self, microseconds: float, gone: Signal) -> bool:
-        """Take time; whether the client is still there."""
+    def _spend(self, microseconds: float, gone: Signal) -> bool:
+        """Let the given time pass, and any hang; False if the client disconnected meanwhile."""
         if not gone.is_set:
             try:
                 with self.world.deadline(self.world.now_us() + int(microseconds)):
                     gone.wait()
             except DeadlineExceeded:
                 pass
-        while self.hung is not None:
-            self.hung.wait()
+        while self.hang_signal is not None:
+            self.hang_signal.wait()
         return not gone.is_set
 
-    def _weigh(self, work_us: float) -> bool:
-        """Count work sent to a cold engine; whether it stands it. See the rule on cold servers."""
-        now, span = self.world.now_us(), self.settings.fall_ms * 1_000
-        arrivals = self.load.arrivals
-        arrivals.append((now, work_us))
-        while arrivals and arrivals[0][0] < now - span:
-            arrivals.popleft()
+    def _within_cold_limit(self, work_us: float) -> bool:
+        """Add to the work received in the last `fall_ms`; False if a cold engine is overloaded by it and goes down."""
+        now, window_us = self.world.now_us(), self.settings.fall_ms * 1_000
+        recent_work = self.load.recent_work
+        recent_work.append((now, work_us))
+        while recent_work and recent_work[0][0] < now - window_us:
+            recent_work.popleft()
         warmth = self._warmth()
-        budget = self.settings.fall_multiple * warmth * span * self.settings.slots
-        return warmth >= 1.0 or sum(work for _, work in arrivals) <= budget
+        budget = self.settings.fall_multiple * warmth * window_us * self.settings.slots
+        return warmth >= 1.0 or sum(work for _, work in recent_work) <= budget
 
-    def _enter(self, exchange: Exchange, request: str, tokens: int, work_us: float, gone: Signal) -> bool:
-        if not self._weigh(work_us):
+    def _admit(self, exchange: Exchange, request: str, tokens: int, work_us: float, gone: Signal) -> bool:
+        """Take a slot, queueing for one if necessary; False if refused. Raises StreamError if the client leaves."""
+        if not self._within_cold_limit(work_us):
             self.record("fell", request)
-            self.hung = self.world.signal()  # it stays down
+            self.hang_signal = self.world.signal()  # it never answers again
         full = self.full or (self.load.running >= self.settings.slots and len(self.load.waiting) >= self.settings.queue)
         if full or self.draining:
             code = "engine_draining" if self.draining else "engine_full"
             self.record("turned away", request, code=code)
             exchange.reply(Reply(503, [JSON_CONTENT_TYPE], error_body(code, "No room.", "overloaded_error")))
             return False
-        if self.load.running >= self.settings.slots or self.load.memory + tokens > self.settings.memory_tokens:
-            turn = self.world.signal()
-            self.load.waiting.append(turn)
+        if self.load.running >= self.settings.slots or self.load.memory_tokens + tokens > self.settings.memory_tokens:
+            wakeup = self.world.signal()
+            self.load.waiting.append(wakeup)
             previous = exchange.on_disconnect
 
-            def left() -> None:
-                turn.set()
+            def on_disconnect() -> None:
+                wakeup.set()
                 if previous is not None:
                     previous()
 
-            exchange.on_disconnect = left
-            turn.wait()
+            exchange.on_disconnect = on_disconnect
+            wakeup.wait()
             exchange.on_disconnect = previous
-            if turn in self.load.waiting:
-                self.load.waiting.remove(turn)
-            elif exchange.disconnected and self.load.waiting:  # its turn had come: it passes to the next
+            if wakeup in self.load.waiting:
+                self.load.waiting.remove(wakeup)
+            elif exchange.disconnected and self.load.waiting:  # it was given a slot: pass it on
                 self.load.waiting.popleft().set()
             if exchange.disconnected:
                 gone.set()
-                raise StreamError("gone while waiting")
+                raise StreamError("client disconnected while queued")
         self.load.running += 1
-        self.load.memory += tokens
+        self.load.memory_tokens += tokens
         return True
 
     # --- reading
 
-    def _prompt(self, call: Call) -> tuple[int, int, list[int], bytes]:
-        """Prompt tokens, those kept, its blocks, and the tokens themselves."""
-        packed = self.tokenizer.encode_prompt([(m.role, text_of(m.content)) for m in call.messages], bytes(call.tools))
+    def _prompt(self, call: CompletionCall) -> tuple[int, int, list[int], bytes]:
+        """Number of prompt tokens, how many of them are cached, block hashes, and the packed tokens."""
+        packed = self.tokenizer.encode_prompt(
+            [(m.role, message_text(m.content)) for m in call.messages], bytes(call.tools)
+        )
         hashes = self.cache.prompt_hashes(packed)
         return len(packed) // 4, self.cache.cached_prefix_blocks(hashes) * self.settings.block_size, hashes, packed
 
-    def _read_prompt(self, call: Call, gone: Signal) -> tuple[int, int, bool]:
-        total, kept, hashes, packed = self._prompt(call)
-        work_us = (total - kept) / self.settings.read_tokens_per_s * 1e6
-        there = self._pause(work_us * max(self.load.running, 1) * self.slow / self._warmth(), gone)
+    def _read_prompt(self, call: CompletionCall, gone: Signal) -> tuple[int, int, bool]:
+        """Prefill a prompt: its tokens, the cached ones, and whether the client is still connected."""
+        total, hits, hashes, packed = self._prompt(call)
+        work_us = (total - hits) / self.settings.read_tokens_per_s * 1e6
+        connected = self._spend(work_us * max(self.load.running, 1) * self.slowdown / self._warmth(), gone)
         self.cache.insert(hashes, packed)
-        return total, kept, there
+        return total, hits, connected
 
     def _read(
-        self, exchange: Exchange, request: str, call: Call, params: dict[str, Any], lab_id: str, gone: Signal
+        self, exchange: Exchange, request: str, call: CompletionCall, params: dict[str, Any], lab_id: str, gone: Signal
     ) -> str:
-        total, kept, *_ = self._prompt(call)
-        if not self._enter(exchange, request, total, (total - kept) / self.settings.read_tokens_per_s * 1e6, gone):
+        total, hits, *_ = self._prompt(call)
+        if not self._admit(exchange, request, total, (total - hits) / self.settings.read_tokens_per_s * 1e6, gone):
             return "turned away"
         try:
-            total, kept, there = self._read_prompt(call, gone)
+            total, hits, connected = self._read_prompt(call, gone)
         finally:
-            self._leave(total)
-        if not there:
+            self._free_slot(total)
+        if not connected:
             return "cancelled"
         if request in self.released_early:
-            self.record("read", request, tokens=total, kept=kept, lab=lab_id)
+            self.record("read", request, tokens=total, kept=hits, lab=lab_id)
         else:
-            self.states[request] = Held(total, self.world.now_us() + int(self.settings.hold_ms * 1_000))
-            self.record("hold state", request, tokens=total, kept=kept, lab=lab_id)
+            self.states[request] = Hold(total, self.world.now_us() + int(self.settings.hold_ms * 1_000))
+            self.record("hold state", request, tokens=total, kept=hits, lab=lab_id)
         answer = {
             "id": request,
             "object": "chat.completion",
             "choices": [],
-            "usage": {"prompt_tokens": total, "completion_tokens": 1, "prompt_tokens_details": {"cached_tokens": kept}},
+            "usage": {"prompt_tokens": total, "completion_tokens": 1, "prompt_tokens_details": {"cached_tokens": hits}},
             "kv_transfer_params": {
                 "remote_engine_id": self.settings.name,
                 "remote_block_ids": [1],
@@ -288,22 +293,22 @@
     # --- writing
 
     def _write(
-        self, exchange: Exchange, request: str, call: Call, params: dict[str, Any], lab_id: str, gone: Signal
+        self, exchange: Exchange, request: str, call: CompletionCall, params: dict[str, Any], lab_id: str, gone: Signal
     ) -> str:
-        total, kept, *_ = self._prompt(call)
+        total, hits, *_ = self._prompt(call)
         place = (exchange.head.get(PLACE_HEADER) or b"").decode()
-        had_place = self.places.pop(place, None)
-        if had_place is not None:
+        reservation = self.places.pop(place, None)
+        if reservation is not None:
             self.record("take place", place)
-            self._leave(had_place.tokens)
+            self._free_slot(reservation.tokens)
         elif place:
-            self._remember(place)  # an answer to the asking may still be on its way
-        steps = self._length(call, lab_id)
-        if not self._enter(exchange, request, total, steps * self.settings.step_ms * 1_000, gone):
+            self._remember_release(place)  # the reservation may still arrive: it is then refused
+        steps = self._answer_length(call, lab_id)
+        if not self._admit(exchange, request, total, steps * self.settings.step_ms * 1_000, gone):
             return "turned away"
         try:
             if params.get("do_remote_prefill"):
-                if not self._fetch(params, total, had_place is not None, gone):
+                if not self._fetch(params, total, reservation is not None, gone):
                     self.record("no state", request)
                     exchange.reply(
                         Reply(409, [JSON_CONTENT_TYPE], error_body("no_state", "No state to fetch.", "state_error"))
@@ -316,18 +321,18 @@
                 return "no state"
             elif not self._read_prompt(call, gone)[2]:
                 return "cancelled"
-            self.record("run", request, lab=lab_id, prompt=total, kept=kept)
-            return self._answer(exchange, request, call, total, kept, steps, gone)
+            self.record("run", request, lab=lab_id, prompt=total, kept=hits)
+            return self._answer(exchange, request, call, total, hits, steps, gone)
         finally:
-            self._leave(total)
+            self._free_slot(total)
 
-    def _length(self, call: Call, lab_id: str) -> int:
-        most = call.max_completion_tokens or call.max_tokens or 32
-        return 1 + xxhash.xxh3_64_intdigest(lab_id.encode()) % most if lab_id else most
+    def _answer_length(self, call: CompletionCall, lab_id: str) -> int:
+        max_tokens = call.max_completion_tokens or call.max_tokens or 32
+        return 1 + xxhash.xxh3_64_intdigest(lab_id.encode()) % max_tokens if lab_id else max_tokens
 
-    def _fetch(self, params: dict[str, Any], tokens: int, placed: bool, gone: Signal) -> bool:
+    def _fetch(self, params: dict[str, Any], tokens: int, has_place: bool, gone: Signal) -> bool:
         try:
-            with self.world.deadline(self.world.now_us() + FETCH_US):
+            with self.world.deadline(self.world.now_us() + FETCH_TIMEOUT_US):
                 response = self.http.request(
                     params["remote_host"],
                     params["remote_port"],
@@ -342,8 +347,8 @@
             return False
         if response.head.status != 200:
             return False
-        move_us = tokens / self.settings.move_tokens_per_s * 1e6 * (0.3 if placed else 1.0)
-        return self._pause(move_us * self.slow, gone) or True
+        move_us = tokens / self.settings.move_tokens_per_s * 1e6 * (0.3 if has_place else 1.0)
+        return self._spend(move_us * self.slowdown, gone) or True
 
     def _fetched(self, exchange: Exchange, request: str) -> None:
         held = self.states.pop(request, None)
@@ -354,14 +359,14 @@
         exchange.reply(Reply(200, [JSON_CONTENT_TYPE], b"{}"))
 
     def _answer(
-        self, exchange: Exchange, request: str, call: Call, total: int, kept: int, steps: int, gone: Signal
+        self, exchange: Exchange, request: str, call: CompletionCall, total: int, hits: int, steps: int, gone: Signal
     ) -> str:
         sent = 0
         head = exchange.start(200, [(b"content-type", b"text/event-stream")]) if call.stream else b""
         base = {"id": f"chatcmpl-{request}", "object": "chat.completion.chunk", "created": 0, "model": "stand-in"}
         for step in range(steps):
-            pause_us = self.settings.step_ms * 1_000 * self.slow / self._warmth() * (1 + self.load.running / 64)
-            if not self._pause(pause_us, gone) or self.reset:
+            pause_us = self.settings.step_ms * 1_000 * self.slowdown / self._warmth() * (1 + self.load.running / 64)
+            if not self._spend(pause_us, gone) or self.reset:
                 self.record("sent", request, tokens=sent)
                 exchange.stream.abort()
                 exchange.abort()
@@ -369,12 +374,8 @@
             if call.stream:
                 last = step == steps - 1
                 delta = {"content": f" w{step}"} if step else {"role": "assistant", "content": f"w{step}"}
-                chunk = {
-                    **base,
-                    "choices": [
-                        {"index": 0, "delta": delta, "logprobs": None, "finish_reason": "stop" if last else None}
-                    ],
-                }
+                choice = {"index": 0, "delta": delta, "logprobs": None, "finish_reason": "stop" if last else None}
+                chunk = {**base, "choices": [choice]}
                 exchange.send(write_event(msgspec.json.encode(chunk)), head)
                 head = b""
             sent += 1
@@ -382,27 +383,14 @@
             "prompt_tokens": total,
             "completion_tokens": sent,
             "total_tokens": total + sent,
-            "prompt_tokens_details": {"cached_tokens": kept},
+            "prompt_tokens_details": {"cached_tokens": hits},
         }
         self.record("sent", request, tokens=sent, whole=True)
         if not call.stream:
             text = " ".join(f"w{step}" for step in range(steps))
-            exchange.reply(
-                Reply(
-                    200,
-                    [JSON_CONTENT_TYPE],
-                    msgspec.json.encode(
-                        {
-                            **base,
-                            "object": "chat.completion",
-                            "usage": usage,
-                            "choices": [
-                                {"index": 0, "message": {"role": "assistant", "content": text}, "finish_reason": "stop"}
-                            ],
-                        }
-                    ),
-                )
-            )
+            choice = {"index": 0, "message": {"role": "assistant", "content": text}, "finish_reason": "stop"}
+            completion = {**base, "object": "chat.completion", "usage": usage, "choices": [choice]}
+            exchange.reply(Reply(200, [JSON_CONTENT_TYPE], msgspec.json.encode(completion)))
             return "served"
         tail = b""
         if (call.stream_options or {}).get("include_usage"):
--- a/yardspindle/lab/engine_holds.py
+++ b/yardspindle/lab/engine_holds.py
@@ -1,8 +1,9 @@
-"""What a stand-in engine holds for others: states, places, their releases and ends; and whose orders it obeys.
+"""States and places that a stand-in engine holds: reservation, release, expiry, and the check of fencing tokens.
 
-Two extensions beside the edge's own releases: `GET /v1/yardspindle/holds` tells every hold with its id, and both this
-and a release may come from somebody who acts for the fleet; they then name the duty and carry its fence, and one with
-a lower fence than the highest met is turned away with 409 `stale_fence`. Fences outlast the process in a file.
+Beyond the releases that edges send, there are two extensions. `GET /v1/yardspindle/holds` lists every hold with its
+id. A list or release request may also come from a steward acting for the fleet; it then names its duty and carries
+its fence, and is refused with 409 `stale_fence` if a higher fence of that duty has been seen. The highest fences are
+kept in a file and survive a restart.
 """
 
 from __future__ import annotations
@@ -16,76 +17,78 @@
 from yardspindle.core.fleet.fences import FenceRegistry
 from yardspindle.engine.http_client import HttpClient
 from yardspindle.engine.vllm import DUTY_HEADER, FENCE_HEADER, PLACES, STATES, HoldRow, HoldsAnswer
-from yardspindle.lab.engine_settings import EngineSettings, Held, Load, PlaceCall
+from yardspindle.lab.engine_settings import EngineSettings, Hold, Load, PlaceCall
 from yardspindle.protocol import http1
 from yardspindle.runtime.world import World
 
-WINDOW_PARTS = 20
+EXPIRY_CHECKS_PER_HOLD = 20  # during `hold_ms`, the time after which a hold expires
+MAX_EARLY_RELEASES = 10_000
 
 
 class HoldRegistry:
-    """States and places of one engine."""
+    """States and places of one engine, its load, and its journal."""
 
     def __init__(self, world: World, settings: EngineSettings) -> None:
-        """Holding nothing; fences are those met by earlier starts."""
+        """Starts with no holds; the highest fences are read from the file that earlier starts wrote."""
         self.world = world
         self.settings = settings
         self.load = Load()
         self.http = HttpClient(world, 1_000_000, 4_000_000)
-        self.states: dict[str, Held] = {}
-        self.places: dict[str, Held] = {}
-        self.released_early: OrderedDict[str, None] = OrderedDict()  # ids let go before their read or place was there
+        self.states: dict[str, Hold] = {}
+        self.places: dict[str, Hold] = {}
+        self.released_early: OrderedDict[str, None] = OrderedDict()  # ids released before they were held
         self.full = self.draining = False
         self.fences = FenceRegistry(self._known_fences())
 
     def _known_fences(self) -> dict[str, int]:
-        known: dict[str, int] = {}
+        fences: dict[str, int] = {}
         try:
             lines = self.world.read_file(self.settings.fences).splitlines() if self.settings.fences else []
         except OSError:
             lines = []
         for line in lines:
             duty, fence = msgspec.json.decode(line, type=tuple[str, int])
-            known[duty] = max(fence, known.get(duty, 0))
-        return known
+            fences[duty] = max(fence, fences.get(duty, 0))
+        return fences
 
     def record(self, event: str, request: str = "", **more: object) -> None:
-        """Append to the journal, at once."""
+        """Append an event to the journal, without buffering."""
         if self.settings.journal:
             line = {"t": self.world.now_us(), "box": self.settings.name, "ev": event, "id": request, **more}
             self.world.append_file(self.settings.journal, msgspec.json.encode(line) + b"\n")
 
-    def _leave(self, tokens: int) -> None:
+    def _free_slot(self, tokens: int) -> None:
+        """Free a slot and its memory, and wake the next queued request."""
         self.load.running -= 1
-        self.load.memory -= tokens
+        self.load.memory_tokens -= tokens
         if self.load.waiting:
             self.load.waiting.popleft().set()
 
     # --- routes
 
-    def _obeyed(self, head: http1.RequestHead) -> Reply | None:
-        """The answer to an order with too low a fence; None for one that is obeyed, or that carries none."""
+    def _check_fence(self, head: http1.RequestHead) -> Reply | None:
+        """The refusal of a request with a stale fence; None if its fence is current, or if it carries none."""
         fence = head.get(FENCE_HEADER)
         if fence is None:
             return None
         duty, number = (head.get(DUTY_HEADER) or b"").decode(), int(fence) if fence.isdigit() else 0
-        before = self.fences.highest.get(duty, 0)
+        highest = self.fences.highest.get(duty, 0)
         admitted = self.fences.admits(duty, number)
         self.record("order", head.target.rpartition(b"/")[2].decode(), duty=duty, fence=number, admitted=admitted)
         if not admitted:
-            return ApiError(409, "stale_fence", f"The fence in force is {before}.").reply()
-        if self.settings.fences and number > before:
+            return ApiError(409, "stale_fence", f"The fence in force is {highest}.").reply()
+        if self.settings.fences and number > highest:
             self.world.append_file(self.settings.fences, msgspec.json.encode((duty, number)) + b"\n")
         return None
 
-    def _told(self, head: http1.RequestHead) -> Reply:
-        if (refused := self._obeyed(head)) is not None:
+    def _list_holds(self, head: http1.RequestHead) -> Reply:
+        if (refused := self._check_fence(head)) is not None:
             return refused
         rows = [HoldRow(name, "state") for name in self.states] + [HoldRow(name, "place") for name in self.places]
         return Reply(200, [JSON_CONTENT_TYPE], msgspec.json.encode(HoldsAnswer(rows)))
 
-    def _let_go(self, head: http1.RequestHead) -> Reply:
-        if (refused := self._obeyed(head)) is not None:
+    def _handle_release(self, head: http1.RequestHead) -> Reply:
+        if (refused := self._check_fence(head)) is not None:
             return refused
         for root, held in ((STATES, self.states), (PLACES, self.places)):
             if head.target.startswith(root + b"/"):
@@ -93,47 +96,47 @@
                 return Reply(204, [], b"")
         return ApiError(404, "not_found", "No such path.").reply()
 
-    def _place(self, exchange: Exchange) -> None:
+    def _reserve_place(self, exchange: Exchange) -> None:
         call = msgspec.json.decode(exchange.body, type=PlaceCall)
-        room = (
+        has_room = (
             self.load.running < self.settings.slots
             and not self.load.waiting
             and not self.draining
-            and self.load.memory + call.tokens <= self.settings.memory_tokens
+            and self.load.memory_tokens + call.tokens <= self.settings.memory_tokens
             and not self.full
         )
-        if not room or call.place in self.released_early:
+        if not has_room or call.place in self.released_early:
             exchange.reply(Reply(409, [JSON_CONTENT_TYPE], b'{"held":false}'))
             return
         self.load.running += 1
-        self.load.memory += call.tokens
-        self.places[call.place] = Held(call.tokens, self.world.now_us() + int(self.settings.hold_ms * 1_000))
+        self.load.memory_tokens += call.tokens
+        self.places[call.place] = Hold(call.tokens, self.world.now_us() + int(self.settings.hold_ms * 1_000))
         self.record("hold place", call.place)
         exchange.reply(Reply(200, [JSON_CONTENT_TYPE], b'{"held":true}'))
 
-    def _release(self, held: dict[str, Held], request: str) -> None:
-        known = held.pop(request, None)
-        if known is None:
-            self._remember(request)
+    def _release(self, held: dict[str, Hold], request: str) -> None:
+        hold = held.pop(request, None)
+        if hold is None:
+            self._remember_release(request)
             return
         self.record("release", request)
         if held is self.places:
-            self._leave(known.tokens)
+            self._free_slot(hold.tokens)
 
-    def _remember(self, request: str) -> None:
+    def _remember_release(self, request: str) -> None:
         self.released_early[request] = None
-        while len(self.released_early) > 10_000:
+        while len(self.released_early) > MAX_EARLY_RELEASES:
             self.released_early.popitem(last=False)
 
     def _expire(self) -> None:
         while True:
-            self.world.sleep_until(self.world.now_us() + int(self.settings.hold_ms * 1_000 / WINDOW_PARTS))
+            self.world.sleep_until(self.world.now_us() + int(self.settings.hold_ms * 1_000 / EXPIRY_CHECKS_PER_HOLD))
             now = self.world.now_us()
             self.http.close_expired()
             for held in (self.states, self.places):
-                for request, known in list(held.items()):
-                    if now >= known.expires_us:
+                for request, hold in list(held.items()):
+                    if now >= hold.expires_us:
                         del held[request]
                         self.record("expire", request)
                         if held is self.places:
-                            self._leave(known.tokens)
+                            self._free_slot(hold.tokens)
--- a/yardspindle/lab/engine_settings.py
+++ b/yardspindle/lab/engine_settings.py
@@ -1,4 +1,4 @@
-"""A stand-in engine's settings, the calls that it reads, and what it counts."""
+"""A stand-in engine's settings, the bodies of its calls, and the records of its holds and load."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class EngineSettings(Struct, forbid_unknown_fields=True, frozen=True):
-    """How large and how fast it is."""
+    """Capacity, speed, cold-start behaviour, extensions and files of one engine."""
 
     name: str = "engine"
     role: Literal["read", "write", "both"] = "both"
@@ -33,12 +33,12 @@
     places: bool = True
     events: bool = False
     journal: str = ""
-    holds: bool = True  # it tells what it holds, and obeys releases that carry a fence
-    fences: str = ""  # file in which the highest fences met outlast this process
+    holds: bool = True  # it lists its holds, and checks the fence of releases that carry one
+    fences: str = ""  # file that keeps the highest fences seen across restarts
 
 
-class Control(Struct, forbid_unknown_fields=True):
-    """A command to misbehave."""
+class EngineControl(Struct, forbid_unknown_fields=True):
+    """A fault to inject, or one to end."""
 
     do: Literal[
         "hang",
@@ -62,8 +62,8 @@
     content: Any = None
 
 
-class Call(Struct):
-    """A completion call, of either stage."""
+class CompletionCall(Struct):
+    """A completion call of either stage, read or write."""
 
     messages: list[Message]
     max_tokens: int | None = None
@@ -76,7 +76,7 @@
 
 
 class PlaceCall(Struct):
-    """A place is asked for."""
+    """A request to reserve a place."""
 
     place: str
     tokens: int
@@ -84,8 +84,8 @@
 
 
 @dataclass(slots=True)
-class Held:
-    """A state or place."""
+class Hold:
+    """A held state or place."""
 
     tokens: int
     expires_us: int
@@ -93,16 +93,16 @@
 
 @dataclass(slots=True)
 class Load:
-    """What runs and waits."""
+    """Running and queued requests."""
 
     running: int = 0
-    waiting: deque[Signal] = field(default_factory=deque)
-    memory: int = 0
-    arrivals: deque[tuple[int, float]] = field(default_factory=deque)
+    waiting: deque[Signal] = field(default_factory=deque)  # one for each queued request, set when it gets a slot
+    memory_tokens: int = 0
+    recent_work: deque[tuple[int, float]] = field(default_factory=deque)  # time of arrival, work in microseconds
 
 
-def text_of(content: Any) -> bytes:
-    """A message's text, as the router takes it."""
+def message_text(content: Any) -> bytes:
+    """A message's text, extracted as the router does."""
     if isinstance(content, str):
         return content.encode()
     parts = (part.get("text") for part in content or [])
--- a/yardspindle/lab/etcd.py
+++ b/yardspindle/lab/etcd.py
@@ -24,7 +24,7 @@
 from yardspindle.runtime.world import StreamError, World
 
 CONTROL = b"/lab/control"
-EXPIRE_US = 10_000  # how often leases are looked at
+LEASE_CHECK_INTERVAL_US = 10_000  # how often leases are looked at
 PATHS = (
     j.RANGE_PATH,
     j.TXN_PATH,
@@ -38,7 +38,7 @@
 )
 
 
-class Control(Struct, forbid_unknown_fields=True):
+class EtcdControl(Struct, forbid_unknown_fields=True):
     """A command."""
 
     do: Literal[
@@ -50,14 +50,14 @@
 
 
 @dataclass(slots=True)
-class Follower:
+class OpenWatch:
     """An open watch."""
 
     key: bytes
     end: bytes
-    waiting: list[bytes] = field(default_factory=list)
-    turn: Signal | None = None
-    broken: bool = False
+    pending: list[bytes] = field(default_factory=list)
+    wakeup: Signal | None = None
+    closed: bool = False
 
 
 class EtcdStandIn:
@@ -68,20 +68,20 @@
         self.world = world
         self.model = StoreModel()
         self.journal = journal
-        self.watches: list[Follower] = []
+        self.watches: list[OpenWatch] = []
         self.leaderless = False
         self.late_us = 0
         self.responses_to_lose = 0
         self.saved_model: StoreModel | None = None
         self.stale_reads = False
-        self.cluster = world.random("cluster").getrandbits(62) or 1
-        self._told = self.model.revision
+        self.cluster_id = world.random("cluster").getrandbits(62) or 1
+        self._notified_revision = self.model.revision
 
     def start(self, host: str, port: int) -> tuple[str, int]:
         """Listen and serve. Raises OSError."""
         listener = self.world.listen(host, port)
-        self.world.spawn("accept", Server(self.world, listener, self, ServingLimits(), self._fault).serve)
-        self.world.spawn("leases", self._expire)
+        self.world.spawn("accept", Server(self.world, listener, self, ServingLimits(), self._record_fault).serve)
+        self.world.spawn("leases", self._expire_leases)
         return listener.host, listener.port
 
     def record(self, event: str, **more: object) -> None:
@@ -90,11 +90,11 @@
             line = {"t": self.world.now_us(), "ev": event, "revision": self.model.revision, **more}
             self.world.append_file(self.journal, msgspec.json.encode(line) + b"\n")
 
-    def _fault(self, fault: BaseException) -> None:
+    def _record_fault(self, fault: BaseException) -> None:
         if not isinstance(fault, StreamError):
             self.record("fault", text=f"{type(fault).__name__}: {fault}")
 
-    def _expire(self) -> None:
+    def _expire_leases(self) -> None:
         while True:
             now = self.world.now_us()
             ended = [n for n, lease in self.model.leases.items() if lease.expires_us <= now]
@@ -102,7 +102,7 @@
                 self.model.expire(now)
                 self.record("expired", leases=ended)
                 self._notify_watches()
-            self.world.sleep_until(now + EXPIRE_US)
+            self.world.sleep_until(now + LEASE_CHECK_INTERVAL_US)
 
     # --- routes
 
@@ -120,7 +120,7 @@
         """See Handler."""
         target, body = exchange.head.target, exchange.body
         if target == CONTROL:
-            self._control(msgspec.json.decode(body, type=Control))
+            self._control(msgspec.json.decode(body, type=EtcdControl))
             return exchange.reply(Reply(200, [JSON_CONTENT_TYPE], b"{}"))
         if self.late_us:
             self.world.sleep_until(self.world.now_us() + self.late_us)
@@ -156,7 +156,7 @@
         )
 
     def _header(self) -> j.ResponseHeader:
-        return j.ResponseHeader(str(self.cluster), "1", str(self.model.revision), "2")
+        return j.ResponseHeader(str(self.cluster_id), "1", str(self.model.revision), "2")
 
     def _answer(self, target: bytes, body: bytes) -> bytes:
         now, model = self.world.now_us(), self.model
@@ -167,7 +167,7 @@
                 if call.serializable and self.stale_reads and self.saved_model is not None:
                     model = self.saved_model
                 rows = model.range(j.decode_base64(call.key), j.decode_base64(call.range_end), int(call.revision))
-                head = j.ResponseHeader(str(self.cluster), "1", str(rows.revision), "2")
+                head = j.ResponseHeader(str(self.cluster_id), "1", str(rows.revision), "2")
                 reply = j.RangeResponse(head, [j.encode_row(row) for row in rows.rows], count=str(len(rows.rows)))
             case j.TXN_PATH:
                 txn: Txn = j.decode_txn(body)
@@ -204,24 +204,24 @@
         except Compacted as error:
             gone = j.WatchResponse(self._header(), canceled=True, compact_revision=str(error.revision))
             return exchange.finish(msgspec.json.encode(j.WatchMessage(gone)) + b"\n")
-        follower = Follower(key, end)
+        follower = OpenWatch(key, end)
         self.watches.append(follower)
 
         def left() -> None:
-            follower.broken = True
-            if follower.turn is not None:
-                follower.turn.set()
+            follower.closed = True
+            if follower.wakeup is not None:
+                follower.wakeup.set()
 
         exchange.on_disconnect = left
         try:
             if missed.changes:
                 exchange.send(j.encode_changes(missed, self._header()))
-            while not follower.broken:
-                if not follower.waiting:
-                    follower.turn = self.world.signal()
-                    follower.turn.wait()
+            while not follower.closed:
+                if not follower.pending:
+                    follower.wakeup = self.world.signal()
+                    follower.wakeup.wait()
                     continue
-                lines, follower.waiting = follower.waiting, []
+                lines, follower.pending = follower.pending, []
                 exchange.send(b"".join(lines))
             exchange.stream.abort()
         finally:
@@ -230,10 +230,10 @@
 
     def _notify_watches(self) -> None:
         """Let the watches have what changed since they were last told."""
-        if self.model.revision == self._told:
+        if self.model.revision == self._notified_revision:
             return
-        news = self.model.changes_since(b"\0", b"\0", self._told + 1)
-        self._told = self.model.revision
+        news = self.model.changes_since(b"\0", b"\0", self._notified_revision + 1)
+        self._notified_revision = self.model.revision
         for follower in self.watches:
             mine: tuple[Change, ...] = tuple(
                 c
@@ -243,17 +243,17 @@
                 )
             )
             if mine:
-                follower.waiting.append(j.encode_changes(Changes(news.revision, mine), self._header()))
-                if follower.turn is not None:
-                    follower.turn.set()
+                follower.pending.append(j.encode_changes(Changes(news.revision, mine), self._header()))
+                if follower.wakeup is not None:
+                    follower.wakeup.set()
 
     # --- faults
 
     def inject_fault(self, do: str) -> None:
         """A fault by its name, for a run that holds the stand-in itself."""
-        self._control(msgspec.convert({"do": do}, Control))
+        self._control(msgspec.convert({"do": do}, EtcdControl))
 
-    def _control(self, control: Control) -> None:
+    def _control(self, control: EtcdControl) -> None:
         self.record("control", do=control.do)
         match control.do:
             case "no_leader":
@@ -274,7 +274,7 @@
                 self.saved_model = self.model.copy()
             case "restore" if self.saved_model is not None:
                 self.model = self.saved_model.copy()
-                self._told = self.model.revision
+                self._notified_revision = self.model.revision
                 self._break()
             case "stale_reads":
                 self.stale_reads = control.on
@@ -285,6 +285,6 @@
 
     def _break(self) -> None:
         for follower in self.watches:
-            follower.broken = True
-            if follower.turn is not None:
-                follower.turn.set()
+            follower.closed = True
+            if follower.wakeup is not None:
+                follower.wakeup.set()
--- a/yardspindle/lab/fleet.py
+++ b/yardspindle/lab/fleet.py
@@ -19,8 +19,8 @@
 from yardspindle.runtime.process import Child, ChildError
 from yardspindle.runtime.real import RealWorld
 
-READY_US = 20_000_000
-STOP_US = 5_000_000
+READY_TIMEOUT_US = 20_000_000
+STOP_TIMEOUT_US = 5_000_000
 
 
 @dataclass(slots=True)
@@ -72,22 +72,22 @@
     def start(self) -> None:
         """Start all, engines first. Raises ChildError."""
         for box in self.engines:
-            self.launch_box(box)
+            self.launch_engine(box)
         for box in self.engines:
-            self.ready_box(box)
+            self.wait_engine_ready(box)
         self.write_list()
         for dispatcher in self.dispatchers:
             self.launch_planner(dispatcher)
         for dispatcher in self.dispatchers:
-            self.ready_planner(dispatcher)
+            self.wait_planner_ready(dispatcher)
             self.launch_edge(dispatcher)
         if self.shared_store:
             self.steward = self._child("steward", "steward", self._config_file(self.dispatchers[0]))
-            self.steward.first_line(READY_US)
+            self.steward.first_line(READY_TIMEOUT_US)
         for dispatcher in self.dispatchers:
-            self.ready_edge(dispatcher)
+            self.wait_edge_ready(dispatcher)
 
-    def launch_box(self, box: EngineInstance) -> None:
+    def launch_engine(self, box: EngineInstance) -> None:
         """Start an engine's process."""
         name = box.settings.name
         file = self.path(f"{name}.json")
@@ -107,10 +107,10 @@
             str(box.replay_port),
         )
 
-    def ready_box(self, box: EngineInstance) -> None:
+    def wait_engine_ready(self, box: EngineInstance) -> None:
         """Wait until an engine serves."""
         assert box.child is not None
-        ready = box.child.first_line(READY_US)
+        ready = box.child.first_line(READY_TIMEOUT_US)
         box.port = _port(ready)
         box.events_port, box.replay_port = (int(port) for port in ready.split()[2:])
 
@@ -118,19 +118,19 @@
         """Start a planner's process."""
         dispatcher.planner = self._child(f"planner{dispatcher.number}", "plan", self._config_file(dispatcher))
 
-    def ready_planner(self, dispatcher: Dispatcher) -> None:
+    def wait_planner_ready(self, dispatcher: Dispatcher) -> None:
         """Wait until a planner serves."""
         assert dispatcher.planner is not None
-        dispatcher.planner_port = _port(dispatcher.planner.first_line(READY_US))
+        dispatcher.planner_port = _port(dispatcher.planner.first_line(READY_TIMEOUT_US))
 
     def launch_edge(self, dispatcher: Dispatcher) -> None:
         """Start an edge's process."""
         dispatcher.edge = self._child(f"edge{dispatcher.number}", "edge", self._config_file(dispatcher))
 
-    def ready_edge(self, dispatcher: Dispatcher) -> None:
+    def wait_edge_ready(self, dispatcher: Dispatcher) -> None:
         """Wait until an edge serves, with its planner."""
         assert dispatcher.edge is not None
-        dispatcher.port = _port(dispatcher.edge.first_line(READY_US))
+        dispatcher.port = _port(dispatcher.edge.first_line(READY_TIMEOUT_US))
 
     def write_list(self) -> None:
         """Put the server list as it should be in force now, at once."""
@@ -148,7 +148,7 @@
                     child.terminate()
             for child in (*children, *(box.child for box in self.engines)):
                 if child is not None:
-                    codes[child.name] = child.stop(STOP_US)  # those told above are only waited for
+                    codes[child.name] = child.stop(STOP_TIMEOUT_US)  # those told above are only waited for
         finally:
             for child in (*children, *(box.child for box in self.engines)):
                 if child is not None and child.running():
--- a/yardspindle/lab/fleet_simulation.py
+++ b/yardspindle/lab/fleet_simulation.py
@@ -31,24 +31,24 @@
 from yardspindle.steward.app import Steward
 
 HOST, STORE, SERVERS = "127.0.0.1", "store", "servers.toml"
-STEWARDS, EDGES, BOXES = ("s0", "s1", "s2"), ("edge0", "edge1"), ("r0", "w0", "r1", "w1")
+STEWARDS, EDGES, ENGINES = ("s0", "s1", "s2"), ("edge0", "edge1"), ("r0", "w0", "r1", "w1")
 TTL_MS = 2_000.0
-LOOK_US = 20_000
-HOLDING_US = 4_000_000  # how long an edge that is to die with something held is waited for
-SPAN_MS = 12_000  # in which faults begin
-SETTLED_US = 100_000_000  # after the last fault: a clock set back a minute stands still so long; pauses double
-QUESTION = ClientClass("chat", 1.0, 4_000.0, 12)
+CHECK_INTERVAL_US = 20_000
+HOLD_WAIT_US = 4_000_000  # how long an edge that is to die with something held is waited for
+FAULT_WINDOW_MS = 12_000  # in which faults begin
+SETTLE_TIMEOUT_US = 100_000_000  # after the last fault: a clock set back a minute stands still so long; pauses double
+REQUEST_CLASS = ClientClass("chat", 1.0, 4_000.0, 12)
 HABITS = ClientHabits(hang_up=0.1, stop_reading=0.0, retries=0, openings=2, opening_words=10, words=10)
 # kind: (on, other, shortest ms, longest ms)
-KINDS: dict[str, tuple[tuple[str, ...], tuple[str, ...], int, int]] = {
+FAULT_KINDS: dict[str, tuple[tuple[str, ...], tuple[str, ...], int, int]] = {
     "dies": (STEWARDS + EDGES, (), 50, 5_000),
     "dies holding": (EDGES, (), 50, 6_000),
     "stalls": (STEWARDS + EDGES, (), 50, 7_000),
     "steps": (STEWARDS, (), 0, 0),
-    "cut": (STEWARDS + EDGES, (STORE, *BOXES), 50, 6_000),
+    "cut": (STEWARDS + EDGES, (STORE, *ENGINES), 50, 6_000),
     "deaf": (STEWARDS + EDGES, (STORE,), 50, 6_000),
-    "engine dies": (BOXES, (), 50, 3_000),
-    "engine hangs": (BOXES, (), 500, 6_000),
+    "engine dies": (ENGINES, (), 50, 3_000),
+    "engine hangs": (ENGINES, (), 500, 6_000),
     "no leader": ((STORE,), (), 50, 6_000),
     "late": ((STORE,), (), 50, 4_000),
     "lost answers": ((STORE,), (), 0, 0),
@@ -82,25 +82,25 @@
     rng = random.Random(f"fleet {seed}")
     faults = []
     for _ in range(rng.randint(2, 7)):
-        kind = rng.choice(sorted(KINDS))
-        on, other, least, most = KINDS[kind]
+        kind = rng.choice(sorted(FAULT_KINDS))
+        on, other, shortest_ms, longest_ms = FAULT_KINDS[kind]
         faults.append(
             FleetFault(
                 kind,
                 rng.choice(on),
                 rng.choice(other) if other else "",
-                rng.randrange(SPAN_MS),
-                rng.randint(least, most),
+                rng.randrange(FAULT_WINDOW_MS),
+                rng.randint(shortest_ms, longest_ms),
             )
         )
     return FleetScript(
         seed,
         tuple(sorted(faults, key=lambda row: row.at_ms)),
-        tuple(sorted(rng.randrange(SPAN_MS) for _ in range(rng.randint(8, 24)))),
+        tuple(sorted(rng.randrange(FAULT_WINDOW_MS) for _ in range(rng.randint(8, 24)))),
     )
 
 
-class NotingEngine(StandInEngine):
+class RecordingEngine(StandInEngine):
     """Tells the run of each order, at once."""
 
     on_order: Callable[[str, dict[str, Any]], None]
@@ -118,24 +118,24 @@
         """Nothing has started."""
         self.script = script
         self.sim = Simulation(script.seed)
-        self.found: list[str] = []
+        self.violations: list[str] = []
         self.counts: Counter[str] = Counter()
         self.stewards: dict[str, Steward] = {}
         self.edges: dict[str, Edge] = {}
-        self.engines: dict[str, NotingEngine] = {}
+        self.engines: dict[str, RecordingEngine] = {}
         self.instances: dict[str, EngineInstance] = {}
         self.ports: dict[str, int] = {}
-        self._highest: dict[tuple[str, str], int] = defaultdict(int)
-        self._told: set[str] = set()  # epochs that were ever registered
-        self._unsure = any(fault.kind in ("steps", "leases end") for fault in script.faults)
+        self._highest_fences: dict[tuple[str, str], int] = defaultdict(int)
+        self._registered_epochs: set[str] = set()  # epochs that were ever registered
+        self._owners_may_overlap = any(fault.kind in ("steps", "leases end") for fault in script.faults)
 
     def run(self) -> tuple[str, ...]:
         """What broke."""
         try:
             self.sim.run("fleet world", self._program)
         except RuntimeError as error:
-            self.found.append(f"liveness: {error}")
-        return tuple(dict.fromkeys([*self.found, *(f"crash: {text}" for text in self.sim.crashes)]))
+            self.violations.append(f"liveness: {error}")
+        return tuple(dict.fromkeys([*self.violations, *(f"crash: {text}" for text in self.sim.crashes)]))
 
     # --- programs
 
@@ -143,7 +143,7 @@
         sim = self.sim
         self.etcd = EtcdStandIn(sim.program(STORE))
         _, self.ports[STORE] = self.etcd.start(HOST, sim.next_port())
-        for name in BOXES:
+        for name in ENGINES:
             role, kind = ("read", "reader") if name[0] == "r" else ("write", "writer")
             settings = msgspec.convert(
                 {
@@ -164,19 +164,19 @@
             self.start(name)
         sim.scheduler.sleep_until(sim.now_us() + 1_000_000)
         started = sim.now_us()
-        watch = sim.scheduler.spawn("rules", self._rules)
+        watch = sim.scheduler.spawn("rules", self._check_rules)
         clients = Clients(sim.program("clients"), "yardspindle-demo", lambda line: None, HABITS)
         tasks = [sim.scheduler.spawn("fault", self._run_fault, fault, started) for fault in self.script.faults]
         for number, at_ms in enumerate(self.script.requests):
-            plan = draw_request(sim.random(f"client {number}"), number, (QUESTION,), HABITS)
-            tasks.append(sim.scheduler.spawn("client", self._ask, clients, plan, started + at_ms * 1_000))
+            plan = draw_request(sim.random(f"client {number}"), number, (REQUEST_CLASS,), HABITS)
+            tasks.append(sim.scheduler.spawn("client", self._request, clients, plan, started + at_ms * 1_000))
         for task in tasks:
             task.join()
         self._check_settled()
         watch.cancel()
         clients.close()
 
-    def _ask(self, clients: Clients, plan: Any, at_us: int) -> None:
+    def _request(self, clients: Clients, plan: Any, at_us: int) -> None:
         self.sim.scheduler.sleep_until(at_us)
         clients.request(plan, [(HOST, self.ports[name]) for name in EDGES])
 
@@ -204,9 +204,9 @@
     def start(self, name: str) -> None:
         """Start a program where it was."""
         world = self.sim.program(name)
-        if name in BOXES:
-            engine = self.engines[name] = NotingEngine(world, self.instances[name].settings)
-            engine.on_order = self._ordered
+        if name in ENGINES:
+            engine = self.engines[name] = RecordingEngine(world, self.instances[name].settings)
+            engine.on_order = self._check_order
             _, self.instances[name].port = engine.start(HOST, self.instances[name].port)
         elif name in EDGES:
             self.ports.setdefault(name, self.sim.next_port())
@@ -223,7 +223,7 @@
             try:
                 self.stewards[name] = Steward(world, config, open_store(world, config.fleet), "world")
             except StoreError as error:
-                self.found.append(f"start: {name}: {error}")
+                self.violations.append(f"start: {name}: {error}")
                 return
             self.stewards[name].start()
 
@@ -250,7 +250,7 @@
                 world.kill()
                 return lambda: None if self.world(on).alive else self.start(on)
             case "dies holding" if world.alive and not world.gate.shut:
-                epoch, until_us = self.edges[on].instance_id, self.sim.now_us() + HOLDING_US
+                epoch, until_us = self.edges[on].instance_id, self.sim.now_us() + HOLD_WAIT_US
                 while self.sim.now_us() < until_us and not any(epoch_of(hold) == epoch for hold in self.held_ids()):
                     self.sim.scheduler.sleep_until(self.sim.now_us() + 2_000)
                 world.kill()
@@ -270,13 +270,13 @@
                         network.restore(*way)
 
                 return join
-            case "engine hangs" if world.alive and self.engines[on].hung is None:
+            case "engine hangs" if world.alive and self.engines[on].hang_signal is None:
                 engine = self.engines[on]
-                engine.hung = hung = world.signal()
+                engine.hang_signal = hung = world.signal()
 
                 def wake() -> None:
                     if world.alive:
-                        engine.hung = None
+                        engine.hang_signal = None
                         hung.set()
 
                 return wake
@@ -304,21 +304,23 @@
 
     # --- rules
 
-    def _ordered(self, engine: str, order: dict[str, Any]) -> None:
+    def _check_order(self, engine: str, order: dict[str, Any]) -> None:
         """An engine got an order that carries a fence."""
         at = (engine, order["duty"])
         if not order["admitted"]:
             self.counts["orders refused"] += 1
             return
-        if order["fence"] < self._highest[at]:
-            self.found.append(f"fence: {engine} obeyed {order['fence']} of {order['duty']} after {self._highest[at]}")
-        self._highest[at] = max(self._highest[at], order["fence"])
+        if order["fence"] < self._highest_fences[at]:
+            self.violations.append(
+                f"fence: {engine} obeyed {order['fence']} of {order['duty']} after {self._highest_fences[at]}"
+            )
+        self._highest_fences[at] = max(self._highest_fences[at], order["fence"])
         if order["id"] == "holds":
             return
         self.counts["holds let go of"] += 1
         epoch = epoch_of(order["id"])
         if any(edge.instance_id == epoch and self.world(name).alive for name, edge in self.edges.items()):
-            self.found.append(f"sweep: {engine} let go of {order['id']}, whose edge lives")
+            self.violations.append(f"sweep: {engine} let go of {order['id']}, whose edge lives")
 
     def held_ids(self) -> list[str]:
         """All that engines hold."""
@@ -334,26 +336,30 @@
                         found.setdefault(duty, []).append(name)
         return found
 
-    def _rules(self) -> None:
+    def _check_rules(self) -> None:
         while True:
-            self.sim.scheduler.sleep_until(self.sim.now_us() + LOOK_US)
-            self._told.update(
+            self.sim.scheduler.sleep_until(self.sim.now_us() + CHECK_INTERVAL_US)
+            self._registered_epochs.update(
                 row.key.rpartition(b"/")[2].decode()
                 for row in self.etcd.model.rows(b"/yardspindle/main/epochs/", b"/yardspindle/main/epochs0")
             )
-            if not self._unsure:
-                self.found += [
+            if not self._owners_may_overlap:
+                self.violations += [
                     f"owners: {duty} has {', '.join(names)}" for duty, names in self.owners().items() if len(names) > 1
                 ]
 
     def _check_settled(self) -> None:
         """Every duty has one owner who works, and nothing is held for an edge that is gone."""
-        sim, until_us = self.sim, self.sim.now_us() + SETTLED_US
+        sim, until_us = self.sim, self.sim.now_us() + SETTLE_TIMEOUT_US
         wanted = {"clock", "sweep/0", "sweep/1"}
         while True:
             living = {edge.instance_id for name, edge in self.edges.items() if self.world(name).alive}
             # One that died before the store had heard of it has a fate that nobody knows.
-            left = [hold for hold in self.held_ids() if epoch_of(hold) not in living and epoch_of(hold) in self._told]
+            left = [
+                hold
+                for hold in self.held_ids()
+                if epoch_of(hold) not in living and epoch_of(hold) in self._registered_epochs
+            ]
             owners = self.owners()
             idle = [
                 duty
@@ -366,10 +372,10 @@
             if not left and not idle or barred:
                 return
             if sim.now_us() > until_us:
-                self.found += [f"liveness: {duty} is owned by {owners.get(duty)}" for duty in idle]
-                self.found += [f"liveness: {len(left)} holds of edges that are gone" for _ in left[:1]]
+                self.violations += [f"liveness: {duty} is owned by {owners.get(duty)}" for duty in idle]
+                self.violations += [f"liveness: {len(left)} holds of edges that are gone" for _ in left[:1]]
                 return
-            sim.scheduler.sleep_until(sim.now_us() + LOOK_US)
+            sim.scheduler.sleep_until(sim.now_us() + CHECK_INTERVAL_US)
 
 
 def run_fleet_script(script: FleetScript) -> tuple[tuple[str, ...], Counter[str]]:
--- a/yardspindle/lab/load.py
+++ b/yardspindle/lab/load.py
@@ -23,7 +23,7 @@
 from yardspindle.runtime.world import World
 
 Positive = Annotated[float, Meta(gt=0)]
-MOST_US = 120_000_000
+MAX_LATENCY_US = 120_000_000
 WORDS = (
     "oil",
     "price",
@@ -38,7 +38,7 @@
     "confirm",
     "today",
 )
-BOOTSTRAPS = 500
+BOOTSTRAP_SAMPLES = 500
 
 
 class Traffic(Struct, forbid_unknown_fields=True, frozen=True):
@@ -74,8 +74,8 @@
     """What came of a run; times in microseconds from the intended send."""
 
     outcomes: dict[str, int] = field(default_factory=dict)
-    first_token: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MOST_US, 3))
-    full_answer: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MOST_US, 3))
+    first_token: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 3))
+    full_answer: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 3))
     first_token_us: dict[int, int] = field(default_factory=dict)
     prompt_tokens: int = 0
 
@@ -147,7 +147,7 @@
         try:
             with world.deadline(intended + int(traffic.timeout_ms * 1_000)):
                 edge = edges[number % len(edges)]
-                outcome = _ask(world, http, traffic, edge, model, planned, number, intended, report)
+                outcome = _send(world, http, traffic, edge, model, planned, number, intended, report)
         except DeadlineExceeded:
             pass
         except ConnectError:
@@ -165,7 +165,7 @@
     return report
 
 
-def _ask(
+def _send(
     world: World,
     http: HttpClient,
     traffic: Traffic,
@@ -215,8 +215,8 @@
         return "no request was answered in both"
     differences = [(second.first_token_us[n] - first.first_token_us[n]) / 1_000 for n in both]
     rng = random.Random(seed)
-    medians = sorted(statistics.median(rng.choices(differences, k=len(differences))) for _ in range(BOOTSTRAPS))
-    low, high = medians[int(0.025 * BOOTSTRAPS)], medians[int(0.975 * BOOTSTRAPS)]
+    medians = sorted(statistics.median(rng.choices(differences, k=len(differences))) for _ in range(BOOTSTRAP_SAMPLES))
+    low, high = medians[int(0.025 * BOOTSTRAP_SAMPLES)], medians[int(0.975 * BOOTSTRAP_SAMPLES)]
     return (
         f"first token, B - A: median {statistics.median(differences):+.2f} ms (95 % of resamples {low:+.2f} to "
         f"{high:+.2f}), {len(both)} pairs; answered only by A {len(first.first_token_us) - len(both)}, "
--- a/yardspindle/lab/release_simulation.py
+++ b/yardspindle/lab/release_simulation.py
@@ -26,107 +26,121 @@
 
 HOST, STORE = "127.0.0.1", "store"
 STEWARDS, UNITS = ("s0", "s1", "s2"), tuple(f"u{n}" for n in range(6))
-MOST_OUT = 2
-LIMITS = (Limit("all", most_out=MOST_OUT), Limit("zone", most_out=1))
-SEEN_US = 1_500_000  # an accident that old has been seen by whoever lets somebody go
-LOOK_US, ENDS_US = 50_000, 400_000_000
-GOOD, NEVER, FRAIL = "good", "never", "frail"  # versions: the second does not start, the third ends soon after
-
-
-class Machine:
+MAX_OUT = 2
+LIMITS = (Limit("all", most_out=MAX_OUT), Limit("zone", most_out=1))
+KNOWN_OUTAGE_US = 1_500_000  # an accident that old has been seen by whoever lets somebody go
+CHECK_INTERVAL_US, RELEASE_TIMEOUT_US = 50_000, 400_000_000
+GOOD_VERSION, UNSTARTABLE_VERSION, CRASHING_VERSION = (
+    "good",
+    "never",
+    "frail",
+)  # versions: the second does not start, the third ends soon after
+
+
+class SimulatedUnit:
     """What runs of a unit: it outlives the unit's program, and its crashes are accidents."""
 
     def __init__(self, sim: Simulation, name: str) -> None:
         """Nothing runs."""
         self.sim, self.name = sim, name
-        self.version, self.mark, self.number, self.up_us = "", "", 0, 0
+        self.version, self.mark, self.start_number, self.started_us = "", "", 0, 0
         self.running = False
-        self.broken_until_us = 0  # no start of it succeeds before
+        self.no_start_until_us = 0  # no start of it succeeds before
         self.starts: Counter[str] = Counter()
 
     def crash(self, for_us: int = 0) -> None:
         """It ends by itself, and cannot be started for a while."""
         self.running = False
-        self.broken_until_us = self.sim.now_us() + for_us
+        self.no_start_until_us = self.sim.now_us() + for_us
 
 
-class VirtualHands:
+class SimulatedRunner:
     """See Hands: the commands take virtual time."""
 
-    def __init__(self, world: VirtualWorld, machine: Machine) -> None:
+    def __init__(self, world: VirtualWorld, machine: SimulatedUnit) -> None:
         """For one start of the unit's program."""
-        self._world, self._m = world, machine
-        self._known = (0, 0)
+        self._world, self._unit = world, machine
+        self._process = (0, 0)
 
     def adopt(self, pid: int, born: int) -> None:
         """See Hands."""
-        self._known = (pid, born)
+        self._process = (pid, born)
 
     def id(self) -> tuple[int, int]:
         """See Hands."""
-        return self._known
+        return self._process
 
     def alive(self) -> bool:
         """See Hands."""
-        if self._m.running and self._m.version == FRAIL and self._m.sim.now_us() - self._m.up_us > 3_000_000:
-            self._m.crash()
-        return self._m.running and self._known == (self._m.number, 1)
-
-    def _takes(self, most_us: int) -> None:
+        if (
+            self._unit.running
+            and self._unit.version == CRASHING_VERSION
+            and self._unit.sim.now_us() - self._unit.started_us > 3_000_000
+        ):
+            self._unit.crash()
+        return self._unit.running and self._process == (self._unit.start_number, 1)
+
+    def _take_time(self, max_us: int) -> None:
         self._world.sleep_until(
             self._world.now_us()
-            + self._m.sim.random(f"takes {self._m.name} {self._m.sim.next_number('takes')}").randrange(most_us)
+            + self._unit.sim.random(f"takes {self._unit.name} {self._unit.sim.next_number('takes')}").randrange(max_us)
         )
 
     def start(self, version: str, mark: str) -> int:
         """See Hands."""
-        if not (self._m.running and self._m.mark == mark):
-            self._m.starts[mark] += 1
-            self._m.number += 1
-            whole = self._m.sim.now_us() >= self._m.broken_until_us
-            self._m.version, self._m.mark, self._m.running = version, mark, version != NEVER and whole
-            self._m.up_us = self._m.sim.now_us()
-        self._known = (self._m.number, 1)
+        if not (self._unit.running and self._unit.mark == mark):
+            self._unit.starts[mark] += 1
+            self._unit.start_number += 1
+            can_start = self._unit.sim.now_us() >= self._unit.no_start_until_us
+            self._unit.version, self._unit.mark, self._unit.running = (
+                version,
+                mark,
+                version != UNSTARTABLE_VERSION and can_start,
+            )
+            self._unit.started_us = self._unit.sim.now_us()
+        self._process = (self._unit.start_number, 1)
         return 0
 
     def stop(self) -> None:
         """See Hands."""
-        self._takes(1_000_000)
-        self._m.running = False
+        self._take_time(1_000_000)
+        self._unit.running = False
 
     def drain(self, version: str) -> int | None:
         """See Hands."""
-        self._takes(1_500_000)
+        self._take_time(1_500_000)
         return 0
 
     def check(self, version: str) -> tuple[int | None, bytes]:
         """See Hands."""
-        self._takes(200_000)
-        return (0 if self._m.sim.now_us() - self._m.up_us > 800_000 else 1) if self._m.running else 2, b""
+        self._take_time(200_000)
+        return (0 if self._unit.sim.now_us() - self._unit.started_us > 800_000 else 1) if self._unit.running else 2, b""
 
 
-class ReleaseWorld:
+class ReleaseSimulation:
     """One run."""
 
     def __init__(self, seed: int) -> None:
         """Nothing has started."""
         self.rng = random.Random(f"release {seed}")
         self.sim = Simulation(seed)
-        self.found: list[str] = []
+        self.violations: list[str] = []
         self.counts: Counter[str] = Counter()
-        self.machines = {name: Machine(self.sim, name) for name in UNITS}
+        self.simulated_units = {name: SimulatedUnit(self.sim, name) for name in UNITS}
         self.keys = UnitKeys(FleetKeys("main"))
-        self.version = self.rng.choice([GOOD, GOOD, GOOD, NEVER, FRAIL])
-        self._ill_since: dict[str, int] = {}
+        self.version = self.rng.choice(
+            [GOOD_VERSION, GOOD_VERSION, GOOD_VERSION, UNSTARTABLE_VERSION, CRASHING_VERSION]
+        )
+        self._down_since: dict[str, int] = {}
         self._permits: set[str] = set()
 
-    def play(self) -> tuple[str, ...]:
+    def run(self) -> tuple[str, ...]:
         """What broke."""
         try:
             self.sim.run("release world", self._program)
         except RuntimeError as error:
-            self.found.append(f"liveness: {error}")
-        return tuple(dict.fromkeys([*self.found, *(f"crash: {text}" for text in self.sim.crashes)]))
+            self.violations.append(f"liveness: {error}")
+        return tuple(dict.fromkeys([*self.violations, *(f"crash: {text}" for text in self.sim.crashes)]))
 
     def _config(self, name: str) -> Config:
         limits = [{"group": row.group, "most_out": row.most_out} for row in LIMITS]
@@ -157,89 +171,98 @@
             return
         groups: dict[Any, str] = {"zone": "abc"[int(name[1:]) % 3]}
         file = UnitFile(
-            name, "dispatcher", "f", ("old", GOOD, NEVER, FRAIL), ("run",), f"{name}.state", groups, start_s=6.0
+            name,
+            "dispatcher",
+            "f",
+            ("old", GOOD_VERSION, UNSTARTABLE_VERSION, CRASHING_VERSION),
+            ("run",),
+            f"{name}.state",
+            groups,
+            start_s=6.0,
         )
-        UnitSupervisor(world, file, fleet, store, "world", VirtualHands(world, self.machines[name])).start()
+        UnitSupervisor(world, file, fleet, store, "world", SimulatedRunner(world, self.simulated_units[name])).start()
 
-    def units(self) -> ReleaseView:
+    def store_view(self) -> ReleaseView:
         """What the store holds, straight from it."""
         model = self.etcd.model
         return self.keys.read({row.key: row for row in model.rows(self.keys.root, b"\0")})
 
-    def _until(self, what: str, look: Callable[[], bool], within_us: int = ENDS_US) -> bool:
+    def _wait_for(self, what: str, condition: Callable[[], bool], within_us: int = RELEASE_TIMEOUT_US) -> bool:
         until_us = self.sim.now_us() + within_us
-        while not look():
-            if self.sim.now_us() > until_us or self.found:
-                self.found.append(f"liveness: not seen: {what}")
+        while not condition():
+            if self.sim.now_us() > until_us or self.violations:
+                self.violations.append(f"liveness: not seen: {what}")
                 return False
-            self.sim.scheduler.sleep_until(self.sim.now_us() + LOOK_US)
+            self.sim.scheduler.sleep_until(self.sim.now_us() + CHECK_INTERVAL_US)
         return True
 
     def _program(self) -> None:
         sim = self.sim
         self.etcd = EtcdStandIn(sim.program(STORE))
-        self.etcd.record = self._noted  # type: ignore[method-assign]
+        self.etcd.record = self._check_permits  # type: ignore[method-assign]
         _, self.port = self.etcd.start(HOST, sim.next_port())
         sim.files["servers.toml"] = b"count = 0\n"
         for name in UNITS + STEWARDS:
             self.start(name)
-        sim.scheduler.spawn("ills", self._ills)
-        if not self._until("all are well", lambda: self._runs({"old"})):
+        sim.scheduler.spawn("ills", self._track_outages)
+        if not self._wait_for("all are well", lambda: self._all_run({"old"})):
             return
-        places = self.units().placements
+        places = self.store_view().placements
         release = r.create_release("r", r.PlanFile(self.version, "old", settle_s=1.0, start_s=25.0), places)
-        self._say(release, "start")
-        faults = [sim.scheduler.spawn("fault", self._fault) for _ in range(self.rng.randint(0, 5))]
+        self._update_release(release, "start")
+        faults = [sim.scheduler.spawn("fault", self._run_fault) for _ in range(self.rng.randint(0, 5))]
         back_us = sim.now_us() + self.rng.randrange(40_000_000) if self.rng.random() < 0.3 else None
         for task in faults:
             task.join()
         while back_us is not None and sim.now_us() < back_us:
-            sim.scheduler.sleep_until(sim.now_us() + LOOK_US)
+            sim.scheduler.sleep_until(sim.now_us() + CHECK_INTERVAL_US)
         if back_us is not None:
-            self._word("back")
+            self._operator_command("back")
         ends = {"done", "back"}
-        if not self._until("the release's end", lambda: self._phase() in {*ends, "halted"}):
+        if not self._wait_for("the release's end", lambda: self._phase() in {*ends, "halted"}):
             return
         for _ in range(4):  # a halt is answered by the way back, and again if that one halts
             if self._phase() == "halted":
                 self.counts["halts"] += 1
-                self._word("back")
-                self._until("the way back", lambda: self._phase() in {*ends, "halted"})
+                self._operator_command("back")
+                self._wait_for("the way back", lambda: self._phase() in {*ends, "halted"})
         target = {"done": self.version, "back": "old"}.get(self._phase(), "")
-        self._until(f"all run {target}", lambda: self._runs({target}) and not self.units().permits)
+        self._wait_for(f"all run {target}", lambda: self._all_run({target}) and not self.store_view().permits)
         self.counts[f"{self.version} {self._phase()}"] += 1
-        for name, machine in self.machines.items():
-            self.found += [
+        for name, machine in self.simulated_units.items():
+            self.violations += [
                 f"once: {name} started {times} times for {mark}" for mark, times in machine.starts.items() if times > 1
             ]
 
     def _phase(self) -> str:
-        release = self.units().release
+        release = self.store_view().release
         return release.phase if release is not None else ""
 
-    def _runs(self, versions: set[str]) -> bool:
-        statuses = self.units().statuses
+    def _all_run(self, versions: set[str]) -> bool:
+        statuses = self.store_view().statuses
         return len(statuses) == len(UNITS) and all(
             row.standing == "well" and row.version in versions for row in statuses.values()
         )
 
-    def _say(self, release: r.Release, what: str) -> None:
-        txn = self.keys.update_release_by_operator(self.units(), release, AuditEntry(self.sim.now_us(), "ana", what))
+    def _update_release(self, release: r.Release, what: str) -> None:
+        txn = self.keys.update_release_by_operator(
+            self.store_view(), release, AuditEntry(self.sim.now_us(), "ana", what)
+        )
         if not self.etcd.model.txn(txn).succeeded:
-            self.found.append(f"say: {what} was not taken")
+            self.violations.append(f"say: {what} was not taken")
         self.etcd._notify_watches()
 
-    def _word(self, word: str) -> None:
-        release = self.units().release
-        told = r.apply_operator_command(release, word, "") if release is not None else "none"
-        if isinstance(told, r.Release):
-            self._say(told, word)
+    def _operator_command(self, command: str) -> None:
+        release = self.store_view().release
+        changed = r.apply_operator_command(release, command, "") if release is not None else "none"
+        if isinstance(changed, r.Release):
+            self._update_release(changed, command)
 
     # --- faults
 
-    def _fault(self) -> None:
+    def _run_fault(self) -> None:
         sim, rng = self.sim, self.rng
-        at, lasts = rng.randrange(30_000_000), rng.randrange(50_000, 6_000_000)
+        at, duration_us = rng.randrange(30_000_000), rng.randrange(50_000, 6_000_000)
         kind = rng.choice(
             ["dies", "dies", "stalls", "cut", "crash", "crash", "crash", "no leader", "late", "lost", "expire"]
         )
@@ -259,7 +282,7 @@
                 sim.network.cut(name, STORE)
                 undo = lambda: sim.network.restore(name, STORE)  # noqa: E731
             case "crash":
-                self.machines[rng.choice(UNITS)].crash(3 * lasts)
+                self.simulated_units[rng.choice(UNITS)].crash(3 * duration_us)
             case "no leader":
                 self.etcd.leaderless = True
                 undo = lambda: setattr(self.etcd, "leaderless", False)  # noqa: E731
@@ -270,39 +293,39 @@
                 self.etcd.responses_to_lose += 3
             case "expire":
                 self.etcd.inject_fault("expire")
-        sim.scheduler.sleep_until(sim.now_us() + lasts)
+        sim.scheduler.sleep_until(sim.now_us() + duration_us)
         undo()
 
     # --- rules
 
-    def _ills(self) -> None:
+    def _track_outages(self) -> None:
         """Since when each unit has been out by accident, by the store's rows."""
         while True:
-            now, units = self.sim.now_us(), self.units()
+            now, units = self.sim.now_us(), self.store_view()
             for name in UNITS:
                 status = units.statuses.get(name)
                 if name in units.permits or (status is not None and status.standing == "well"):
-                    self._ill_since.pop(name, None)
+                    self._down_since.pop(name, None)
                 else:
-                    self._ill_since.setdefault(name, now)
-            self.sim.scheduler.sleep_until(now + LOOK_US)
+                    self._down_since.setdefault(name, now)
+            self.sim.scheduler.sleep_until(now + CHECK_INTERVAL_US)
 
-    def _noted(self, event: str, **more: Any) -> None:
+    def _check_permits(self, event: str, **more: Any) -> None:
         """After each call of the store: a new permit must be within the limits."""
-        permits = set(self.units().permits)
+        permits = set(self.store_view().permits)
         new, self._permits = permits - self._permits, permits
         now = self.sim.now_us()
         for name in new:
             self.counts["grants"] += 1
-            ill = {unit for unit, since in self._ill_since.items() if now - since > SEEN_US} - permits
-            gone = permits | ill
-            zone = {unit for unit in gone if int(unit[1:]) % 3 == int(name[1:]) % 3}
-            mended = name in self._ill_since  # it was out anyway: the way back must be able to reach it
-            if not mended and (len(gone) > MOST_OUT or len(zone) > 1):
-                self.found.append(f"limit: {name} let go with {sorted(permits - {name})} out, {sorted(ill)} ill")
+            down = {unit for unit, since in self._down_since.items() if now - since > KNOWN_OUTAGE_US} - permits
+            out = permits | down
+            zone = {unit for unit in out if int(unit[1:]) % 3 == int(name[1:]) % 3}
+            already_out = name in self._down_since  # it was out anyway: the way back must be able to reach it
+            if not already_out and (len(out) > MAX_OUT or len(zone) > 1):
+                self.violations.append(f"limit: {name} let go with {sorted(permits - {name})} out, {sorted(down)} ill")
 
 
 def run_release_seed(seed: int) -> tuple[tuple[str, ...], Counter[str]]:
     """What broke in a world, and what it met."""
-    world = ReleaseWorld(seed)
-    return world.play(), world.counts
+    world = ReleaseSimulation(seed)
+    return world.run(), world.counts
--- a/yardspindle/lab/script.py
+++ b/yardspindle/lab/script.py
@@ -11,16 +11,16 @@
 
 from msgspec import Struct
 
-EDGES, RACKS, READERS, WRITERS = 2, 2, 2, 2  # of each rack, the last two
+EDGE_COUNT, RACK_COUNT, READERS_PER_RACK, WRITERS_PER_RACK = 2, 2, 2, 2  # of each rack, the last two
 ENGINE_NAMES = tuple(
     f"{kind}{rack}-{number}"
-    for rack in range(RACKS)
-    for kind, count in (("r", READERS), ("w", WRITERS))
+    for rack in range(RACK_COUNT)
+    for kind, count in (("r", READERS_PER_RACK), ("w", WRITERS_PER_RACK))
     for number in range(count)
 )
-EDGE_NAMES = tuple(f"edge{number}" for number in range(EDGES))
+EDGE_NAMES = tuple(f"edge{number}" for number in range(EDGE_COUNT))
 PLANNER = "planner"
-SEEN_LINK_US = 2_500_000  # until an edge whose link was down has it again, at the longest
+LINK_RECOVERY_US = 2_500_000  # until an edge whose link was down has it again, at the longest
 REQUEST_COUNT_RANGE = (50, 70)
 FAULT_COUNT_RANGE = (5, 14)
 
@@ -102,26 +102,30 @@
         requests.append((number, int(at)))
     faults: list[Fault] = []
     for _ in range(rng.randint(*FAULT_COUNT_RANGE)):
-        faults.append(_fault(rng, faults, int(at)))
+        faults.append(_draw_fault(rng, faults, int(at)))
     return Script(seed, tuple(requests), tuple(sorted(faults, key=lambda fault: fault.at_ms)))
 
 
-def _fault(rng: random.Random, before: list[Fault], last_ms: int) -> Fault:
+def _draw_fault(rng: random.Random, before: list[Fault], last_ms: int) -> Fault:
     kind = rng.choice(tuple(FAULT_KINDS))
     targets, shortest, longest = FAULT_KINDS[kind]
     for_ms = int(shortest + (longest - shortest) * rng.random() ** 2)  # the short ones more often
     at_ms = rng.randint(100, max(last_ms, 101))
     on = other = ""
-    near = rng.choice(before) if before and rng.random() < 0.5 else None
-    if near is not None:
-        at_ms = rng.randint(near.at_ms, near.at_ms + max(near.for_ms, 200))
-    same = near is not None and rng.random() < 0.5
+    earlier = rng.choice(before) if before and rng.random() < 0.5 else None
+    if earlier is not None:
+        at_ms = rng.randint(earlier.at_ms, earlier.at_ms + max(earlier.for_ms, 200))
+    same_target = earlier is not None and rng.random() < 0.5
     if targets == "rack":
-        on = str(rng.randrange(RACKS))
+        on = str(rng.randrange(RACK_COUNT))
     elif targets == "edge":
-        on = near.on if same and near is not None and near.on in EDGE_NAMES else rng.choice(EDGE_NAMES)
+        on = earlier.on if same_target and earlier is not None and earlier.on in EDGE_NAMES else rng.choice(EDGE_NAMES)
     elif targets in ("box", "edge box"):
-        named = [name for name in (near.on, near.other) if name in ENGINE_NAMES] if same and near is not None else []
+        named = (
+            [name for name in (earlier.on, earlier.other) if name in ENGINE_NAMES]
+            if same_target and earlier is not None
+            else []
+        )
         on = named[0] if named else rng.choice(ENGINE_NAMES)
         other = rng.choice(EDGE_NAMES) if targets == "edge box" else ""
     elif targets == "move":
@@ -140,4 +144,4 @@
     return pairs
 
 
-FAULT_PAIRS = len(FAULT_KINDS) * (len(FAULT_KINDS) + 1) // 2
+FAULT_PAIR_COUNT = len(FAULT_KINDS) * (len(FAULT_KINDS) + 1) // 2
--- a/yardspindle/lab/seeds.py
+++ b/yardspindle/lab/seeds.py
@@ -18,11 +18,11 @@
 import structlog
 
 from yardspindle.lab.fleet_simulation import draw_fleet_script, run_fleet_script
-from yardspindle.lab.script import FAULT_PAIRS, Fault, Script, draw_script, overlapping_kinds
+from yardspindle.lab.script import FAULT_PAIR_COUNT, Fault, Script, draw_script, overlapping_kinds
 from yardspindle.lab.traffic_simulation import Outcome, run_script
 
-COLLECT_EVERY = 10
-CRITICAL = 50
+GC_INTERVAL = 10
+CRITICAL_LEVEL = 50
 
 
 @dataclass(slots=True)
@@ -52,7 +52,7 @@
         states = {name for step in self.transitions for name in step.split(" -> ")}
         rows = [f"worlds played: {self.runs}, {self.virtual_ms / 3_600_000:.1f} virtual hours"]
         if self.fault_pairs:
-            rows.append(f"pairs of faults that overlapped: {len(self.fault_pairs)} of {FAULT_PAIRS}")
+            rows.append(f"pairs of faults that overlapped: {len(self.fault_pairs)} of {FAULT_PAIR_COUNT}")
         if self.transitions:
             rows.append(
                 f"life cycle: {len(states)} states, {len(self.transitions)} transitions; the rarest: "
@@ -68,17 +68,17 @@
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent stops; a worker ends with it
     gc.disable()
     if quiet:
-        structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(CRITICAL))
+        structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(CRITICAL_LEVEL))
 
 
-def _play(job: tuple[int, bool]) -> Outcome:
+def _run_traffic(job: tuple[int, bool]) -> Outcome:
     seed, count = job
-    if seed % COLLECT_EVERY == 0:
+    if seed % GC_INTERVAL == 0:
         gc.collect()
-    return outcome_of(draw_script(seed), count)
+    return run_guarded(draw_script(seed), count)
 
 
-def outcome_of(script: Script, count: bool = False) -> Outcome:
+def run_guarded(script: Script, count: bool = False) -> Outcome:
     """Play a script; a run that fails itself is a finding too."""
     try:
         return run_script(script, count=count)
@@ -86,7 +86,7 @@
         return Outcome(script.seed, "", (f"run: {type(error).__name__}: {error}",), {}, {}, 0, 0)
 
 
-def _play_fleet(job: tuple[int, bool]) -> Outcome:
+def _run_fleet(job: tuple[int, bool]) -> Outcome:
     seed, _ = job
     gc.collect()
     breaks, counts = run_fleet_script(draw_fleet_script(seed))
@@ -101,12 +101,12 @@
     `world`: `traffic` (edges, planner, engines, clients) or `fleet` (stewards, store, dispatchers, engines).
     """
     jobs_of = ((seed, transitions) for seed in range(first, first + count))
-    one = _play_fleet if world == "fleet" else _play
+    one = _run_fleet if world == "fleet" else _run_traffic
     with multiprocessing.get_context("spawn").Pool(jobs, _start_worker, (True,)) as pool:
         yield from pool.imap_unordered(one, jobs_of, chunksize=4)
 
 
-def shrink(script: Script, say: Callable[[str], None], fails: Callable[[Script], str] | None = None) -> Script:
+def shrink(script: Script, print_line: Callable[[str], None], fails: Callable[[Script], str] | None = None) -> Script:
     """Fewest faults and requests that still break the same rule. Raises ValueError when nothing breaks."""
     fails = fails or first_violated_rule
     rule = fails(script)
@@ -122,14 +122,14 @@
         before = script
         script = _fewer_faults(script, still)
         script = _fewer_requests(script, still)
-        script = _shorter(script, still)
-        say(f"{rule}: {len(script.faults)} faults, {len(script.requests)} requests")
+        script = _shorter_faults(script, still)
+        print_line(f"{rule}: {len(script.faults)} faults, {len(script.requests)} requests")
     return script
 
 
 def first_violated_rule(script: Script) -> str:
     """The rule that a script breaks first, or nothing."""
-    breaks = outcome_of(script).breaks
+    breaks = run_guarded(script).breaks
     return breaks[0].partition(":")[0] if breaks else ""
 
 
@@ -157,7 +157,7 @@
         size //= 2
 
 
-def _shorter(script: Script, still: Callable[[Script], bool]) -> Script:
+def _shorter_faults(script: Script, still: Callable[[Script], bool]) -> Script:
     for at, fault in enumerate(script.faults):
         while fault.for_ms > 1:
             half: Fault = msgspec.structs.replace(fault, for_ms=fault.for_ms // 2)
--- a/yardspindle/lab/virtual_fleet.py
+++ b/yardspindle/lab/simulated_fleet.py
@@ -18,11 +18,11 @@
 from yardspindle.edge.app import Edge
 from yardspindle.engine.http_client import ConnectError
 from yardspindle.lab.audit import Audit, AuditLimits
-from yardspindle.lab.clients import ClientClass, ClientHabits, Clients, Plan, draw_request
+from yardspindle.lab.clients import ClientClass, ClientHabits, Clients, RequestPlan, draw_request
 from yardspindle.lab.engine import StandInEngine
 from yardspindle.lab.engine_settings import EngineSettings
 from yardspindle.lab.fleet import EngineInstance, server_list, to_toml
-from yardspindle.lab.script import EDGE_NAMES, PLANNER, SEEN_LINK_US, Script
+from yardspindle.lab.script import EDGE_NAMES, LINK_RECOVERY_US, PLANNER, Script
 from yardspindle.planner.app import Planner
 from yardspindle.protocol import http1
 from yardspindle.runtime.scheduler import DeadlineExceeded, Task
@@ -34,13 +34,21 @@
 SERVERS = "servers.toml"
 CLASSES = (ClientClass("chat", 0.5, 4_000.0, 12), ClientClass("order", 0.5, 4_000.0, 12))
 HABITS = ClientHabits(hang_up=0.1, stop_reading=0.05, openings=3, opening_words=60, words=30)
-STEADY = ClientHabits(hang_up=0.0, stop_reading=0.0, retries=0, openings=1, opening_words=4, words=4)
+PROBE_HABITS = ClientHabits(hang_up=0.0, stop_reading=0.0, retries=0, openings=1, opening_words=4, words=4)
 COLD_MS = 2_000.0
 RULES = {"cold_ms": COLD_MS, "start_capacity": 0.3, "fall_ms": 500.0, "fall_multiple": 1.2}
-FIGURES = AuditLimits(slack_ms=150.0, left_ms=200.0, list_ms=0.0, unsafe=("order",))
-HUSHED = {"planner stalls", "planner clock", "edge stalls", "edge clock", "link cut up", "link cut down", "link slow"}
-LOOK_US = 50_000
-READ_LIST_US = 250_000  # until every edge has heard of a list that was written
+AUDIT_LIMITS = AuditLimits(slack_ms=150.0, left_ms=200.0, list_ms=0.0, unsafe=("order",))
+PLANNER_DELAY_KINDS = {
+    "planner stalls",
+    "planner clock",
+    "edge stalls",
+    "edge clock",
+    "link cut up",
+    "link cut down",
+    "link slow",
+}
+CHECK_INTERVAL_US = 50_000
+LIST_PROPAGATION_US = 250_000  # until every edge has heard of a list that was written
 DOCUMENT: dict[str, Any] = {
     "classes": [
         {"name": c.name, "effect": effect, "aim_ms": 1_000, "give_up_ms": c.give_up_ms}
@@ -53,14 +61,14 @@
 }
 
 
-class BrokenRule(Exception):
+class RuleViolated(Exception):
     """A rule was broken at this step."""
 
 
-class NotingEngine(StandInEngine):
+class RecordingEngine(StandInEngine):
     """A stand-in that tells the run, on the true clock, what it would write down."""
 
-    def __init__(self, fleet: VirtualFleet, world: VirtualWorld, settings: EngineSettings) -> None:
+    def __init__(self, fleet: SimulatedFleet, world: VirtualWorld, settings: EngineSettings) -> None:
         """See Engine."""
         self._fleet = fleet
         super().__init__(world, settings)
@@ -70,124 +78,130 @@
         world = self.world
         assert isinstance(world, VirtualWorld)
         if world.alive:
-            self._fleet.line(box=self.settings.name, ev=event, id=request, **more)
+            self._fleet.record(box=self.settings.name, ev=event, id=request, **more)
 
 
 @dataclass(slots=True)
-class _EdgeSeat:
+class _EdgeSlot:
     """An edge of the fleet, whichever start of it runs."""
 
     edge: Edge | None = None
     port: int = 0
-    idle: Counter[str] = field(default_factory=Counter)  # tasks of one that has nothing to do
+    idle_tasks: Counter[str] = field(default_factory=Counter)  # tasks of one that has nothing to do
     idle_streams: int = 0
 
 
-class VirtualFleet:
+class SimulatedFleet:
     """Everything of one run."""
 
-    def __init__(self, script: Script, say: Callable[[str], None] | None = None, count: bool = False) -> None:
+    def __init__(
+        self, script: Script, print_line: Callable[[str], None] | None = None, count_transitions: bool = False
+    ) -> None:
         """`say` gets a line for all that is seen; `count`: count transitions of the edges' life cycles."""
         self.script = script
         self.sim = Simulation(script.seed)
-        self.audit = Audit(FIGURES)
+        self.audit = Audit(AUDIT_LIMITS)
         self.instances: dict[str, EngineInstance] = {}
         self.started_us = 0
         self.transitions: Counter[str] = Counter()
         self._engines: dict[str, StandInEngine] = {}
-        self._edges = {name: _EdgeSeat() for name in EDGE_NAMES}
+        self._edges = {name: _EdgeSlot() for name in EDGE_NAMES}
         self._planner_port = 0
         self._planner: Planner | None = None
-        self._lists: set[frozenset[str]] = {frozenset()}  # all that were ever written whole
-        self._say, self._count = say, count
-        self._hash = hashlib.sha256()
+        self._published_lists: set[frozenset[str]] = {frozenset()}  # all that were ever written whole
+        self._print_line, self._count_transitions = print_line, count_transitions
+        self._trace_hash = hashlib.sha256()
         self._list_fault = ""
-        self._deaf, self._deaf_until_us = 0, 0
+        self._list_outages, self._list_outage_until_us = 0, 0
         self._clients_world = self.sim.program("clients")
-        self._clients = Clients(self._clients_world, "yardspindle-demo", lambda line: self.line(**line), HABITS)
-        self._probing = Clients(self._clients_world, "yardspindle-demo", lambda line: self.line(**line), STEADY)
-        self._extra: list[Any] = []
-        self._numbers = 10_000
-        self._found: list[str] = []
-        self._main: Task | None = None
+        self._clients = Clients(self._clients_world, "yardspindle-demo", lambda line: self.record(**line), HABITS)
+        self._probe_clients = Clients(
+            self._clients_world, "yardspindle-demo", lambda line: self.record(**line), PROBE_HABITS
+        )
+        self._extra_requests: list[Any] = []
+        self._last_number = 10_000
+        self._violations: list[str] = []
+        self._main_task: Task | None = None
         self._stopped = False
-        self._hushed = any(fault.kind in HUSHED for fault in script.faults)  # a planner may be too late to decide
+        self._planner_may_be_late = any(
+            fault.kind in PLANNER_DELAY_KINDS for fault in script.faults
+        )  # a planner may be too late to decide
         self.sim.files[SERVERS] = b""
 
     # --- what is seen
 
-    def line(self, **line: Any) -> None:
+    def record(self, **line: Any) -> None:
         """Something that a client or box saw, now; the audit hears of it at once."""
         line["t"] = self.sim.now_us()
         data = msgspec.json.encode(line)
-        self._hash.update(data)
-        if self._say is not None:
-            self._say(data.decode())
-        self.audit.take(line)
+        self._trace_hash.update(data)
+        if self._print_line is not None:
+            self._print_line(data.decode())
+        self.audit.record(line)
         if self.audit.report.violations:
             self._stop()
 
     def _stop(self) -> None:
         """End the run here."""
-        if self._main is not None and not self._stopped:
+        if self._main_task is not None and not self._stopped:
             self._stopped = True
-            self.sim.scheduler.interrupt(self._main, BrokenRule())
+            self.sim.scheduler.interrupt(self._main_task, RuleViolated())
 
-    def edge_line(self, event: str, name: str) -> None:
+    def record_edge(self, event: str, name: str) -> None:
         """Something was done to an edge."""
         seat = self._edges[name]
-        self.line(ev=event, edge=seat.port, prefix=seat.edge.instance_id if seat.edge is not None else "")
+        self.record(ev=event, edge=seat.port, prefix=seat.edge.instance_id if seat.edge is not None else "")
 
     # --- parts of the fleet
 
-    def engine(self, name: str) -> StandInEngine | None:
+    def running_engine(self, name: str) -> StandInEngine | None:
         """A box's engine, if it runs."""
         return self._engines[name] if self.sim.programs[name].alive else None
 
-    def start_boxes(self, names: list[str], cold_ms: float = COLD_MS) -> None:
+    def start_engines(self, names: list[str], cold_ms: float = COLD_MS) -> None:
         """Start engines where they were; they come back cold."""
         for name in names:
             box = self.instances[name]
             box.settings = msgspec.structs.replace(box.settings, cold_ms=cold_ms)
-            engine = NotingEngine(self, self.sim.program(name), box.settings)
+            engine = RecordingEngine(self, self.sim.program(name), box.settings)
             _, box.port = engine.start(HOST, box.port, box.events_port, box.replay_port)
             box.events_port, box.replay_port = engine.events_port, engine.replay_port
             box.up_since_ms = self.sim.now_us() / 1_000 if cold_ms else 0.0
             self._engines[name] = engine
         self.write_list()
 
-    def kill_box(self, name: str) -> bool:
+    def kill_engine(self, name: str) -> bool:
         """End an engine at once; False when it is down already."""
         world = self.sim.programs[name]
         if not world.alive:
             return False
         world.kill()
-        self.line(ev="killed", box=name, id="")
+        self.record(ev="killed", box=name, id="")
         return True
 
     def start_edge(self, name: str) -> None:
         """Start an edge where it was."""
         seat, world = self._edges[name], self.sim.program(name, skewed=True)
         edge = seat.edge = Edge(world, self._config(name, seat.port))
-        if self._count:
-            self._watch(edge)
+        if self._count_transitions:
+            self._watch_transitions(edge)
         seat.port = seat.port or self.sim.next_port()
         world.spawn("program", edge.start)
-        self.edge_line("edge started", name)
+        self.record_edge("edge started", name)
 
     def kill_edge(self, name: str) -> bool:
         """End an edge at once; False when it is down already."""
         world = self.sim.programs[name]
         if not world.alive:
             return False
-        self.edge_line("edge killed", name)
+        self.record_edge("edge killed", name)
         world.kill()
         return True
 
     def start_planner(self) -> None:
         """Start the planner where it was; a list that it cannot take is mended first, as a person would."""
         if self._list_fault:
-            self.list_fault("")
+            self.set_list_fault("")
         self._planner = Planner(self.sim.program(PLANNER, skewed=True), self._config("", 0))
         _, self._planner_port = self._planner.start()
 
@@ -202,7 +216,7 @@
             }
         return parse("world", to_toml(document))
 
-    def _watch(self, edge: Edge) -> None:
+    def _watch_transitions(self, edge: Edge) -> None:
         """Count the steps from phase to phase of each request."""
         core, known = edge.core, dict[int, str]()
         out = core._out
@@ -224,15 +238,15 @@
 
     def write_list(self) -> None:
         """The server list as it should be, unless it is spoilt just now."""
-        self._lists.add(frozenset(name for name, box in self.instances.items() if box.listed))
+        self._published_lists.add(frozenset(name for name, box in self.instances.items() if box.listed))
         if not self._list_fault:
             self.sim.files[SERVERS] = server_list(list(self.instances.values())).encode()
 
-    def list_fault(self, kind: str) -> None:
+    def set_list_fault(self, kind: str) -> None:
         """Spoil the list, or put it right."""
         if kind and self._list_fault:
             return
-        self.deaf(bool(kind)) if bool(kind) != bool(self._list_fault) else None
+        self.mark_list_outage(bool(kind)) if bool(kind) != bool(self._list_fault) else None
         self._list_fault = kind
         whole = self.sim.files.get(SERVERS, b"")
         match kind:
@@ -245,26 +259,26 @@
             case _:
                 self.write_list()
 
-    def deaf(self, begins: bool) -> None:
+    def mark_list_outage(self, begins: bool) -> None:
         """Edges cannot hear of a changed list: the planner, its link or its file is in trouble."""
-        self._deaf += 1 if begins else -1
-        self._deaf_until_us = self.sim.now_us() + SEEN_LINK_US
+        self._list_outages += 1 if begins else -1
+        self._list_outage_until_us = self.sim.now_us() + LINK_RECOVERY_US
 
-    def told_draining(self, name: str) -> None:
+    def record_draining(self, name: str) -> None:
         """From when on a box that drains must get nothing new: once its state can be heard of."""
 
         def tell() -> None:
             if self.instances[name].state != "draining":
                 return
-            if self._deaf or self.sim.now_us() < self._deaf_until_us:
-                self.sim.scheduler.timers.set(self.sim.now_us() + LOOK_US, tell)
+            if self._list_outages or self.sim.now_us() < self._list_outage_until_us:
+                self.sim.scheduler.timers.set(self.sim.now_us() + CHECK_INTERVAL_US, tell)
             else:
-                self.line(ev="control", box=name, id="", do="listed_draining")
+                self.record(ev="control", box=name, id="", do="listed_draining")
 
         # What makes them deaf within this time may come before they have read the list.
-        self.sim.scheduler.timers.set(self.sim.now_us() + READ_LIST_US, tell)
+        self.sim.scheduler.timers.set(self.sim.now_us() + LIST_PROPAGATION_US, tell)
 
-    def reset_between(self, one: str, other: str) -> None:
+    def reset_connections(self, one: str, other: str) -> None:
         """Break every connection between two programs, both ends."""
         for stream in [
             row
@@ -275,13 +289,13 @@
             stream.receive_reset()
             stream.remote.receive_reset()
 
-    def extra(self, after_us: int, leaves: bool, half: bool) -> None:
+    def add_request(self, after_us: int, leaves: bool, half: bool) -> None:
         """One more request, of a flood."""
-        self._numbers += 1
-        number, rng = self._numbers, self.sim.random(f"client {self._numbers}")
+        self._last_number += 1
+        number, rng = self._last_number, self.sim.random(f"client {self._last_number}")
         habits = msgspec.structs.replace(HABITS, hang_up=1.0 if leaves else 0.0)
         plan = draw_request(rng, number, CLASSES, habits)
-        self._extra.append(
+        self._extra_requests.append(
             self._clients_world.spawn(
                 "client", self._half_close if half else self._request, plan, self.sim.now_us() + after_us
             )
@@ -289,17 +303,17 @@
 
     # --- clients
 
-    def _ports(self) -> list[tuple[str, int]]:
+    def _edge_addresses(self) -> list[tuple[str, int]]:
         return [(HOST, seat.port) for seat in self._edges.values()]
 
-    def _request(self, plan: Plan, at_us: int) -> None:
+    def _request(self, plan: RequestPlan, at_us: int) -> None:
         self.sim.scheduler.sleep_until(at_us)
-        self._clients.request(plan, self._ports())
+        self._clients.request(plan, self._edge_addresses())
 
-    def _half_close(self, plan: Plan, at_us: int) -> None:
+    def _half_close(self, plan: RequestPlan, at_us: int) -> None:
         """A client that sends its request, closes its sending half and listens on."""
         self.sim.scheduler.sleep_until(at_us)
-        host, port = self._ports()[plan.number % len(self._edges)]
+        host, port = self._edge_addresses()[plan.number % len(self._edges)]
         name, world = f"q{plan.number}.0", self._clients_world
         body = msgspec.json.encode(
             {
@@ -310,7 +324,7 @@
                 "metadata": {"class": plan.cls.name, "lab_id": name, "timeout_ms": f"{plan.deadline_us / 1_000:.1f}"},
             }
         )
-        self.line(
+        self.record(
             ev="send",
             edge=port,
             deadline_us=plan.deadline_us,
@@ -338,6 +352,6 @@
                 stream.close()
         except (ConnectError, StreamError, DeadlineExceeded):
             pass
-        self.line(
+        self.record(
             ev="final", outcome="left", code="", status=0, events=0, extra=0, first_t=self.sim.now_us(), **{"try": name}
         )
--- a/yardspindle/lab/traffic_simulation.py
+++ b/yardspindle/lab/traffic_simulation.py
@@ -11,30 +11,33 @@
 import msgspec
 from msgspec import Struct
 
-from yardspindle.lab import troubles
+from yardspindle.lab import fault_injection
 from yardspindle.lab.clients import ClientClass, draw_request
 from yardspindle.lab.engine_settings import EngineSettings
 from yardspindle.lab.fleet import EngineInstance
 from yardspindle.lab.script import EDGE_NAMES, ENGINE_NAMES, Script
-from yardspindle.lab.virtual_fleet import (
+from yardspindle.lab.simulated_fleet import (
+    CHECK_INTERVAL_US,
     CLASSES,
     HABITS,
     HOST,
-    LOOK_US,
+    PROBE_HABITS,
     RULES,
-    STEADY,
-    BrokenRule,
-    VirtualFleet,
+    RuleViolated,
+    SimulatedFleet,
 )
 
-PROBES = ClientClass("chat", 1.0, 4_000.0, 4)
-INTERLOCKS = {"answer overdue", "held too long"}  # the edge's last resort: never needed while its planner decides
-QUIET_US = 8_000_000  # after the probes: longer than any hold, time-out and kept connection
-RETURNED_US = 6_000_000  # the stated time: by then every edge serves again after the last fault
-IDLE_TIMERS = (
+PROBE_CLASS = ClientClass("chat", 1.0, 4_000.0, 4)
+FALLBACK_INTERLOCKS = {
+    "answer overdue",
+    "held too long",
+}  # the edge's last resort: never needed while its planner decides
+QUIESCE_US = 8_000_000  # after the probes: longer than any hold, time-out and kept connection
+RECOVERY_TIMEOUT_US = 6_000_000  # the stated time: by then every edge serves again after the last fault
+MAX_IDLE_TIMERS = (
     len(ENGINE_NAMES) + 2 * len(EDGE_NAMES) + 3
 )  # holds, the edges' ticks and policies, list, rules, this task
-LONGEST_US = 90_000_000  # virtual; what has not ended by then never does
+MAX_RUN_US = 90_000_000  # virtual; what has not ended by then never does
 
 
 class Outcome(Struct, frozen=True):
@@ -49,7 +52,7 @@
     virtual_ms: int
 
 
-class TrafficSimulation(VirtualFleet):
+class TrafficSimulation(SimulatedFleet):
     """A script's run from start to end."""
 
     def run(self) -> Outcome:
@@ -57,14 +60,14 @@
         started = self.sim.now_us()
         try:
             self.sim.run("world", self._program)
-        except BrokenRule:
+        except RuleViolated:
             pass
         except RuntimeError as error:  # a deadlock: nothing can wake any more
-            self._found.append(f"liveness: {error}")
-        report = self.audit.report if self._stopped else self.audit.end()
+            self._violations.append(f"liveness: {error}")
+        report = self.audit.report if self._stopped else self.audit.finish()
         found = [
             *(f"{rule}: {text}" for rule, text in report.violations),
-            *self._found,
+            *self._violations,
             *(f"crash: {text}" for text in self.sim.crashes),
         ]
         tally: Counter[str] = Counter()
@@ -73,7 +76,7 @@
         tally.update({name: count for name, count in report.counts.items() if count})
         return Outcome(
             self.script.seed,
-            self._hash.hexdigest(),
+            self._trace_hash.hexdigest(),
             tuple(dict.fromkeys(found)),
             dict(tally),
             dict(self.transitions),
@@ -83,7 +86,7 @@
 
     def _program(self) -> None:
         sim = self.sim
-        self._main = sim.scheduler.current
+        self._main_task = sim.scheduler.current
         for name in ENGINE_NAMES:
             role, kind = ("read", "reader") if name[0] == "r" else ("write", "writer")
             settings = msgspec.convert(
@@ -103,52 +106,54 @@
                 EngineSettings,
             )
             self.instances[name] = EngineInstance(settings, int(name[1]), kind)
-        self.start_boxes(list(ENGINE_NAMES), 0.0)
+        self.start_engines(list(ENGINE_NAMES), 0.0)
         self.start_planner()
         for name, seat in self._edges.items():
             seat.port = sim.next_port()
             self.start_edge(name)
         sim.scheduler.sleep_until(sim.now_us() + 300_000)
         for name, seat in self._edges.items():
-            seat.idle, seat.idle_streams = self._tasks(name), self._streams(name)
+            seat.idle_tasks, seat.idle_streams = self._task_names(name), self._stream_count(name)
         self.started_us = sim.now_us()
-        watch = sim.scheduler.spawn("rules", self._rules)
-        tasks = [sim.scheduler.spawn("trouble", troubles.run, self, fault) for fault in self.script.faults]
+        watch = sim.scheduler.spawn("rules", self._check_rules)
+        tasks = [sim.scheduler.spawn("trouble", fault_injection.inject, self, fault) for fault in self.script.faults]
         for number, at_ms in self.script.requests:
             plan = draw_request(sim.random(f"client {number}"), number, CLASSES, HABITS)
             tasks.append(self._clients_world.spawn("client", self._request, plan, self.started_us + at_ms * 1_000))
         for task in tasks:
             task.join()
-        for task in self._extra:
+        for task in self._extra_requests:
             task.join()
-        self._returned()
-        for clients in (self._clients, self._probing):
+        self._check_recovered()
+        for clients in (self._clients, self._probe_clients):
             clients.close()
-        sim.scheduler.sleep_until(sim.now_us() + QUIET_US)
-        self._nothing_left()
+        sim.scheduler.sleep_until(sim.now_us() + QUIESCE_US)
+        self._check_nothing_left()
         watch.cancel()
 
-    def _rules(self) -> None:
+    def _check_rules(self) -> None:
         """Stop at the first break; what is held too long is looked for every so often."""
         while True:
-            self.sim.scheduler.sleep_until(self.sim.now_us() + LOOK_US)
-            self.audit.until(self.sim.now_us())
+            self.sim.scheduler.sleep_until(self.sim.now_us() + CHECK_INTERVAL_US)
+            self.audit.check_until(self.sim.now_us())
             for name, seat in self._edges.items():
                 if seat.edge is not None and seat.edge.core.rule_checker.last_violation is not None:
-                    self._found.append(f"{name}'s own watch: {seat.edge.core.rule_checker.last_violation}")
+                    self._violations.append(f"{name}'s own watch: {seat.edge.core.rule_checker.last_violation}")
                 if (
                     seat.edge is not None
-                    and not self._hushed
-                    and (late := INTERLOCKS & seat.edge.core.lifecycle.counts.interlocks.keys())
+                    and not self._planner_may_be_late
+                    and (fired := FALLBACK_INTERLOCKS & seat.edge.core.lifecycle.counts.interlocks.keys())
                 ):
-                    self._found.append(f"at once: {name} had to keep the rule itself: {', '.join(sorted(late))}")
+                    self._violations.append(f"at once: {name} had to keep the rule itself: {', '.join(sorted(fired))}")
             listed = (
                 frozenset(server.name for server in self._planner.server_list.servers) if self._planner else frozenset()
             )
-            if listed not in self._lists:
-                self._found.append("list: one is in force that was never written whole: " + " ".join(sorted(listed)))
-            if self.sim.now_us() > self.started_us + LONGEST_US:
-                self._found.append(
+            if listed not in self._published_lists:
+                self._violations.append(
+                    "list: one is in force that was never written whole: " + " ".join(sorted(listed))
+                )
+            if self.sim.now_us() > self.started_us + MAX_RUN_US:
+                self._violations.append(
                     "liveness: not ended: "
                     + ", ".join(
                         sorted(
@@ -158,31 +163,31 @@
                         )
                     )
                 )
-            if self.audit.report.violations or self._found or self.sim.crashes:
+            if self.audit.report.violations or self._violations or self.sim.crashes:
                 return self._stop()
 
-    def _returned(self) -> None:
+    def _check_recovered(self) -> None:
         """Service is back at every edge within the stated time."""
         for name, seat in self._edges.items():
-            until_us = self.sim.now_us() + RETURNED_US
+            until_us = self.sim.now_us() + RECOVERY_TIMEOUT_US
             while True:
-                self._numbers += 1
-                plan = draw_request(self.sim.random("probe"), self._numbers, (PROBES,), STEADY)
-                seen = self._probing.try_once(plan, 0, (HOST, seat.port))
+                self._last_number += 1
+                plan = draw_request(self.sim.random("probe"), self._last_number, (PROBE_CLASS,), PROBE_HABITS)
+                seen = self._probe_clients.send_once(plan, 0, (HOST, seat.port))
                 if seen.outcome == "served":
                     break
                 if self.sim.now_us() > until_us:
-                    self._found.append(f"liveness: {name} does not serve again: {seen.outcome} {seen.code}")
+                    self._violations.append(f"liveness: {name} does not serve again: {seen.outcome} {seen.code}")
                     return self._stop()
                 self.sim.scheduler.sleep_until(self.sim.now_us() + 100_000)
 
-    def _tasks(self, name: str) -> Counter[str]:
+    def _task_names(self, name: str) -> Counter[str]:
         return Counter(task.name for task in self.sim.programs[name].tasks)
 
-    def _streams(self, name: str) -> int:
+    def _stream_count(self, name: str) -> int:
         return sum(stream.world.name == name for stream in self.sim.network.streams)
 
-    def _nothing_left(self) -> None:
+    def _check_nothing_left(self) -> None:
         """Nothing is open, held, owed or running, and no task or connection is left."""
         for name, seat in self._edges.items():
             edge = seat.edge
@@ -192,24 +197,26 @@
                 "owed": edge.core.engine_releases.pending,
                 "running": len(edge.executor.running),
                 "watched": len(edge.core.rule_checker.requests),
-                "tasks": len(self._tasks(name) - seat.idle),
-                "connections": max(self._streams(name) - seat.idle_streams, 0),
+                "tasks": len(self._task_names(name) - seat.idle_tasks),
+                "connections": max(self._stream_count(name) - seat.idle_streams, 0),
             }
             if any(left.values()):
-                self._found.append(
+                self._violations.append(
                     f"liveness: {name} is left with "
                     + ", ".join(f"{count} {what}" for what, count in left.items() if count)
-                    + f" {self._tasks(name) - seat.idle}"
+                    + f" {self._task_names(name) - seat.idle_tasks}"
                 )
         timers = len(self.sim.scheduler.timers)
-        if timers > IDLE_TIMERS:
-            self._found.append(f"liveness: {timers} timers are left; a fleet at rest has at most {IDLE_TIMERS}")
+        if timers > MAX_IDLE_TIMERS:
+            self._violations.append(
+                f"liveness: {timers} timers are left; a fleet at rest has at most {MAX_IDLE_TIMERS}"
+            )
         for name, engine in self._engines.items():
             held = [*engine.states, *engine.places]
-            if held or engine.load.running or engine.load.waiting or engine.load.memory:
-                self._found.append(f"liveness: {name} is left with {held}, {engine.load.running} running")
+            if held or engine.load.running or engine.load.waiting or engine.load.memory_tokens:
+                self._violations.append(f"liveness: {name} is left with {held}, {engine.load.running} running")
 
 
-def run_script(script: Script, say: Callable[[str], None] | None = None, count: bool = False) -> Outcome:
+def run_script(script: Script, print_line: Callable[[str], None] | None = None, count: bool = False) -> Outcome:
     """Play a script."""
-    return TrafficSimulation(script, say, count).run()
+    return TrafficSimulation(script, print_line, count).run()
