--- a/yardspindle/lab/clients.py
+++ b/yardspindle/lab/clients.py
@@ -1,7 +1,7 @@
-"""Scripted chat clients: sessions with shared openings, hang-ups, stalled reading, retries after a refusal.
+"""Generated chat clients: sessions with shared prefixes, hang-ups, stalled reading, retries after a refusal.
 
-All is drawn from a seed. Each try of a request is written down as the client saw it on its socket: when it was
-sent, its first token, and how it ended. What a client expects of a router is in the audit, not here.
+All choices come from a seed. Each try of a request is recorded as the client saw it on its socket: when it was sent,
+when its first token arrived, and how it ended. What the router owes a client is checked by the audit, not here.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.world import World
 
-LISTEN_GRACE_US = 1_000_000  # beyond its deadline a client still listens for so long, to see what comes late
+LISTEN_GRACE_US = 1_000_000  # a client reads on after its deadline, to record late answers
 WORDS = (
     "price",
     "of",
@@ -45,7 +45,7 @@
 
 
 class ClientClass(Struct, forbid_unknown_fields=True, frozen=True):
-    """A class of requests, as clients send it."""
+    """A class of requests: its share of all requests, the client's deadline, and the answer's length."""
 
     name: str
     share: float
@@ -54,20 +54,20 @@
 
 
 class ClientHabits(Struct, forbid_unknown_fields=True, frozen=True):
-    """How clients behave; parts of all requests."""
+    """How clients behave: probabilities per request, number of retries, and prompt sizes."""
 
     hang_up: float = 0.05
     stop_reading: float = 0.02
-    whole: float = 0.2
+    whole: float = 0.2  # that the answer is not streamed
     retries: int = 2
-    openings: int = 4
+    openings: int = 4  # shared prefixes
     opening_words: int = 400
-    words: int = 60
+    words: int = 60  # mean length of the part that is not shared
 
 
 @dataclass(frozen=True, slots=True)
 class RequestPlan:
-    """One request as drawn."""
+    """One drawn request. `hang_up_us` is 0 for a client that does not hang up."""
 
     number: int
     cls: ClientClass
@@ -83,7 +83,7 @@
 def draw_request(
     rng: random.Random, number: int, classes: tuple[ClientClass, ...], habits: ClientHabits
 ) -> RequestPlan:
-    """The request numbered so."""
+    """Draw the request with the given number."""
     cls = rng.choices(classes, [row.share for row in classes])[0]
     hangs_up = rng.random() < habits.hang_up
     return RequestPlan(
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True)
 class _TryResult:
-    """What the client has seen of a try."""
+    """What the client saw of one try."""
 
     outcome: str = ""
     code: str = ""
@@ -113,36 +113,38 @@
 
 
 class Clients:
-    """Sends drawn requests to the edges, each in a task of its own."""
+    """Sends drawn requests to the edges and records what comes back. Each request runs in its caller's task."""
 
-    def __init__(self, world: World, model: str, note: Callable[[dict[str, Any]], None], habits: ClientHabits) -> None:
-        """`note` takes the log's lines."""
+    def __init__(
+        self, world: World, model: str, record: Callable[[dict[str, Any]], None], habits: ClientHabits
+    ) -> None:
+        """`record` is called with each journal line."""
         self._world = world
         self._model = model
-        self._note = note
+        self._record = record
         self._habits = habits
         self._http = HttpClient(world, 1_000_000, 4_000_000)
 
     def request(self, plan: RequestPlan, edges: list[tuple[str, int]]) -> None:
-        """One request with its retries, each at the next edge."""
+        """Send a request and its retries, each to the next edge."""
         for attempt in range(1 + self._habits.retries):
             edge = edges[(plan.number + attempt) % len(edges)]
-            seen = self.send_once(plan, attempt, edge)
-            if seen.outcome not in ("refused", "unreachable") or attempt == self._habits.retries:
+            result = self.send_once(plan, attempt, edge)
+            if result.outcome not in ("refused", "unreachable") or attempt == self._habits.retries:
                 return
-            wait_us = int(seen.retry_ms * 1_000) or plan.pause_us
+            wait_us = int(result.retry_ms * 1_000) or plan.pause_us
             self._world.sleep_until(self._world.now_us() + wait_us)
 
     def close(self) -> None:
-        """Close the connections that are kept."""
+        """Close the pooled connections."""
         self._http.close_all()
 
     def send_once(self, plan: RequestPlan, attempt: int, edge: tuple[str, int]) -> _TryResult:
-        """One try, without a retry."""
+        """Send a request once and record how it ended."""
         name = f"q{plan.number}.{attempt}"
         started = self._world.now_us()
-        seen = _TryResult()
-        self._note(
+        result = _TryResult()
+        self._record(
             {
                 "t": started,
                 "ev": "send",
@@ -157,39 +159,39 @@
         try:
             with self._world.deadline(until) as deadline:
                 response = self._send(plan, name, edge)
-                seen.status = response.head.status
-                if seen.status != 200:
-                    self._read_refusal(seen, response)
+                result.status = response.head.status
+                if result.status != 200:
+                    self._read_refusal(result, response)
                 elif not plan.stream:
                     response.read_all()
                     response.close()
-                    seen.outcome, seen.events = "served", 1
+                    result.outcome, result.events = "served", 1
                 else:
-                    self._stream_started(seen, response)
-            if not seen.outcome:
-                self._read_stream(plan, seen, response)
+                    self._stream_started(result, response)
+            if not result.outcome:
+                self._read_stream(plan, result, response)
         except DeadlineExceeded:
             assert deadline.passed
-            seen.outcome, seen.code = ("left", "hung up") if plan.hang_up_us else ("late", "")
+            result.outcome, result.code = ("left", "hung up") if plan.hang_up_us else ("late", "")
         except ConnectError:
-            seen.outcome = "unreachable"
+            result.outcome = "unreachable"
         except ExchangeBroken as error:
-            seen.outcome, seen.code = "lost", str(error)
+            result.outcome, result.code = "lost", str(error)
         now = self._world.now_us()
-        self._note(
+        self._record(
             {
                 "t": now,
                 "ev": "final",
                 "try": name,
-                "outcome": seen.outcome,
-                "code": seen.code,
-                "status": seen.status,
-                "events": seen.events,
-                "extra": seen.extra,
-                "first_t": seen.first_token_us or now,
+                "outcome": result.outcome,
+                "code": result.code,
+                "status": result.status,
+                "events": result.events,
+                "extra": result.extra,
+                "first_t": result.first_token_us or now,
             }
         )
-        return seen
+        return result
 
     def _send(self, plan: RequestPlan, name: str, edge: tuple[str, int]) -> Response:
         opening = " ".join(WORDS[(plan.opening + at) % len(WORDS)] for at in range(self._habits.opening_words))
@@ -209,41 +211,41 @@
         headers: http1.Headers = [(b"content-type", b"application/json")]
         return self._http.request(*edge, b"POST", b"/v1/chat/completions", headers, body)
 
-    def _read_refusal(self, seen: _TryResult, response: Response) -> None:
+    def _read_refusal(self, result: _TryResult, response: Response) -> None:
         body: Any = msgspec.json.decode(response.read_all())
-        seen.code = str(body["error"]["code"])
-        advised = response.head.get(b"retry-after-ms")
-        seen.retry_ms = float(advised or 0)
-        seen.outcome = "refused" if seen.status in (429, 503) and advised else "failed"
+        result.code = str(body["error"]["code"])
+        retry_after = response.head.get(b"retry-after-ms")
+        result.retry_ms = float(retry_after or 0)
+        result.outcome = "refused" if result.status in (429, 503) and retry_after else "failed"
         response.close()
 
-    def _stream_started(self, seen: _TryResult, response: Response) -> None:
-        """Status and first token come together: the stream has begun."""
-        seen.first_token_us = self._world.now_us()
+    def _stream_started(self, result: _TryResult, response: Response) -> None:
+        """The edge sends the status with the first token, so its time is that of the first token."""
+        result.first_token_us = self._world.now_us()
 
-    def _read_stream(self, plan: RequestPlan, seen: _TryResult, response: Response) -> None:
+    def _read_stream(self, plan: RequestPlan, result: _TryResult, response: Response) -> None:
         parser = SseParser()
         try:
             if plan.stop_reading:
                 self._world.sleep_until(self._world.now_us() + plan.deadline_us)
-                seen.outcome = "left"
+                result.outcome = "left"
                 return
             while (piece := response.read()) is not None:
                 for event in parser.feed(piece):
-                    if seen.outcome:
-                        seen.extra += 1
+                    if result.outcome:
+                        result.extra += 1
                     elif event.data == b"[DONE]":
-                        seen.outcome = "served"
+                        result.outcome = "served"
                     elif event.kind == b"error":
-                        seen.outcome, seen.code = "failed", "stream_broken"
+                        result.outcome, result.code = "failed", "stream_broken"
                     else:
-                        seen.events += 1
+                        result.events += 1
         except ExchangeBroken as error:
-            if seen.outcome != "failed":  # a failed stream is closed without an end, on purpose
-                seen.outcome, seen.code = "lost", str(error)
+            if result.outcome != "failed":  # the edge closes a failed stream without a final chunk, on purpose
+                result.outcome, result.code = "lost", str(error)
         finally:
-            if seen.outcome in ("served", "failed") and response.connection.parser.buffered:
-                seen.extra += 1
+            if result.outcome in ("served", "failed") and response.connection.parser.buffered:
+                result.extra += 1
             response.close()
-        if not seen.outcome:
-            seen.outcome, seen.code = "lost", "the stream ended without [DONE]"
+        if not result.outcome:
+            result.outcome, result.code = "lost", "the stream ended without [DONE]"
--- a/yardspindle/lab/day.py
+++ b/yardspindle/lab/day.py
@@ -1,7 +1,7 @@
-"""A scripted bad day: a fleet of real processes, clients, troubles at their times, then the audit.
+"""A scripted day: a fleet of real processes, generated clients, faults at set times, and an audit of the journals.
 
-The file says what is there and what goes wrong; everything drawn comes from its seed. The day ends by itself:
-clients stop, what is open ends, all processes are ended by their ids, and the audit reads the two journals.
+A file describes the fleet, the load and the faults; all random choices come from its seed. The run ends by itself: the
+clients stop, open requests end, all processes are stopped by their ids, and the audit reads the two journals.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class DayClass(Struct, forbid_unknown_fields=True, frozen=True):
-    """A class, for the router and for its clients."""
+    """A request class, as the router and its clients are configured with it."""
 
     name: str
     effect: Literal["safe", "unsafe"]
@@ -42,7 +42,7 @@
 
 
 class DayFault(Struct, forbid_unknown_fields=True, frozen=True):
-    """What goes wrong, when, and where: a box by name, or one drawn of a role or a rack (cell)."""
+    """A fault, its time and target: an engine by name or drawn by role, or all engines of a rack (cell)."""
 
     at_s: Annotated[float, Meta(ge=0)]
     do: Literal[
@@ -68,11 +68,11 @@
     dispatcher: int = 0
     factor: float = 1.0
     down_s: float = 1.0
-    when: Literal["read", "move", "stream", ""] = ""  # strike a box as soon as it is seen at this
+    when: Literal["read", "move", "stream", ""] = ""  # apply it to the first engine seen at this stage
 
 
 class Day(Struct, forbid_unknown_fields=True, frozen=True):
-    """The file."""
+    """A day, as its file describes it."""
 
     seed: int
     seconds: Annotated[float, Meta(gt=0, le=3_600)]
@@ -90,19 +90,19 @@
 
 
 def load_day(path: str) -> Day:
-    """Read a day's file. Raises ConfigError and OSError."""
+    """Read the file of a day. Raises ConfigError and OSError."""
     with open(path, "rb") as file:
         day = decode_toml(path, file.read(), Day)
     if not day.classes:
         raise ConfigError(f"{path}: classes: empty")
     names = set(_engine_names(day))
-    for at, trouble in enumerate(day.troubles):
-        if trouble.box and trouble.box not in names:
-            raise ConfigError(f"{path}: troubles[{at}].box: no such box: {trouble.box}")
-        if trouble.rack >= day.racks:
-            raise ConfigError(f"{path}: troubles[{at}].rack: there are {day.racks}")
-        if trouble.dispatcher >= day.dispatchers:
-            raise ConfigError(f"{path}: troubles[{at}].dispatcher: there are {day.dispatchers}")
+    for index, fault in enumerate(day.troubles):
+        if fault.box and fault.box not in names:
+            raise ConfigError(f"{path}: troubles[{index}].box: no such box: {fault.box}")
+        if fault.rack >= day.racks:
+            raise ConfigError(f"{path}: troubles[{index}].rack: must be below {day.racks}")
+        if fault.dispatcher >= day.dispatchers:
+            raise ConfigError(f"{path}: troubles[{index}].dispatcher: must be below {day.dispatchers}")
     return day
 
 
@@ -116,12 +116,12 @@
 
 
 class DayRun:
-    """One playing of a day."""
+    """One run of a day."""
 
     def __init__(
         self, world: RealWorld, day: Day, print_line: Callable[[str], None], journal_folder: str | None = None
     ) -> None:
-        """`say` gets lines for people; `keep` is a folder for the journals."""
+        """`print_line` gets progress messages; `journal_folder` keeps the journals after the run."""
         self.world = world
         self.day = day
         self.print_line = print_line
@@ -169,21 +169,21 @@
                 },
                 EngineSettings,
             )
-            settings = msgspec.structs.replace(settings, cold_ms=0.0)  # all are warm when the day begins
+            settings = msgspec.structs.replace(settings, cold_ms=0.0)  # all are warm at the start
             self.fleet.engines.append(EngineInstance(settings, rack, kind))
         self.http = HttpClient(world, 1_000_000, 1_000_000)
 
     def run(self) -> AuditReport:
-        """Play the day and audit it."""
+        """Run the day and audit its journals."""
         day, world = self.day, self.world
         try:
-            self.print_line(f"starting {len(self.fleet.engines)} boxes and {day.dispatchers} dispatchers")
+            self.print_line(f"starting {len(self.fleet.engines)} engines and {day.dispatchers} dispatchers")
             self.fleet.start()
-            self.fleet.engines = [self._cold_from_now(box) for box in self.fleet.engines]
+            self.fleet.engines = [self._cold_from_now(engine) for engine in self.fleet.engines]
             started = world.now_us()
-            troubles = [world.spawn("trouble", self._run_fault, trouble, started) for trouble in day.troubles]
+            faults = [world.spawn("trouble", self._run_fault, fault, started) for fault in day.troubles]
             requests = self._send_requests(started)
-            for task in (*requests, *troubles):
+            for task in (*requests, *faults):
                 task.join()
             world.sleep_until(world.now_us() + SETTLE_US)
         finally:
@@ -195,19 +195,19 @@
                 report.add_violation("programs end in order", f"{name} ended with {code}")
         return report
 
-    def _cold_from_now(self, box: EngineInstance) -> EngineInstance:
-        box.settings = msgspec.structs.replace(box.settings, cold_ms=self.day.cold_ms)
-        return box
+    def _cold_from_now(self, engine: EngineInstance) -> EngineInstance:
+        engine.settings = msgspec.structs.replace(engine.settings, cold_ms=self.day.cold_ms)
+        return engine
 
     def audit(self) -> AuditReport:
-        """Audit the journals as they are."""
+        """Audit the journals written so far."""
         rules = self.day.rules
-        figures = AuditLimits(
+        limits = AuditLimits(
             release_ms=rules.get("release_ms", 300.0),
             drain_grace_ms=rules.get("drain_grace_ms", 500.0),
             unsafe=tuple(c.name for c in self.day.classes if c.effect == "unsafe"),
         )
-        return audit_journals(read_journal(self.client_journal), read_journal(self.engine_journal), figures)
+        return audit_journals(read_journal(self.client_journal), read_journal(self.engine_journal), limits)
 
     def _send_requests(self, started: int) -> list[Any]:
         day, world = self.day, self.world
@@ -229,7 +229,7 @@
         self.print_line(f"{number} requests sent")
         return tasks
 
-    # --- troubles
+    # --- faults
 
     def _run_fault(self, fault: DayFault, started: int) -> None:
         self.world.sleep_until(started + int(fault.at_s * 1e6))
@@ -238,65 +238,65 @@
             self.print_line(f"{fault.at_s:6.1f} s  {fault.do} {dispatcher.number}")
             return self._apply_to_planner(fault, dispatcher)
         if fault.do == "restart_rack":
-            boxes = [box for box in self.fleet.engines if box.cell == fault.rack and box.listed]
+            engines = [engine for engine in self.fleet.engines if engine.cell == fault.rack and engine.listed]
         else:
             candidates = [
-                box
-                for box in self.fleet.engines
-                if box.child is not None
-                and box.child.running()
-                and box.state == "serving"
-                and box.kind.startswith(fault.role)
+                engine
+                for engine in self.fleet.engines
+                if engine.child is not None
+                and engine.child.running()
+                and engine.state == "serving"
+                and engine.kind.startswith(fault.role)
             ]
-            named = [box for box in self.fleet.engines if box.settings.name == fault.box]
-            boxes = named or (
+            named = [engine for engine in self.fleet.engines if engine.settings.name == fault.box]
+            engines = named or (
                 [self._wait_for_stage(fault.when, candidates)] if fault.when else self.rng.sample(candidates, 1)
             )
-        self.print_line(f"{fault.at_s:6.1f} s  {fault.do} {', '.join(box.settings.name for box in boxes)}")
-        for box in boxes:
-            self._apply_to_engine(fault, box)
+        self.print_line(f"{fault.at_s:6.1f} s  {fault.do} {', '.join(engine.settings.name for engine in engines)}")
+        for engine in engines:
+            self._apply_to_engine(fault, engine)
         if fault.do in ("restart", "restart_rack"):
             self.world.sleep_until(self.world.now_us() + int(fault.down_s * 1e6))
-            for box in boxes:
-                self.fleet.launch_engine(box)
-            for box in boxes:
-                self.fleet.wait_engine_ready(box)
+            for engine in engines:
+                self.fleet.launch_engine(engine)
+            for engine in engines:
+                self.fleet.wait_engine_ready(engine)
             self.fleet.write_list()
 
     def _wait_for_stage(self, when: str, candidates: list[EngineInstance]) -> EngineInstance:
-        """The first box that its journal shows in the middle of a read, a move or a stream."""
+        """Wait until the journal shows a candidate in a read, a move (of a state) or a stream; returns that engine."""
         at = os.path.getsize(self.engine_journal)
-        boxes = {box.settings.name: box for box in candidates}
+        engines = {engine.settings.name: engine for engine in candidates}
         while True:
             with open(self.engine_journal, "rb") as file:
                 file.seek(at)
                 data = file.read()
-            whole = data.rfind(b"\n") + 1
-            at += whole
-            for line in map(msgspec.json.decode, data[:whole].splitlines()):
-                seen = {"run": "stream"}.get(line["ev"]) or (
+            complete = data.rfind(b"\n") + 1
+            at += complete
+            for line in map(msgspec.json.decode, data[:complete].splitlines()):
+                stage = {"run": "stream"}.get(line["ev"]) or (
                     {"read": "read", "write": "move"}[line["stage"]] if line["ev"] == "arrive" else ""
                 )
-                if seen == when and line["box"] in boxes:
-                    return boxes[line["box"]]
+                if stage == when and line["box"] in engines:
+                    return engines[line["box"]]
             self.world.sleep_until(self.world.now_us() + 2_000)
 
-    def _apply_to_engine(self, fault: DayFault, box: EngineInstance) -> None:
+    def _apply_to_engine(self, fault: DayFault, engine: EngineInstance) -> None:
         match fault.do:
             case "kill" | "restart" | "restart_rack":
-                self._kill_engine(box)
+                self._kill_engine(engine)
             case "drain" | "remove":
-                box.state, box.listed = "draining", fault.do == "drain"
+                engine.state, engine.listed = "draining", fault.do == "drain"
                 self.fleet.write_list()
-                self.send_control(box, "listed_draining")
+                self.send_control(engine, "listed_draining")
             case _:
-                self.send_control(box, fault.do, fault.factor)
+                self.send_control(engine, fault.do, fault.factor)
 
-    def _kill_engine(self, box: EngineInstance) -> None:
-        assert box.child is not None
-        box.child.send(signal.SIGKILL)
-        box.child.wait(self.world.now_us() + 5_000_000)
-        line = {"t": self.world.now_us(), "box": box.settings.name, "ev": "killed", "id": ""}
+    def _kill_engine(self, engine: EngineInstance) -> None:
+        assert engine.child is not None
+        engine.child.send(signal.SIGKILL)
+        engine.child.wait(self.world.now_us() + 5_000_000)
+        line = {"t": self.world.now_us(), "box": engine.settings.name, "ev": "killed", "id": ""}
         self.world.append_file(self.engine_journal, msgspec.json.encode(line) + b"\n")
 
     def _apply_to_planner(self, fault: DayFault, dispatcher: Dispatcher) -> None:
@@ -311,20 +311,20 @@
         self.fleet.launch_planner(dispatcher)
         self.fleet.wait_planner_ready(dispatcher)
 
-    def send_control(self, box: EngineInstance, do: str, factor: float = 1.0) -> None:
-        """Tell a box to misbehave."""
+    def send_control(self, engine: EngineInstance, do: str, factor: float = 1.0) -> None:
+        """Send an engine a fault command."""
         try:
             with self.world.deadline(self.world.now_us() + 2_000_000):
                 response = self.http.request(
-                    "127.0.0.1", box.port, b"POST", CONTROL, [], msgspec.json.encode({"do": do, "factor": factor})
+                    "127.0.0.1", engine.port, b"POST", CONTROL, [], msgspec.json.encode({"do": do, "factor": factor})
                 )
                 response.read_all()
                 response.close()
         except (ConnectError, ExchangeBroken, DeadlineExceeded) as error:
-            self.print_line(f"{box.settings.name} did not hear {do}: {error}")
+            self.print_line(f"{engine.settings.name} did not answer {do}: {error}")
 
 
 def read_journal(path: str) -> list[dict[str, Any]]:
-    """A journal's lines."""
+    """The lines of a journal, decoded."""
     with open(path, "rb") as file:
         return [msgspec.json.decode(line) for line in file if line.strip()]
--- a/yardspindle/lab/fault_injection.py
+++ b/yardspindle/lab/fault_injection.py
@@ -1,7 +1,7 @@
-"""What each fault of a script does to a virtual fleet, and how it is taken back.
+"""Injects the faults of a script into a simulated fleet, and undoes them.
 
-A fault starts, lasts and ends in a task of its own. Whoever makes trouble tells the audit what a client or box could
-not write down: kills, stalls, and when a box cannot be reached.
+Each fault begins, lasts and ends in a task of its own. The audit is sent what clients and engines cannot record
+themselves: kills, stalls, and the times when an engine cannot be reached.
 """
 
 from __future__ import annotations
@@ -14,21 +14,22 @@
 from yardspindle.lab.simulated_fleet import SimulatedFleet
 from yardspindle.runtime.virtual import VirtualWorld
 
-RELEASE_RETRY_US = 2_300_000  # a release that could not be told goes out again after its time-out and its longest pause
+RELEASE_RETRY_US = 2_300_000  # a lost release is sent again after its time-out and the longest back-off
 FLOOD_REQUESTS = 60
 CLOCK_STEP_US = 150_000
 
 
 def inject(fleet: SimulatedFleet, fault: Fault) -> None:
-    """Let it happen; returns when it is over."""
+    """Wait for the fault's time, apply it, wait for its duration and undo it."""
     sim = fleet.sim
     sim.scheduler.sleep_until(fleet.started_us + fault.at_ms * 1_000)
     undo = _INJECTORS[fault.kind](fleet, fault)
     sim.scheduler.sleep_until(sim.now_us() + fault.for_ms * 1_000)
-    if undo is not None:  # not when the run is stopped meanwhile: nothing may start anew then
+    if undo is not None:  # not reached if the run is stopped meanwhile: nothing may start again then
         undo()
 
 
+# Applies a fault; returns what undoes it, or None if there is nothing to undo.
 Undo = Callable[[], None] | None
 Injector = Callable[[SimulatedFleet, Fault], Undo]
 
@@ -115,15 +116,15 @@
 
 
 def _drain_engine(fleet: SimulatedFleet, fault: Fault) -> Undo:
-    box = fleet.instances[fault.on]
-    if box.state != "serving" or not box.listed:
+    instance = fleet.instances[fault.on]
+    if instance.state != "serving" or not instance.listed:
         return None
-    box.state, box.listed = "draining", fault.kind == "box draining"
+    instance.state, instance.listed = "draining", fault.kind == "box draining"
     fleet.write_list()
     fleet.record_draining(fault.on)
 
     def undo() -> None:
-        box.state, box.listed = "serving", True
+        instance.state, instance.listed = "serving", True
         fleet.record(ev="control", box=fault.on, id="", do="listed_serving")
         fleet.write_list()
 
@@ -196,19 +197,20 @@
     return None
 
 
-def _cut(near: str, far: str, fleet: SimulatedFleet, blind: str) -> Undo:
+def _cut(near: str, far: str, fleet: SimulatedFleet, unreachable: str) -> Undo:
+    """Drop traffic one way. `unreachable` names the engine that the audit excuses; empty for the planner's link."""
     network = fleet.sim.network
     network.cut(near, far)
-    if blind:
-        fleet.record(ev="blind", box=blind, id="")
+    if unreachable:
+        fleet.record(ev="blind", box=unreachable, id="")
     else:
         fleet.mark_list_outage(True)
 
     def undo() -> None:
         network.restore(near, far)
-        if blind:
+        if unreachable:
             fleet.sim.scheduler.timers.set(
-                fleet.sim.now_us() + RELEASE_RETRY_US, lambda: fleet.record(ev="seen", box=blind, id="")
+                fleet.sim.now_us() + RELEASE_RETRY_US, lambda: fleet.record(ev="seen", box=unreachable, id="")
             )
         else:
             fleet.mark_list_outage(False)
@@ -217,13 +219,13 @@
 
 
 def _break_connects(fleet: SimulatedFleet, fault: Fault) -> Undo:
-    way = fleet.sim.network.path(fault.other, fault.on)
+    path = fleet.sim.network.path(fault.other, fault.on)
     name = "refused" if fault.kind.endswith("refused") else "hanging"
-    setattr(way, name, getattr(way, name) + 1)
+    setattr(path, name, getattr(path, name) + 1)
     fleet.record(ev="blind", box=fault.on, id="")
 
     def undo() -> None:
-        setattr(way, name, getattr(way, name) - 1)
+        setattr(path, name, getattr(path, name) - 1)
         fleet.sim.scheduler.timers.set(
             fleet.sim.now_us() + RELEASE_RETRY_US, lambda: fleet.record(ev="seen", box=fault.on, id="")
         )
@@ -232,29 +234,29 @@
 
 
 def _degrade_network(fleet: SimulatedFleet, fault: Fault) -> Undo:
-    ways = [fleet.sim.network.path(*pair) for edge in EDGE_NAMES for pair in ((edge, fault.on), (fault.on, edge))]
-    kept = [(way.latency_us, way.bytes_per_s) for way in ways]
-    for way in ways:
+    paths = [fleet.sim.network.path(*pair) for edge in EDGE_NAMES for pair in ((edge, fault.on), (fault.on, edge))]
+    previous = [(path.latency_us, path.bytes_per_s) for path in paths]
+    for path in paths:
         if fault.kind == "box far":
-            way.latency_us = (1_000, int(1_000 + 2_500 * fault.factor))
+            path.latency_us = (1_000, int(1_000 + 2_500 * fault.factor))
         else:
-            way.bytes_per_s = 500_000 / fault.factor
+            path.bytes_per_s = 500_000 / fault.factor
 
     def undo() -> None:
-        for way, (latency_us, bytes_per_s) in zip(ways, kept, strict=True):
-            way.latency_us, way.bytes_per_s = latency_us, bytes_per_s
+        for path, (latency_us, bytes_per_s) in zip(paths, previous, strict=True):
+            path.latency_us, path.bytes_per_s = latency_us, bytes_per_s
 
     return undo
 
 
 def _slow_link(fleet: SimulatedFleet, fault: Fault) -> Undo:
-    ways = [fleet.sim.network.path(*pair) for pair in ((fault.on, PLANNER), (PLANNER, fault.on))]
-    for way in ways:
-        way.latency_us = (1_000, int(1_000 + 10_000 * fault.factor))
+    paths = [fleet.sim.network.path(*pair) for pair in ((fault.on, PLANNER), (PLANNER, fault.on))]
+    for path in paths:
+        path.latency_us = (1_000, int(1_000 + 10_000 * fault.factor))
 
     def undo() -> None:
-        for way in ways:
-            way.latency_us = type(way)().latency_us
+        for path in paths:
+            path.latency_us = type(path)().latency_us
 
     return undo
 
@@ -266,13 +268,13 @@
 
 
 def _disturb_events(fleet: SimulatedFleet, fault: Fault) -> Undo:
-    ways = [fleet.sim.network.path(fault.on, edge) for edge in EDGE_NAMES]
-    for way in ways:
-        way.loss_rate, way.duplicate_rate, way.reorder_rate = 0.3, 0.3, 0.3
+    paths = [fleet.sim.network.path(fault.on, edge) for edge in EDGE_NAMES]
+    for path in paths:
+        path.loss_rate, path.duplicate_rate, path.reorder_rate = 0.3, 0.3, 0.3
 
     def undo() -> None:
-        for way in ways:
-            way.loss_rate = way.duplicate_rate = way.reorder_rate = 0.0
+        for path in paths:
+            path.loss_rate = path.duplicate_rate = path.reorder_rate = 0.0
 
     return undo
 
@@ -287,8 +289,8 @@
     for _ in range(FLOOD_REQUESTS):
         fleet.add_request(
             int(rng.random() * 400_000),
-            leaves=fault.kind == "flood of hang-ups",
-            half=fault.kind == "half-closing clients",
+            hangs_up=fault.kind == "flood of hang-ups",
+            half_closes=fault.kind == "half-closing clients",
         )
     return None
 
--- a/yardspindle/lab/script.py
+++ b/yardspindle/lab/script.py
@@ -1,8 +1,8 @@
-"""Scripts of seeded worlds: which requests come and what goes wrong, drawn from a seed as plain data.
+"""Scripts of simulated runs: requests and faults, drawn from a seed as plain data.
 
-A script is all that a run depends on. It can be printed, cut down request by request and fault by fault, kept in a
-test and played again. What goes wrong overlaps more often than not: half of the faults fall inside an earlier one's
-time, and half of those on the same target, so that rare combinations come up.
+A run depends on its script alone. A script can be printed, shrunk request by request and fault by fault, kept in a
+test and run again. Faults often overlap: half of them begin during an earlier fault, and half of those have the same
+target, so that rare combinations occur.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from msgspec import Struct
 
-EDGE_COUNT, RACK_COUNT, READERS_PER_RACK, WRITERS_PER_RACK = 2, 2, 2, 2  # of each rack, the last two
+EDGE_COUNT, RACK_COUNT, READERS_PER_RACK, WRITERS_PER_RACK = 2, 2, 2, 2
 ENGINE_NAMES = tuple(
     f"{kind}{rack}-{number}"
     for rack in range(RACK_COUNT)
@@ -20,24 +20,25 @@
 )
 EDGE_NAMES = tuple(f"edge{number}" for number in range(EDGE_COUNT))
 PLANNER = "planner"
-LINK_RECOVERY_US = 2_500_000  # until an edge whose link was down has it again, at the longest
+LINK_RECOVERY_US = 2_500_000  # the longest time until an edge has its link back after a cut
 REQUEST_COUNT_RANGE = (50, 70)
 FAULT_COUNT_RANGE = (5, 14)
 
-# kind: (targets, shortest ms, longest ms). What the users have seen is among them, by their words in the comments.
+# kind: (target, shortest duration, longest duration in ms). Kinds include failures that users reported. In the names,
+# "box" is an engine, "move" a state's transfer from reader to writer, and "link" the one between edge and planner.
 FAULT_KINDS: dict[str, tuple[str, int, int]] = {
     "box hangs": ("box", 50, 3_000),
     "box stalls": ("box", 20, 2_000),
-    "box dies": ("box", 50, 4_000),  # and comes back cold
+    "box dies": ("box", 50, 4_000),  # and restarts cold
     "box slow": ("box", 100, 3_000),
     "box full": ("box", 50, 2_000),
     "box forgets": ("box", 0, 0),
     "box resets": ("box", 20, 500),
     "box draining": ("box", 500, 3_000),
-    "box gone": ("box", 500, 3_000),  # off the list
+    "box gone": ("box", 500, 3_000),  # removed from the server list
     "rack dies": ("rack", 50, 3_000),  # and restarts together
     "rack hangs": ("rack", 50, 1_500),
-    "all slow": ("", 200, 3_000),  # every box together
+    "all slow": ("", 200, 3_000),  # all engines at once
     "all forget": ("", 0, 0),
     "edge dies": ("edge", 50, 2_000),
     "edge stalls": ("edge", 20, 1_500),
@@ -46,7 +47,7 @@
     "planner stalls": ("", 20, 3_000),
     "planner clock": ("", 0, 0),
     "link reset": ("edge", 0, 0),
-    "link cut up": ("edge", 20, 3_000),  # towards the planner only
+    "link cut up": ("edge", 20, 3_000),  # from edge to planner only
     "link cut down": ("edge", 20, 3_000),
     "link slow": ("edge", 100, 3_000),
     "box cut there": ("edge box", 20, 3_000),
@@ -57,7 +58,7 @@
     "box far": ("box", 100, 3_000),
     "box narrow": ("box", 100, 3_000),
     "move cut": ("move", 20, 3_000),  # writer to reader
-    "events bad": ("box", 200, 4_000),  # lost, doubled, out of order
+    "events bad": ("box", 200, 4_000),  # cache events lost, duplicated, reordered
     "list bad": ("", 100, 2_000),
     "list half": ("", 20, 1_000),
     "list missing": ("", 100, 2_000),
@@ -68,7 +69,7 @@
 
 
 class Fault(Struct, frozen=True, forbid_unknown_fields=True):
-    """One thing that goes wrong."""
+    """A fault: its kind, time, duration and targets. `factor` is its strength."""
 
     kind: str
     at_ms: int
@@ -78,13 +79,13 @@
     factor: float = 1.0
 
     def __str__(self) -> str:
-        """For people."""
+        """One readable line."""
         what = " ".join((self.kind, *(name for name in (self.on, self.other) if name)))
         return f"{self.at_ms:6} ms  {what} for {self.for_ms} ms, factor {self.factor:.2f}"
 
 
 class Script(Struct, frozen=True, forbid_unknown_fields=True):
-    """One world. `requests`: number and time (ms) of each."""
+    """All that a run depends on. `requests`: number and time (ms) of each."""
 
     seed: int
     requests: tuple[tuple[int, int], ...]
@@ -92,7 +93,7 @@
 
 
 def draw_script(seed: int) -> Script:
-    """The world of a seed."""
+    """Draw the script of a seed."""
     rng = random.Random(f"script {seed}")
     count = rng.randint(*REQUEST_COUNT_RANGE)
     rate_per_s = rng.choice((8.0, 20.0, 60.0, 200.0))
@@ -109,7 +110,7 @@
 def _draw_fault(rng: random.Random, before: list[Fault], last_ms: int) -> Fault:
     kind = rng.choice(tuple(FAULT_KINDS))
     targets, shortest, longest = FAULT_KINDS[kind]
-    for_ms = int(shortest + (longest - shortest) * rng.random() ** 2)  # the short ones more often
+    for_ms = int(shortest + (longest - shortest) * rng.random() ** 2)  # short durations are more likely
     at_ms = rng.randint(100, max(last_ms, 101))
     on = other = ""
     earlier = rng.choice(before) if before and rng.random() < 0.5 else None
@@ -135,7 +136,7 @@
 
 
 def overlapping_kinds(script: Script, after_ms: int = 500) -> list[tuple[str, str]]:
-    """Pairs of kinds whose times (and a while after) overlap, each pair in order of its names."""
+    """Pairs of kinds that overlap in time, counting `after_ms` after each; each pair sorted by name."""
     pairs = []
     for at, first in enumerate(script.faults):
         for second in script.faults[at + 1 :]:
--- a/yardspindle/lab/seeds.py
+++ b/yardspindle/lab/seeds.py
@@ -1,8 +1,8 @@
-"""Many seeded worlds: played on several cores, counted, and a failing one cut down to what still fails.
+"""Runs many seeds on several cores, sums up the results, and shrinks a failing script to what still fails.
 
-A worker process plays one world after the other with the cyclic collector off but for a round every few worlds: a
-world is one large graph that is dropped whole. What a world does never depends on the worker or on what it played
-before.
+A worker process runs one simulation after another. Automatic garbage collection is off, with a collection every few
+runs: a simulation is one large object graph that is dropped as a whole. A run never depends on its worker or on
+earlier runs.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class SeedSummary:
-    """What many worlds came to."""
+    """Results of many runs."""
 
     runs: int = 0
     failed: dict[int, str] = field(default_factory=dict)
@@ -37,18 +37,18 @@
     virtual_ms: int = 0
 
     def add(self, outcome: Outcome) -> None:
-        """One more world."""
+        """Add the result of a run."""
         self.runs += 1
         if outcome.breaks:
             self.failed[outcome.seed] = outcome.breaks[0]
-        if outcome.trace:  # a world of traffic: those of the fleet have scripts of their own
+        if outcome.trace:  # a traffic run: fleet runs have scripts of another kind
             self.fault_pairs.update(overlapping_kinds(draw_script(outcome.seed)))
         self.transitions.update(outcome.transitions)
         self.counts.update(outcome.tally)
         self.virtual_ms += outcome.virtual_ms
 
     def summary(self) -> str:
-        """For people."""
+        """The summary as text."""
         states = {name for step in self.transitions for name in step.split(" -> ")}
         rows = [f"worlds played: {self.runs}, {self.virtual_ms / 3_600_000:.1f} virtual hours"]
         if self.fault_pairs:
@@ -65,7 +65,7 @@
 
 
 def _start_worker(quiet: bool) -> None:
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent stops; a worker ends with it
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C is handled by the parent, which stops its workers
     gc.disable()
     if quiet:
         structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(CRITICAL_LEVEL))
@@ -79,7 +79,7 @@
 
 
 def run_guarded(script: Script, count: bool = False) -> Outcome:
-    """Play a script; a run that fails itself is a finding too."""
+    """Run a script; an exception that ends the run counts as a violation."""
     try:
         return run_script(script, count=count)
     except Exception as error:
@@ -96,59 +96,59 @@
 def run_seeds(
     first: int, count: int, jobs: int, transitions: bool, world: str = "traffic"
 ) -> Generator[Outcome, None, None]:
-    """Outcomes as they come, in any order. Closing the iterator ends the workers.
+    """Yield outcomes in the order of completion. Closing the iterator ends the workers.
 
     `world`: `traffic` (edges, planner, engines, clients) or `fleet` (stewards, store, dispatchers, engines).
     """
-    jobs_of = ((seed, transitions) for seed in range(first, first + count))
-    one = _run_fleet if world == "fleet" else _run_traffic
+    inputs = ((seed, transitions) for seed in range(first, first + count))
+    run = _run_fleet if world == "fleet" else _run_traffic
     with multiprocessing.get_context("spawn").Pool(jobs, _start_worker, (True,)) as pool:
-        yield from pool.imap_unordered(one, jobs_of, chunksize=4)
+        yield from pool.imap_unordered(run, inputs, chunksize=4)
 
 
 def shrink(script: Script, print_line: Callable[[str], None], fails: Callable[[Script], str] | None = None) -> Script:
-    """Fewest faults and requests that still break the same rule. Raises ValueError when nothing breaks."""
+    """Reduce a script while it still violates the same rule. Raises ValueError if it violates none."""
     fails = fails or first_violated_rule
     rule = fails(script)
     if not rule:
         raise ValueError("this world breaks nothing")
 
-    def still(candidate: Script) -> bool:
+    def still_fails(candidate: Script) -> bool:
         assert fails is not None
         return fails(candidate) == rule
 
     before: Script | None = None
     while before != script:
         before = script
-        script = _fewer_faults(script, still)
-        script = _fewer_requests(script, still)
-        script = _shorter_faults(script, still)
+        script = _fewer_faults(script, still_fails)
+        script = _fewer_requests(script, still_fails)
+        script = _shorter_faults(script, still_fails)
         print_line(f"{rule}: {len(script.faults)} faults, {len(script.requests)} requests")
     return script
 
 
 def first_violated_rule(script: Script) -> str:
-    """The rule that a script breaks first, or nothing."""
+    """The rule that a script violates first, or an empty string."""
     breaks = run_guarded(script).breaks
     return breaks[0].partition(":")[0] if breaks else ""
 
 
-def _fewer_faults(script: Script, still: Callable[[Script], bool]) -> Script:
+def _fewer_faults(script: Script, still_fails: Callable[[Script], bool]) -> Script:
     for fault in script.faults:
         fewer = msgspec.structs.replace(script, faults=tuple(row for row in script.faults if row is not fault))
-        if still(fewer):
+        if still_fails(fewer):
             script = fewer
     return script
 
 
-def _fewer_requests(script: Script, still: Callable[[Script], bool]) -> Script:
-    """Cut out pieces, half of all first, then ever smaller ones."""
+def _fewer_requests(script: Script, still_fails: Callable[[Script], bool]) -> Script:
+    """Remove runs of requests: first half of them, then ever smaller runs."""
     size = max(len(script.requests) // 2, 1)
     while True:
         at = 0
         while at < len(script.requests):
             fewer = msgspec.structs.replace(script, requests=script.requests[:at] + script.requests[at + size :])
-            if still(fewer):
+            if still_fails(fewer):
                 script = fewer
             else:
                 at += size
@@ -157,12 +157,12 @@
         size //= 2
 
 
-def _shorter_faults(script: Script, still: Callable[[Script], bool]) -> Script:
+def _shorter_faults(script: Script, still_fails: Callable[[Script], bool]) -> Script:
     for at, fault in enumerate(script.faults):
         while fault.for_ms > 1:
             half: Fault = msgspec.structs.replace(fault, for_ms=fault.for_ms // 2)
             shorter = msgspec.structs.replace(script, faults=script.faults[:at] + (half,) + script.faults[at + 1 :])
-            if not still(shorter):
+            if not still_fails(shorter):
                 break
             script, fault = shorter, half
     return script
--- a/yardspindle/lab/simulated_fleet.py
+++ b/yardspindle/lab/simulated_fleet.py
@@ -1,6 +1,6 @@
-"""A whole fleet on the virtual World: the programs as they run on sockets, and what troubles may do to them.
+"""A whole fleet on the virtual World: the real edge and planner programs, stand-in engines, clients, and faults.
 
-What clients and boxes see goes to the audit as it happens, and the run stops at the step that breaks a rule.
+What clients and engines see goes to the audit as it happens, and the run stops at the step that violates a rule.
 """
 
 from __future__ import annotations
@@ -38,6 +38,7 @@
 COLD_MS = 2_000.0
 RULES = {"cold_ms": COLD_MS, "start_capacity": 0.3, "fall_ms": 500.0, "fall_multiple": 1.2}
 AUDIT_LIMITS = AuditLimits(slack_ms=150.0, left_ms=200.0, list_ms=0.0, unsafe=("order",))
+# Faults during which a planner may decide too late, so that the edge applies its own time limits.
 PLANNER_DELAY_KINDS = {
     "planner stalls",
     "planner clock",
@@ -48,7 +49,7 @@
     "link slow",
 }
 CHECK_INTERVAL_US = 50_000
-LIST_PROPAGATION_US = 250_000  # until every edge has heard of a list that was written
+LIST_PROPAGATION_US = 250_000  # until a written list has reached every edge
 DOCUMENT: dict[str, Any] = {
     "classes": [
         {"name": c.name, "effect": effect, "aim_ms": 1_000, "give_up_ms": c.give_up_ms}
@@ -62,19 +63,19 @@
 
 
 class RuleViolated(Exception):
-    """A rule was broken at this step."""
+    """Ends a run at the step that violated a rule."""
 
 
 class RecordingEngine(StandInEngine):
-    """A stand-in that tells the run, on the true clock, what it would write down."""
+    """A stand-in engine whose journal lines go to the audit, with the simulation's clock instead of its own."""
 
     def __init__(self, fleet: SimulatedFleet, world: VirtualWorld, settings: EngineSettings) -> None:
-        """See Engine."""
+        """See StandInEngine."""
         self._fleet = fleet
         super().__init__(world, settings)
 
     def record(self, event: str, request: str = "", **more: object) -> None:
-        """See Engine."""
+        """See StandInEngine."""
         world = self.world
         assert isinstance(world, VirtualWorld)
         if world.alive:
@@ -83,21 +84,21 @@
 
 @dataclass(slots=True)
 class _EdgeSlot:
-    """An edge of the fleet, whichever start of it runs."""
+    """An edge of the fleet, over all its restarts."""
 
     edge: Edge | None = None
     port: int = 0
-    idle_tasks: Counter[str] = field(default_factory=Counter)  # tasks of one that has nothing to do
+    idle_tasks: Counter[str] = field(default_factory=Counter)  # tasks of an edge that serves no request
     idle_streams: int = 0
 
 
 class SimulatedFleet:
-    """Everything of one run."""
+    """Programs, clients, server list and audit of one run."""
 
     def __init__(
         self, script: Script, print_line: Callable[[str], None] | None = None, count_transitions: bool = False
     ) -> None:
-        """`say` gets a line for all that is seen; `count`: count transitions of the edges' life cycles."""
+        """`print_line` gets each journal line; `count_transitions`: count the phase transitions of requests."""
         self.script = script
         self.sim = Simulation(script.seed)
         self.audit = Audit(AUDIT_LIMITS)
@@ -108,7 +109,7 @@
         self._edges = {name: _EdgeSlot() for name in EDGE_NAMES}
         self._planner_port = 0
         self._planner: Planner | None = None
-        self._published_lists: set[frozenset[str]] = {frozenset()}  # all that were ever written whole
+        self._published_lists: set[frozenset[str]] = {frozenset()}  # names in every list ever written
         self._print_line, self._count_transitions = print_line, count_transitions
         self._trace_hash = hashlib.sha256()
         self._list_fault = ""
@@ -123,15 +124,13 @@
         self._violations: list[str] = []
         self._main_task: Task | None = None
         self._stopped = False
-        self._planner_may_be_late = any(
-            fault.kind in PLANNER_DELAY_KINDS for fault in script.faults
-        )  # a planner may be too late to decide
+        self._planner_may_be_late = any(fault.kind in PLANNER_DELAY_KINDS for fault in script.faults)
         self.sim.files[SERVERS] = b""
 
-    # --- what is seen
+    # --- journal
 
     def record(self, **line: Any) -> None:
-        """Something that a client or box saw, now; the audit hears of it at once."""
+        """Stamp a journal line with the current time and pass it to the audit."""
         line["t"] = self.sim.now_us()
         data = msgspec.json.encode(line)
         self._trace_hash.update(data)
@@ -142,36 +141,36 @@
             self._stop()
 
     def _stop(self) -> None:
-        """End the run here."""
+        """End the run at this step."""
         if self._main_task is not None and not self._stopped:
             self._stopped = True
             self.sim.scheduler.interrupt(self._main_task, RuleViolated())
 
     def record_edge(self, event: str, name: str) -> None:
-        """Something was done to an edge."""
-        seat = self._edges[name]
-        self.record(ev=event, edge=seat.port, prefix=seat.edge.instance_id if seat.edge is not None else "")
+        """Journal what was done to an edge."""
+        slot = self._edges[name]
+        self.record(ev=event, edge=slot.port, prefix=slot.edge.instance_id if slot.edge is not None else "")
 
     # --- parts of the fleet
 
     def running_engine(self, name: str) -> StandInEngine | None:
-        """A box's engine, if it runs."""
+        """An engine, if its process is alive."""
         return self._engines[name] if self.sim.programs[name].alive else None
 
     def start_engines(self, names: list[str], cold_ms: float = COLD_MS) -> None:
-        """Start engines where they were; they come back cold."""
+        """Start engines, cold unless `cold_ms` is 0; restarted ones get their former ports."""
         for name in names:
-            box = self.instances[name]
-            box.settings = msgspec.structs.replace(box.settings, cold_ms=cold_ms)
-            engine = RecordingEngine(self, self.sim.program(name), box.settings)
-            _, box.port = engine.start(HOST, box.port, box.events_port, box.replay_port)
-            box.events_port, box.replay_port = engine.events_port, engine.replay_port
-            box.up_since_ms = self.sim.now_us() / 1_000 if cold_ms else 0.0
+            instance = self.instances[name]
+            instance.settings = msgspec.structs.replace(instance.settings, cold_ms=cold_ms)
+            engine = RecordingEngine(self, self.sim.program(name), instance.settings)
+            _, instance.port = engine.start(HOST, instance.port, instance.events_port, instance.replay_port)
+            instance.events_port, instance.replay_port = engine.events_port, engine.replay_port
+            instance.up_since_ms = self.sim.now_us() / 1_000 if cold_ms else 0.0
             self._engines[name] = engine
         self.write_list()
 
     def kill_engine(self, name: str) -> bool:
-        """End an engine at once; False when it is down already."""
+        """Kill an engine; False if it is down already."""
         world = self.sim.programs[name]
         if not world.alive:
             return False
@@ -180,17 +179,17 @@
         return True
 
     def start_edge(self, name: str) -> None:
-        """Start an edge where it was."""
-        seat, world = self._edges[name], self.sim.program(name, skewed=True)
-        edge = seat.edge = Edge(world, self._config(name, seat.port))
+        """Start an edge; a restarted one gets its former port."""
+        slot, world = self._edges[name], self.sim.program(name, skewed=True)
+        edge = slot.edge = Edge(world, self._config(name, slot.port))
         if self._count_transitions:
             self._watch_transitions(edge)
-        seat.port = seat.port or self.sim.next_port()
+        slot.port = slot.port or self.sim.next_port()
         world.spawn("program", edge.start)
         self.record_edge("edge started", name)
 
     def kill_edge(self, name: str) -> bool:
-        """End an edge at once; False when it is down already."""
+        """Kill an edge; False if it is down already."""
         world = self.sim.programs[name]
         if not world.alive:
             return False
@@ -199,7 +198,7 @@
         return True
 
     def start_planner(self) -> None:
-        """Start the planner where it was; a list that it cannot take is mended first, as a person would."""
+        """Start the planner; a corrupt server list is repaired first, as an operator would."""
         if self._list_fault:
             self.set_list_fault("")
         self._planner = Planner(self.sim.program(PLANNER, skewed=True), self._config("", 0))
@@ -217,69 +216,69 @@
         return parse("world", to_toml(document))
 
     def _watch_transitions(self, edge: Edge) -> None:
-        """Count the steps from phase to phase of each request."""
-        core, known = edge.core, dict[int, str]()
+        """Count the transitions between the phases of each request."""
+        core, phases = edge.core, dict[int, str]()
         out = core._out
 
         def counted(now_us: int, commands: Any) -> Any:
-            for number, r in core.lifecycle.requests.items():
-                now = phase(r)
-                before = known.get(number, "new")
+            for number, request in core.lifecycle.requests.items():
+                now = phase(request)
+                before = phases.get(number, "new")
                 if now != before:
                     self.transitions[f"{before} -> {now}"] += 1
-                    known[number] = now
-            for number in known.keys() - core.lifecycle.requests.keys():
-                self.transitions[f"{known.pop(number)} -> gone"] += 1
+                    phases[number] = now
+            for number in phases.keys() - core.lifecycle.requests.keys():
+                self.transitions[f"{phases.pop(number)} -> gone"] += 1
             return out(now_us, commands)
 
         core._out = counted  # type: ignore[method-assign]
 
-    # --- what troubles do
+    # --- faults
 
     def write_list(self) -> None:
-        """The server list as it should be, unless it is spoilt just now."""
-        self._published_lists.add(frozenset(name for name, box in self.instances.items() if box.listed))
+        """Write the correct server list, unless a fault on the list is in progress."""
+        self._published_lists.add(frozenset(name for name, instance in self.instances.items() if instance.listed))
         if not self._list_fault:
             self.sim.files[SERVERS] = server_list(list(self.instances.values())).encode()
 
     def set_list_fault(self, kind: str) -> None:
-        """Spoil the list, or put it right."""
+        """Corrupt or remove the server list by the kind of fault; restore it for an empty kind."""
         if kind and self._list_fault:
             return
         self.mark_list_outage(bool(kind)) if bool(kind) != bool(self._list_fault) else None
         self._list_fault = kind
-        whole = self.sim.files.get(SERVERS, b"")
+        correct = self.sim.files.get(SERVERS, b"")
         match kind:
             case "list bad":
-                self.sim.files[SERVERS] = whole.replace(b"count = ", b"count = 9")
+                self.sim.files[SERVERS] = correct.replace(b"count = ", b"count = 9")
             case "list half":
-                self.sim.files[SERVERS] = whole[: len(whole) // 2]
+                self.sim.files[SERVERS] = correct[: len(correct) // 2]
             case "list missing":
                 self.sim.files.pop(SERVERS, None)
             case _:
                 self.write_list()
 
     def mark_list_outage(self, begins: bool) -> None:
-        """Edges cannot hear of a changed list: the planner, its link or its file is in trouble."""
+        """Begin or end a fault of planner, link or file that keeps list changes from the edges."""
         self._list_outages += 1 if begins else -1
         self._list_outage_until_us = self.sim.now_us() + LINK_RECOVERY_US
 
     def record_draining(self, name: str) -> None:
-        """From when on a box that drains must get nothing new: once its state can be heard of."""
+        """Journal the time from which a draining engine must get nothing new: when every edge can know its state."""
 
-        def tell() -> None:
+        def record() -> None:
             if self.instances[name].state != "draining":
                 return
             if self._list_outages or self.sim.now_us() < self._list_outage_until_us:
-                self.sim.scheduler.timers.set(self.sim.now_us() + CHECK_INTERVAL_US, tell)
+                self.sim.scheduler.timers.set(self.sim.now_us() + CHECK_INTERVAL_US, record)
             else:
                 self.record(ev="control", box=name, id="", do="listed_draining")
 
-        # What makes them deaf within this time may come before they have read the list.
-        self.sim.scheduler.timers.set(self.sim.now_us() + LIST_PROPAGATION_US, tell)
+        # A fault that begins within this time may keep the list from edges that have not read it yet.
+        self.sim.scheduler.timers.set(self.sim.now_us() + LIST_PROPAGATION_US, record)
 
     def reset_connections(self, one: str, other: str) -> None:
-        """Break every connection between two programs, both ends."""
+        """Break both ends of every connection between two programs."""
         for stream in [
             row
             for row in self.sim.network.streams
@@ -289,29 +288,29 @@
             stream.receive_reset()
             stream.remote.receive_reset()
 
-    def add_request(self, after_us: int, leaves: bool, half: bool) -> None:
-        """One more request, of a flood."""
+    def add_request(self, after_us: int, hangs_up: bool, half_closes: bool) -> None:
+        """Add a request to a flood."""
         self._last_number += 1
         number, rng = self._last_number, self.sim.random(f"client {self._last_number}")
-        habits = msgspec.structs.replace(HABITS, hang_up=1.0 if leaves else 0.0)
+        habits = msgspec.structs.replace(HABITS, hang_up=1.0 if hangs_up else 0.0)
         plan = draw_request(rng, number, CLASSES, habits)
         self._extra_requests.append(
             self._clients_world.spawn(
-                "client", self._half_close if half else self._request, plan, self.sim.now_us() + after_us
+                "client", self._half_close if half_closes else self._request, plan, self.sim.now_us() + after_us
             )
         )
 
     # --- clients
 
     def _edge_addresses(self) -> list[tuple[str, int]]:
-        return [(HOST, seat.port) for seat in self._edges.values()]
+        return [(HOST, slot.port) for slot in self._edges.values()]
 
     def _request(self, plan: RequestPlan, at_us: int) -> None:
         self.sim.scheduler.sleep_until(at_us)
         self._clients.request(plan, self._edge_addresses())
 
     def _half_close(self, plan: RequestPlan, at_us: int) -> None:
-        """A client that sends its request, closes its sending half and listens on."""
+        """A client that sends its request, closes its sending side and keeps reading."""
         self.sim.scheduler.sleep_until(at_us)
         host, port = self._edge_addresses()[plan.number % len(self._edges)]
         name, world = f"q{plan.number}.0", self._clients_world
--- a/yardspindle/lab/traffic_simulation.py
+++ b/yardspindle/lab/traffic_simulation.py
@@ -1,6 +1,7 @@
-"""One seeded world played to its end: the whole fleet on the virtual World, its troubles, the rules at every step.
+"""Runs one seeded script to its end: a whole fleet on the virtual World, with faults, checking the rules at each step.
 
-After the last fault service has to return: probes are served, and then nothing is open, held, owed or running.
+After the last fault, service has to recover: probe requests are served by every edge, and afterwards no request is
+open, no hold, pending release or task is left.
 """
 
 from __future__ import annotations
@@ -28,41 +29,38 @@
 )
 
 PROBE_CLASS = ClientClass("chat", 1.0, 4_000.0, 4)
-FALLBACK_INTERLOCKS = {
-    "answer overdue",
-    "held too long",
-}  # the edge's last resort: never needed while its planner decides
-QUIESCE_US = 8_000_000  # after the probes: longer than any hold, time-out and kept connection
-RECOVERY_TIMEOUT_US = 6_000_000  # the stated time: by then every edge serves again after the last fault
-MAX_IDLE_TIMERS = (
-    len(ENGINE_NAMES) + 2 * len(EDGE_NAMES) + 3
-)  # holds, the edges' ticks and policies, list, rules, this task
-MAX_RUN_US = 90_000_000  # virtual; what has not ended by then never does
+# The edge's last resort: never needed while its planner decides in time.
+FALLBACK_INTERLOCKS = {"answer overdue", "held too long"}
+QUIESCE_US = 8_000_000  # after the probes: longer than any hold, time-out and idle connection
+RECOVERY_TIMEOUT_US = 6_000_000  # every edge must serve again within this time after the last fault
+# Timers of an idle fleet: each engine's expiry, each edge's tick and policy, the list reader, the rules, this task.
+MAX_IDLE_TIMERS = len(ENGINE_NAMES) + 2 * len(EDGE_NAMES) + 3
+MAX_RUN_US = 90_000_000  # virtual time; a run that has not ended by then is stuck
 
 
 class Outcome(Struct, frozen=True):
-    """How a run ended. `trace` is a hash of all that clients and boxes saw."""
+    """The result of a run. `trace` is a hash of all that clients and engines saw; `breaks` are rule violations."""
 
     seed: int
     trace: str
     breaks: tuple[str, ...]
     tally: dict[str, int]
     transitions: dict[str, int]
-    pieces: int  # that went over the network
+    pieces: int  # network segments delivered
     virtual_ms: int
 
 
 class TrafficSimulation(SimulatedFleet):
-    """A script's run from start to end."""
+    """Runs a script from start to end."""
 
     def run(self) -> Outcome:
-        """Run it to its end, or to the first break of a rule."""
+        """Run to the end, or to the first violation of a rule."""
         started = self.sim.now_us()
         try:
             self.sim.run("world", self._program)
         except RuleViolated:
             pass
-        except RuntimeError as error:  # a deadlock: nothing can wake any more
+        except RuntimeError as error:  # a deadlock: no task can continue
             self._violations.append(f"liveness: {error}")
         report = self.audit.report if self._stopped else self.audit.finish()
         found = [
@@ -108,12 +106,12 @@
             self.instances[name] = EngineInstance(settings, int(name[1]), kind)
         self.start_engines(list(ENGINE_NAMES), 0.0)
         self.start_planner()
-        for name, seat in self._edges.items():
-            seat.port = sim.next_port()
+        for name, slot in self._edges.items():
+            slot.port = sim.next_port()
             self.start_edge(name)
         sim.scheduler.sleep_until(sim.now_us() + 300_000)
-        for name, seat in self._edges.items():
-            seat.idle_tasks, seat.idle_streams = self._task_names(name), self._stream_count(name)
+        for name, slot in self._edges.items():
+            slot.idle_tasks, slot.idle_streams = self._task_names(name), self._stream_count(name)
         self.started_us = sim.now_us()
         watch = sim.scheduler.spawn("rules", self._check_rules)
         tasks = [sim.scheduler.spawn("trouble", fault_injection.inject, self, fault) for fault in self.script.faults]
@@ -132,25 +130,27 @@
         watch.cancel()
 
     def _check_rules(self) -> None:
-        """Stop at the first break; what is held too long is looked for every so often."""
+        """Check the rules at regular intervals; stop the run at the first violation."""
         while True:
             self.sim.scheduler.sleep_until(self.sim.now_us() + CHECK_INTERVAL_US)
             self.audit.check_until(self.sim.now_us())
-            for name, seat in self._edges.items():
-                if seat.edge is not None and seat.edge.core.rule_checker.last_violation is not None:
-                    self._violations.append(f"{name}'s own watch: {seat.edge.core.rule_checker.last_violation}")
+            for name, slot in self._edges.items():
+                if slot.edge is not None and slot.edge.core.rule_checker.last_violation is not None:
+                    self._violations.append(f"{name}'s rule checker: {slot.edge.core.rule_checker.last_violation}")
                 if (
-                    seat.edge is not None
+                    slot.edge is not None
                     and not self._planner_may_be_late
-                    and (fired := FALLBACK_INTERLOCKS & seat.edge.core.lifecycle.counts.interlocks.keys())
+                    and (fired := FALLBACK_INTERLOCKS & slot.edge.core.lifecycle.counts.interlocks.keys())
                 ):
-                    self._violations.append(f"at once: {name} had to keep the rule itself: {', '.join(sorted(fired))}")
+                    self._violations.append(
+                        f"interlock: {name} fell back on its own time limits: {', '.join(sorted(fired))}"
+                    )
             listed = (
                 frozenset(server.name for server in self._planner.server_list.servers) if self._planner else frozenset()
             )
             if listed not in self._published_lists:
                 self._violations.append(
-                    "list: one is in force that was never written whole: " + " ".join(sorted(listed))
+                    "list: a server list is in force that was never written: " + " ".join(sorted(listed))
                 )
             if self.sim.now_us() > self.started_us + MAX_RUN_US:
                 self._violations.append(
@@ -167,17 +167,17 @@
                 return self._stop()
 
     def _check_recovered(self) -> None:
-        """Service is back at every edge within the stated time."""
-        for name, seat in self._edges.items():
+        """Every edge serves a probe request within RECOVERY_TIMEOUT_US."""
+        for name, slot in self._edges.items():
             until_us = self.sim.now_us() + RECOVERY_TIMEOUT_US
             while True:
                 self._last_number += 1
                 plan = draw_request(self.sim.random("probe"), self._last_number, (PROBE_CLASS,), PROBE_HABITS)
-                seen = self._probe_clients.send_once(plan, 0, (HOST, seat.port))
-                if seen.outcome == "served":
+                result = self._probe_clients.send_once(plan, 0, (HOST, slot.port))
+                if result.outcome == "served":
                     break
                 if self.sim.now_us() > until_us:
-                    self._violations.append(f"liveness: {name} does not serve again: {seen.outcome} {seen.code}")
+                    self._violations.append(f"liveness: {name} does not serve again: {result.outcome} {result.code}")
                     return self._stop()
                 self.sim.scheduler.sleep_until(self.sim.now_us() + 100_000)
 
@@ -188,29 +188,27 @@
         return sum(stream.world.name == name for stream in self.sim.network.streams)
 
     def _check_nothing_left(self) -> None:
-        """Nothing is open, held, owed or running, and no task or connection is left."""
-        for name, seat in self._edges.items():
-            edge = seat.edge
+        """Nothing is open, held, pending release or running, and no task or connection is left."""
+        for name, slot in self._edges.items():
+            edge = slot.edge
             assert edge is not None
             left = {
                 "open": len(edge.core.lifecycle.requests),
                 "owed": edge.core.engine_releases.pending,
                 "running": len(edge.executor.running),
                 "watched": len(edge.core.rule_checker.requests),
-                "tasks": len(self._task_names(name) - seat.idle_tasks),
-                "connections": max(self._stream_count(name) - seat.idle_streams, 0),
+                "tasks": len(self._task_names(name) - slot.idle_tasks),
+                "connections": max(self._stream_count(name) - slot.idle_streams, 0),
             }
             if any(left.values()):
                 self._violations.append(
                     f"liveness: {name} is left with "
                     + ", ".join(f"{count} {what}" for what, count in left.items() if count)
-                    + f" {self._task_names(name) - seat.idle_tasks}"
+                    + f" {self._task_names(name) - slot.idle_tasks}"
                 )
         timers = len(self.sim.scheduler.timers)
         if timers > MAX_IDLE_TIMERS:
-            self._violations.append(
-                f"liveness: {timers} timers are left; a fleet at rest has at most {MAX_IDLE_TIMERS}"
-            )
+            self._violations.append(f"liveness: {timers} timers are left; an idle fleet has at most {MAX_IDLE_TIMERS}")
         for name, engine in self._engines.items():
             held = [*engine.states, *engine.places]
             if held or engine.load.running or engine.load.waiting or engine.load.memory_tokens:
@@ -218,5 +216,5 @@
 
 
 def run_script(script: Script, print_line: Callable[[str], None] | None = None, count: bool = False) -> Outcome:
-    """Play a script."""
+    """Run a script on a simulated fleet."""
     return TrafficSimulation(script, print_line, count).run()
