--- a/yardspindle/lab/engine.py
+++ b/yardspindle/lab/engine.py
@@ -21,7 +21,7 @@
 from yardspindle.engine.vllm import COMPLETIONS, HOLDS, PLACE_HEADER, PLACES
 from yardspindle.lab.block_cache import BlockCache
 from yardspindle.lab.engine_holds import HoldRegistry
-from yardspindle.lab.engine_settings import CompletionCall, EngineControl, EngineSettings, Hold, message_text
+from yardspindle.lab.engine_settings import ChatCall, EngineControl, EngineSettings, Hold, message_text
 from yardspindle.protocol import http1
 from yardspindle.protocol.sse import write_event
 from yardspindle.runtime.scheduler import DeadlineExceeded, Signal
@@ -123,23 +123,23 @@
 
     def _completion(self, exchange: Exchange) -> None:
         request = (exchange.head.get(b"x-request-id") or b"").decode()
-        call = msgspec.json.decode(exchange.body, type=CompletionCall)
+        call = msgspec.json.decode(exchange.body, type=ChatCall)
         params = call.kv_transfer_params or {}
         stage = "read" if params.get("do_remote_decode") else "write"
         lab_id = (call.metadata or {}).get("lab_id", "")
         self.record("arrive", request, stage=stage, lab=lab_id)
-        gone = self.world.signal()
+        closed = self.world.signal()  # set when the client disconnects
 
         def on_disconnect() -> None:
             self.record("gone", request)  # the socket is watched even while the engine hangs
-            gone.set()
+            closed.set()
 
         exchange.on_disconnect = on_disconnect
         if self.hang_signal is not None:
             self.hang_signal.wait()
         outcome = "failed"
         try:
-            outcome = (self._read if stage == "read" else self._write)(exchange, request, call, params, lab_id, gone)
+            outcome = (self._read if stage == "read" else self._write)(exchange, request, call, params, lab_id, closed)
         except StreamError:
             outcome = "client gone"
         finally:
@@ -181,17 +181,17 @@
             return 1.0
         return self.settings.start_capacity + (1 - self.settings.start_capacity) * age_ms / self.settings.cold_ms
 
-    def _spend(self, microseconds: float, gone: Signal) -> bool:
+    def _spend(self, microseconds: float, closed: Signal) -> bool:
         """Let the given time pass, and any hang; False if the client disconnected meanwhile."""
-        if not gone.is_set:
+        if not closed.is_set:
             try:
                 with self.world.deadline(self.world.now_us() + int(microseconds)):
-                    gone.wait()
+                    closed.wait()
             except DeadlineExceeded:
                 pass
         while self.hang_signal is not None:
             self.hang_signal.wait()
-        return not gone.is_set
+        return not closed.is_set
 
     def _within_cold_limit(self, work_us: float) -> bool:
         """Add to the work received in the last `fall_ms`; False if a cold engine is overloaded by it and goes down."""
@@ -204,7 +204,7 @@
         budget = self.settings.fall_multiple * warmth * window_us * self.settings.slots
         return warmth >= 1.0 or sum(work for _, work in recent_work) <= budget
 
-    def _admit(self, exchange: Exchange, request: str, tokens: int, work_us: float, gone: Signal) -> bool:
+    def _admit(self, exchange: Exchange, request: str, tokens: int, work_us: float, closed: Signal) -> bool:
         """Take a slot, queueing for one if necessary; False if refused. Raises StreamError if the client leaves."""
         if not self._within_cold_limit(work_us):
             self.record("fell", request)
@@ -233,7 +233,7 @@
             elif exchange.disconnected and self.load.waiting:  # it was given a slot: pass it on
                 self.load.waiting.popleft().set()
             if exchange.disconnected:
-                gone.set()
+                closed.set()
                 raise StreamError("client disconnected while queued")
         self.load.running += 1
         self.load.memory_tokens += tokens
@@ -241,7 +241,7 @@
 
     # --- reading
 
-    def _prompt(self, call: CompletionCall) -> tuple[int, int, list[int], bytes]:
+    def _prompt(self, call: ChatCall) -> tuple[int, int, list[int], bytes]:
         """Number of prompt tokens, how many of them are cached, block hashes, and the packed tokens."""
         packed = self.tokenizer.encode_prompt(
             [(m.role, message_text(m.content)) for m in call.messages], bytes(call.tools)
@@ -249,22 +249,22 @@
         hashes = self.cache.prompt_hashes(packed)
         return len(packed) // 4, self.cache.cached_prefix_blocks(hashes) * self.settings.block_size, hashes, packed
 
-    def _read_prompt(self, call: CompletionCall, gone: Signal) -> tuple[int, int, bool]:
+    def _read_prompt(self, call: ChatCall, closed: Signal) -> tuple[int, int, bool]:
         """Prefill a prompt: its tokens, the cached ones, and whether the client is still connected."""
         total, hits, hashes, packed = self._prompt(call)
         work_us = (total - hits) / self.settings.read_tokens_per_s * 1e6
-        connected = self._spend(work_us * max(self.load.running, 1) * self.slowdown / self._warmth(), gone)
+        connected = self._spend(work_us * max(self.load.running, 1) * self.slowdown / self._warmth(), closed)
         self.cache.insert(hashes, packed)
         return total, hits, connected
 
     def _read(
-        self, exchange: Exchange, request: str, call: CompletionCall, params: dict[str, Any], lab_id: str, gone: Signal
+        self, exchange: Exchange, request: str, call: ChatCall, params: dict[str, Any], lab_id: str, closed: Signal
     ) -> str:
         total, hits, *_ = self._prompt(call)
-        if not self._admit(exchange, request, total, (total - hits) / self.settings.read_tokens_per_s * 1e6, gone):
+        if not self._admit(exchange, request, total, (total - hits) / self.settings.read_tokens_per_s * 1e6, closed):
             return "turned away"
         try:
-            total, hits, connected = self._read_prompt(call, gone)
+            total, hits, connected = self._read_prompt(call, closed)
         finally:
             self._free_slot(total)
         if not connected:
@@ -293,7 +293,7 @@
     # --- writing
 
     def _write(
-        self, exchange: Exchange, request: str, call: CompletionCall, params: dict[str, Any], lab_id: str, gone: Signal
+        self, exchange: Exchange, request: str, call: ChatCall, params: dict[str, Any], lab_id: str, closed: Signal
     ) -> str:
         total, hits, *_ = self._prompt(call)
         place = (exchange.head.get(PLACE_HEADER) or b"").decode()
@@ -304,11 +304,11 @@
         elif place:
             self._remember_release(place)  # the reservation may still arrive: it is then refused
         steps = self._answer_length(call, lab_id)
-        if not self._admit(exchange, request, total, steps * self.settings.step_ms * 1_000, gone):
+        if not self._admit(exchange, request, total, steps * self.settings.step_ms * 1_000, closed):
             return "turned away"
         try:
             if params.get("do_remote_prefill"):
-                if not self._fetch(params, total, reservation is not None, gone):
+                if not self._fetch(params, total, reservation is not None, closed):
                     self.record("no state", request)
                     exchange.reply(
                         Reply(409, [JSON_CONTENT_TYPE], error_body("no_state", "No state to fetch.", "state_error"))
@@ -319,18 +319,18 @@
                     Reply(409, [JSON_CONTENT_TYPE], error_body("no_state", "No state was named.", "state_error"))
                 )
                 return "no state"
-            elif not self._read_prompt(call, gone)[2]:
+            elif not self._read_prompt(call, closed)[2]:
                 return "cancelled"
             self.record("run", request, lab=lab_id, prompt=total, kept=hits)
-            return self._answer(exchange, request, call, total, hits, steps, gone)
+            return self._answer(exchange, request, call, total, hits, steps, closed)
         finally:
             self._free_slot(total)
 
-    def _answer_length(self, call: CompletionCall, lab_id: str) -> int:
+    def _answer_length(self, call: ChatCall, lab_id: str) -> int:
         max_tokens = call.max_completion_tokens or call.max_tokens or 32
         return 1 + xxhash.xxh3_64_intdigest(lab_id.encode()) % max_tokens if lab_id else max_tokens
 
-    def _fetch(self, params: dict[str, Any], tokens: int, has_place: bool, gone: Signal) -> bool:
+    def _fetch(self, params: dict[str, Any], tokens: int, has_place: bool, closed: Signal) -> bool:
         try:
             with self.world.deadline(self.world.now_us() + FETCH_TIMEOUT_US):
                 response = self.http.request(
@@ -348,7 +348,7 @@
         if response.head.status != 200:
             return False
         move_us = tokens / self.settings.move_tokens_per_s * 1e6 * (0.3 if has_place else 1.0)
-        return self._spend(move_us * self.slowdown, gone) or True
+        return self._spend(move_us * self.slowdown, closed) or True
 
     def _fetched(self, exchange: Exchange, request: str) -> None:
         held = self.states.pop(request, None)
@@ -359,14 +359,14 @@
         exchange.reply(Reply(200, [JSON_CONTENT_TYPE], b"{}"))
 
     def _answer(
-        self, exchange: Exchange, request: str, call: CompletionCall, total: int, hits: int, steps: int, gone: Signal
+        self, exchange: Exchange, request: str, call: ChatCall, total: int, hits: int, steps: int, closed: Signal
     ) -> str:
         sent = 0
         head = exchange.start(200, [(b"content-type", b"text/event-stream")]) if call.stream else b""
         base = {"id": f"chatcmpl-{request}", "object": "chat.completion.chunk", "created": 0, "model": "stand-in"}
         for step in range(steps):
             pause_us = self.settings.step_ms * 1_000 * self.slowdown / self._warmth() * (1 + self.load.running / 64)
-            if not self._spend(pause_us, gone) or self.reset:
+            if not self._spend(pause_us, closed) or self.reset:
                 self.record("sent", request, tokens=sent)
                 exchange.stream.abort()
                 exchange.abort()
--- a/yardspindle/lab/engine_settings.py
+++ b/yardspindle/lab/engine_settings.py
@@ -62,7 +62,7 @@
     content: Any = None
 
 
-class CompletionCall(Struct):
+class ChatCall(Struct):
     """A completion call of either stage, read or write."""
 
     messages: list[Message]
--- a/yardspindle/lab/etcd.py
+++ b/yardspindle/lab/etcd.py
@@ -1,8 +1,9 @@
-"""A stand-in for etcd's JSON gateway: the model of core/ behind HTTP, with a journal, and faults on command.
+"""A stand-in for etcd's JSON gateway: the store model of core/fleet behind HTTP, with a journal and injected faults.
 
-`POST /lab/control` with `{"do": ...}`: `no_leader` and `leader`; `late` (ms before each answer); `lose` (so many
-answers are lost after their commit); `break_watches`; `expire` (all leases end early, as at a change of leader);
-`compact`; `mark` and `restore` (back to an older revision); `stale_reads` (serializable reads answer as marked).
+`POST /lab/control` with `{"do": ...}` injects or ends a fault: `no_leader` and `leader`; `late` (`ms` before each
+answer); `lose` (the answers to the next `count` calls that write are lost after their commit); `break_watches`;
+`expire` (all leases end early, as on a change of leader); `compact`; `mark` and `restore` (save the data, return to
+it); `stale_reads` (serializable reads see the data that `mark` saved).
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 from yardspindle.runtime.world import StreamError, World
 
 CONTROL = b"/lab/control"
-LEASE_CHECK_INTERVAL_US = 10_000  # how often leases are looked at
+LEASE_CHECK_INTERVAL_US = 10_000  # between checks for expired leases
 PATHS = (
     j.RANGE_PATH,
     j.TXN_PATH,
@@ -39,7 +40,7 @@
 
 
 class EtcdControl(Struct, forbid_unknown_fields=True):
-    """A command."""
+    """A fault to inject or to end."""
 
     do: Literal[
         "no_leader", "leader", "late", "lose", "break_watches", "expire", "compact", "mark", "restore", "stale_reads"
@@ -51,7 +52,7 @@
 
 @dataclass(slots=True)
 class OpenWatch:
-    """An open watch."""
+    """An open watch on a key, or on the range from `key` to `end`."""
 
     key: bytes
     end: bytes
@@ -61,10 +62,10 @@
 
 
 class EtcdStandIn:
-    """One stand-in member, a cluster by itself."""
+    """An etcd cluster of one member."""
 
     def __init__(self, world: World, journal: str = "") -> None:
-        """Nothing is opened before `start`."""
+        """Opens no sockets before `start`."""
         self.world = world
         self.model = StoreModel()
         self.journal = journal
@@ -85,7 +86,7 @@
         return listener.host, listener.port
 
     def record(self, event: str, **more: object) -> None:
-        """Append to the journal, at once."""
+        """Append an event to the journal, without buffering."""
         if self.journal:
             line = {"t": self.world.now_us(), "ev": event, "revision": self.model.revision, **more}
             self.world.append_file(self.journal, msgspec.json.encode(line) + b"\n")
@@ -97,10 +98,10 @@
     def _expire_leases(self) -> None:
         while True:
             now = self.world.now_us()
-            ended = [n for n, lease in self.model.leases.items() if lease.expires_us <= now]
-            if ended:
+            expired = [n for n, lease in self.model.leases.items() if lease.expires_us <= now]
+            if expired:
                 self.model.expire(now)
-                self.record("expired", leases=ended)
+                self.record("expired", leases=expired)
                 self._notify_watches()
             self.world.sleep_until(now + LEASE_CHECK_INTERVAL_US)
 
@@ -202,55 +203,53 @@
         try:
             missed = self.model.changes_since(key, end, since) if since else Changes(self.model.revision)
         except Compacted as error:
-            gone = j.WatchResponse(self._header(), canceled=True, compact_revision=str(error.revision))
-            return exchange.finish(msgspec.json.encode(j.WatchMessage(gone)) + b"\n")
-        follower = OpenWatch(key, end)
-        self.watches.append(follower)
+            cancelled = j.WatchResponse(self._header(), canceled=True, compact_revision=str(error.revision))
+            return exchange.finish(msgspec.json.encode(j.WatchMessage(cancelled)) + b"\n")
+        watch = OpenWatch(key, end)
+        self.watches.append(watch)
 
-        def left() -> None:
-            follower.closed = True
-            if follower.wakeup is not None:
-                follower.wakeup.set()
+        def on_disconnect() -> None:
+            watch.closed = True
+            if watch.wakeup is not None:
+                watch.wakeup.set()
 
-        exchange.on_disconnect = left
+        exchange.on_disconnect = on_disconnect
         try:
             if missed.changes:
                 exchange.send(j.encode_changes(missed, self._header()))
-            while not follower.closed:
-                if not follower.pending:
-                    follower.wakeup = self.world.signal()
-                    follower.wakeup.wait()
+            while not watch.closed:
+                if not watch.pending:
+                    watch.wakeup = self.world.signal()
+                    watch.wakeup.wait()
                     continue
-                lines, follower.pending = follower.pending, []
+                lines, watch.pending = watch.pending, []
                 exchange.send(b"".join(lines))
             exchange.stream.abort()
         finally:
-            self.watches.remove(follower)
+            self.watches.remove(watch)
         return None
 
     def _notify_watches(self) -> None:
-        """Let the watches have what changed since they were last told."""
+        """Queue the changes since the last notification at the watches whose range they are in."""
         if self.model.revision == self._notified_revision:
             return
-        news = self.model.changes_since(b"\0", b"\0", self._notified_revision + 1)
+        new = self.model.changes_since(b"\0", b"\0", self._notified_revision + 1)
         self._notified_revision = self.model.revision
-        for follower in self.watches:
-            mine: tuple[Change, ...] = tuple(
+        for watch in self.watches:
+            matching: tuple[Change, ...] = tuple(
                 c
-                for c in news.changes
-                if (
-                    range_contains(follower.key, follower.end, c.row.key) if follower.end else c.row.key == follower.key
-                )
+                for c in new.changes
+                if (range_contains(watch.key, watch.end, c.row.key) if watch.end else c.row.key == watch.key)
             )
-            if mine:
-                follower.pending.append(j.encode_changes(Changes(news.revision, mine), self._header()))
-                if follower.wakeup is not None:
-                    follower.wakeup.set()
+            if matching:
+                watch.pending.append(j.encode_changes(Changes(new.revision, matching), self._header()))
+                if watch.wakeup is not None:
+                    watch.wakeup.set()
 
     # --- faults
 
     def inject_fault(self, do: str) -> None:
-        """A fault by its name, for a run that holds the stand-in itself."""
+        """Inject a fault that needs no arguments, for a run in the same process."""
         self._control(msgspec.convert({"do": do}, EtcdControl))
 
     def _control(self, control: EtcdControl) -> None:
@@ -284,7 +283,7 @@
                 pass
 
     def _break(self) -> None:
-        for follower in self.watches:
-            follower.closed = True
-            if follower.wakeup is not None:
-                follower.wakeup.set()
+        for watch in self.watches:
+            watch.closed = True
+            if watch.wakeup is not None:
+                watch.wakeup.set()
--- a/yardspindle/lab/fleet.py
+++ b/yardspindle/lab/fleet.py
@@ -1,7 +1,7 @@
-"""A whole fleet of our own processes on loopback: stand-in engines, dispatchers (planner and edge), their files.
+"""A fleet of child processes on loopback: stand-in engines, dispatchers (planner and edge), and their files.
 
-Used by `yardspindle up`, by the scripted day and by tests. Ports are chosen by the system at the first start and
-kept at later ones, so that a restarted process is found where it was.
+Used by `yardspindle up`, by scripted days, load runs and benchmarks. The system chooses each port at a process's first
+start; restarts reuse it, so that other processes find a restarted one at its former address.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class EngineInstance:
-    """A stand-in engine and its line in the server list."""
+    """A stand-in engine, its process, and its entry in the server list."""
 
     settings: EngineSettings
     cell: int
@@ -53,28 +53,28 @@
 
 @dataclass(slots=True)
 class LocalFleet:
-    """All of it. `config` holds what the files of all dispatchers share."""
+    """The processes and the folder of a fleet. `config` holds the settings that all dispatchers share."""
 
     world: RealWorld
     config: dict[str, Any]
     engines: list[EngineInstance]
     dispatchers: list[Dispatcher]
-    shared_store: bool = False  # they share a store, a file of the fleet's folder, and have a steward
+    shared_store: bool = False  # dispatchers share a store, a file in the fleet's folder, and a steward runs
     steward: Child | None = None
     folder: tempfile.TemporaryDirectory[str] = field(
         default_factory=lambda: tempfile.TemporaryDirectory(prefix="yardspindle-")
     )
 
     def path(self, name: str) -> str:
-        """A file of the fleet's folder."""
+        """The path of a file in the fleet's folder."""
         return os.path.join(self.folder.name, name)
 
     def start(self) -> None:
-        """Start all, engines first. Raises ChildError."""
-        for box in self.engines:
-            self.launch_engine(box)
-        for box in self.engines:
-            self.wait_engine_ready(box)
+        """Start all processes, engines first. Raises ChildError."""
+        for engine in self.engines:
+            self.launch_engine(engine)
+        for engine in self.engines:
+            self.wait_engine_ready(engine)
         self.write_list()
         for dispatcher in self.dispatchers:
             self.launch_planner(dispatcher)
@@ -87,32 +87,32 @@
         for dispatcher in self.dispatchers:
             self.wait_edge_ready(dispatcher)
 
-    def launch_engine(self, box: EngineInstance) -> None:
+    def launch_engine(self, engine: EngineInstance) -> None:
         """Start an engine's process."""
-        name = box.settings.name
+        name = engine.settings.name
         file = self.path(f"{name}.json")
         with open(file, "wb") as out:
-            out.write(msgspec.json.encode(box.settings))
-        box.up_since_ms = self.world.now_us() / 1_000 if box.child is not None else 0.0
-        box.child = self._child(
+            out.write(msgspec.json.encode(engine.settings))
+        engine.up_since_ms = self.world.now_us() / 1_000 if engine.child is not None else 0.0
+        engine.child = self._child(
             name,
             "engine",
             "--settings",
             file,
             "--port",
-            str(box.port),
+            str(engine.port),
             "--events-port",
-            str(box.events_port),
+            str(engine.events_port),
             "--replay-port",
-            str(box.replay_port),
+            str(engine.replay_port),
         )
 
-    def wait_engine_ready(self, box: EngineInstance) -> None:
+    def wait_engine_ready(self, engine: EngineInstance) -> None:
         """Wait until an engine serves."""
-        assert box.child is not None
-        ready = box.child.first_line(READY_TIMEOUT_US)
-        box.port = _port(ready)
-        box.events_port, box.replay_port = (int(port) for port in ready.split()[2:])
+        assert engine.child is not None
+        ready = engine.child.first_line(READY_TIMEOUT_US)
+        engine.port = _port(ready)
+        engine.events_port, engine.replay_port = (int(port) for port in ready.split()[2:])
 
     def launch_planner(self, dispatcher: Dispatcher) -> None:
         """Start a planner's process."""
@@ -133,24 +133,24 @@
         dispatcher.port = _port(dispatcher.edge.first_line(READY_TIMEOUT_US))
 
     def write_list(self) -> None:
-        """Put the server list as it should be in force now, at once."""
+        """Replace the server list by the current state of the engines, atomically."""
         with open(self.path("servers.new"), "w") as out:
             out.write(server_list(self.engines))
         os.replace(self.path("servers.new"), self.path("servers.toml"))
 
     def stop(self) -> dict[str, int]:
-        """End all, edges first; exit codes by name. The files stay until `remove_files`."""
+        """Stop all processes, edges first; returns exit codes by name. The files stay until `remove_files`."""
         children = [d.edge for d in self.dispatchers] + [d.planner for d in self.dispatchers] + [self.steward]
         codes: dict[str, int] = {}
         try:
             for child in children:
                 if child is not None and child.running():
                     child.terminate()
-            for child in (*children, *(box.child for box in self.engines)):
+            for child in (*children, *(engine.child for engine in self.engines)):
                 if child is not None:
-                    codes[child.name] = child.stop(STOP_TIMEOUT_US)  # those told above are only waited for
+                    codes[child.name] = child.stop(STOP_TIMEOUT_US)  # those already asked to end are only waited for
         finally:
-            for child in (*children, *(box.child for box in self.engines)):
+            for child in (*children, *(engine.child for engine in self.engines)):
                 if child is not None and child.running():
                     child.send(signal.SIGKILL)
         return codes
@@ -186,31 +186,32 @@
 
 
 def _port(ready: str) -> int:
+    """The port in the line that a program prints once it serves: `ready URL ...`."""
     word, _, url = ready.partition(" ")
     if word != "ready":
         raise ChildError(f"not a ready line: {ready[:200]}")
     return int(url.split()[0].split("//")[-1].split("/")[0].rpartition(":")[2])
 
 
-def server_list(boxes: list[EngineInstance]) -> str:
-    """The list of servers as a file."""
-    lines = [f"count = {sum(box.listed for box in boxes)}"]
-    for box in boxes:
-        if box.listed:
+def server_list(engines: list[EngineInstance]) -> str:
+    """The content of the server list file."""
+    lines = [f"count = {sum(engine.listed for engine in engines)}"]
+    for engine in engines:
+        if engine.listed:
             lines += [
                 "",
                 "[[servers]]",
-                f'name = "{box.settings.name}"',
-                f'address = "127.0.0.1:{box.port}"',
-                f'kind = "{box.kind}"',
-                f'zone = "{box.zone}"',
-                f"cell = {box.cell}",
-                f'state = "{box.state}"',
-                f"up_since_ms = {box.up_since_ms:.3f}",
-                f"places = {str(box.settings.places).lower()}",
+                f'name = "{engine.settings.name}"',
+                f'address = "127.0.0.1:{engine.port}"',
+                f'kind = "{engine.kind}"',
+                f'zone = "{engine.zone}"',
+                f"cell = {engine.cell}",
+                f'state = "{engine.state}"',
+                f"up_since_ms = {engine.up_since_ms:.3f}",
+                f"places = {str(engine.settings.places).lower()}",
             ]
-            if box.settings.events:
-                lines += [f'events = "127.0.0.1:{box.events_port}"', f'replay = "127.0.0.1:{box.replay_port}"']
+            if engine.settings.events:
+                lines += [f'events = "127.0.0.1:{engine.events_port}"', f'replay = "127.0.0.1:{engine.replay_port}"']
     return "\n".join(lines) + "\n"
 
 
@@ -222,8 +223,8 @@
 def small_fleet(
     world: RealWorld, cells: int = 2, dispatchers: int = 1, journal: str = "", shared_store: bool = False
 ) -> LocalFleet:
-    """A reader and a writer in each cell; `yardspindle up` starts it with a store that its processes share."""
-    boxes = []
+    """A fleet with a reader and a writer in each cell. `yardspindle up` sets `shared_store`."""
+    engines = []
     for cell in range(cells):
         for role, kind in (("read", "reader"), ("write", "writer")):
             settings = EngineSettings(
@@ -232,8 +233,8 @@
                 journal=journal,
                 events=role == "read",
             )
-            boxes.append(EngineInstance(settings, cell, kind))
+            engines.append(EngineInstance(settings, cell, kind))
     index = {"block_size": EngineSettings().block_size}
     return LocalFleet(
-        world, {"index": index}, boxes, [Dispatcher(number) for number in range(dispatchers)], shared_store
+        world, {"index": index}, engines, [Dispatcher(number) for number in range(dispatchers)], shared_store
     )
--- a/yardspindle/lab/fleet_simulation.py
+++ b/yardspindle/lab/fleet_simulation.py
@@ -1,9 +1,9 @@
-"""Seeded worlds of the processes that act for a fleet: store, stewards, dispatchers and engines on the virtual World.
+"""Seeded runs of fleet coordination: store, stewards, dispatchers and engines on the virtual World, with faults.
 
-The programs are those that run on sockets. Faults are drawn between all of them. At every look: no engine obeys a
-lower fence after a higher one, nothing is let go of for an edge that lives, and (while no clock stepped and no lease
-ended early) no two stewards may act for one duty. After the last fault every duty has one owner again, and nothing is
-held for an edge that is gone.
+The programs are those that run on real sockets. Invariants, checked all the time: no engine obeys a lower fence after a
+higher one of the same duty; nothing is released for an edge that is alive; no two stewards may act for one duty (not
+checked if a clock steps or leases end early). After the last fault, every duty has exactly one owner again, and
+nothing is held for an edge that is dead.
 """
 
 from __future__ import annotations
@@ -34,19 +34,20 @@
 STEWARDS, EDGES, ENGINES = ("s0", "s1", "s2"), ("edge0", "edge1"), ("r0", "w0", "r1", "w1")
 TTL_MS = 2_000.0
 CHECK_INTERVAL_US = 20_000
-HOLD_WAIT_US = 4_000_000  # how long an edge that is to die with something held is waited for
-FAULT_WINDOW_MS = 12_000  # in which faults begin
-SETTLE_TIMEOUT_US = 100_000_000  # after the last fault: a clock set back a minute stands still so long; pauses double
+HOLD_WAIT_US = 4_000_000  # the longest wait for an edge to hold something before it is killed
+FAULT_WINDOW_MS = 12_000  # in which faults and requests begin
+# After the last fault: a clock that was set back by 1 min stands still for as long, and back-off doubles.
+SETTLE_TIMEOUT_US = 100_000_000
 REQUEST_CLASS = ClientClass("chat", 1.0, 4_000.0, 12)
 HABITS = ClientHabits(hang_up=0.1, stop_reading=0.0, retries=0, openings=2, opening_words=10, words=10)
-# kind: (on, other, shortest ms, longest ms)
+# kind: (targets, second targets, shortest duration, longest duration in ms)
 FAULT_KINDS: dict[str, tuple[tuple[str, ...], tuple[str, ...], int, int]] = {
     "dies": (STEWARDS + EDGES, (), 50, 5_000),
     "dies holding": (EDGES, (), 50, 6_000),
     "stalls": (STEWARDS + EDGES, (), 50, 7_000),
-    "steps": (STEWARDS, (), 0, 0),
-    "cut": (STEWARDS + EDGES, (STORE, *ENGINES), 50, 6_000),
-    "deaf": (STEWARDS + EDGES, (STORE,), 50, 6_000),
+    "steps": (STEWARDS, (), 0, 0),  # the clock, by a minute
+    "cut": (STEWARDS + EDGES, (STORE, *ENGINES), 50, 6_000),  # traffic in both directions
+    "deaf": (STEWARDS + EDGES, (STORE,), 50, 6_000),  # traffic from the store only
     "engine dies": (ENGINES, (), 50, 3_000),
     "engine hangs": (ENGINES, (), 500, 6_000),
     "no leader": ((STORE,), (), 50, 6_000),
@@ -55,12 +56,12 @@
     "leases end": ((STORE,), (), 0, 0),
     "watches break": ((STORE,), (), 0, 0),
     "compaction": ((STORE,), (), 0, 0),
-    "leaves": (STEWARDS, (), 200, 3_000),
+    "leaves": (STEWARDS, (), 200, 3_000),  # shuts down gracefully, and restarts
 }
 
 
 class FleetFault(Struct, frozen=True):
-    """Something that goes wrong."""
+    """A fault: its kind, targets, time and duration."""
 
     kind: str
     on: str
@@ -70,15 +71,15 @@
 
 
 class FleetScript(Struct, frozen=True):
-    """All that a world depends on."""
+    """All that a run depends on."""
 
     seed: int
     faults: tuple[FleetFault, ...]
-    requests: tuple[int, ...]  # when each comes, ms
+    requests: tuple[int, ...]  # time of each, ms
 
 
 def draw_fleet_script(seed: int) -> FleetScript:
-    """A script."""
+    """Draw the script of a seed."""
     rng = random.Random(f"fleet {seed}")
     faults = []
     for _ in range(rng.randint(2, 7)):
@@ -101,21 +102,21 @@
 
 
 class RecordingEngine(StandInEngine):
-    """Tells the run of each order, at once."""
+    """A stand-in engine that reports each fenced order to the simulation."""
 
     on_order: Callable[[str, dict[str, Any]], None]
 
     def record(self, event: str, request: str = "", **more: object) -> None:
-        """See Engine."""
+        """See StandInEngine."""
         if event == "order":
             self.on_order(self.settings.name, {"id": request, **more})
 
 
 class FleetSimulation:
-    """One run."""
+    """One run of a script: the programs, the faults and the checks."""
 
     def __init__(self, script: FleetScript) -> None:
-        """Nothing has started."""
+        """Starts no program before `run`."""
         self.script = script
         self.sim = Simulation(script.seed)
         self.violations: list[str] = []
@@ -126,11 +127,11 @@
         self.instances: dict[str, EngineInstance] = {}
         self.ports: dict[str, int] = {}
         self._highest_fences: dict[tuple[str, str], int] = defaultdict(int)
-        self._registered_epochs: set[str] = set()  # epochs that were ever registered
+        self._registered_epochs: set[str] = set()  # every epoch that was registered in the store
         self._owners_may_overlap = any(fault.kind in ("steps", "leases end") for fault in script.faults)
 
     def run(self) -> tuple[str, ...]:
-        """What broke."""
+        """Run the script; returns the violations."""
         try:
             self.sim.run("fleet world", self._program)
         except RuntimeError as error:
@@ -202,7 +203,7 @@
         )
 
     def start(self, name: str) -> None:
-        """Start a program where it was."""
+        """Start or restart a program; a restarted one gets its former port."""
         world = self.sim.program(name)
         if name in ENGINES:
             engine = self.engines[name] = RecordingEngine(world, self.instances[name].settings)
@@ -261,23 +262,23 @@
             case "steps":
                 world.step(60_000_000 if fault.at_ms % 2 else -60_000_000)
             case "cut" | "deaf":
-                ways = [(fault.other, on)] if fault.kind == "deaf" else [(fault.other, on), (on, fault.other)]
-                for way in ways:
-                    network.cut(*way)
+                directions = [(fault.other, on)] if fault.kind == "deaf" else [(fault.other, on), (on, fault.other)]
+                for direction in directions:
+                    network.cut(*direction)
 
-                def join() -> None:
-                    for way in ways:
-                        network.restore(*way)
+                def restore() -> None:
+                    for direction in directions:
+                        network.restore(*direction)
 
-                return join
+                return restore
             case "engine hangs" if world.alive and self.engines[on].hang_signal is None:
                 engine = self.engines[on]
-                engine.hang_signal = hung = world.signal()
+                engine.hang_signal = hang_signal = world.signal()
 
                 def wake() -> None:
                     if world.alive:
                         engine.hang_signal = None
-                        hung.set()
+                        hang_signal.set()
 
                 return wake
             case "no leader":
@@ -294,40 +295,40 @@
             case "leaves" if world.alive and not world.gate.shut:
                 world.spawn("leave", self.stewards[on].shut_down)
 
-                def again() -> None:
-                    if self.world(on) is world:  # else a later fault has had it started already
+                def restart() -> None:
+                    if self.world(on) is world:  # else a later fault has restarted it already
                         world.kill()
                         self.start(on)
 
-                return again
+                return restart
         return None
 
     # --- rules
 
     def _check_order(self, engine: str, order: dict[str, Any]) -> None:
-        """An engine got an order that carries a fence."""
-        at = (engine, order["duty"])
+        """Check an order with a fence that an engine received."""
+        key = (engine, order["duty"])
         if not order["admitted"]:
             self.counts["orders refused"] += 1
             return
-        if order["fence"] < self._highest_fences[at]:
+        if order["fence"] < self._highest_fences[key]:
             self.violations.append(
-                f"fence: {engine} obeyed {order['fence']} of {order['duty']} after {self._highest_fences[at]}"
+                f"fence: {engine} obeyed {order['fence']} of {order['duty']} after {self._highest_fences[key]}"
             )
-        self._highest_fences[at] = max(self._highest_fences[at], order["fence"])
+        self._highest_fences[key] = max(self._highest_fences[key], order["fence"])
         if order["id"] == "holds":
             return
-        self.counts["holds let go of"] += 1
+        self.counts["holds released"] += 1
         epoch = epoch_of(order["id"])
         if any(edge.instance_id == epoch and self.world(name).alive for name, edge in self.edges.items()):
-            self.violations.append(f"sweep: {engine} let go of {order['id']}, whose edge lives")
+            self.violations.append(f"sweep: {engine} released {order['id']}, whose edge is alive")
 
     def held_ids(self) -> list[str]:
-        """All that engines hold."""
+        """The ids of all states and places that engines hold."""
         return [hold for engine in self.engines.values() for hold in (*engine.states, *engine.places)]
 
     def owners(self) -> dict[str, list[str]]:
-        """Who may act for which duty, by each one's own reckoning now."""
+        """The stewards that consider themselves owner of each duty now."""
         found: dict[str, list[str]] = {}
         for name, steward in self.stewards.items():
             if self.world(name).alive:
@@ -349,36 +350,35 @@
                 ]
 
     def _check_settled(self) -> None:
-        """Every duty has one owner who works, and nothing is held for an edge that is gone."""
+        """Wait until every duty has one active owner and nothing is held for a dead edge."""
         sim, until_us = self.sim, self.sim.now_us() + SETTLE_TIMEOUT_US
-        wanted = {"clock", "sweep/0", "sweep/1"}
+        duties = {"clock", "sweep/0", "sweep/1"}
         while True:
-            living = {edge.instance_id for name, edge in self.edges.items() if self.world(name).alive}
-            # One that died before the store had heard of it has a fate that nobody knows.
+            alive = {edge.instance_id for name, edge in self.edges.items() if self.world(name).alive}
+            # An edge that died before it was registered in the store is not swept: its death is not known to stewards.
             left = [
                 hold
                 for hold in self.held_ids()
-                if epoch_of(hold) not in living and epoch_of(hold) in self._registered_epochs
+                if epoch_of(hold) not in alive and epoch_of(hold) in self._registered_epochs
             ]
             owners = self.owners()
             idle = [
                 duty
-                for duty in wanted
+                for duty in duties
                 if len(owners.get(duty, [])) != 1 or duty not in self.stewards[owners[duty][0]].duty_tasks
             ]
-            barred = all(
-                steward.state.clock_skewed for steward in self.stewards.values()
-            )  # then nobody may own anything
-            if not left and not idle or barred:
+            # If all clocks are skewed, no steward may own a duty.
+            all_skewed = all(steward.state.clock_skewed for steward in self.stewards.values())
+            if not left and not idle or all_skewed:
                 return
             if sim.now_us() > until_us:
                 self.violations += [f"liveness: {duty} is owned by {owners.get(duty)}" for duty in idle]
-                self.violations += [f"liveness: {len(left)} holds of edges that are gone" for _ in left[:1]]
+                self.violations += [f"liveness: {len(left)} holds of dead edges" for _ in left[:1]]
                 return
             sim.scheduler.sleep_until(sim.now_us() + CHECK_INTERVAL_US)
 
 
 def run_fleet_script(script: FleetScript) -> tuple[tuple[str, ...], Counter[str]]:
-    """What broke in a world, and what it met."""
-    world = FleetSimulation(script)
-    return world.run(), world.counts
+    """Run a script; returns violations, and counts of faults and events."""
+    simulation = FleetSimulation(script)
+    return simulation.run(), simulation.counts
--- a/yardspindle/lab/load.py
+++ b/yardspindle/lab/load.py
@@ -1,8 +1,8 @@
-"""An open-loop load: drawn arrivals, sessions with turns, shared texts with a Zipf tail, times from the intended send.
+"""Open-loop load: random arrivals, sessions with turns, shared prefixes with Zipf popularity.
 
-Open loop: a request is sent when it was drawn to be, whether or not earlier ones are answered; a late start counts
-into its latency, so that a stalled router cannot hide its stall. The same file and seed draw the same traffic, which
-makes two runs comparable request by request.
+Open loop: a request is sent at its drawn time, whether or not earlier ones have been answered. Latency is measured
+from the intended send time, so that a stalled router cannot hide its stall. The same file and seed give the same
+traffic, so that two runs can be compared request by request.
 """
 
 from __future__ import annotations
@@ -38,24 +38,24 @@
     "confirm",
     "today",
 )
-BOOTSTRAP_SAMPLES = 500
+BOOTSTRAP_SAMPLES = 500  # for the confidence interval of a comparison
 
 
 class Traffic(Struct, forbid_unknown_fields=True, frozen=True):
-    """What is sent."""
+    """The traffic, as its file describes it."""
 
     seed: int
     seconds: Annotated[float, Meta(gt=0, le=3_600)]
     rate_per_s: Annotated[float, Meta(gt=0, le=2_000)]
     arrivals: Literal["poisson", "bursts"] = "poisson"
-    burst_times: Positive = 4.0  # the rate in a burst
+    burst_times: Positive = 4.0  # the rate in a burst, relative to the rate between bursts
     burst_s: Positive = 1.0
     burst_every_s: Positive = 5.0
-    openings: Annotated[int, Meta(ge=1)] = 50
-    zipf: Positive = 1.1
+    openings: Annotated[int, Meta(ge=1)] = 50  # shared prefixes
+    zipf: Positive = 1.1  # exponent of their popularity
     opening_words: Annotated[int, Meta(ge=0)] = 300
     turn_words: Annotated[int, Meta(ge=1)] = 40
-    turns: Annotated[float, Meta(ge=1)] = 2.5
+    turns: Annotated[float, Meta(ge=1)] = 2.5  # mean requests of a session
     answer_tokens: Annotated[int, Meta(ge=1)] = 16
     cls: str = "chat"
     timeout_ms: Positive = 10_000.0
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedRequest:
-    """A request as drawn; `at_us` after the start."""
+    """A drawn request, to be sent `at_us` after the start."""
 
     at_us: int
     messages: tuple[tuple[str, str], ...]
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """What came of a run; times in microseconds from the intended send."""
+    """Results of a run; times in microseconds from the intended send."""
 
     outcomes: dict[str, int] = field(default_factory=dict)
     first_token: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 3))
@@ -80,7 +80,7 @@
     prompt_tokens: int = 0
 
     def summary(self) -> str:
-        """For people, in milliseconds."""
+        """Outcomes and latency percentiles in milliseconds, as text."""
         rows = [
             ", ".join(f"{name} {count}" for name, count in sorted(self.outcomes.items()))
             + f"; prompt tokens {self.prompt_tokens}"
@@ -103,7 +103,7 @@
 
 
 def plan_traffic(traffic: Traffic) -> list[PlannedRequest]:
-    """All requests of a run, by their times."""
+    """Draw all requests of a run, in order of time."""
     rng = random.Random(traffic.seed)
     weights = [1 / (rank + 1) ** traffic.zipf for rank in range(traffic.openings)]
     open_sessions: list[list[tuple[str, str]]] = []
@@ -127,9 +127,9 @@
 def _rate(traffic: Traffic, at: float) -> float:
     if traffic.arrivals == "poisson":
         return traffic.rate_per_s
-    part = traffic.burst_s / traffic.burst_every_s  # the mean stays the stated rate
-    calm = traffic.rate_per_s / (1 - part + part * traffic.burst_times)
-    return calm * (traffic.burst_times if at % traffic.burst_every_s < traffic.burst_s else 1.0)
+    fraction = traffic.burst_s / traffic.burst_every_s  # the mean rate stays `rate_per_s`
+    base = traffic.rate_per_s / (1 - fraction + fraction * traffic.burst_times)
+    return base * (traffic.burst_times if at % traffic.burst_every_s < traffic.burst_s else 1.0)
 
 
 def _words(rng: random.Random, count: int) -> str:
@@ -137,11 +137,11 @@
 
 
 def run_load(world: World, traffic: Traffic, edges: list[tuple[str, int]], model: str) -> LoadReport:
-    """Send the traffic and wait for the last answer; bounded by its length and time-out."""
+    """Send the traffic and wait for all answers; ends at the last request's time-out at the latest."""
     report, http = LoadReport(), HttpClient(world, 1_000_000, 4_000_000)
     start = world.now_us()
 
-    def one(number: int, planned: PlannedRequest) -> None:
+    def send(number: int, planned: PlannedRequest) -> None:
         intended = start + planned.at_us
         outcome = "timed out"
         try:
@@ -159,7 +159,7 @@
     tasks = []
     for number, planned in enumerate(plan_traffic(traffic)):
         world.sleep_until(start + planned.at_us)
-        tasks.append(world.spawn("request", one, number, planned))
+        tasks.append(world.spawn("request", send, number, planned))
     for task in tasks:
         task.join()
     return report
@@ -209,7 +209,7 @@
 
 
 def compare_runs(first: LoadReport, second: LoadReport, seed: int) -> str:
-    """The same traffic on two settings: the median difference of each request's first token, and its spread."""
+    """Compare two runs of the same traffic: median difference of time to first token per request, with its spread."""
     both = sorted(first.first_token_us.keys() & second.first_token_us.keys())
     if not both:
         return "no request was answered in both"
--- a/yardspindle/lab/release_simulation.py
+++ b/yardspindle/lab/release_simulation.py
@@ -1,8 +1,9 @@
-"""Seeded worlds of releases: store, stewards and unit programs on the virtual World, units that outlive their programs.
+"""Seeded runs of releases: store, stewards and unit supervisors on the virtual World, with faults.
 
-At every grant a second reckoning from the store's rows alone: permits, and whoever has been out by accident for a
-moment, within the limit. Each order starts its unit once. After the last fault the release ends, or halts and is taken
-back; then every unit runs one version and nothing is out.
+A unit's process outlives its supervisor. At every grant, the number of units that are out, by permit or by an outage
+that the steward must know of, is recomputed from the store's rows alone and checked against the limits. Each order
+starts its unit at most once. After the last fault, the release completes, or halts and is rolled back; then every unit
+runs the same version and none is out.
 """
 
 from __future__ import annotations
@@ -28,38 +29,36 @@
 STEWARDS, UNITS = ("s0", "s1", "s2"), tuple(f"u{n}" for n in range(6))
 MAX_OUT = 2
 LIMITS = (Limit("all", most_out=MAX_OUT), Limit("zone", most_out=1))
-KNOWN_OUTAGE_US = 1_500_000  # an accident that old has been seen by whoever lets somebody go
+KNOWN_OUTAGE_US = 1_500_000  # a steward that grants a permit must know of any outage older than this
 CHECK_INTERVAL_US, RELEASE_TIMEOUT_US = 50_000, 400_000_000
-GOOD_VERSION, UNSTARTABLE_VERSION, CRASHING_VERSION = (
-    "good",
-    "never",
-    "frail",
-)  # versions: the second does not start, the third ends soon after
+GOOD_VERSION = "good"
+UNSTARTABLE_VERSION = "never"
+CRASHING_VERSION = "frail"  # ends 3 s after its start
 
 
 class SimulatedUnit:
-    """What runs of a unit: it outlives the unit's program, and its crashes are accidents."""
+    """The process of a unit: it outlives the unit's supervisor and may crash."""
 
     def __init__(self, sim: Simulation, name: str) -> None:
-        """Nothing runs."""
+        """Starts with no process."""
         self.sim, self.name = sim, name
         self.version, self.mark, self.start_number, self.started_us = "", "", 0, 0
         self.running = False
-        self.no_start_until_us = 0  # no start of it succeeds before
-        self.starts: Counter[str] = Counter()
+        self.no_start_until_us = 0  # starts before this time fail
+        self.starts: Counter[str] = Counter()  # by the mark of the order
 
     def crash(self, for_us: int = 0) -> None:
-        """It ends by itself, and cannot be started for a while."""
+        """End the process; it cannot be started again for the given time."""
         self.running = False
         self.no_start_until_us = self.sim.now_us() + for_us
 
 
 class SimulatedRunner:
-    """See Hands: the commands take virtual time."""
+    """Runs a unit's commands in virtual time; see Hands."""
 
-    def __init__(self, world: VirtualWorld, machine: SimulatedUnit) -> None:
-        """For one start of the unit's program."""
-        self._world, self._unit = world, machine
+    def __init__(self, world: VirtualWorld, unit: SimulatedUnit) -> None:
+        """For one start of the supervisor."""
+        self._world, self._unit = world, unit
         self._process = (0, 0)
 
     def adopt(self, pid: int, born: int) -> None:
@@ -92,11 +91,8 @@
             self._unit.starts[mark] += 1
             self._unit.start_number += 1
             can_start = self._unit.sim.now_us() >= self._unit.no_start_until_us
-            self._unit.version, self._unit.mark, self._unit.running = (
-                version,
-                mark,
-                version != UNSTARTABLE_VERSION and can_start,
-            )
+            starts = version != UNSTARTABLE_VERSION and can_start
+            self._unit.version, self._unit.mark, self._unit.running = version, mark, starts
             self._unit.started_us = self._unit.sim.now_us()
         self._process = (self._unit.start_number, 1)
         return 0
@@ -118,10 +114,10 @@
 
 
 class ReleaseSimulation:
-    """One run."""
+    """One run of a seed: the programs, a release, faults and the checks."""
 
     def __init__(self, seed: int) -> None:
-        """Nothing has started."""
+        """Starts no program before `run`."""
         self.rng = random.Random(f"release {seed}")
         self.sim = Simulation(seed)
         self.violations: list[str] = []
@@ -135,7 +131,7 @@
         self._permits: set[str] = set()
 
     def run(self) -> tuple[str, ...]:
-        """What broke."""
+        """Run the release; returns the violations."""
         try:
             self.sim.run("release world", self._program)
         except RuntimeError as error:
@@ -162,7 +158,7 @@
         )
 
     def start(self, name: str) -> None:
-        """Start a program."""
+        """Start a steward, or a unit's supervisor."""
         world = self.sim.program(name)
         fleet = self._config(name).fleet
         store = open_store(world, fleet)
@@ -183,7 +179,7 @@
         UnitSupervisor(world, file, fleet, store, "world", SimulatedRunner(world, self.simulated_units[name])).start()
 
     def store_view(self) -> ReleaseView:
-        """What the store holds, straight from it."""
+        """The release's rows, read directly from the store's data."""
         model = self.etcd.model
         return self.keys.read({row.key: row for row in model.rows(self.keys.root, b"\0")})
 
@@ -221,17 +217,17 @@
         ends = {"done", "back"}
         if not self._wait_for("the release's end", lambda: self._phase() in {*ends, "halted"}):
             return
-        for _ in range(4):  # a halt is answered by the way back, and again if that one halts
+        for _ in range(4):  # a halted release is rolled back, and again if the roll-back halts
             if self._phase() == "halted":
                 self.counts["halts"] += 1
                 self._operator_command("back")
-                self._wait_for("the way back", lambda: self._phase() in {*ends, "halted"})
+                self._wait_for("the roll-back", lambda: self._phase() in {*ends, "halted"})
         target = {"done": self.version, "back": "old"}.get(self._phase(), "")
         self._wait_for(f"all run {target}", lambda: self._all_run({target}) and not self.store_view().permits)
         self.counts[f"{self.version} {self._phase()}"] += 1
-        for name, machine in self.simulated_units.items():
+        for name, unit in self.simulated_units.items():
             self.violations += [
-                f"once: {name} started {times} times for {mark}" for mark, times in machine.starts.items() if times > 1
+                f"once: {name} started {times} times for {mark}" for mark, times in unit.starts.items() if times > 1
             ]
 
     def _phase(self) -> str:
@@ -249,7 +245,7 @@
             self.store_view(), release, AuditEntry(self.sim.now_us(), "ana", what)
         )
         if not self.etcd.model.txn(txn).succeeded:
-            self.violations.append(f"say: {what} was not taken")
+            self.violations.append(f"say: {what} was not accepted")
         self.etcd._notify_watches()
 
     def _operator_command(self, command: str) -> None:
@@ -299,19 +295,19 @@
     # --- rules
 
     def _track_outages(self) -> None:
-        """Since when each unit has been out by accident, by the store's rows."""
+        """Record since when each unit is down without a permit, by the store's rows."""
         while True:
-            now, units = self.sim.now_us(), self.store_view()
+            now, view = self.sim.now_us(), self.store_view()
             for name in UNITS:
-                status = units.statuses.get(name)
-                if name in units.permits or (status is not None and status.standing == "well"):
+                status = view.statuses.get(name)
+                if name in view.permits or (status is not None and status.standing == "well"):
                     self._down_since.pop(name, None)
                 else:
                     self._down_since.setdefault(name, now)
             self.sim.scheduler.sleep_until(now + CHECK_INTERVAL_US)
 
     def _check_permits(self, event: str, **more: Any) -> None:
-        """After each call of the store: a new permit must be within the limits."""
+        """After each call to the store, check new permits against the limits."""
         permits = set(self.store_view().permits)
         new, self._permits = permits - self._permits, permits
         now = self.sim.now_us()
@@ -320,12 +316,14 @@
             down = {unit for unit, since in self._down_since.items() if now - since > KNOWN_OUTAGE_US} - permits
             out = permits | down
             zone = {unit for unit in out if int(unit[1:]) % 3 == int(name[1:]) % 3}
-            already_out = name in self._down_since  # it was out anyway: the way back must be able to reach it
+            already_out = name in self._down_since  # it is down anyway, and a roll-back must be able to reach it
             if not already_out and (len(out) > MAX_OUT or len(zone) > 1):
-                self.violations.append(f"limit: {name} let go with {sorted(permits - {name})} out, {sorted(down)} ill")
+                self.violations.append(
+                    f"limit: {name} got a permit with {sorted(permits - {name})} out, {sorted(down)} down"
+                )
 
 
 def run_release_seed(seed: int) -> tuple[tuple[str, ...], Counter[str]]:
-    """What broke in a world, and what it met."""
-    world = ReleaseSimulation(seed)
-    return world.run(), world.counts
+    """Run a seed; returns violations, and counts of faults and events."""
+    simulation = ReleaseSimulation(seed)
+    return simulation.run(), simulation.counts
--- a/yardspindle/lab/script.py
+++ b/yardspindle/lab/script.py
@@ -108,6 +108,7 @@
 
 
 def _draw_fault(rng: random.Random, before: list[Fault], last_ms: int) -> Fault:
+    """Draw a fault; half of the time during one of those before it. `last_ms` is the time of the last request."""
     kind = rng.choice(tuple(FAULT_KINDS))
     targets, shortest, longest = FAULT_KINDS[kind]
     for_ms = int(shortest + (longest - shortest) * rng.random() ** 2)  # short durations are more likely
--- a/yardspindle/lab/seeds.py
+++ b/yardspindle/lab/seeds.py
@@ -21,8 +21,8 @@
 from yardspindle.lab.script import FAULT_PAIR_COUNT, Fault, Script, draw_script, overlapping_kinds
 from yardspindle.lab.traffic_simulation import Outcome, run_script
 
-GC_INTERVAL = 10
-CRITICAL_LEVEL = 50
+GC_INTERVAL = 10  # seeds between garbage collections
+CRITICAL_LEVEL = 50  # above every level that the programs log at
 
 
 @dataclass(slots=True)
