--- a/yardspindle/lab/etcd.py
+++ b/yardspindle/lab/etcd.py
@@ -1,8 +1,9 @@
-"""A stand-in for etcd's JSON gateway: the model of core/ behind HTTP, with a journal, and faults on command.
+"""A stand-in for etcd's JSON gateway: the store model of core/fleet behind HTTP, with a journal and injected faults.
 
-`POST /lab/control` with `{"do": ...}`: `no_leader` and `leader`; `late` (ms before each answer); `lose` (so many
-answers are lost after their commit); `break_watches`; `expire` (all leases end early, as at a change of leader);
-`compact`; `mark` and `restore` (back to an older revision); `stale_reads` (serializable reads answer as marked).
+`POST /lab/control` with `{"do": ...}` injects or ends a fault: `no_leader` and `leader`; `late` (`ms` before each
+answer); `lose` (the answers to the next `count` calls that write are lost after their commit); `break_watches`;
+`expire` (all leases end early, as on a change of leader); `compact`; `mark` and `restore` (save the data, return to
+it); `stale_reads` (serializable reads see the data that `mark` saved).
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 from yardspindle.runtime.world import StreamError, World
 
 CONTROL = b"/lab/control"
-EXPIRE_US = 10_000  # how often leases are looked at
+LEASE_CHECK_INTERVAL_US = 10_000  # between checks for expired leases
 PATHS = (
     j.RANGE_PATH,
     j.TXN_PATH,
@@ -38,8 +39,8 @@
 )
 
 
-class Control(Struct, forbid_unknown_fields=True):
-    """A command."""
+class EtcdControl(Struct, forbid_unknown_fields=True):
+    """A fault to inject or to end."""
 
     do: Literal[
         "no_leader", "leader", "late", "lose", "break_watches", "expire", "compact", "mark", "restore", "stale_reads"
@@ -50,59 +51,59 @@
 
 
 @dataclass(slots=True)
-class Follower:
-    """An open watch."""
+class OpenWatch:
+    """An open watch on a key, or on the range from `key` to `end`."""
 
     key: bytes
     end: bytes
-    waiting: list[bytes] = field(default_factory=list)
-    turn: Signal | None = None
-    broken: bool = False
+    pending: list[bytes] = field(default_factory=list)
+    wakeup: Signal | None = None
+    closed: bool = False
 
 
 class EtcdStandIn:
-    """One stand-in member, a cluster by itself."""
+    """An etcd cluster of one member."""
 
     def __init__(self, world: World, journal: str = "") -> None:
-        """Nothing is opened before `start`."""
+        """Opens no sockets before `start`."""
         self.world = world
         self.model = StoreModel()
         self.journal = journal
-        self.watches: list[Follower] = []
+        self.watches: list[OpenWatch] = []
         self.leaderless = False
         self.late_us = 0
         self.responses_to_lose = 0
         self.saved_model: StoreModel | None = None
         self.stale_reads = False
-        self.cluster = world.random("cluster").getrandbits(62) or 1
-        self._told = self.model.revision
+        self.cluster_id = world.random("cluster").getrandbits(62) or 1
+        self._notified_revision = self.model.revision
 
     def start(self, host: str, port: int) -> tuple[str, int]:
         """Listen and serve. Raises OSError."""
         listener = self.world.listen(host, port)
-        self.world.spawn("accept", Server(self.world, listener, self, ServingLimits(), self._fault).serve)
-        self.world.spawn("leases", self._expire)
+        self.world.spawn("accept", Server(self.world, listener, self, ServingLimits(), self._record_fault).serve)
+        self.world.spawn("leases", self._expire_leases)
         return listener.host, listener.port
 
     def record(self, event: str, **more: object) -> None:
-        """Append to the journal, at once."""
+        """Append an event to the journal, without buffering."""
         if self.journal:
             line = {"t": self.world.now_us(), "ev": event, "revision": self.model.revision, **more}
             self.world.append_file(self.journal, msgspec.json.encode(line) + b"\n")
 
-    def _fault(self, fault: BaseException) -> None:
+    def _record_fault(self, fault: BaseException) -> None:
         if not isinstance(fault, StreamError):
             self.record("fault", text=f"{type(fault).__name__}: {fault}")
 
-    def _expire(self) -> None:
+    def _expire_leases(self) -> None:
         while True:
             now = self.world.now_us()
-            ended = [n for n, lease in self.model.leases.items() if lease.expires_us <= now]
-            if ended:
+            expired = [n for n, lease in self.model.leases.items() if lease.expires_us <= now]
+            if expired:
                 self.model.expire(now)
-                self.record("expired", leases=ended)
+                self.record("expired", leases=expired)
                 self._notify_watches()
-            self.world.sleep_until(now + EXPIRE_US)
+            self.world.sleep_until(now + LEASE_CHECK_INTERVAL_US)
 
     # --- routes
 
@@ -120,7 +121,7 @@
         """See Handler."""
         target, body = exchange.head.target, exchange.body
         if target == CONTROL:
-            self._control(msgspec.json.decode(body, type=Control))
+            self._control(msgspec.json.decode(body, type=EtcdControl))
             return exchange.reply(Reply(200, [JSON_CONTENT_TYPE], b"{}"))
         if self.late_us:
             self.world.sleep_until(self.world.now_us() + self.late_us)
@@ -156,7 +157,7 @@
         )
 
     def _header(self) -> j.ResponseHeader:
-        return j.ResponseHeader(str(self.cluster), "1", str(self.model.revision), "2")
+        return j.ResponseHeader(str(self.cluster_id), "1", str(self.model.revision), "2")
 
     def _answer(self, target: bytes, body: bytes) -> bytes:
         now, model = self.world.now_us(), self.model
@@ -167,7 +168,7 @@
                 if call.serializable and self.stale_reads and self.saved_model is not None:
                     model = self.saved_model
                 rows = model.range(j.decode_base64(call.key), j.decode_base64(call.range_end), int(call.revision))
-                head = j.ResponseHeader(str(self.cluster), "1", str(rows.revision), "2")
+                head = j.ResponseHeader(str(self.cluster_id), "1", str(rows.revision), "2")
                 reply = j.RangeResponse(head, [j.encode_row(row) for row in rows.rows], count=str(len(rows.rows)))
             case j.TXN_PATH:
                 txn: Txn = j.decode_txn(body)
@@ -202,58 +203,56 @@
         try:
             missed = self.model.changes_since(key, end, since) if since else Changes(self.model.revision)
         except Compacted as error:
-            gone = j.WatchResponse(self._header(), canceled=True, compact_revision=str(error.revision))
-            return exchange.finish(msgspec.json.encode(j.WatchMessage(gone)) + b"\n")
-        follower = Follower(key, end)
-        self.watches.append(follower)
+            cancelled = j.WatchResponse(self._header(), canceled=True, compact_revision=str(error.revision))
+            return exchange.finish(msgspec.json.encode(j.WatchMessage(cancelled)) + b"\n")
+        watch = OpenWatch(key, end)
+        self.watches.append(watch)
 
-        def left() -> None:
-            follower.broken = True
-            if follower.turn is not None:
-                follower.turn.set()
+        def on_disconnect() -> None:
+            watch.closed = True
+            if watch.wakeup is not None:
+                watch.wakeup.set()
 
-        exchange.on_disconnect = left
+        exchange.on_disconnect = on_disconnect
         try:
             if missed.changes:
                 exchange.send(j.encode_changes(missed, self._header()))
-            while not follower.broken:
-                if not follower.waiting:
-                    follower.turn = self.world.signal()
-                    follower.turn.wait()
+            while not watch.closed:
+                if not watch.pending:
+                    watch.wakeup = self.world.signal()
+                    watch.wakeup.wait()
                     continue
-                lines, follower.waiting = follower.waiting, []
+                lines, watch.pending = watch.pending, []
                 exchange.send(b"".join(lines))
             exchange.stream.abort()
         finally:
-            self.watches.remove(follower)
+            self.watches.remove(watch)
         return None
 
     def _notify_watches(self) -> None:
-        """Let the watches have what changed since they were last told."""
-        if self.model.revision == self._told:
+        """Queue the changes since the last notification at the watches whose range they are in."""
+        if self.model.revision == self._notified_revision:
             return
-        news = self.model.changes_since(b"\0", b"\0", self._told + 1)
-        self._told = self.model.revision
-        for follower in self.watches:
-            mine: tuple[Change, ...] = tuple(
+        new = self.model.changes_since(b"\0", b"\0", self._notified_revision + 1)
+        self._notified_revision = self.model.revision
+        for watch in self.watches:
+            matching: tuple[Change, ...] = tuple(
                 c
-                for c in news.changes
-                if (
-                    range_contains(follower.key, follower.end, c.row.key) if follower.end else c.row.key == follower.key
-                )
+                for c in new.changes
+                if (range_contains(watch.key, watch.end, c.row.key) if watch.end else c.row.key == watch.key)
             )
-            if mine:
-                follower.waiting.append(j.encode_changes(Changes(news.revision, mine), self._header()))
-                if follower.turn is not None:
-                    follower.turn.set()
+            if matching:
+                watch.pending.append(j.encode_changes(Changes(new.revision, matching), self._header()))
+                if watch.wakeup is not None:
+                    watch.wakeup.set()
 
     # --- faults
 
     def inject_fault(self, do: str) -> None:
-        """A fault by its name, for a run that holds the stand-in itself."""
-        self._control(msgspec.convert({"do": do}, Control))
+        """Inject a fault that needs no arguments, for a run in the same process."""
+        self._control(msgspec.convert({"do": do}, EtcdControl))
 
-    def _control(self, control: Control) -> None:
+    def _control(self, control: EtcdControl) -> None:
         self.record("control", do=control.do)
         match control.do:
             case "no_leader":
@@ -274,7 +273,7 @@
                 self.saved_model = self.model.copy()
             case "restore" if self.saved_model is not None:
                 self.model = self.saved_model.copy()
-                self._told = self.model.revision
+                self._notified_revision = self.model.revision
                 self._break()
             case "stale_reads":
                 self.stale_reads = control.on
@@ -284,7 +283,7 @@
                 pass
 
     def _break(self) -> None:
-        for follower in self.watches:
-            follower.broken = True
-            if follower.turn is not None:
-                follower.turn.set()
+        for watch in self.watches:
+            watch.closed = True
+            if watch.wakeup is not None:
+                watch.wakeup.set()
