--- a/tests/test_store_failures.py
+++ b/tests/test_store_failures.py
@@ -104,7 +104,7 @@
     def test(world: RealWorld, stand_in: EtcdStandIn, store: EtcdStore) -> None:
         watch = store.watch(b"a", b"", 0)
         watch.next()
-        stand_in._break()
+        stand_in._break_watches()
         with pytest.raises(WatchBroken), world.deadline(world.now_us() + 5 * S):
             watch.next()
 
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -60,7 +60,7 @@
     alone = run_script(draw_script(7))
     lines: list[str] = []
     run_script(draw_script(8))
-    traced = run_script(draw_script(7), lines.append, count=True)
+    traced = run_script(draw_script(7), lines.append, count_transitions=True)
     assert traced.trace == alone.trace != run_script(draw_script(9)).trace
     assert lines and traced.transitions and not alone.transitions
 
--- a/yardspindle/lab/etcd.py
+++ b/yardspindle/lab/etcd.py
@@ -274,15 +274,15 @@
             case "restore" if self.saved_model is not None:
                 self.model = self.saved_model.copy()
                 self._notified_revision = self.model.revision
-                self._break()
+                self._break_watches()
             case "stale_reads":
                 self.stale_reads = control.on
             case "break_watches":
-                self._break()
+                self._break_watches()
             case _:
                 pass
 
-    def _break(self) -> None:
+    def _break_watches(self) -> None:
         for watch in self.watches:
             watch.closed = True
             if watch.wakeup is not None:
--- a/yardspindle/lab/seeds.py
+++ b/yardspindle/lab/seeds.py
@@ -81,7 +81,7 @@
 def run_guarded(script: Script, count: bool = False) -> Outcome:
     """Run a script; an exception that ends the run counts as a violation."""
     try:
-        return run_script(script, count=count)
+        return run_script(script, count_transitions=count)
     except Exception as error:
         return Outcome(script.seed, "", (f"run: {type(error).__name__}: {error}",), {}, {}, 0, 0)
 
--- a/yardspindle/lab/traffic_simulation.py
+++ b/yardspindle/lab/traffic_simulation.py
@@ -215,6 +215,8 @@
                 self._violations.append(f"liveness: {name} is left with {held}, {engine.load.running} running")
 
 
-def run_script(script: Script, print_line: Callable[[str], None] | None = None, count: bool = False) -> Outcome:
+def run_script(
+    script: Script, print_line: Callable[[str], None] | None = None, count_transitions: bool = False
+) -> Outcome:
     """Run a script on a simulated fleet."""
-    return TrafficSimulation(script, print_line, count).run()
+    return TrafficSimulation(script, print_line, count_transitions).run()
