--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -1,4 +1,4 @@
-"""Configuration, server list, directory, estimate, intake, answers, releases, planning, link frames."""
+"""Configuration, server list, token estimate, intake, answers, releases, planning, link frames."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("colour = 1", "c.toml: colour: unknown key"),
         ("[edge]\nlisten = 3", "c.toml: edge.listen: expected `str`, got `int`"),
@@ -61,16 +61,16 @@
         ("\udcff", "c.toml: byte 0: not UTF-8"),
     ],
 )
-def test_a_fault_is_one_line_with_file_key_and_reason(text: str, says: str) -> None:
+def test_a_fault_is_one_line_with_file_key_and_reason(text: str, message: str) -> None:
     with pytest.raises(cfg.ConfigError) as caught:
         cfg.parse("c.toml", text.encode("utf-8", "surrogateescape"))
-    assert str(caught.value).startswith(says) and "\n" not in str(caught.value)
+    assert str(caught.value).startswith(message) and "\n" not in str(caught.value)
 
 
 def test_settings_reach_the_policy_and_the_interlocks_in_microseconds() -> None:
     config = cfg.parse("c", b"[rules]\nrelease_ms = 250.5\n[[classes]]\nname = 'o'\neffect = 'unsafe'\naim_ms = 100")
-    made = cfg.policy_settings(config, 0, 3, "z")
-    assert (made.release_us, made.instances, made.classes[0].effect) == (250_500, 3, i.Effect.UNSAFE)
+    policy = cfg.policy_settings(config, 0, 3, "z")
+    assert (policy.release_us, policy.instances, policy.classes[0].effect) == (250_500, 3, i.Effect.UNSAFE)
     assert cfg.edge_rules(config).effects == {"o": i.Effect.UNSAFE}
     assert cfg.settings_hash(config) != cfg.settings_hash(DEFAULT)
     assert cfg.settings_hash(cfg.parse("c", b"[log]\nlevel = 'debug'")) == cfg.settings_hash(DEFAULT)
@@ -79,7 +79,7 @@
 # --- server list
 
 
-def listed(*rows: str, count: int | None = None) -> bytes:
+def list_document(*rows: str, count: int | None = None) -> bytes:
     return "\n".join(
         [f"count = {len(rows) if count is None else count}", *(f"[[servers]]\n{row}" for row in rows)]
     ).encode()
@@ -90,44 +90,44 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "says"),
+    ("data", "message"),
     [
-        (listed(A, count=2), "s.toml: count: says 2, the list holds 1"),
-        (listed(A, A), "s.toml: servers.name: a comes twice"),
-        (listed(A, B.replace(":2", ":1")), "s.toml: servers.address: 127.0.0.1:1 comes twice"),
-        (listed(A + "\nunits = 0", B + "\nunits = 0.0"), "s.toml: servers.units: every one is zero"),
-        (listed(A.replace("reader", "gpu")), "s.toml: servers.a.kind: not configured: gpu"),
-        (listed(A.replace(":1'", ":0'")), "s.toml: servers.a.address: no such port: 0"),
-        (listed(A + "\nstate = 'ill'"), "s.toml: servers[0].state: invalid enum value 'ill'"),
-        (listed(A)[9:], "s.toml: count: missing"),
+        (list_document(A, count=2), "s.toml: count: says 2, the list holds 1"),
+        (list_document(A, A), "s.toml: servers.name: a comes twice"),
+        (list_document(A, B.replace(":2", ":1")), "s.toml: servers.address: 127.0.0.1:1 comes twice"),
+        (list_document(A + "\nunits = 0", B + "\nunits = 0.0"), "s.toml: servers.units: every one is zero"),
+        (list_document(A.replace("reader", "gpu")), "s.toml: servers.a.kind: not configured: gpu"),
+        (list_document(A.replace(":1'", ":0'")), "s.toml: servers.a.address: no such port: 0"),
+        (list_document(A + "\nstate = 'ill'"), "s.toml: servers[0].state: invalid enum value 'ill'"),
+        (list_document(A)[9:], "s.toml: count: missing"),
     ],
 )
-def test_a_list_is_refused_whole(data: bytes, says: str) -> None:
+def test_a_list_is_refused_whole(data: bytes, message: str) -> None:
     with pytest.raises(cfg.ConfigError) as caught:
         parse_server_list("s.toml", data, DEFAULT)
-    assert str(caught.value).startswith(says)
+    assert str(caught.value).startswith(message)
 
 
 def test_no_cut_of_a_list_is_taken_for_the_list() -> None:
-    whole = listed(A, B, A.replace("'a'", "'c'").replace(":1'", ":3'"))
-    full = parse_server_list("s", whole, DEFAULT)
-    for end in range(len(whole)):
+    data = list_document(A, B, A.replace("'a'", "'c'").replace(":1'", ":3'"))
+    complete = parse_server_list("s", data, DEFAULT)
+    for end in range(len(data)):
         try:
-            document = parse_server_list("s", whole[:end], DEFAULT)
+            document = parse_server_list("s", data[:end], DEFAULT)
         except cfg.ConfigError:
             continue
-        assert len(document.servers) == document.count == len(full.servers)
+        assert len(document.servers) == document.count == len(complete.servers)
 
 
 def test_numbers_stay_with_their_names() -> None:
-    roster = ServerList(DEFAULT)
-    assert roster.apply(parse_server_list("s", listed(A, B), DEFAULT))
-    assert not roster.apply(parse_server_list("s", listed(A, B), DEFAULT))
-    first = {server.name: server.number for server in roster.addresses()}
-    roster.apply(parse_server_list("s", listed(B), DEFAULT))
-    roster.apply(parse_server_list("s", listed(B, A + "\nup_since_ms = 5.0"), DEFAULT))
-    assert {server.name: server.number for server in roster.addresses()} == first
-    entries = {entry.server: entry for entry in roster.members(100).entries}
+    server_list = ServerList(DEFAULT)
+    assert server_list.apply(parse_server_list("s", list_document(A, B), DEFAULT))
+    assert not server_list.apply(parse_server_list("s", list_document(A, B), DEFAULT))
+    first = {server.name: server.number for server in server_list.addresses()}
+    server_list.apply(parse_server_list("s", list_document(B), DEFAULT))
+    server_list.apply(parse_server_list("s", list_document(B, A + "\nup_since_ms = 5.0"), DEFAULT))
+    assert {server.name: server.number for server in server_list.addresses()} == first
+    entries = {entry.server: entry for entry in server_list.members(100).entries}
     assert (entries[first["a"]].up_since_us, entries[first["b"]].up_since_us) == (5_100, 0)
 
 
@@ -159,7 +159,7 @@
     assert len(estimate._kinds) <= 4_096
 
 
-def said(**more: Any) -> RequestFields:
+def fields(**more: Any) -> RequestFields:
     return RequestFields(
         **{"tenant": "t", "prefix_parts": (b"x" * 2_000,), "first_message": b"hi", "size": 2_002, **more}
     )
@@ -167,17 +167,17 @@
 
 def test_what_clients_name_wins_and_is_kept_apart_by_tenant() -> None:
     intake = Intake(DEFAULT)
-    plain = intake.accept(0, 1, said()).request
+    plain = intake.accept(0, 1, fields()).request
     assert (plain.cls, plain.tenant, plain.prefix is not None) == ("chat", "t", True)
-    assert intake.accept(0, 2, said(first_message=b"other")).request.prefix == plain.prefix
-    assert intake.accept(0, 2, said(first_message=b"other")).request.session != plain.session
-    assert intake.accept(0, 3, said(tenant="u")).request.prefix == plain.prefix, "the same text is the same state"
-    mine = intake.accept(0, 4, said(shared_prefix="k", session="s", cls="order", max_out=7)).request
-    theirs = intake.accept(0, 5, said(tenant="u", shared_prefix="k", session="s")).request
+    assert intake.accept(0, 2, fields(first_message=b"other")).request.prefix == plain.prefix
+    assert intake.accept(0, 2, fields(first_message=b"other")).request.session != plain.session
+    assert intake.accept(0, 3, fields(tenant="u")).request.prefix == plain.prefix, "the same prefix has the same state"
+    mine = intake.accept(0, 4, fields(shared_prefix="k", session="s", cls="order", max_out=7)).request
+    theirs = intake.accept(0, 5, fields(tenant="u", shared_prefix="k", session="s")).request
     assert (mine.cls, mine.max_out) == ("order", 7.0)
     assert mine.prefix != theirs.prefix and mine.session != theirs.session
-    assert intake.accept(0, 6, said(prefix_parts=(b"short",), size=7)).request.prefix is None
-    split = said(prefix_parts=(b"x" * 1_000, b"x" * 1_000))
+    assert intake.accept(0, 6, fields(prefix_parts=(b"short",), size=7)).request.prefix is None
+    split = fields(prefix_parts=(b"x" * 1_000, b"x" * 1_000))
     assert intake.accept(0, 7, split).request.prefix != plain.prefix
 
 
@@ -185,17 +185,17 @@
     intake = Intake(DEFAULT)
     intake.estimate.learn("t chat", 30_000, 10_007)
     for size in range(2_001, 2_040):
-        request = intake.accept(0, 1, said(size=size)).request
+        request = intake.accept(0, 1, fields(size=size)).request
         assert request.prompt_tokens.is_integer() and request.prefix_tokens.is_integer()
 
 
 def test_deadlines_only_ever_get_earlier() -> None:
     intake = Intake(DEFAULT)
     margin = 80_000
-    assert intake.accept(5, 1, said()).request.expires_us == 5 + 7_500_000 - margin
-    assert intake.accept(0, 2, said(timeout_ms=1_000.0)).request.expires_us == 1_000_000 - margin
-    assert intake.accept(0, 3, said(client_timeout_ms=600_000.0)).request.expires_us == 7_500_000 - margin
-    assert intake.accept(0, 4, said(timeout_ms=2.0)).request.expires_us == 1
+    assert intake.accept(5, 1, fields()).request.expires_us == 5 + 7_500_000 - margin
+    assert intake.accept(0, 2, fields(timeout_ms=1_000.0)).request.expires_us == 1_000_000 - margin
+    assert intake.accept(0, 3, fields(client_timeout_ms=600_000.0)).request.expires_us == 7_500_000 - margin
+    assert intake.accept(0, 4, fields(timeout_ms=2.0)).request.expires_us == 1
 
 
 @pytest.mark.parametrize(
@@ -210,7 +210,7 @@
 )
 def test_bad_fields_are_named(more: dict[str, Any], param: str) -> None:
     with pytest.raises(IntakeError) as caught:
-        Intake(DEFAULT).accept(0, 1, said(**more))
+        Intake(DEFAULT).accept(0, 1, fields(**more))
     assert caught.value.param == param
 
 
@@ -233,12 +233,12 @@
     assert not state.complete and not state.forward(b"[DONE]") and state.complete
     assert state.counts is not None and (state.counts.prompt, state.counts.completion, state.counts.cached) == (9, 2, 4)
     assert not state.forward(chunk({"content": "after"}))
-    wanted = AnswerTracker(usage_wanted=True)
-    assert wanted.forward(chunk(usage=USAGE))
-    cut = AnswerTracker(False)
-    cut.forward(chunk({"content": "a"}))
-    cut.forward(b"[DONE]")
-    assert cut.done and not cut.complete, "no finish reason came"
+    with_usage = AnswerTracker(usage_wanted=True)
+    assert with_usage.forward(chunk(usage=USAGE))
+    truncated = AnswerTracker(False)
+    truncated.forward(chunk({"content": "a"}))
+    truncated.forward(b"[DONE]")
+    assert truncated.done and not truncated.complete, "no finish reason arrived"
     error = AnswerTracker(False)
     error.forward(chunk({}, "stop"))
     assert not error.forward(b'{"error": {"message": "x"}}') and error.error and not error.complete
@@ -253,12 +253,12 @@
 @settings(max_examples=150, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 2), st.text(max_size=8)), min_size=1, max_size=20))
 def test_collected_text_is_the_streamed_text(drawn: list[tuple[int, str]]) -> None:
-    whole = CollectedAnswer()
+    collected = CollectedAnswer()
     for index, text in drawn:
-        whole.add(chunk({"role": "assistant", "content": text}, index=index))
+        collected.add(chunk({"role": "assistant", "content": text}, index=index))
     for index in {index for index, _ in drawn}:
-        whole.add(chunk({}, "stop", index))
-    body = json.loads(whole.body())
+        collected.add(chunk({}, "stop", index))
+    body = json.loads(collected.body())
     assert body["object"] == "chat.completion"
     for choice in body["choices"]:
         text = "".join(t for n, t in drawn if n == choice["index"])
@@ -266,17 +266,17 @@
 
 
 def test_tool_calls_and_unknown_fields_are_put_together() -> None:
-    whole = CollectedAnswer()
+    collected = CollectedAnswer()
     for part in (
         {"index": 0, "id": "t1", "type": "function", "function": {"name": "f", "arguments": ""}},
         {"index": 0, "function": {"arguments": '{"a"'}},
         {"index": 0, "function": {"arguments": ":1}"}},
         {"index": 1, "id": "t2", "type": "function", "function": {"name": "g", "arguments": "{}"}},
     ):
-        whole.add(chunk({"tool_calls": [part]}))
-    whole.add(chunk({"reasoning_content": "be"}, novel={"x": 1}))
-    whole.add(chunk({"reasoning_content": "cause"}, "tool_calls", usage=USAGE))
-    body = json.loads(whole.body())
+        collected.add(chunk({"tool_calls": [part]}))
+    collected.add(chunk({"reasoning_content": "be"}, novel={"x": 1}))
+    collected.add(chunk({"reasoning_content": "cause"}, "tool_calls", usage=USAGE))
+    body = json.loads(collected.body())
     message = body["choices"][0]["message"]
     assert [call["function"] for call in message["tool_calls"]] == [
         {"name": "f", "arguments": '{"a":1}'},
@@ -324,10 +324,10 @@
     releases.add(0, server(2, places=False), ResourceKind.STATE, 1, 0)
     first = releases.take_due(0)
     assert len(first) == MAX_IN_FLIGHT_PER_SERVER and not releases.take_due(0)
-    for owed in first:
-        releases.settled(10, owed, confirmed=False)
-    due = {owed.request for owed in releases.take_due(20)}
-    assert due == {4, 5, 6, 7}, "those not yet said come before those said in vain"
+    for release in first:
+        releases.settled(10, release, confirmed=False)
+    due = {release.request for release in releases.take_due(20)}
+    assert due == {4, 5, 6, 7}, "releases not yet sent come before unconfirmed ones"
     assert releases.pending == 10
 
 
@@ -343,21 +343,21 @@
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.tuples(st.integers(1, 3), st.booleans(), st.integers(0, 400_000)), max_size=60))
 def test_every_release_is_in_the_end_heard_or_lapsed(drawn: list[tuple[int, bool, int]]) -> None:
-    releases, now, heard_of = ReleaseQueues(), 0, set()
-    for part, (at, heard, wait) in enumerate(drawn):
+    releases, now, confirmed_requests = ReleaseQueues(), 0, set()
+    for part, (at, confirmed, wait) in enumerate(drawn):
         releases.add(now, server(at), ResourceKind.STATE, part, 0)
         now += wait
-        for owed in releases.take_due(now):
-            releases.settled(now, owed, heard)
-            if heard:
-                heard_of.add(owed.request)
+        for release in releases.take_due(now):
+            releases.settled(now, release, confirmed)
+            if confirmed:
+                confirmed_requests.add(release.request)
     while (due := releases.next_due_us()) is not None:
         now = max(now, due)
-        for owed in releases.take_due(now):
-            releases.settled(now, owed, True)
-            heard_of.add(owed.request)
+        for release in releases.take_due(now):
+            releases.settled(now, release, True)
+            confirmed_requests.add(release.request)
     assert releases.pending == 0
-    assert len(heard_of) + releases.expired == len(drawn)
+    assert len(confirmed_requests) + releases.expired == len(drawn)
 
 
 # --- planning
@@ -381,12 +381,12 @@
     session.tick(1_000)
     assert calls[-1] == (i.Timer(9), 1_000_600)
     session.handle_events(1_000_000, [i.Hangup(1)])
-    assert calls[-1][1] == 1_000_600, "time never goes back"
+    assert calls[-1][1] == 1_000_600, "time never decreases"
 
 
 # --- link
 
-some_events = st.one_of(
+any_events = st.one_of(
     st.builds(
         i.Request,
         st.integers(0, 2**32),
@@ -408,7 +408,7 @@
         note=st.integers(0, 9),
     ),
 )
-some_actions = st.one_of(
+any_actions = st.one_of(
     st.builds(i.Send, *[st.integers(0, 99)] * 3),
     st.builds(i.Ahead, *[st.integers(0, 99)] * 2),
     st.builds(i.Refuse, *[st.integers(0, 99)] * 2),
@@ -419,7 +419,7 @@
 
 
 @settings(max_examples=150, deadline=None)
-@given(st.lists(some_events, max_size=6), st.lists(some_actions, max_size=6), st.lists(st.integers(0, 900), max_size=5))
+@given(st.lists(any_events, max_size=6), st.lists(any_actions, max_size=6), st.lists(st.integers(0, 900), max_size=5))
 def test_frames_arrive_as_sent_however_cut(events: list[i.Event], actions: list[i.Action], cuts: list[int]) -> None:
     sent: list[frames.Frame] = [
         frames.Hello(1, 0, 1, "z", 5, "h"),
--- a/tests/test_release_rounds.py
+++ b/tests/test_release_rounds.py
@@ -1,4 +1,4 @@
-"""How soon a release is heard when all hosts of a role or zone, heard last of all, have just fallen silent."""
+"""A release is confirmed soon although all hosts of a role or zone, the last to answer, are now unresponsive."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 MS = 1_000
 ANSWER_US = 5 * MS
-ROUNDS_MOST = 2
+MAX_ROUNDS = 2
 
 
 def fleet() -> dict[int, Server]:
@@ -36,22 +36,22 @@
 def test_a_release_is_heard_in_the_second_round_though_the_hosts_heard_last_are_silent(
     silent: Callable[[Server], bool],
 ) -> None:
-    """S brink, split+term: 225 ms after the read's end, four rounds of 70 ms leave nothing of the 600 ms."""
+    """World "S brink, split+term": 225 ms after the end of a read, four rounds of 70 ms use up the limit of 600 ms."""
     servers = fleet()
-    rooms = RequestReleases(seed=1)
+    releases = RequestReleases(seed=1)
     for at, number in enumerate(sorted(servers, key=lambda n: (silent(servers[n]), n))):
-        rooms.server_answered(at, number)
+        releases.server_answered(at, number)
     now = 1_000 * MS
-    rooms.add(now, 7, repeat=False)
-    for _ in range(ROUNDS_MOST):
-        asked = rooms.take_due(now, servers)
+    releases.add(now, 7, repeat=False)
+    for _ in range(MAX_ROUNDS):
+        asked = releases.take_due(now, servers)
         assert asked
-        for room, host in asked:
+        for release, host in asked:
             if not silent(host):
-                rooms.settled(now + ANSWER_US, room, host.number, True)
-        if not rooms.pending:
+                releases.settled(now + ANSWER_US, release, host.number, True)
+        if not releases.pending:
             return
         now += RELEASE_CALL_US
-        for room, host in asked:
-            rooms.call_overdue(now, room, host.number)
-    raise AssertionError("not heard")
+        for release, host in asked:
+            releases.call_overdue(now, release, host.number)
+    raise AssertionError("no host confirmed the release")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules hold over drawn sequences of legal events, and the ledger sees each of them broken."""
+"""The policy keeps the five rules over drawn sequences of legal events, and the ledger detects violations of them."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 FLEETS = ("rrwwrwww", "rw", "r", "w", "mmm", "rrmwrwmw", "rrrrwwrrww", "")
 
 
-def played(policy_of: type[Policy], seed: int, fleet: str, **other: object) -> Ledger:
-    conf = settings(**other)
-    ledger = Ledger(policy_of(conf, seed), conf, seed)
+def run_policy(policy_class: type[Policy], seed: int, fleet: str, **overrides: object) -> Ledger:
+    policy_settings = settings(**overrides)
+    ledger = Ledger(policy_class(policy_settings, seed), policy_settings, seed)
     ledger.fleet(fleet)
     for _ in range(120):
         if ledger.entries:
@@ -31,31 +31,34 @@
 @run(max_examples=120, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32), st.sampled_from(FLEETS), st.booleans(), st.booleans(), st.sampled_from([1, 2, 6]))
 def test_rules_hold(seed: int, fleet: str, ahead: bool, writers_read: bool, attempts: int) -> None:
-    played(Policy, seed, fleet, ahead=ahead, writers_read=writers_read, max_attempts=attempts)
+    run_policy(Policy, seed, fleet, ahead=ahead, writers_read=writers_read, max_attempts=attempts)
 
 
 @run(max_examples=30, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32), st.sampled_from(FLEETS))
 def test_rules_hold_with_all_allowed(seed: int, fleet: str) -> None:
-    played(Policy, seed, fleet, second_copies=True, probes=True, peers=True, resume=True)
+    run_policy(Policy, seed, fleet, second_copies=True, probes=True, peers=True, resume=True)
 
 
 class Forgets(Policy):
-    """Never answers what it gives up."""
+    """Sends no final answer for the requests that it refuses or fails."""
 
     def handle(self, now_us: int, event: i.Event) -> list[i.Action]:
-        return [a for a in super().handle(now_us, event) if not isinstance(a, i.Refuse | i.Fail)]
+        return [action for action in super().handle(now_us, event) if not isinstance(action, i.Refuse | i.Fail)]
 
 
 class Repeats(Policy):
     """Refuses where it should fail."""
 
     def handle(self, now_us: int, event: i.Event) -> list[i.Action]:
-        return [i.Refuse(a.request) if isinstance(a, i.Fail) else a for a in super().handle(now_us, event)]
+        return [
+            i.Refuse(action.request) if isinstance(action, i.Fail) else action
+            for action in super().handle(now_us, event)
+        ]
 
 
 class Deaf(Policy):
-    """Does not hear that a server leaves."""
+    """Ignores changes of the server list."""
 
     def handle(self, now_us: int, event: i.Event) -> list[i.Action]:
         if isinstance(event, i.Members) and event.list_kind is i.ListKind.CHANGES:
@@ -64,10 +67,10 @@
 
 
 class Keeps(Policy):
-    """Lets nothing go."""
+    """Never releases held states."""
 
     def handle(self, now_us: int, event: i.Event) -> list[i.Action]:
-        return [a for a in super().handle(now_us, event) if not isinstance(a, i.Discard)]
+        return [action for action in super().handle(now_us, event) if not isinstance(action, i.Discard)]
 
 
 @pytest.mark.parametrize(
@@ -76,4 +79,4 @@
 def test_ledger_sees_a_broken_policy(broken: type[Policy], rule: str) -> None:
     with pytest.raises(Broken, match=rule):
         for seed in range(60):
-            played(broken, seed, "rrwwrwww")
+            run_policy(broken, seed, "rrwwrwww")
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""Serving: clients that stall, dawdle, leave or pipeline, draining, and faults in a handler."""
+"""The HTTP server: clients that stall, send slowly, disconnect or pipeline; draining; errors in a handler."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class Handler:
-    """Answers by path."""
+    """Answers requests according to their path."""
 
     def __init__(self, world: RealWorld) -> None:
         self.world = world
-        self.left: list[str] = []
-        self.go = world.signal()
-        self.begun = world.signal()
+        self.disconnected: list[str] = []
+        self.proceed = world.signal()
+        self.started = world.signal()
 
     def early_reply(self, head: http1.RequestHead) -> Reply | None:
         return Reply(404, [], b"none") if head.target == b"/none" else None
@@ -32,15 +32,15 @@
     def handle(self, exchange: Exchange) -> None:
         name = exchange.head.target.decode()
 
-        def gone() -> None:
-            self.left.append(name)
-            self.go.set()
+        def on_disconnect() -> None:
+            self.disconnected.append(name)
+            self.proceed.set()
 
-        exchange.on_disconnect = gone
-        self.begun.set()
+        exchange.on_disconnect = on_disconnect
+        self.started.set()
         match name:
             case "/waits":
-                self.go.wait()
+                self.proceed.wait()
                 exchange.reply(Reply(200, [], b"waited"))
             case "/floods":
                 head = exchange.start(200, [])
@@ -55,8 +55,8 @@
                 exchange.reply(Reply(200, [], name.encode()))
 
 
-def serve(
-    use: Callable[[RealWorld, Server, Handler, Callable[[], Stream]], Any], **limits: int
+def run_server(
+    scenario: Callable[[RealWorld, Server, Handler, Callable[[], Stream]], Any], **limits: int
 ) -> tuple[Any, list[str]]:
     world = RealWorld(1)
     faults: list[str] = []
@@ -71,8 +71,8 @@
             lambda fault: faults.append(type(fault).__name__),
         )
         world.spawn("accept", server.serve)
-        with world.deadline(world.now_us() + 20_000_000):  # what never comes is a failure, not a wait
-            return use(
+        with world.deadline(world.now_us() + 20_000_000):  # a response that never arrives fails the test
+            return scenario(
                 world,
                 server,
                 handler,
@@ -82,59 +82,63 @@
     return world.run("main", main), faults
 
 
-def rest(stream: Stream) -> bytes:
-    got = b""
+def read_to_end(stream: Stream) -> bytes:
+    received = b""
     try:
         while data := stream.read():
-            got += data
+            received += data
     except StreamError:
-        got += b"<reset>"
-    return got
+        received += b"<reset>"
+    return received
 
 
 def test_a_client_that_takes_nothing_is_cut_off() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]) -> list[str]:
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]) -> list[str]:
         stream = connect()
         stream.write(GET % b"floods")
-        handler.go.wait()
+        handler.proceed.wait()
         while server.connections:
             world.sleep_until(world.now_us() + 1_000)
-        assert rest(stream).endswith(b"<reset>")
-        return handler.left
+        assert read_to_end(stream).endswith(b"<reset>")
+        return handler.disconnected
 
-    assert serve(use, write_stall_us=100_000) == (["/floods"], [])
+    assert run_server(scenario, write_stall_us=100_000) == (["/floods"], [])
 
 
 def test_a_slow_head_and_an_idle_connection_are_closed() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]) -> tuple[bytes, bytes]:
+    def scenario(
+        world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]
+    ) -> tuple[bytes, bytes]:
         slow, idle = connect(), connect()
         slow.write(b"GET / HT")
-        return rest(slow), rest(idle)
+        return read_to_end(slow), read_to_end(idle)
 
-    assert serve(use, idle_us=40_000, header_us=30_000) == ((b"", b""), [])
+    assert run_server(scenario, idle_us=40_000, header_us=30_000) == ((b"", b""), [])
 
 
 def test_a_client_that_leaves_is_noticed_while_its_request_waits() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]) -> list[str]:
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]) -> list[str]:
         stream = connect()
-        stream.write(GET % b"waits" + GET % b"next")  # what is pipelined behind is not answered
-        handler.begun.wait()
+        stream.write(GET % b"waits" + GET % b"next")  # the pipelined second request is not answered
+        handler.started.wait()
         stream.close()
-        handler.go.wait()
+        handler.proceed.wait()
         while server.connections:
             world.sleep_until(world.now_us() + 1_000)
-        return handler.left
+        return handler.disconnected
 
-    assert serve(use) == (["/waits"], [])
+    assert run_server(scenario) == (["/waits"], [])
 
 
 def test_early_answers_keep_the_connection_unless_a_body_follows() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]) -> tuple[bytes, bytes]:
+    def scenario(
+        world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]
+    ) -> tuple[bytes, bytes]:
         stream = connect()
         stream.write(GET % b"none" + GET % b"ok")
-        got = b""
-        while b"/ok" not in got:
-            got += stream.read()
+        received = b""
+        while b"/ok" not in received:
+            received += stream.read()
         stream.close()
         posted = connect()
         posted.write(b"POST /none HTTP/1.1\r\nHost: x\r\nContent-Length: 30\r\n\r\n" + GET % b"smuggled")
@@ -142,92 +146,96 @@
         while b"none" not in reply:
             reply += posted.read()
         posted.close()
-        return got, reply
+        return received, reply
 
-    (kept, closed), faults = serve(use)
+    (kept, closed), faults = run_server(scenario)
     assert kept.count(b"HTTP/1.1 404") == 1 and kept.endswith(b"/ok") and not faults
     assert b"connection: close" in closed and b"smuggled" not in closed
 
 
 def test_a_handler_that_fails_or_forgets_costs_one_connection() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]) -> list[bytes]:
-        got = []
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]) -> list[bytes]:
+        received = []
         for path in (b"breaks", b"forgets", b"ok"):
             stream = connect()
             stream.write(GET % path)
             if path == b"ok":
-                got.append(stream.read())
+                received.append(stream.read())
                 stream.close()
             else:
-                got.append(rest(stream))
-        return got
+                received.append(read_to_end(stream))
+        return received
 
-    got, faults = serve(use)
+    received, faults = run_server(scenario)
     assert faults == ["ZeroDivisionError"]
-    assert not any(b"200" in data for data in got[:2]) and got[2].endswith(b"/ok")
+    assert not any(b"200" in data for data in received[:2]) and received[2].endswith(b"/ok")
 
 
 def test_draining_closes_idle_ones_and_waits_for_the_rest() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]) -> tuple[bytes, bytes]:
+    def scenario(
+        world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]
+    ) -> tuple[bytes, bytes]:
         idle, busy = connect(), connect()
         busy.write(GET % b"waits")
-        handler.begun.wait()
+        handler.started.wait()
         drained = world.spawn("drain", server.drain, world.now_us() + 5_000_000)
-        first = rest(idle)
-        handler.go.set()
-        second = rest(busy)
+        first = read_to_end(idle)
+        handler.proceed.set()
+        second = read_to_end(busy)
         drained.join()
         assert server.connections == 0
         return first, second
 
-    (idle, busy), faults = serve(use)
+    (idle, busy), faults = run_server(scenario)
     assert idle == b"" and b"connection: close" in busy and busy.endswith(b"waited") and not faults
 
 
 def test_a_drain_has_an_end() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]) -> int:
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]) -> int:
         stream = connect()
         stream.write(GET % b"waits")
-        handler.begun.wait()
+        handler.started.wait()
         server.drain(world.now_us() + 20_000)
-        rest(stream)
+        read_to_end(stream)
         return server.connections
 
-    assert serve(use) == (0, [])
+    assert run_server(scenario) == (0, [])
 
 
 def test_http_1_0_gets_no_chunks() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]) -> bytes:
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]) -> bytes:
         stream = connect()
         stream.write(b"GET /ok HTTP/1.0\r\n\r\n")
-        return rest(stream)
+        return read_to_end(stream)
 
-    got, _ = serve(use)
-    assert b"transfer-encoding" not in got and got.endswith(b"/ok")
+    received, _ = run_server(scenario)
+    assert b"transfer-encoding" not in received and received.endswith(b"/ok")
 
 
 def test_a_request_that_has_woken_its_connection_is_served_though_the_server_closes_idle_ones() -> None:
-    """A drain lost a request that it had read: the connection still counted as idle when it was cancelled."""
+    """A drain lost a request that had arrived: its connection still counted as idle when it was cancelled."""
 
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]) -> bytes:
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]) -> bytes:
         client = connect()
         client.write(GET % b"first")
         client.read()
         while not server._idle:
             world.scheduler.yield_now()
         client.write(GET % b"waits")
-        world.scheduler.wake(next(iter(server._idle)))  # as the poller does, in the pass in which the drain runs
+        world.scheduler.wake(
+            next(iter(server._idle))
+        )  # as the poller does, in the turn of the loop in which the drain runs
         server.close_idle()
         world.scheduler.yield_now()
-        handler.go.set()
-        return rest(client)
+        handler.proceed.set()
+        return read_to_end(client)
 
-    answer, faults = serve(use)
+    answer, faults = run_server(scenario)
     assert answer.endswith(b"waited") and b"connection: close" in answer and not faults
 
 
 def test_the_longest_idle_connection_makes_room_for_a_new_one() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]) -> None:
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Callable[[], Stream]) -> None:
         clients = [connect() for _ in range(3)]
         for client in clients:
             client.write(GET % b"x")
@@ -236,7 +244,7 @@
         newest = connect()
         newest.write(GET % b"y")
         assert newest.read().endswith(b"/y") and server.connections == 3
-        assert rest(clients[0]) == b"" and clients[1].is_idle() and clients[2].is_idle()
+        assert read_to_end(clients[0]) == b"" and clients[1].is_idle() and clients[2].is_idle()
 
-    _, faults = serve(use, max_connections=3)
+    _, faults = run_server(scenario, max_connections=3)
     assert not faults
--- a/tests/test_serving_close.py
+++ b/tests/test_serving_close.py
@@ -1,4 +1,4 @@
-"""Closes that cross with bytes of the client: nothing taken is lost, no answer is undone by a reset, floods end."""
+"""Closes that cross with client bytes: no accepted request or response is lost; pipelined data is bounded."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.test_serving import GET, Handler, rest, serve
+from tests.test_serving import GET, Handler, read_to_end, run_server
 from yardspindle.api.exchange import Exchange
 from yardspindle.api.request_queue import MAX_QUEUED_REQUESTS, MAX_TOTAL_QUEUED_HEAD_BYTES, QueueBudget, RequestQueue
 from yardspindle.api.serving import MAX_ACCEPTS_PER_TURN, Server
@@ -22,8 +22,8 @@
 POST = b"POST /%s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n"
 
 
-def rested(world: RealWorld, server: Server, connect: Connect, count: int = 1) -> list[Stream]:
-    """Clients whose connections rest between requests."""
+def idle_clients(world: RealWorld, server: Server, connect: Connect, count: int = 1) -> list[Stream]:
+    """Clients whose connections are idle between requests."""
     clients = []
     for _ in range(count):
         clients.append(client := connect())
@@ -34,139 +34,139 @@
     return clients
 
 
-def until_gone(world: RealWorld, server: Server) -> None:
+def wait_for_disconnects(world: RealWorld, server: Server) -> None:
     while server.connections:
         world.sleep_until(world.now_us() + 1_000)
 
 
-# --- a close, and a request that has come to the kernel since the loop last looked
+# --- a close, and a request that has reached the kernel since the loop last polled
 
 
 def test_a_request_that_has_come_is_served_though_its_connection_was_to_be_closed() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
-        (client,) = rested(world, server, connect)
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
+        (client,) = idle_clients(world, server, connect)
         client.write(GET % b"crossed")  # no turn of the loop passes
         server.close_idle()
-        return rest(client)
+        return read_to_end(client)
 
-    answer, faults = serve(use)
+    answer, faults = run_server(scenario)
     assert answer.endswith(b"/crossed") and b"connection: close" in answer and not faults
 
 
 def test_a_request_that_comes_with_the_idle_time_out_is_served() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
-        (client,) = rested(world, server, connect)
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
+        (client,) = idle_clients(world, server, connect)
         client.write(GET % b"crossed")
         due_us = world.now_us() + 60_000
-        while world.now_us() < due_us:  # no turn of the loop passes: the timer is looked at before the socket
+        while world.now_us() < due_us:  # no turn of the loop passes: the timer is checked before the socket
             time.sleep(0.001)
-        got = client.read()
+        answer = client.read()
         client.close()
-        return got
+        return answer
 
-    assert serve(use, idle_us=50_000)[0].endswith(b"/crossed")
+    assert run_server(scenario, idle_us=50_000)[0].endswith(b"/crossed")
 
 
 def test_a_request_that_comes_as_room_is_made_is_served() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> tuple[bytes, bytes]:
-        oldest, second = rested(world, server, connect, 2)
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> tuple[bytes, bytes]:
+        oldest, second = idle_clients(world, server, connect, 2)
         oldest.write(GET % b"crossed")
         assert server._make_room()
-        return oldest.read(), rest(second)
+        return oldest.read(), read_to_end(second)
 
-    crossed, second = serve(use, max_connections=2)[0]
+    crossed, second = run_server(scenario, max_connections=2)[0]
     assert crossed.endswith(b"/crossed") and second == b""
 
 
-# --- after our FIN
+# --- after the server's FIN
 
 
 def test_what_comes_after_the_fin_is_dropped_and_resets_nothing() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> tuple[bytes, bool, bool]:
-        (client,) = rested(world, server, connect)
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> tuple[bytes, bool, bool]:
+        (client,) = idle_clients(world, server, connect)
         server.close_idle()
         ended = client.read()
-        handler.begun = world.signal()
+        handler.started = world.signal()
         client.write(GET % b"waits")
         client.write(GET % b"waits")
         for _ in range(10):
             world.scheduler.yield_now()
-        quiet, served = rest(client), handler.begun.is_set
+        after_fin, served = read_to_end(client), handler.started.is_set
         client.close()
-        until_gone(world, server)
-        return ended, quiet == b"", served
+        wait_for_disconnects(world, server)
+        return ended, after_fin == b"", served
 
-    assert serve(use) == ((b"", True, False), [])
+    assert run_server(scenario) == ((b"", True, False), [])
 
 
 def test_an_early_answer_reaches_a_client_that_still_sends() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
         client = connect()
         client.write(POST % (b"none", 1_000_000) + b"x" * 300_000)
         answer = client.read()
         client.write(b"x" * 300_000)
-        return answer + rest(client)
+        return answer + read_to_end(client)
 
-    answer, faults = serve(use)
+    answer, faults = run_server(scenario)
     assert answer.startswith(b"HTTP/1.1 404") and answer.endswith(b"none") and not faults
 
 
 def test_an_answer_that_closes_is_not_undone_by_what_was_sent_behind_its_request() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
         client = connect()
         client.write(b"GET /ok HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" + b"x" * 200_000)
-        return rest(client)
+        return read_to_end(client)
 
-    answer, _ = serve(use)
+    answer, _ = run_server(scenario)
     assert answer.startswith(b"HTTP/1.1 200") and answer.endswith(b"/ok")
 
 
 def test_connections_that_only_wait_for_the_clients_end_are_bounded() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> tuple[int, int]:
-        clients, most, lingering = [], 0, 0
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> tuple[int, int]:
+        clients, max_open, lingering = [], 0, 0
         for _ in range(60):
             clients.append(client := connect())
             client.write(b"GET /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-            while client.read():  # to our FIN; it stays
+            while client.read():  # up to the server's FIN; the client stays connected
                 pass
-            most, lingering = max(most, server.connections), max(lingering, len(server._lingering))
-        return most, lingering
+            max_open, lingering = max(max_open, server.connections), max(lingering, len(server._lingering))
+        return max_open, lingering
 
-    (most, lingering), faults = serve(use, max_connections=16)
-    assert most <= 16 and lingering == 2 and not faults
+    (max_open, lingering), faults = run_server(scenario, max_connections=16)
+    assert max_open <= 16 and lingering == 2 and not faults
 
 
 def test_a_burst_of_clients_is_taken_at_once_and_within_the_bound() -> None:
-    """Room was made by a turn of the loop for each client: those behind it waited over 0.15 s before they were read."""
+    """Making room took a turn of the loop per client: the clients behind waited over 0.15 s before they were read."""
 
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> tuple[int, int, int]:
-        rested(world, server, connect, 14)
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> tuple[int, int, int]:
+        idle_clients(world, server, connect, 14)
         accepting = next(task for task in world.scheduler.tasks if task.name == "accept")
         accepting.cancel()
         world.scheduler.yield_now()
         burst = [connect() for _ in range(10)]
         for client in burst:
             client.write(GET % b"x")
-        before = world.scheduler.switches
+        switches_before = world.scheduler.switches
         world.spawn("accept", server.serve)
         world.scheduler.yield_now()
-        turns = world.scheduler.switches - before
+        turns = world.scheduler.switches - switches_before
         open_now = server.connections
         return turns, open_now, sum(client.read().endswith(b"/x") for client in burst)
 
-    (turns, open_now, answered), faults = serve(use, max_connections=16)
+    (turns, open_now, answered), faults = run_server(scenario, max_connections=16)
     assert turns <= 3 and open_now <= 16 and answered == 10 and not faults
 
 
 def test_a_request_that_comes_right_behind_a_stream_begun_before_the_close_is_served() -> None:
-    """The stream's head has promised that the connection stays open."""
+    """The head of the stream has announced that the connection stays open."""
 
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
-        client, usual = connect(), handler.handle
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
+        client, original_handle = connect(), handler.handle
 
         def streams(exchange: Exchange) -> None:
             if exchange.head.target != b"/stream":
-                return usual(exchange)
+                return original_handle(exchange)
             exchange.send(b"x", exchange.start(200, []))
             server.close_idle()
             exchange.finish()
@@ -175,14 +175,14 @@
 
         setattr(handler, "handle", streams)  # noqa: B010
         client.write(GET % b"stream")
-        return rest(client)
+        return read_to_end(client)
 
-    answer, faults = serve(use)
+    answer, faults = run_server(scenario)
     assert answer.endswith(b"/crossed") and b"connection: close" in answer and not faults
 
 
 def test_of_a_burst_of_connections_the_idle_ones_make_room_not_the_one_that_asks() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
         accepting = next(task for task in world.scheduler.tasks if task.name == "accept")
         accepting.cancel()
         world.scheduler.yield_now()
@@ -194,15 +194,15 @@
             client.close()
         return answer
 
-    answer, faults = serve(use, max_connections=16)
+    answer, faults = run_server(scenario, max_connections=16)
     assert answer.endswith(b"/asks") and not faults
 
 
-# --- the listener's end
+# --- the close of the listener
 
 
 def test_who_has_connected_is_served_though_the_listener_closes() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> list[bytes]:
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> list[bytes]:
         accepting = next(task for task in world.scheduler.tasks if task.name == "accept")
         accepting.cancel()
         world.scheduler.yield_now()
@@ -212,46 +212,46 @@
         drained = world.spawn("drain", server.drain, world.now_us() + 5_000_000)
         while not server.listener.closed:  # type: ignore[attr-defined]
             world.scheduler.yield_now()
-        clients[4].write(GET % b"backlog")  # its request was still on the way
-        answers = [rest(client) for client in clients]
+        clients[4].write(GET % b"backlog")  # its request was still in transit
+        answers = [read_to_end(client) for client in clients]
         for client in clients:
             client.close()
         drained.join()
         return answers
 
-    answers, faults = serve(use)
+    answers, faults = run_server(scenario)
     assert len(answers) == 5 and all(answer.endswith(b"/backlog") for answer in answers) and not faults
 
 
 @pytest.mark.parametrize("written", [0, 30])
 def test_a_request_whose_last_byte_comes_with_the_end_of_the_drain_is_answered(written: int) -> None:
-    whole = POST % (b"late", 9) + b"x" * 9
+    data = POST % (b"late", 9) + b"x" * 9
 
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes | None:
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes | None:
         client = connect()
         while not server.connections:
             world.scheduler.yield_now()
-        client.write(whole[:written])
+        client.write(data[:written])
         until_us = world.now_us() + waits_us.pop(0)
         drained = world.spawn("drain", server.drain, until_us)
         while not server.listener.closed:  # type: ignore[attr-defined]
             world.scheduler.yield_now()
-        client.write(whole[written:])
+        client.write(data[written:])
         if world.now_us() >= until_us:
-            return None  # the machine stood still meanwhile: the last byte came after the end
-        while world.now_us() < until_us + 5_000:  # no turn of the loop passes: the timer is looked at before the socket
+            return None  # the machine stalled meanwhile: the last byte was sent after the end
+        while world.now_us() < until_us + 5_000:  # no turn of the loop passes: the timer is checked before the socket
             time.sleep(0.001)
         drained.join()
-        return rest(client)
+        return read_to_end(client)
 
     waits_us, answer = [100_000, 1_000_000, 5_000_000], None
     while waits_us and answer is None:
-        answer, faults = serve(use)
+        answer, faults = run_server(scenario)
     assert answer is not None and answer.endswith(b"/late") and not faults
 
 
 def test_the_backlog_of_a_drain_takes_no_more_than_there_is_room_for() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> tuple[int, list[bytes]]:
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> tuple[int, list[bytes]]:
         accepting = next(task for task in world.scheduler.tasks if task.name == "accept")
         accepting.cancel()
         world.scheduler.yield_now()
@@ -259,54 +259,54 @@
         for client in clients:
             client.write(GET % b"backlog")
         drained = world.spawn("drain", server.drain, world.now_us() + 5_000_000)
-        most = 0
+        max_open = 0
         while not server.listener.closed:  # type: ignore[attr-defined]
-            most = max(most, server.connections)
+            max_open = max(max_open, server.connections)
             world.scheduler.yield_now()
-        most, answers = max(most, server.connections), [rest(client) for client in clients]
+        max_open, answers = max(max_open, server.connections), [read_to_end(client) for client in clients]
         for client in clients:
             client.close()
         drained.join()
-        return most, answers
+        return max_open, answers
 
-    (most, answers), faults = serve(use, max_connections=16)
-    assert most <= 16 and not faults
+    (max_open, answers), faults = run_server(scenario, max_connections=16)
+    assert max_open <= 16 and not faults
     assert all(answer.endswith((b"/backlog", b"<reset>")) for answer in answers)
-    assert sum(answer.endswith(b"/backlog") for answer in answers) >= 14  # that many there is room for at once
+    assert sum(answer.endswith(b"/backlog") for answer in answers) >= 14  # the number there is room for at once
 
 
 def test_a_burst_of_connections_leaves_the_others_their_turns() -> None:
-    """Hundreds of idle clients come at once: what is held for requests under way must be let go of in time."""
+    """Hundreds of idle clients connect at once: what open requests hold must still be released in time."""
 
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> int:
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> int:
         clients = []
         for _ in range(200):  # without a turn of the loop
             clients.append(socket.create_connection(("127.0.0.1", server.listener.port)))
-        most = seen = 0
+        max_accepted = seen = 0
         while seen < len(clients):
             world.scheduler.yield_now()
-            most, seen = max(most, server.connections - seen), server.connections
+            max_accepted, seen = max(max_accepted, server.connections - seen), server.connections
         for client in clients:
             client.close()
-        return most
+        return max_accepted
 
-    most, faults = serve(use)
-    assert most <= MAX_ACCEPTS_PER_TURN and not faults
+    max_accepted, faults = run_server(scenario)
+    assert max_accepted <= MAX_ACCEPTS_PER_TURN and not faults
 
 
-# --- what is sent ahead of its turn
+# --- requests sent ahead of their turn
 
 
 def test_a_client_that_floods_and_leaves_is_noticed() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> int:
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> int:
         client = connect()
         client.write(GET % b"waits" + (POST % (b"x", 100_000) + b"x" * 100_000) * 30)
         client.close()
-        handler.go.wait()
-        until_gone(world, server)
+        handler.proceed.wait()
+        wait_for_disconnects(world, server)
         return server._budget.body_bytes
 
-    assert serve(use) == (0, [])
+    assert run_server(scenario) == (0, [])
 
 
 def test_what_waits_is_bounded_and_nothing_that_was_read_is_forgotten() -> None:
@@ -316,14 +316,14 @@
         RequestQueue(http1.Limits(), budget, answering=True),
         RequestQueue(http1.Limits(), budget, answering=True),
     )
-    for inbox in (one, other):
+    for queue in (one, other):
         for at in range(0, len(big) * 4, 65_536):
-            inbox.feed(at, (big * 4)[at : at + 65_536])
-        assert len(inbox.queued) == 4
-    assert [w.body_kept for w in one.queued] == [True, True, False, False]  # its own bound
-    assert [w.body_kept for w in other.queued] == [True, False, False, False]  # that of all
-    assert budget.body_bytes == 600_000 and [w.received_us for w in one.queued] == sorted(
-        w.received_us for w in one.queued
+            queue.feed(at, (big * 4)[at : at + 65_536])
+        assert len(queue.queued) == 4
+    assert [entry.body_kept for entry in one.queued] == [True, True, False, False]  # the bound of the connection
+    assert [entry.body_kept for entry in other.queued] == [True, False, False, False]  # the bound of all connections
+    assert budget.body_bytes == 600_000 and [entry.received_us for entry in one.queued] == sorted(
+        entry.received_us for entry in one.queued
     )
     first = one.pop()
     assert first is not None and first.body == b"x" * 200_000 and budget.body_bytes == 400_000
@@ -333,27 +333,27 @@
 
 
 def test_bodies_that_come_together_are_bounded_and_each_is_answered_at_its_end() -> None:
-    """Of first requests, too: many clients that begin one each must not fill the memory."""
+    """Also for first requests: many clients that start one each must not fill the memory."""
 
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
         client = connect()
         client.write((POST % (b"big", 200_000) + b"x" * 200_000) + GET % b"last")
-        got = b""
-        while not got.endswith(b"/last"):
-            got += client.read()
+        answer = b""
+        while not answer.endswith(b"/last"):
+            answer += client.read()
         client.close()
-        return got
+        return answer
 
-    got, faults = serve(use, max_body_bytes=100_000)
-    assert re.findall(rb"HTTP/1.1 (\d+)", got) == [b"503", b"200"] and not faults
+    answer, faults = run_server(scenario, max_body_bytes=100_000)
+    assert re.findall(rb"HTTP/1.1 (\d+)", answer) == [b"503", b"200"] and not faults
     budget = QueueBudget(max_body_bytes=500_000)
-    inboxes = [RequestQueue(http1.Limits(), budget) for _ in range(4)]
-    for inbox in inboxes:
-        inbox.feed(0, POST % (b"big", 200_000) + b"x" * 199_999)
+    queues = [RequestQueue(http1.Limits(), budget) for _ in range(4)]
+    for queue in queues:
+        queue.feed(0, POST % (b"big", 200_000) + b"x" * 199_999)
     assert budget.body_bytes == 2 * 199_999
-    for inbox in inboxes:
-        inbox.feed(1, b"x")
-    assert [inbox.queued[0].body_kept for inbox in inboxes] == [True, True, False, False]
+    for queue in queues:
+        queue.feed(1, b"x")
+    assert [queue.queued[0].body_kept for queue in queues] == [True, True, False, False]
 
 
 HEADS = b"GET / HTTP/1.1\r\nHost: x\r\n" + b"".join(b"h%d: %s\r\n" % (at, b"v" * 200) for at in range(60)) + b"\r\n"
@@ -361,49 +361,49 @@
 
 
 @pytest.mark.parametrize(
-    "sent,count,most", [(HEADS * MAX_QUEUED_REQUESTS, 20, MAX_TOTAL_QUEUED_HEAD_BYTES * 2), (CHUNKS, 1, 100_000)]
+    "sent,count,max_bytes", [(HEADS * MAX_QUEUED_REQUESTS, 20, MAX_TOTAL_QUEUED_HEAD_BYTES * 2), (CHUNKS, 1, 100_000)]
 )
-def test_what_waits_takes_no_more_memory_than_its_bounds_say(sent: bytes, count: int, most: int) -> None:
+def test_what_waits_takes_no_more_memory_than_its_bounds_say(sent: bytes, count: int, max_bytes: int) -> None:
     budget = QueueBudget()
-    inboxes = [RequestQueue(http1.Limits(), budget, answering=True) for _ in range(count)]
+    queues = [RequestQueue(http1.Limits(), budget, answering=True) for _ in range(count)]
     tracemalloc.start()
-    for inbox in inboxes:
+    for queue in queues:
         for at in range(0, len(sent), 65_536):
-            inbox.feed(at, sent[at : at + 65_536])
-    taken = tracemalloc.get_traced_memory()[0]
+            queue.feed(at, sent[at : at + 65_536])
+    used_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    assert taken < most
-    while inboxes[0].queued:
-        inboxes[0].pop()
-    for inbox in inboxes:
-        inbox.clear()
+    assert used_bytes < max_bytes
+    while queues[0].queued:
+        queues[0].pop()
+    for queue in queues:
+        queue.clear()
     assert budget.body_bytes == budget.head_bytes == 0
 
 
 def test_a_body_that_was_not_kept_is_refused_in_its_turn() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
         server._budget.max_queued_body_bytes = 0
         client = connect()
         client.write(GET % b"waits" + POST % (b"big", 9) + b"x" * 9 + GET % b"last")
-        handler.begun.wait()
-        handler.go.set()
-        got = b""
-        while not got.endswith(b"/last"):
-            got += client.read()
+        handler.started.wait()
+        handler.proceed.set()
+        answer = b""
+        while not answer.endswith(b"/last"):
+            answer += client.read()
         client.close()
-        return got
+        return answer
 
-    got, faults = serve(use)
-    assert re.findall(rb"HTTP/1.1 (\d+)", got) == [b"200", b"503", b"200"] and not faults
+    answer, faults = run_server(scenario)
+    assert re.findall(rb"HTTP/1.1 (\d+)", answer) == [b"200", b"503", b"200"] and not faults
 
 
 def test_more_requests_than_may_wait_are_refused_as_one() -> None:
-    def use(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
+    def scenario(world: RealWorld, server: Server, handler: Handler, connect: Connect) -> bytes:
         client = connect()
         client.write(GET % b"waits" + GET % b"x" * (MAX_QUEUED_REQUESTS + 50))
-        handler.begun.wait()
-        handler.go.set()
-        return rest(client)
+        handler.started.wait()
+        handler.proceed.set()
+        return read_to_end(client)
 
-    got, faults = serve(use)
-    assert got.count(b"HTTP/1.1 200") == MAX_QUEUED_REQUESTS and got.count(b"HTTP/1.1 429") == 1 and not faults
+    answer, faults = run_server(scenario)
+    assert answer.count(b"HTTP/1.1 200") == MAX_QUEUED_REQUESTS and answer.count(b"HTTP/1.1 429") == 1 and not faults
