--- a/tests/test_node_left.py
+++ b/tests/test_node_left.py
@@ -45,8 +45,8 @@
     setattr(owner, name, call)
 
 
-def assert_no_late_writes(platform: Platform, node: Node) -> list[bytes]:
-    """Assert that no attempt is written for a request that is over; returns the ids of the requests written."""
+def forbid_late_writes(platform: Platform, node: Node) -> list[bytes]:
+    """Let writes for a request that is over fail from now on; the list gets the ids of the requests written."""
     ids: list[bytes] = []
 
     def written(number: int, _attempt: int) -> None:
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("role", [i.Role.READ, i.Role.WRITE])
 def test_it_leaves_while_a_connection_is_made(role: i.Role, leave: Leave) -> None:
     def main(platform: Platform, node: Node) -> None:
-        assert_no_late_writes(platform, node)
+        forbid_late_writes(platform, node)
         slow(platform, readers(platform) if role is i.Role.READ else writers(platform))
         client = start_request(platform)
         wait_for_request(platform, node, is_connecting(role))
@@ -153,7 +153,7 @@
 @CLOSE_KINDS
 def test_it_leaves_while_a_new_read_waits_for_a_release(leave: Leave) -> None:
     def main(platform: Platform, node: Node) -> None:
-        assert_no_late_writes(platform, node)
+        forbid_late_writes(platform, node)
 
         def break_connection(host: Host, to: Stream, number: bytes) -> bool:
             platform.states.add(number)
@@ -190,7 +190,7 @@
         return True
 
     def main(platform: Platform, node: Node) -> None:
-        assert_no_late_writes(platform, node)
+        forbid_late_writes(platform, node)
         for host in readers(platform) if role is i.Role.READ else writers(platform):
             host.script, host.place_status = respond_full, 409
         client = start_request(platform)
@@ -209,7 +209,7 @@
     """In both orders, and within one turn of the event loop: the cancelled task had been woken, and wrote at once."""
 
     def main(platform: Platform, node: Node) -> None:
-        ids = assert_no_late_writes(platform, node)
+        ids = forbid_late_writes(platform, node)
         for source, target in (("clients", "node"), ("node", "clients")):
             platform.sim.network.path(source, target).latency_us = (1_000, 1_000)
         slow(platform, readers(platform))
@@ -235,7 +235,7 @@
     """The writing task had been woken: it dropped the release that was pending by then, and the state stayed held."""
 
     def main(platform: Platform, node: Node) -> None:
-        assert_no_late_writes(platform, node)
+        forbid_late_writes(platform, node)
         original_connect = node.world.connect
 
         def connect(host: str, port: int, deadline_us: int) -> Stream:
@@ -273,7 +273,7 @@
 @CLOSE_KINDS
 def test_an_attempt_that_is_half_written_when_it_leaves_never_comes_whole(leave: Leave) -> None:
     def main(platform: Platform, node: Node) -> None:
-        ids = assert_no_late_writes(platform, node)
+        ids = forbid_late_writes(platform, node)
         for host in readers(platform):
             for source, target in (("node", host.name), (host.name, "node")):
                 platform.sim.network.path(source, target).bytes_per_s = 1_000_000
