--- a/yardspindle/api/chat.py
+++ b/yardspindle/api/chat.py
@@ -1,7 +1,7 @@
-"""OpenAI-compatible chat API: validates a request and extracts what the router needs to route it.
+"""OpenAI-compatible chat API: validates a request and extracts what the router needs to choose servers for it.
 
 Only the fields that the router acts on are decoded. Every other field, known or unknown, is forwarded to the engine
-as the bytes that the client sent.
+(the model server, vLLM) as the bytes that the client sent.
 """
 
 from __future__ import annotations
@@ -34,7 +34,10 @@
 
 
 class _Fields(Struct):
-    """The request fields that the router acts on."""
+    """The request fields that the router acts on.
+
+    `metadata` may name the request's class: a configured kind of request with time limits and a value of its own.
+    """
 
     model: str
     messages: Annotated[list[_Message], Meta(min_length=1)]
@@ -50,7 +53,7 @@
 
 @dataclass(slots=True)
 class ChatRequest:
-    """A validated request; `fields` holds every top-level field as raw JSON."""
+    """A validated request: `fields` holds every top-level field as raw JSON, `request_fields` what routing needs."""
 
     fields: dict[str, msgspec.Raw]
     stream: bool
@@ -63,7 +66,7 @@
 
 
 class ApiKeys:
-    """Maps API keys to tenants."""
+    """Maps API keys to tenants: the customers that share the fleet, each with a name and keys in the settings."""
 
     def __init__(self, config: Config) -> None:
         """With no tenants configured, every request is accepted, with or without a key."""
@@ -100,7 +103,7 @@
 
 
 def parse_request(body: bytes, head: http1.RequestHead, tenant: str | None, model: str) -> ChatRequest:
-    """Validate a request body. Raises ApiError."""
+    """Validate a request body; `model` is the one model that is served. Raises ApiError."""
     try:
         raw = _raw_decoder.decode(body)
         fields = _fields_decoder.decode(body)
@@ -173,7 +176,7 @@
     try:
         return float(value) * unit_ms
     except ValueError:
-        if param == "x-stainless-read-timeout":  # for the client's own use: an invalid one is ignored
+        if param == "x-stainless-read-timeout":  # a header that client libraries add by themselves: ignored if invalid
             return None
         raise ApiError(400, "invalid_value", f"{param}: not a number of milliseconds", param) from None
 
--- a/yardspindle/api/exchange.py
+++ b/yardspindle/api/exchange.py
@@ -1,4 +1,7 @@
-"""One request of a client and its response, as the HTTP server passes it to a handler."""
+"""One request of a client and its response, as the HTTP server passes it to a handler.
+
+All I/O goes through a World (the interface to clock, sockets, files and randomness; tests use a simulated one).
+"""
 
 from __future__ import annotations
 
@@ -40,7 +43,7 @@
 
     @property
     def closes_connection(self) -> bool:
-        """Whether the connection closes after this response, or instead of its end."""
+        """Whether the connection closes after this response, or (after `abort`) before its end."""
         return self.keep_alive is _no_keep_alive
 
     def client_disconnected(self) -> None:
@@ -103,7 +106,7 @@
 
 
 class Handler(Protocol):
-    """Answers the requests of a server."""
+    """Answers the requests that a `Server` (see serving.py) receives."""
 
     def early_reply(self, head: http1.RequestHead) -> Reply | None:
         """A reply that needs no request body (not found, method not allowed, too large), or None."""
--- a/yardspindle/api/request_queue.py
+++ b/yardspindle/api/request_queue.py
@@ -13,9 +13,9 @@
 
 from yardspindle.protocol import http1
 
-MAX_QUEUED_BODY_BYTES = 524_288  # bodies of one connection: two of the largest
+MAX_QUEUED_BODY_BYTES = 524_288  # bodies of one connection: two of the largest that the node program accepts
 MAX_TOTAL_QUEUED_BODY_BYTES = 8_388_608  # of all connections
-MAX_QUEUED_HEAD_BYTES = 262_144  # heads of one connection: sixteen of the largest
+MAX_QUEUED_HEAD_BYTES = 262_144  # heads of one connection: sixteen of the largest that the node program accepts
 MAX_TOTAL_QUEUED_HEAD_BYTES = 4_194_304  # of all connections
 MAX_QUEUED_REQUESTS = 64  # of one connection; all that follows them gets a single error reply
 HEADER_OVERHEAD_BYTES = 160  # memory of a header's objects, in addition to its bytes
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class QueueBudget:
-    """Bytes held for all connections of a server, and their bounds."""
+    """Bytes of requests held in memory for all connections of a server, and their bounds."""
 
     max_queued_body_bytes: int = MAX_TOTAL_QUEUED_BODY_BYTES  # applied to bodies that are queued behind a request
     max_body_bytes: int = 0  # applied to every body; 0: no bound
--- a/yardspindle/api/serving.py
+++ b/yardspindle/api/serving.py
@@ -1,5 +1,6 @@
-"""HTTP/1.1 server on a World: connections, keep-alive, pipelining, disconnected or stalled clients, draining.
+"""HTTP/1.1 server on a World (the interface to clock, sockets, files and randomness).
 
+It handles keep-alive, pipelining, disconnected and stalled clients, and draining (closing without lost responses).
 A handler answers one request at a time for each connection, so pipelined requests are answered in order. Meanwhile
 the connection is still read (see request_queue.py): a client that closes is reported at once, whatever it sent before.
 A client that accepts no byte for `write_stall_us` is cut off.
@@ -101,7 +102,7 @@
                 self._world.sleep_until(self._world.now_us())
 
     def _admit(self, stream: Stream) -> None:
-        """Serve a connection, or reset it if there is no room: the last descriptors are for hosts and releases."""
+        """Serve a connection, or reset it if there is no room: the last descriptors are for calls to engines."""
         if not self._has_room() and not self._make_room():
             self._world.sleep_until(self._world.now_us())  # new ones become idle in their first turn
             if not self._has_room() and not self._make_room():
--- a/yardspindle/engine/__init__.py
+++ b/yardspindle/engine/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP client for engines: reads, writes, places and releases."""
+"""HTTP client for engines (model servers): prefill and decode calls, memory reservations, and releases of both."""
--- a/yardspindle/engine/http_client.py
+++ b/yardspindle/engine/http_client.py
@@ -1,5 +1,7 @@
 """An HTTP/1.1 client with pooled connections that reports for each failure whether anything was sent.
 
+The caller decides with that report whether a request may be sent again without running twice.
+
 A pooled connection is reused only if it is quiet, that is, open with no data to read. A connection that its server
 closed while it was idle must be detected before a request is written to it, since afterwards it is unknown whether
 the request arrived. A connection with data beyond the last response is not reused either: that data would be taken
@@ -88,7 +90,7 @@
 
 @dataclass(slots=True)
 class Counts:
-    """Connections opened and reused, and pooled ones found unfit for reuse."""
+    """Counts of connections opened and reused, and of pooled ones found too old, closed or not quiet."""
 
     opened: int = 0
     reused: int = 0
@@ -97,14 +99,17 @@
 
 @dataclass(slots=True)
 class HttpClient:
-    """A client for any number of servers, with a connection pool for each."""
+    """A client for any number of servers, with a connection pool for each.
+
+    `world` is the interface to clock, sockets, files and randomness.
+    """
 
     world: World
     connect_us: int
     idle_us: int
     max_idle: int = MAX_IDLE
     limits: http1.Limits = field(default_factory=http1.Limits)
-    idle_limit: IdleLimit | None = None  # adapts how long idle connections are reused; else `idle_us`
+    idle_limit: IdleLimit | None = None  # shortens the reuse time when servers close sooner; None: `idle_us`
     head_us: int = 0  # limit from the first byte of a response head to its last; 0: none
     counts: Counts = field(default_factory=Counts)
     _idle: dict[tuple[str, int], deque[Connection]] = field(default_factory=dict)
--- a/yardspindle/engine/vllm.py
+++ b/yardspindle/engine/vllm.py
@@ -1,9 +1,13 @@
 """Client for vLLM's OpenAI-compatible server: a request in two stages, linked by `kv_transfer_params`.
 
-The read goes to a reader with `do_remote_decode` and one token to produce. Its answer names the blocks that the reader
-holds (`remote_engine_id`, `remote_block_ids`, `remote_host`, `remote_port`); echoed in the write's parameters with
-`do_remote_prefill`, they let the writer fetch the blocks. Places, and releases of places and states, are an extension
-of this project under `/v1/yardspindle/`; a server without it (`places` in the server list) is never asked for them.
+The first stage, the read, is the prefill at a prefill server (the reader), sent with `do_remote_decode` and one token
+to produce. The second, the write, is the decode at a decode server (the writer). The read's answer names the KV cache
+blocks that the reader holds (`remote_engine_id`, `remote_block_ids`, `remote_host`, `remote_port`); echoed in the
+write's parameters with `do_remote_prefill`, they let the writer fetch the blocks.
+
+A state is the KV cache that a reader keeps until the writer has fetched it; a place is memory reserved at a writer
+ahead of the write. Places, and releases of places and states, are an extension of this project under
+`/v1/yardspindle/`; a server without it (`places` in the server list) is never asked for them.
 """
 
 from __future__ import annotations
@@ -27,7 +31,8 @@
 STATES = b"/v1/yardspindle/states"
 PLACE_HEADER = b"x-yardspindle-place"
 HOLDS = b"/v1/yardspindle/holds"
-# Sent by a steward that acts for the whole fleet: its duty and fencing token.
+# Sent by a steward (a process that does background work for the whole fleet): its duty, that is, the name of the task,
+# and its fencing token, by which an engine rejects calls of an earlier owner of the duty.
 DUTY_HEADER, FENCE_HEADER = b"x-yardspindle-duty", b"x-yardspindle-fence"
 JSON_HEADERS: http1.Headers = [(b"content-type", b"application/json")]
 MAX_ERROR_BYTES = 65_536
@@ -88,7 +93,10 @@
 
 
 class HoldRow(Struct):
-    """A state or place that an engine holds. Its id begins with the epoch of the edge that it is held for."""
+    """A state or place that an engine holds.
+
+    Its id begins with the epoch (the id of one run) of the edge, the client-facing process, that it is held for.
+    """
 
     id: str
     kind: str
@@ -102,7 +110,10 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended, as reported to the core."""
+    """How an attempt (one call for a read or write) ended, as reported to the core, which decides what follows.
+
+    `note` depends on the status: the cached prompt tokens of a success; 1 for an error if the engine found no state.
+    """
 
     status: Status
     note: int = 0
@@ -183,7 +194,10 @@
     def read(
         self, server: Server, request: int, attempt: int, body: bytes, on_written: Callable[[], None] | None = None
     ) -> AttemptResult:
-        """The first stage. Raises only for deadlines and cancellation. `on_written`: see HttpClient.request."""
+        """Send the read and wait for its answer. Raises only for deadlines and cancellation.
+
+        `on_written` is called once the request's last byte is written.
+        """
         headers = [*JSON_HEADERS, (b"x-request-id", self.state_id(request, attempt).encode())]
         try:
             response = self.http.request(server.host, server.port, b"POST", COMPLETIONS, headers, body, on_written)
@@ -217,7 +231,7 @@
         place: int | None,
         on_written: Callable[[], None] | None = None,
     ) -> AnswerStream | AttemptResult:
-        """The second stage: the answer's stream, or the result if none began."""
+        """Send the write; returns the answer's stream, or the attempt's result if no stream began."""
         headers = [*JSON_HEADERS, (b"x-request-id", self.state_id(request, attempt).encode())]
         if place is not None:
             headers.append((PLACE_HEADER, self.place_id(request, place).encode()))
@@ -275,7 +289,7 @@
 
 
 def refused(http_status: int, data: bytes) -> AttemptResult:
-    """Converts an error response to the result of the attempt."""
+    """Converts an engine's error response to the result of the attempt."""
     code: str | None = None
     message = ""
     try:
