--- a/yardspindle/edge/app.py
+++ b/yardspindle/edge/app.py
@@ -1,4 +1,8 @@
-"""The edge program: HTTP routes, the chat request handler, the periodic tick of the core, start-up and drain."""
+"""The edge program: HTTP routes, the chat request handler, the periodic tick of the core, start-up and drain.
+
+An edge is the process that holds the client connections. The planner, another process, decides which engine (model
+server) serves a request; the core (`EdgeCore`) is the state machine that checks and follows each decision.
+"""
 
 from __future__ import annotations
 
@@ -47,12 +51,15 @@
 
 
 class Edge:
-    """One edge: serves clients, links to the planner and sends attempts to engines.
+    """One edge: serves clients, links to the planner and sends attempts (calls for a request) to engines.
 
     The decisions about a request are made by `EdgeCore`; the `Executor` carries out its commands."""
 
     def __init__(self, world: World, config: Config) -> None:
-        """Opens no sockets; see `start`. Raises ConfigError if the prefix index's tokenizer cannot be loaded."""
+        """Opens no sockets; see `start`. `world`: the interface to clock, sockets, files and randomness.
+
+        Raises ConfigError if the prefix index's tokenizer cannot be loaded.
+        """
         self.world = world
         self.config = config
         self.instance_id = f"{world.random('edge id').getrandbits(48):012x}"
@@ -173,7 +180,7 @@
     # --- routes
 
     def early_reply(self, head: http1.RequestHead) -> Reply | None:
-        """See Handler."""
+        """Answer what needs no body: errors of the head, and all paths but the chat's (`Handler`)."""
         path = head.target.partition(b"?")[0]
         try:
             if path == chat.COMPLETIONS_PATH:
@@ -225,7 +232,7 @@
             metrics.index_trust.labels(name).set(feed.trust(now) * tracker.claims.agreement(name))
 
     def malformed(self, error: http1.ProtocolError) -> Reply:
-        """See Handler."""
+        """The reply to input that is not valid HTTP (`Handler`)."""
         return Reply(
             error.status, [JSON_CONTENT_TYPE], error_body("malformed_request", error.reason, "invalid_request_error")
         )
@@ -233,7 +240,7 @@
     # --- a chat request
 
     def handle(self, exchange: Exchange) -> None:
-        """See Handler."""
+        """Run one chat request from its arrival to its final answer (`Handler`)."""
         try:
             run = self._accept(exchange)
         except ApiError as error:
@@ -291,7 +298,7 @@
     def _predict_cached_prefixes(
         self, now: int, tracker: PrefixTracker, accepted: AcceptedRequest, fields: RequestFields
     ) -> tuple[AcceptedRequest, PromptBlocks, dict[str, float]]:
-        """Add to a request the cached prompt tokens predicted for each reader.
+        """Add to a request the cached prompt tokens predicted for each reader (prefill server).
 
         Also returns the prompt's blocks and the tokens that the readers' cache events claim."""
         prompt_blocks = tracker.blocks(fields.messages, fields.tools)
--- a/yardspindle/edge/cache_events.py
+++ b/yardspindle/edge/cache_events.py
@@ -1,5 +1,6 @@
-"""Subscribes to the cache events of every reader that publishes them, and requests a replay of missed batches.
+"""Subscribes to the KV cache events of every reader (prefill server) that publishes them, and fetches missed batches.
 
+The events say which prompt blocks a reader has stored and removed; the prefix tracker predicts cache hits from them.
 Each publishing reader has one task with a ZeroMQ subscription in vLLM's format: topic, sequence number, payload.
 Missed batches are requested from the reader's replay socket. `core/prefix/cache_feed.py` interprets the events.
 """
@@ -27,7 +28,7 @@
     """Keeps one subscription for each server that publishes cache events and passes them to the prefix tracker."""
 
     def __init__(self, world: World, tracker: PrefixTracker) -> None:
-        """Subscribes to nothing until `update_servers` is called."""
+        """Subscribes to nothing until `update_servers` is called. `world`: the interface to clock and sockets."""
         self._world = world
         self._tracker = tracker
         self._subscriptions: dict[str, tuple[str, str | None, Task, MessageSocket]] = {}
--- a/yardspindle/edge/executor.py
+++ b/yardspindle/edge/executor.py
@@ -1,5 +1,9 @@
 """Executes the core's commands: runs attempts, place reservations and releases, and hands answers to the handlers.
 
+The core (`EdgeCore`) is the edge's state machine, without I/O. An attempt is one call for a request's read (prefill at
+a reader) or write (decode at a writer). A place is memory reserved at a writer ahead of the write; a state is the KV
+cache that a read leaves at its reader. A release frees one of them.
+
 `perform` runs in the task that received the commands and never blocks. Whatever waits for a peer runs in a task of
 its own, so a slow engine or client delays only its own request.
 """
@@ -28,7 +32,7 @@
 from yardspindle.runtime.scheduler import Cancelled, DeadlineExceeded, Signal, Task
 from yardspindle.runtime.world import StreamError, World
 
-RELEASE_TIMEOUT_US = 1_000_000  # for one try of a release; the core retries
+RELEASE_TIMEOUT_US = 1_000_000  # for one call to release a state or place; the core retries
 PLACE_TIMEOUT_US = 1_000_000
 READ_TO_END_TIMEOUT_US = 1_000_000  # for the rest of the response after an answer's last event
 
@@ -37,7 +41,7 @@
 
 @dataclass(slots=True)
 class RunningRequest:
-    """The I/O state of one client request, from its arrival to its final answer."""
+    """The I/O state of one client request, from its arrival to its final answer (served, refused or failed)."""
 
     accepted: AcceptedRequest
     request_id: str
@@ -81,7 +85,10 @@
         notify_planner: Callable[[i.Event], None],
         tracker: PrefixTracker | None,
     ) -> None:
-        """`stream_idle_us`: how long a running answer stream may stay without data."""
+        """`stream_idle_us`: how long a running answer stream may stay without data.
+
+        `world`: the interface to clock, sockets, files and randomness.
+        """
         self._world = world
         self._core = core
         self._engines = engines
@@ -117,11 +124,11 @@
                         run.done.set()
                 case c.CloseIdle(server):
                     self._engines.http.close_idle(server.host, server.port)
-                case c.Warn(request, rule):
+                case c.Warn(request, rule):  # a rule of the edge overrode an action of the planner
                     self._metrics.interlocks.labels(rule).inc()
                     run = self.running.get(request)
                     log.warning("interlock", rule=rule, request_id=run.request_id if run else str(request))
-                case c.ReportViolation(rule, request, text):
+                case c.ReportViolation(rule, request, text):  # found by the core's rule checker
                     self._metrics.broken_rules.labels(rule).inc()
                     run = self.running.get(request)
                     log.error("rule broken", rule=rule, text=text, request_id=run.request_id if run else str(request))
--- a/yardspindle/edge/metrics.py
+++ b/yardspindle/edge/metrics.py
@@ -1,4 +1,7 @@
-"""The Prometheus metrics of the edge."""
+"""The Prometheus metrics of the edge, the process that holds the client connections.
+
+The label `cls` is the request's class: a configured kind of request with time limits and a value of its own.
+"""
 
 from __future__ import annotations
 
@@ -36,9 +39,11 @@
         self.cached_tokens = Counter(
             "yardspindle_cached_tokens", "Prompt tokens that readers had kept", registry=self.registry
         )
+        # An interlock is a rule by which the edge overrides an action of the planner.
         self.interlocks = Counter(
             "yardspindle_interlocks", "Actions the edge refused or took by itself", ("rule",), registry=self.registry
         )
+        # Found by the rule checker, which checks every command of the core against a record of its own.
         self.broken_rules = Counter(
             "yardspindle_broken_rules", "Rules that the watch found broken", ("rule",), registry=self.registry
         )
--- a/yardspindle/edge/planner_link.py
+++ b/yardspindle/edge/planner_link.py
@@ -1,7 +1,11 @@
 """The edge's end of the link to the planner: handshake, batched events, incoming actions, reconnects.
 
+An edge (the process that holds the client connections) sends the planner (the process that decides which server does
+what) events, such as arrived requests and ended attempts, and receives actions, such as where to send a request.
+
 Events wait in one bounded list while a frame is written, so a burst is sent in few frames. A planner that reads so
-slowly that the list fills up counts as lost: the link is closed, and the core settles the open requests.
+slowly that the list fills up counts as lost: the link is closed, and the edge's core (`EdgeCore`, the state machine of
+its requests) ends the open requests that need a planner; streams run to their end.
 """
 
 from __future__ import annotations
@@ -42,7 +46,8 @@
     ) -> None:
         """`response_timeout_us`: how long a planner may take to answer a batch of events before it counts as lost.
 
-        `on_up` and `on_actions` get the planner's epoch; `on_down` is called once after each `on_up`."""
+        `on_up` and `on_actions` get the planner's epoch, a number that identifies one run of the planner; `on_down` is
+        called once after each `on_up`. `world` is the interface to clock, sockets, files and randomness."""
         self._world = world
         self._address = address
         self._hello = hello
@@ -59,7 +64,7 @@
         self.connected = world.signal()  # set when the first link is up
 
     def send_event(self, event: i.Event) -> None:
-        """Queue an event for the planner. Without a link it is dropped: the core has settled what it concerns."""
+        """Queue an event for the planner. Without a link it is dropped: the core ends what needs a planner."""
         if self._stream is None:
             return
         if len(self._pending_events) >= MAX_PENDING_EVENTS:
--- a/yardspindle/planner/app.py
+++ b/yardspindle/planner/app.py
@@ -1,8 +1,11 @@
 """The planner program: accepts links from edges, runs one policy for each and sends the policy's decisions.
 
+An edge is a process that holds client connections and calls the engines (model servers). The policy is the module that
+decides which server does what: it gets events of the edge (requests, ended attempts) and returns actions for it.
+
 The planner connects to no engine and knows no clients. Each link has its own task; the policies' timers run on the
-planner's clock. An edge that does not read its actions in time is disconnected: it settles its open requests and
-links again.
+planner's clock. An edge that does not read its actions in time is disconnected: it ends its open requests, but for
+those being streamed or written, and links again.
 """
 
 from __future__ import annotations
@@ -38,11 +41,11 @@
     """Serves edges: reads the server list and keeps one `EdgeSession` for each linked edge."""
 
     def __init__(self, world: World, config: Config) -> None:
-        """Opens no files or sockets; see `start`."""
+        """Opens no files or sockets; see `start`. `world`: the interface to clock, sockets, files and randomness."""
         self.world = world
         self.config = config
         self._settings_hash = settings_hash(config)
-        self.epoch = max(world.now_us(), 1)  # a later start has a higher epoch
+        self.epoch = max(world.now_us(), 1)  # identifies this run; a later start has a higher epoch
         self.server_list = ServerList(config)
         self.list_file = ServerListFile(world, config.planner.servers, config, self.server_list, self._on_list_change)
         self.sessions: list[EdgeSession] = []
@@ -138,7 +141,7 @@
 
 
 class EdgeSession:
-    """The link and the policy of one edge."""
+    """The link to one edge, and the policy that decides for it."""
 
     def __init__(
         self, planner: Planner, stream: Stream, reader: frames.FrameReader, planning: PlanningSession, number: int
@@ -181,7 +184,7 @@
         )
 
     def server_list_changed(self) -> None:
-        """Send the current server list to the edge and update the policy's members."""
+        """Send the current server list to the edge and pass it to the policy."""
         self.send(frames.Servers(self._planner.server_list.version, self._planner.server_list.addresses()))
         self._apply_decisions(self._planning.update_members(self._world.now_us(), self._planner.server_list))
 
