--- a/yardspindle/steward/__init__.py
+++ b/yardspindle/steward/__init__.py
@@ -1,1 +1,4 @@
-"""The steward: runs fleet-wide background tasks (duties); it serves no client requests."""
+"""The steward: runs duties, the background tasks of the whole fleet that have one owner at a time.
+
+It serves no client requests.
+"""
--- a/yardspindle/steward/app.py
+++ b/yardspindle/steward/app.py
@@ -1,7 +1,10 @@
-"""The steward program: acquires fleet duties, each of which has one owner, and runs them. Thin I/O around `core/fleet`.
+"""The steward program: acquires duties (the fleet's background tasks, each with one owner at a time) and runs them.
 
-Ownership is decided by `ownership.step`; the steward turns its commands into store calls and tasks, and their results
-into events. A duty's task calls `fence_to_act` before every action, and acts only if it returns a fence.
+Several stewards may run; they share a store (a key-value store: etcd or a file) in which a duty is owned under a lease
+and a fence, a number that grows with each owner, so that calls of an earlier owner can be rejected.
+
+Ownership is decided by `core/fleet/ownership.step`; the steward turns its commands into store calls and tasks, and
+their results into events. A duty's task calls `fence_to_act` before every action, and acts only if it returns a fence.
 """
 
 from __future__ import annotations
@@ -27,7 +30,7 @@
 from yardspindle.steward.release import ReleaseDuty
 from yardspindle.steward.sweep import SweepDuty
 
-TICK_US = 20_000  # interval of `Tick` events; a hand-over must take less than 100 ms
+TICK_US = 20_000  # interval of `Tick` events; passing a duty to another steward must take less than 100 ms
 RETRY_US = 50_000  # delay before an unanswered store call for a duty is repeated
 SHUTDOWN_TIMEOUT_US = 2_000_000  # how long a shutdown waits for the store
 
@@ -46,7 +49,7 @@
     """A steward process."""
 
     def __init__(self, world: World, config: Config, store: Store, version: str) -> None:
-        """Opens nothing yet; see `start`."""
+        """Opens nothing yet; see `start`. `world`: the interface to clock, sockets, files and randomness."""
         self.world, self.config, self.store = world, config, store
         fleet = config.fleet
         self.epoch = f"{world.random('steward epoch').getrandbits(48):012x}"
@@ -72,7 +75,10 @@
         self._started = False
 
     def start(self) -> tuple[str, int]:
-        """Registers the steward and starts its tasks; returns its page's address. Raises OSError, ConfigError."""
+        """Registers the steward and starts its tasks; returns the address of its HTTP status page.
+
+        Raises OSError and ConfigError.
+        """
         host, port = split_address(self.config.fleet.listen)
         source = ServerListFile(
             self.world, self.config.planner.servers, self.config, self.server_list, self._on_view_change
@@ -89,7 +95,7 @@
         return address[0], address[1]
 
     def shut_down(self) -> None:
-        """Hands over all duties, then deletes the registration."""
+        """Gives up all duties for other stewards to take, then deletes the registration."""
         deadline = self.world.deadline(self.world.now_us() + SHUTDOWN_TIMEOUT_US)
         try:
             with deadline:
@@ -103,11 +109,11 @@
             log.warning("store did not confirm the shutdown; duties end with the lease", reason=str(error))
 
     def required_duties(self) -> frozenset[str]:
-        """The duties that must be owned: clock, release, and a sweep of each cell that has engines."""
+        """The duties that must be owned: clock, release, and a sweep of each cell (group of servers) with engines."""
         return frozenset(["clock", "release", *(f"sweep/{server.cell}" for server in self.server_list.servers)])
 
     def fence_to_act(self, duty: str) -> int | None:
-        """The fence to act with now, or None."""
+        """The fence to act with now, or None if this steward does not own the duty."""
         return ownership.may_act(self.state, self.world.now_us(), duty)
 
     # --- events
--- a/yardspindle/steward/clock.py
+++ b/yardspindle/steward/clock.py
@@ -1,4 +1,9 @@
-"""The duty `clock`: compares the clocks of all members through their pages, and reports the skewed ones."""
+"""The duty `clock`: compares the clocks of all members of the fleet, and reports the skewed ones.
+
+A duty is a background task of the fleet with one owner (a steward process) at a time. Members are the registered
+processes; each serves a status page over HTTP that states its time. The report goes into the store, the key-value
+store that the fleet's processes share.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +31,7 @@
 
 
 class ClockDuty:
-    """The clock duty; see Duty."""
+    """The clock duty (`Duty`)."""
 
     def __init__(
         self,
@@ -38,7 +43,11 @@
         bound_us: int,
         fence_to_act: Callable[[], int | None],
     ) -> None:
-        """`bound_us`: the largest tolerated offset; `fence_to_act`: the duty's current fence, or None if not owned."""
+        """`bound_us`: the largest tolerated offset.
+
+        `fence_to_act`: the fencing token to write with, or None if this process does not own the duty. `world`: the
+        interface to clock, sockets, files and randomness.
+        """
         self._world, self._store, self._keys, self._follower = world, store, keys, follower
         self._membership, self._bound_us, self._fence_to_act = membership, bound_us, fence_to_act
         self._http = HttpClient(world, CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US)
@@ -46,7 +55,7 @@
         self._reported_us = 0
 
     def run(self) -> None:
-        """See Duty."""
+        """Repeat rounds over all members until cancelled; write a report at changes and at intervals (`Duty`)."""
         while True:
             own = self._membership.member
             epochs = {name: member.epoch for name, member in self._follower.view.members.items()} | {own.id: own.epoch}
--- a/yardspindle/steward/release.py
+++ b/yardspindle/steward/release.py
@@ -1,4 +1,9 @@
-"""The duty `release`: grants permits and orders, advances the release, and halts it if it does harm."""
+"""The duty `release`: leads the fleet through a release (a new version) and through drains that operators request.
+
+A duty is a background task of the fleet with one owner (a steward process) at a time. A unit is a dispatcher or model
+host that a release restarts. This duty grants a unit a permit (the right to be unavailable for a while) and gives it
+an order to restart or drain. It halts a release whose units fail more requests than the others.
+"""
 
 from __future__ import annotations
 
@@ -18,13 +23,13 @@
 from yardspindle.runtime.world import World
 
 POLL_US = 100_000  # between two evaluations; a step of a release takes seconds
-WINDOW_US = 2_000_000  # length of a comparison window
+WINDOW_US = 2_000_000  # length of a window in which released units are compared with the others
 
 log = structlog.get_logger("yardspindle.steward.release")
 
 
 class ReleaseDuty:
-    """The release duty; see Duty."""
+    """The release duty (`Duty`)."""
 
     def __init__(
         self,
@@ -36,14 +41,18 @@
         name: str,
         fence_to_act: Callable[[], int | None],
     ) -> None:
-        """`limits`: the fleet's; `fence_to_act`: the duty's current fence, or None if not owned."""
+        """`limits`: for each group of units, how many may be unavailable and how many must serve.
+
+        `fence_to_act`: the fencing token to write with, or None if this process does not own the duty. `world`: the
+        interface to clock, sockets, files and randomness.
+        """
         self._world, self._store, self._follower = world, store, follower
         self._keys, self._limits, self._name, self._fence_to_act = UnitKeys(keys), limits, name, fence_to_act
         self._previous: dict[str, permits.UnitStatus] = {}  # each unit's status at the end of the last window
         self._window_us = world.now_us()
 
     def run(self) -> None:
-        """See Duty."""
+        """Decide and write the next steps every POLL_US while the duty is owned, until cancelled (`Duty`)."""
         while True:
             fence = self._fence_to_act()
             if fence is not None:
@@ -55,7 +64,8 @@
         view = self._keys.read(self._follower.view.rows)
         steps = self._next_steps(view, now_us, now_us - self._follower.confirmed_us, fence)
         if any(isinstance(step, release_plan.GrantPermit) for step in steps):
-            # The watch may lag: before a permit is granted, the store is read and the steps are computed again.
+            # The watch on the store may lag: before a permit is granted, the store is read and the steps are computed
+            # again.
             try:
                 rows = self._store.range(self._keys.root, prefix_end(self._keys.root)).rows
             except StoreError as error:
@@ -83,7 +93,7 @@
         return steps
 
     def _write_step(self, now_us: int, fence: int, view: ReleaseView, step: release_plan.Step) -> None:
-        """Writes one step. The store rejects later steps based on the same rows; they are then decided again."""
+        """Writes one step to the store, which rejects later steps based on the same rows; they are decided again."""
         txn: Txn
         match step:
             case release_plan.GrantPermit():
@@ -108,7 +118,7 @@
                 txn = self._keys.update_release(fence, view, release, entry)
         try:
             self._store.txn(txn)
-        except StoreError as error:  # the view will show whether it was done
+        except StoreError as error:  # the next update of the view shows whether the store applied it
             log.warning("release step was not answered", reason=str(error))
 
     def _add_window(self, view: ReleaseView, release: release_plan.Release) -> release_plan.Release:
--- a/yardspindle/steward/sweep.py
+++ b/yardspindle/steward/sweep.py
@@ -1,4 +1,10 @@
-"""The duty `sweep/CELL`: makes a cell's engines release what they hold for edges that are confirmed dead."""
+"""The duty `sweep/CELL`: makes a cell's engines release what they hold for edges that are confirmed dead.
+
+A duty is a background task of the fleet with one owner (a steward process) at a time; a cell is a group of servers in
+the server list. An edge is a process that holds client connections; for its requests, engines (model servers) hold
+states (KV cache to be fetched) and places (reserved memory), which an edge that crashed never releases. An epoch is one
+run of an edge.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +37,7 @@
 
 
 class SweepDuty:
-    """The sweep duty of one cell; see Duty."""
+    """The sweep duty of one cell (`Duty`)."""
 
     def __init__(
         self,
@@ -43,21 +49,27 @@
         duty: str,
         fence_to_act: Callable[[], int | None],
     ) -> None:
-        """`fence_to_act`: the duty's current fence, or None if not owned."""
+        """`fence_to_act`: the fencing token to call with, or None if this process does not own the duty.
+
+        `world`: the interface to clock, sockets, files and randomness.
+        """
         self._world, self._store, self._keys, self._follower = world, store, keys, follower
         self._server_list, self._duty, self._fence_to_act = server_list, duty, fence_to_act
         self._cell = int(duty.partition("/")[2])
         self._http = HttpClient(world, CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US)
         self._epochs = EndedEpochs()
         self._probing: set[str] = set()
-        self._unsupported: set[str] = set()  # engines without the holds extension
+        self._unsupported: set[str] = set()  # engines that cannot list what they hold
         self._busy: set[str] = set()  # engines that are being swept
         self._swept_us = 0
         self._slots: Channel[None] = world.channel(MAX_CONCURRENT)
         self.released = 0
 
     def run(self) -> None:
-        """See Duty. Calls in flight when the duty ends carry its fence: engines reject them after a higher one."""
+        """Find dead edges and sweep the cell's engines until cancelled (`Duty`).
+
+        Calls in flight when the duty ends carry its fence: an engine that has seen a higher one rejects them.
+        """
         tasks = []
         try:
             while True:
--- a/yardspindle/unit/__init__.py
+++ b/yardspindle/unit/__init__.py
@@ -1,1 +1,1 @@
-"""The supervisor of a dispatcher or model host: carries out the fleet's orders to drain, restart and upgrade it."""
+"""The supervisor of a unit (a dispatcher or model host): carries out orders to drain, restart and upgrade it."""
--- a/yardspindle/unit/app.py
+++ b/yardspindle/unit/app.py
@@ -1,4 +1,8 @@
-"""The unit supervisor: registers the unit, publishes its status, and carries out its orders with its file's commands.
+"""The unit supervisor: registers the unit, publishes its status, and carries out its orders.
+
+A unit is a dispatcher or model host that a release restarts; a file names the commands that run, drain and check it.
+Orders and statuses are rows of the store, the key-value store (etcd or a file) that the fleet's processes share; the
+duty `release` of a steward writes the orders.
 
 All decisions are made by `core/fleet/unit.step`. The unit's process outlives the supervisor, which finds it again after
 a restart by its saved process id and start time.
@@ -32,7 +36,7 @@
 
 
 class CheckFigures(msgspec.Struct, frozen=True):
-    """The figures that a check command may print as one line of JSON; see `UnitStatus`."""
+    """The figures that a check command may print as one line of JSON: work, capacity and requests (`UnitStatus`)."""
 
     load: float = 0.0
     room: float = 0.0
@@ -53,16 +57,16 @@
         """Whether the unit's process is running."""
 
     def start(self, version: str, mark: str) -> int:
-        """Start the unit, unless a process with this mark is running; 0 on success."""
+        """Start the unit, unless a process with this mark (a text that identifies one start) runs; 0 on success."""
 
     def stop(self) -> None:
         """Stop the unit, and wait until it has exited."""
 
     def drain(self, version: str) -> int | None:
-        """Wait until the unit is idle; None if that took too long."""
+        """Run the drain command, which waits until the unit is idle; its exit code, or None if it timed out."""
 
     def check(self, version: str) -> tuple[int | None, bytes]:
-        """The check's exit code (0: well, 1: cold, other: failing), and its line of figures."""
+        """The check's exit code (0: well, 1: cold (not warmed up), other: failing, None: timed out) and figures."""
 
 
 class UnitSupervisor:
@@ -77,7 +81,10 @@
         version: str,
         runner: UnitRunner,
     ) -> None:
-        """Starts nothing yet. Raises ValueError if the state file is malformed."""
+        """Starts nothing yet. Raises ValueError if the file of saved state is malformed.
+
+        `world`: the interface to clock, sockets, files and randomness.
+        """
         self.world, self.file, self.store, self.runner = world, file, store, runner
         self.keys = UnitKeys(FleetKeys(fleet.name))
         try:
@@ -108,7 +115,7 @@
         self._checking = False
 
     def start(self) -> str:
-        """Registers the unit and starts supervising it. Returns the address of its page. Raises OSError."""
+        """Registers the unit and starts supervising it. Returns the address of its status page. Raises OSError."""
         self.membership.start(*self._listen)
         self._apply(*unit_control.resume(self.state, self.world.now_us(), self.runner.alive()))
         self.world.spawn("orders", self._poll_orders)
@@ -220,7 +227,7 @@
         )
 
     def _publish_status(self) -> None:
-        """Keeps the status in the store, attached to the lease. Changes of figures alone are written less often."""
+        """Keeps the status in the store, until the lease ends. Changes of figures alone are written less often."""
         while True:
             self.world.sleep_until(self.world.now_us() + POLL_US // 4)
             lease, status, now_us = self.membership.lease, self.status(), self.world.now_us()
--- a/yardspindle/unit/runner.py
+++ b/yardspindle/unit/runner.py
@@ -1,4 +1,4 @@
-"""Runs a unit and its commands as local processes."""
+"""Runs a unit (a dispatcher or model host) and its commands as local processes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ProcessRunner:
-    """See UnitRunner."""
+    """Runs the unit's process detached, so that it outlives the supervisor (`UnitRunner`)."""
 
     def __init__(self, world: RealWorld, file: UnitFile) -> None:
         """Starts nothing yet."""
@@ -27,19 +27,19 @@
         self._log = file.state + ".log"
 
     def adopt(self, pid: int, born: int) -> None:
-        """See UnitRunner."""
+        """Take over the process with this id and start time (`UnitRunner`)."""
         self._service = DetachedProcess(self._world, pid, born) if pid else None
 
     def id(self) -> tuple[int, int]:
-        """See UnitRunner."""
+        """The process id and start time; zeros if there is no process (`UnitRunner`)."""
         return (self._service.pid, self._service.start_ticks) if self._service is not None else (0, 0)
 
     def alive(self) -> bool:
-        """See UnitRunner."""
+        """Whether the unit's process is running (`UnitRunner`)."""
         return self._service is not None and self._service.alive()
 
     def start(self, version: str, mark: str) -> int:
-        """See UnitRunner."""
+        """Start the unit, or take over the process with this mark; 0, or 127 if it cannot be started (`UnitRunner`)."""
         argv = [part.replace("{version}", version) for part in self._file.run]
         try:
             self._service = DetachedProcess.find(self._world, mark) or DetachedProcess.start(
@@ -51,7 +51,7 @@
         return 0
 
     def stop(self) -> None:
-        """See UnitRunner."""
+        """Send SIGTERM, then SIGKILL if the unit has not exited in `stop_s` (`UnitRunner`)."""
         if self._service is None:
             return
         for signal_number in (signal.SIGTERM, signal.SIGKILL):
@@ -60,11 +60,11 @@
                 return
 
     def drain(self, version: str) -> int | None:
-        """See UnitRunner."""
+        """Run the drain command, if the file has one; its exit code, or None if it timed out (`UnitRunner`)."""
         return self._run(self._file.drain, version, self._file.drain_s)[0] if self._file.drain else 0
 
     def check(self, version: str) -> tuple[int | None, bytes]:
-        """See UnitRunner."""
+        """Run the check command, if the file has one; its exit code and first line (`UnitRunner`)."""
         return self._run(self._file.check, version, self._file.check_s) if self._file.check else (0, b"")
 
     def _run(self, command: Sequence[str], version: str, timeout_s: float) -> tuple[int | None, bytes]:
