--- a/yardspindle/node/__init__.py
+++ b/yardspindle/node/__init__.py
@@ -1,1 +1,4 @@
-"""The node program: a dispatcher that speaks the platform's protocol, with edge core and policy in one process."""
+"""The node program: a dispatcher (a router process) that speaks the protocol of the operators' platform.
+
+It runs the edge core (the state machine of requests) and the policy (the choice of servers) in one process.
+"""
--- a/yardspindle/node/__main__.py
+++ b/yardspindle/node/__main__.py
@@ -1,4 +1,8 @@
-"""`python -m yardspindle.node`: runs one dispatcher, configured by the `ROUTER_*` environment variables."""
+"""`python -m yardspindle.node`: runs one dispatcher (router process), configured by the `ROUTER_*` variables.
+
+They are environment variables that the operators' platform sets; the `World` passed around is the interface to clock,
+sockets, files and randomness.
+"""
 
 from __future__ import annotations
 
--- a/yardspindle/node/app.py
+++ b/yardspindle/node/app.py
@@ -1,4 +1,8 @@
-"""The dispatcher on the platform: its HTTP front, timers, server list updates, restarts and configuration reloads."""
+"""The dispatcher on the platform: its HTTP front, timers, server list updates, restarts and configuration reloads.
+
+It connects the core (`EdgeCore`, the state machine that follows each request), the policy (the module that decides
+which model host does what), and discovery (the platform's agent that lists the model hosts).
+"""
 
 from __future__ import annotations
 
@@ -36,10 +40,10 @@
 
 
 class Node:
-    """One dispatcher: serves the clients of the platform and connects core, policy and discovery."""
+    """One dispatcher (router process): serves the platform's clients and connects core, policy and discovery."""
 
     def __init__(self, world: World, config: NodeConfig) -> None:
-        """Opens nothing; `start` does."""
+        """Opens nothing; `start` does. `world`: the interface to clock, sockets, files and randomness."""
         self.world = world
         self.config = config
         self.core = EdgeCore(config.rules, config.seed)
@@ -103,7 +107,7 @@
         self._ready = self._stop_us is None
 
     def stop(self) -> None:
-        """Begin to stop: not ready from now on, and no longer waiting for the first server list."""
+        """Begin to stop: the health check says not ready, and `start` no longer waits for the first server list."""
         if self._stop_us is None:
             self._stop_us = self.world.now_us()
         self._ready = False
@@ -171,7 +175,7 @@
     # --- HTTP front
 
     def early_reply(self, head: http1.RequestHead) -> Reply | None:
-        """See Handler: refuses what the head alone shows to be wrong, before the body is read."""
+        """Answer the health check; refuse before the body is read what the head shows to be wrong (`Handler`)."""
         if head.target == HEALTH_PATH and head.method in (b"GET", b"HEAD"):
             return Reply(200 if self._ready else 503, [], b"")
         try:
@@ -187,14 +191,14 @@
         return client_request
 
     def malformed(self, error: http1.ProtocolError) -> Reply:
-        """See Handler."""
+        """The reply to input that is not valid HTTP (`Handler`)."""
         return _error_reply(error.status, error.reason)
 
     def handle(self, exchange: Exchange) -> None:
-        """See Handler."""
+        """Run one client request from its arrival to its final answer (`Handler`)."""
         received_us = exchange.received_us
         try:
-            client_request = self._read_request(exchange.head)  # again: the id may have been opened meanwhile
+            client_request = self._read_request(exchange.head)  # again: its id may be in use by now
             request.check_body(exchange.body)
             if self._refuse_from_us is not None and received_us >= self._refuse_from_us:
                 raise request.Refused(503, "draining")
--- a/yardspindle/node/config.py
+++ b/yardspindle/node/config.py
@@ -1,4 +1,7 @@
-"""Configuration of a dispatcher: four environment variables, and a file that may override three of them."""
+"""Configuration of a dispatcher: four environment variables, and a JSON file that may override three of them.
+
+The variables are set by the operators' platform; `ROUTER_CONFIG` names the file.
+"""
 
 from __future__ import annotations
 
@@ -61,7 +64,7 @@
 
     @property
     def roles(self) -> dict[str, i.Role]:
-        """The role of each kind of host."""
+        """The role of each kind of host: prefill (read), decode (write) or both."""
         return {kind.name: kind.role for kind in self.settings.kinds}
 
 
--- a/yardspindle/node/discovery.py
+++ b/yardspindle/node/discovery.py
@@ -1,7 +1,9 @@
-"""Client of the discovery agent: fetches the whole host list, then watches for changes, one call after the other.
+"""Client of the discovery agent, the platform's service that lists the model hosts.
 
-If the agent does not answer within the wait it was given, cannot be reached, or sends an answer that is malformed or
-implausible, the whole list is fetched again on a new connection; the list in force stays until then.
+It fetches the whole host list, then watches for changes by long polling, one call after the other.
+
+If the agent does not answer within the wait that the call asked for, cannot be reached, or sends an answer that is
+malformed or implausible, the whole list is fetched again on a new connection; the list in force stays until then.
 """
 
 from __future__ import annotations
@@ -23,12 +25,15 @@
 
 
 class DiscoveryClient:
-    """Keeps the host list of a dispatcher up to date."""
+    """Keeps the host list of a dispatcher (router process) up to date."""
 
     def __init__(
         self, world: World, address: tuple[str, int], hosts: HostList, on_change: Callable[[], None], answered: Signal
     ) -> None:
-        """`on_change` is called when the list has changed; `answered` is set at each answer that can be parsed."""
+        """`on_change` is called when the list has changed; `answered` is set at each answer that can be parsed.
+
+        `world`: the interface to clock, sockets, files and randomness.
+        """
         self._world = world
         self._address = address
         self._hosts = hosts
--- a/yardspindle/node/executor.py
+++ b/yardspindle/node/executor.py
@@ -1,7 +1,8 @@
 """Carries out the core's commands over the platform's protocol, and passes events to the policy by direct calls.
 
-Carrying out a command never blocks: whatever waits for a peer runs in a task of its own. Events for the policy are
-queued while commands are carried out and handled after them, in order, as they would be over a link to a planner.
+The core (`EdgeCore`) follows each request; the policy picks its reader (prefill) and writer (decode host). Carrying out
+a command never blocks: whatever waits for a peer runs in a task of its own. Events for the policy are queued meanwhile
+and handled afterwards, in order, as over the link of an edge to a planner (the same core and policy as two processes).
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
     """Performs the I/O that the core and the policy decide on."""
 
     def __init__(self, world: World, core: EdgeCore, session: PlanningSession, hosts: HostClient) -> None:
-        """`session` handles the events for the policy; `hosts` makes the calls to model hosts."""
+        """`world`: interface to clock and sockets; `session` passes events to the policy; `hosts` calls model hosts."""
         self._world = world
         self._core = core
         self._session = session
@@ -49,7 +50,7 @@
         self.running: dict[int, RunningRequest] = {}
         self.request_ids: dict[int, bytes] = {}  # of requests that run, or with releases to do
         self.releases = ReleaseTasks(world, core, hosts, self.request_ids, self.perform, self.forget)
-        self.places_in_flight = 0  # calls for a place without an answer yet: it may be held
+        self.places_in_flight = 0  # unanswered calls for a place (memory reserved at a writer): it may be held
         self._events: deque[i.Event] = deque()
         self._deciding = False
         self._timer_us = 0  # when the pending timer is due; 0: none is set
@@ -147,9 +148,9 @@
                     known.done.set()
             case c.CloseIdle(server):
                 self._hosts.http.close_idle(server.host, server.port)
-            case c.Warn(request, rule):
+            case c.Warn(request, rule):  # a rule of the core overrode an action of the policy
                 log.write("interlock", rule=rule, id=self._request_id(request))
-            case c.ReportViolation(rule, request, text):
+            case c.ReportViolation(rule, request, text):  # found by the core's rule checker
                 log.write("rule broken", rule=rule, text=text, id=self._request_id(request))
             case c.ReleaseState() | c.ReleasePlace() | c.ReleaseAll() | c.SendRelease() | c.TrackUnreadCall():
                 raise AssertionError("release command that the core should have handled itself")
@@ -229,7 +230,7 @@
             outcome.close()
 
     def _late_headers(self, command: c.Read | c.Write, running: RunningRequest) -> http1.Headers:
-        """Called once connected: waits while a release of the request is pending, which could free what this leaves."""
+        """Once connected, waits while a release of the request is pending: it could free what this attempt leaves."""
         while True:
             if not self._core.lifecycle.remaining_ms(self._world.now_us(), command.request, command.attempt):
                 raise CallCancelled
--- a/yardspindle/node/host_client.py
+++ b/yardspindle/node/host_client.py
@@ -1,4 +1,8 @@
-"""Client of the model hosts: the platform's protocol, and what each answer means for an attempt and its host."""
+"""Client of the model hosts: the platform's protocol, and what each answer means for an attempt and its host.
+
+An attempt is one call for a request's prefill at a reader or its decode at a writer. A place is memory reserved at a
+writer ahead of the decode; the platform calls it a room.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +24,7 @@
 RESPONSE_LIMITS = http1.Limits(line=8_192, head=16_384, headers=64, body=MAX_BODY_BYTES)
 CACHED_TOKENS = re.compile(rb'"cached_tokens"\s*:\s*([0-9]{1,9})')
 EVENT_PREFIX, EVENT_ENDS = b"data:", (b"\n\n", b"\n\r\n")  # lines may end in LF or CRLF
-LateHeaders = Callable[[], http1.Headers]  # see HttpClient.request; may raise CallCancelled
+LateHeaders = Callable[[], http1.Headers]  # called once connected, before the first byte; may raise CallCancelled
 
 
 class CallCancelled(Exception):
@@ -195,7 +199,7 @@
     def release(self, server: Server, request_id: bytes, late_headers: LateHeaders) -> bool | None:
         """Ask a host to release all that is held for a request anywhere; returns whether it acknowledged.
 
-        None: no descriptor was free and nothing was sent, see RequestReleases.settled.
+        None: no file descriptor was free and nothing was sent; the core then retries without blaming the host.
         """
         try:
             return self._call(server, b"DELETE", request_id, late_headers, timeouts.RELEASE_DESCRIPTOR_US) == 204
--- a/yardspindle/node/log.py
+++ b/yardspindle/node/log.py
@@ -1,4 +1,4 @@
-"""The dispatcher's log: one line of text for each event, on standard error."""
+"""The log of a dispatcher (router process): one line of text for each event, on standard error."""
 
 from __future__ import annotations
 
--- a/yardspindle/node/release_tasks.py
+++ b/yardspindle/node/release_tasks.py
@@ -1,4 +1,8 @@
-"""Release calls: each asks a model host to free what is held for a request, in a task of its own."""
+"""Release calls: each asks a model host to free what is held for a request, in a task of its own.
+
+Held are states (KV cache that a prefill leaves until the decode has fetched it) and places (memory reserved for the
+decode). A host passes a release on to all others, so that one host's answer is enough.
+"""
 
 from __future__ import annotations
 
@@ -19,14 +23,14 @@
 
 @dataclass(slots=True)
 class ReleaseCall:
-    """A call in flight."""
+    """A release call in flight."""
 
     written: bool = False  # its bytes may have been sent
     late: bool = False  # it is overdue, and other hosts are asked as well
 
 
 class ReleaseTasks:
-    """The calls in flight, by request."""
+    """The release calls in flight, by request."""
 
     def __init__(
         self,
@@ -37,7 +41,10 @@
         perform: Callable[[list[c.Command]], None],
         forget: Callable[[int], None],
     ) -> None:
-        """`ids`: of all requests for which something may be held; `forget` is called at the end of each call."""
+        """`ids`: of all requests for which something may be held; `forget` is called at the end of each call.
+
+        `world`: the interface to clock, sockets, files and randomness.
+        """
         self._world = world
         self._core = core
         self._hosts = hosts
--- a/yardspindle/node/request.py
+++ b/yardspindle/node/request.py
@@ -1,6 +1,7 @@
 """Checks a client's request, which the platform states in headers, and maps it to the policy's request.
 
-A malformed request is refused here, before it reaches the core or a model host.
+The policy is the module that decides which model host does what. A malformed request is refused here, before it reaches
+the core (the state machine of requests) or a model host.
 """
 
 from __future__ import annotations
@@ -33,7 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A request as its head states it; the body is not parsed."""
+    """A request as its head states it; the body is not parsed.
+
+    `cls` is its class: a configured kind of request with time limits and a value of its own.
+    """
 
     id: bytes
     cls: str
@@ -84,7 +88,7 @@
 
 
 def policy_request(client_request: ClientRequest, number: int, received_us: int, body_size: int) -> i.Request:
-    """Map a request to the policy's."""
+    """Map a client's request to the form in which the policy gets it."""
     prefix = client_request.extra.get("prefix") or None
     return i.Request(
         request=number,
@@ -109,7 +113,7 @@
 
 
 def _text_header(head: RequestHead, name: bytes) -> str:
-    """Decode a name as UTF-8, as the settings have it, or else as Latin-1, the older encoding of headers."""
+    """Decode a header as UTF-8, in which the settings hold the names, or else as Latin-1, HTTP's older encoding."""
     value = _single_header(head, name)
     try:
         return value.decode()
--- a/yardspindle/node/running_request.py
+++ b/yardspindle/node/running_request.py
@@ -1,4 +1,4 @@
-"""A request in progress: its client's exchange, its attempts and its stream."""
+"""A request in progress: its client's exchange, its attempts (calls to model hosts) and its stream."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     done: Signal
     answer: c.Answer | None = None
     attempts: dict[int, Task] = field(default_factory=dict)
-    places: dict[int, Task] = field(default_factory=dict)  # calls for a place, without an answer yet
+    places: dict[int, Task] = field(default_factory=dict)  # unanswered calls for a place (memory reserved at a writer)
     stream: ResponseStream | None = None  # that is relayed to the client
-    read_written: dict[int, Signal] = field(default_factory=dict)  # by read attempt: set once its last byte is written
+    read_written: dict[int, Signal] = field(default_factory=dict)  # by read (prefill) attempt: set once written in full
     written_attempts: set[int] = field(default_factory=set)  # attempts whose last byte is written
     awaiting_host_since_us: int = 0  # since when the stream has brought nothing; 0: it waits for its client
     trace: RequestTrace = field(default_factory=lambda: RequestTrace(0))
--- a/yardspindle/node/settings_schema.py
+++ b/yardspindle/node/settings_schema.py
@@ -1,4 +1,4 @@
-"""Types of the platform's settings, checked first so that an error names the field at fault.
+"""Types of the settings that the operators' platform sets, checked first so that an error names the field at fault.
 
 Unknown keys are ignored. yardspindle.settings_map says what the values mean, and what applies where one is absent: a
 default here only makes the key optional. Bounds between fields are checked by yardspindle.interface.
@@ -17,6 +17,8 @@
 
 
 class _Class(Struct, rename="kebab"):
+    """A class: a kind of request with time limits and a value of its own."""
+
     name: Name
     goal_time_us: Annotated[float, Meta(gt=0, le=1e13)]
     give_up_us: Annotated[float, Meta(gt=0, le=1e13)]
@@ -34,6 +36,8 @@
 
 
 class _Family(Struct, rename="kebab"):
+    """Properties of the model hosts; the tuples have one value for each kind of host."""
+
     duty_by_kind: tuple[Literal["read", "write", "both"], ...] | None = None
     memory_tokens: tuple[Amount, ...] | None = None
     aim_us_per_1000_prompt_tokens: tuple[Time, ...] | None = None
--- a/yardspindle/node/trace.py
+++ b/yardspindle/node/trace.py
@@ -1,4 +1,7 @@
-"""Record of one request, logged as one line at its end; `benchmarks/stages.py` reads that line."""
+"""Record of one request, logged as one line at its end; `benchmarks/stages.py` reads that line.
+
+A read is a request's prefill at a reader, a write its decode at a writer; a place is memory reserved at the writer.
+"""
 
 from __future__ import annotations
 
