--- a/yardspindle/core/__init__.py
+++ b/yardspindle/core/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions and state other than the policy's, free of I/O: events in, commands out."""
+"""All decisions and state other than the routing policy's, free of I/O: events in, commands out."""
--- a/yardspindle/core/fleet/canary_analysis.py
+++ b/yardspindle/core/fleet/canary_analysis.py
@@ -1,5 +1,8 @@
 """Decides whether a released version does harm: compares released with unreleased units over the same time windows.
 
+A unit is a dispatcher or a model host, which a release restarts with the new version. Each unit counts its requests and
+those that ended badly; the owner of the duty `release` (the steward that carries out the release) compares the counts.
+
 While both groups are equally bad, a failed request falls on a released unit with a probability given by the request
 counts alone, so an incident that hits both groups is no evidence and no failure rate has to be estimated. This is a
 sequential test by betting: wealth starts at 1 and is multiplied by the likelihood ratio of each window under the
@@ -17,7 +20,7 @@
 ALPHA = 0.001  # probability of halting a harmless release, over its whole duration
 TOLERATED_RATIO = 1.1  # a version may fail this many times as often: placement and traffic differ between the groups
 HARM_FACTORS = (1.5, 2.5, 6.0, 20.0, 80.0)  # alternatives that are tested; averaged, as the true one is unknown
-MAX_WEALTH, MIN_WEALTH = 1e12, 1e-9  # keep the product within a float; MIN_WEALTH only limits credit for good windows
+MAX_WEALTH, MIN_WEALTH = 1e12, 1e-9  # keep the product within a float; MIN_WEALTH also bounds what good windows offset
 
 
 class OutcomeCounts(Struct, frozen=True):
@@ -28,7 +31,10 @@
 
 
 class SequentialTest(Struct, frozen=True):
-    """State of the test so far; kept in the store, so that the next owner of the duty continues it."""
+    """State of the test so far.
+
+    It is kept in the store that the fleet shares, so that a steward that takes over the release continues the test.
+    """
 
     wealth: tuple[float, ...] = (1.0,) * len(HARM_FACTORS)
     seen: int = 0  # requests of released units
--- a/yardspindle/core/fleet/clock_skew.py
+++ b/yardspindle/core/fleet/clock_skew.py
@@ -1,5 +1,6 @@
 """Detects members with a skewed clock: offsets measured by polling each member's page, relative to the fleet's median.
 
+A member is a process of the fleet (edge, planner, steward or unit supervisor) that is registered in the shared store.
 An answer received between two readings of the local clock bounds the remote clock's offset from both sides. A member
 counts as skewed only if its whole interval lies beyond the bound: a slow answer widens the interval and proves nothing.
 """
@@ -31,7 +32,7 @@
 
 
 def find_skewed_clocks(offsets: dict[str, ClockOffset], epochs: dict[str, str], bound_us: int) -> ClockReport:
-    """Reports offsets from the median, and epochs beyond the bound. Keyed by member; includes the local member."""
+    """Reports offsets from the median, and epochs (process starts) beyond the bound. Keyed by member; local included."""
     if not offsets:
         return ClockReport()
     median_us = median_low(offset.midpoint_us for offset in offsets.values())
--- a/yardspindle/core/fleet/duty_assignment.py
+++ b/yardspindle/core/fleet/duty_assignment.py
@@ -1,5 +1,8 @@
 """Assigns duties to candidates: evenly, deterministically, and with few moves when a candidate joins or leaves.
 
+A duty is a background task of the fleet with one owner at a time; the candidates are the stewards (the processes that
+run duties) that can take one now.
+
 There is no coordinator. The candidate with the fewest duties takes a free one; ties are broken by a hash of duty and
 name, so that all candidates compute the same order without exchanging messages. Each candidate delays its attempt in
 proportion to its rank, so that another takes the duty if the first is dead or slow. Held duties stay where they are,
--- a/yardspindle/core/fleet/fences.py
+++ b/yardspindle/core/fleet/fences.py
@@ -1,7 +1,9 @@
 """Fencing on the receiving side: for each duty, orders with a fence lower than the highest one seen are rejected.
 
-A receiver that restarts must load the current fences (from the store, or from its own saved copy) before it accepts its
-first order; otherwise it would obey an owner that was replaced long ago.
+A duty is a background task of the fleet with one owner at a time; its fence is a number that grows with each new owner.
+
+A receiver that restarts must load the current fences (from the fleet's store, or from its own saved copy) before it
+accepts its first order; otherwise it would obey an owner that was replaced long ago.
 """
 
 from __future__ import annotations
--- a/yardspindle/core/fleet/kv.py
+++ b/yardspindle/core/fleet/kv.py
@@ -1,8 +1,9 @@
 """A key-value store with the semantics of etcd v3: revisions, transactions and watch events.
 
-One evaluator serves every store implemented here: the in-memory model and the embedded store. A store has a single
-revision that grows by one with each transaction that writes; a key's `create` is the revision that created it, its
-`mod` the revision that last wrote it, and its `version` counts writes since its creation.
+The fleet's processes share a store: etcd, or a file where no etcd runs. One evaluator of transactions serves every
+store implemented here: the in-memory model (`kv_model.py`) and the embedded store, which keeps its rows in that file. A
+store has a single revision that grows by one with each transaction that writes; a key's `create` is the revision that
+created it, its `mod` the revision that last wrote it, and its `version` counts writes since its creation.
 """
 
 from __future__ import annotations
@@ -142,7 +143,7 @@
 
 
 class RowReader(Protocol):
-    """Read access to a store's current rows."""
+    """Read access to a store's current rows (each a key with its value and metadata)."""
 
     def rows(self, key: bytes, end: bytes) -> list[KeyValue]:
         """The rows of a range, ordered by key."""
--- a/yardspindle/core/fleet/kv_model.py
+++ b/yardspindle/core/fleet/kv_model.py
@@ -1,7 +1,8 @@
-"""An in-memory store that follows etcd's published interface for keys, history, leases and watches.
+"""An in-memory key-value store that follows etcd's published interface for keys, history, leases and watches.
 
-Served over HTTP by the etcd stand-in, and used directly in the simulated World. It does no I/O: the time is passed to
-each call, and expired leases are ended by `expire`, which the model's owner calls before any other method.
+Served over HTTP by the test bench's stand-in for etcd, and used directly by simulations, in which a virtual World (the
+interface to clock, sockets, files and randomness) replaces the real one. It does no I/O: the time is passed to each
+call, and expired leases are ended by `expire`, which the model's owner calls before any other method.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 
 
 class StoreModel:
-    """The in-memory store."""
+    """The in-memory store: rows, their history and leases."""
 
     def __init__(self) -> None:
         """Creates an empty store."""
@@ -53,7 +54,7 @@
     # --- keys
 
     def rows(self, key: bytes, end: bytes) -> list[KeyValue]:
-        """See kv.RowReader."""
+        """The current rows of a range, ordered by key (`kv.RowReader`)."""
         if not end:
             row = self._rows.get(key)
             return [] if row is None else [row]
@@ -61,7 +62,7 @@
         return [self._rows[found] for found in self._keys[bisect_left(self._keys, key) : last]]
 
     def has_lease(self, lease: int) -> bool:
-        """See kv.RowReader."""
+        """Whether a lease exists and has not ended (`kv.RowReader`)."""
         return lease in self.leases
 
     def range(self, key: bytes, end: bytes = b"", revision: int = 0) -> RangeResult:
--- a/yardspindle/core/fleet/members.py
+++ b/yardspindle/core/fleet/members.py
@@ -1,5 +1,9 @@
 """The fleet's records in the store (members, duties, clocks) and a process's view of them.
 
+The store is a key-value store that the fleet's processes share: etcd or a file. A member is a process that is
+registered there: an edge (holds the client connections), a planner (decides which server does what), a steward (runs
+duties, the fleet's background tasks) or the supervisor of a unit (a dispatcher or model host that a release restarts).
+
 Under `/yardspindle/FLEET/`: `members/KIND/NAME` is attached to its process's lease and names its epoch, one start of
 one process; `epochs/EPOCH` has the same value without a lease, so that what an epoch left behind can be cleaned up
 after its end; `duties/DUTY` is attached to its owner's lease; `starts/NAME` counts a steward's recent restarts;
@@ -43,7 +47,7 @@
 
 
 class Owner(Struct, frozen=True):
-    """The owner of a duty."""
+    """The owner of a duty: the value of the duty's row."""
 
     name: str
     epoch: str
@@ -206,7 +210,7 @@
         self.rows.pop(key, None)
 
     def duty_view(self, required: frozenset[str]) -> DutyView:
-        """The input of duty ownership: holders, candidates and the duties that must be owned."""
+        """The input of `ownership.step`: holders, candidates and the duties that must be owned."""
         candidates = frozenset(m.name for m in self.members.values() if m.kind == "steward" and m.able)
         return DutyView(self.revision, dict(self.duties), candidates, required)
 
--- a/yardspindle/core/fleet/ownership.py
+++ b/yardspindle/core/fleet/ownership.py
@@ -1,9 +1,11 @@
 """The duty ownership protocol: each duty has at most one owner at a time, enforced by leases and fencing tokens.
 
-A duty's key in the store is attached to its owner's lease; its fence is the revision at which it was acquired. The
-owner measures its lease from before the last successful renewal was sent, less a margin, and stops on its own before
-the store can give the duty to another. Safety does not depend on that: a process that was suspended past its lease and
-resumes is stopped by the fence, which every store write compares and every receiver of orders checks.
+A duty is a background task of the fleet; its owner is a steward (a process that runs duties). The store is a key-value
+store that the fleet's processes share: etcd or a file. A duty's key in the store is attached to its owner's lease; its
+fence is the revision at which it was acquired. The owner measures its lease from before the last successful renewal was
+sent, less a margin, and stops on its own before the store can give the duty to another. Safety does not depend on that:
+a process that was suspended past its lease and resumes is stopped by the fence, which every store write compares and
+every receiver of orders checks.
 
 Pure: `step` maps a state, the time on the process's own clock and an event to the next state and the commands to
 execute. It is run by the steward, by the seeded simulations and by the explicit-state model checker.
@@ -43,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DutyView:
-    """The latest known contents of the store that matter for ownership, at one revision."""
+    """The latest known contents of the store that matter for ownership, at one of its revisions."""
 
     revision: int = 0
     duties: Mapping[str, Holder] = field(default_factory=dict)
@@ -53,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnershipState:
-    """The protocol state of one process."""
+    """The protocol state of one steward."""
 
     name: str
     timing: LeaseTiming
@@ -78,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseGranted:
-    """A lease was granted; `sent_us`: local time before the call was sent."""
+    """The store granted a lease; `sent_us`: local time before the call was sent."""
 
     lease: int
     sent_us: int
@@ -87,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRenewed:
-    """A lease was renewed; `ttl_us` is 0 if the store has ended it."""
+    """The store answered a renewal of the lease; `ttl_us` is 0 if it has ended the lease."""
 
     lease: int
     sent_us: int
@@ -160,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLease:
-    """Request a lease, and register under it."""
+    """Request a lease from the store, and register this process as a member under it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -205,7 +207,7 @@
 
 
 def is_eligible(state: OwnershipState, now_us: int) -> bool:
-    """Whether it may acquire duties now; published in its registration, so that others need not wait for it."""
+    """Whether it may acquire duties now; published in its registration, so that other stewards need not wait for it."""
     return (
         now_us >= state.eligible_from_us
         and not state.store_unhealthy
--- a/yardspindle/core/fleet/permits.py
+++ b/yardspindle/core/fleet/permits.py
@@ -1,10 +1,11 @@
 """Decides whether a unit may be taken out of service now, so that no group has too many units unavailable at once.
 
-A unit counts in every group that it belongs to. Unavailable are the units with a permit, and those with an unplanned
-outage: silent, cold or failing. Missing information counts against a permit: a unit without a status is unavailable,
-and a view older than `MAX_VIEW_AGE_US` permits nothing. A permit outlives the process that holds it; it ends when the
-unit is well again in another epoch (or undrained on an order), or at an operator's request. Grants are serialised: each
-is a transaction conditional on a head key that every grant writes.
+A unit is a dispatcher or model host that a release restarts. It counts in every group that it belongs to (its zone,
+cell, rack, role and kind). Unavailable are the units with a permit, and those with an unplanned outage: silent, cold or
+failing. Missing information counts against a permit: a unit without a status is unavailable, and a view older than
+`MAX_VIEW_AGE_US` permits nothing. A permit outlives the process that holds it; it ends when the unit is well again in
+another epoch (or undrained on an order), or at an operator's request. Grants are serialised: each is a transaction of
+the fleet's store, conditional on a head key that every grant writes.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 class UnitStatus(Struct, frozen=True):
-    """A unit's own report, attached to its lease."""
+    """A unit's report on itself, which its supervisor writes to the store; the row ends with the supervisor's lease."""
 
     unit: str
     epoch: str  # identifies the running process; differs after each start
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSnapshot:
-    """The input of a permit decision, read at one revision."""
+    """The input of a permit decision, read at one revision of the store."""
 
     placements: Mapping[str, UnitPlacement]
     statuses: Mapping[str, UnitStatus]
--- a/yardspindle/core/fleet/planner_liveness.py
+++ b/yardspindle/core/fleet/planner_liveness.py
@@ -1,9 +1,10 @@
 """Detects an unresponsive planner: it must answer every batch of events within a time limit.
 
-A planner that dies closes its link. One that hangs, or a link cut in one direction only, closes nothing: without this
-check every request would wait for its own deadline, and new ones would be accepted meanwhile. No extra messages are
-sent: an edge with no events to send needs no answer. Only time during which this edge was running counts, because
-after a stall of its own the answers may lie unread in its socket.
+The planner (the process that decides which server does what) is connected by a link to each edge (a process that holds
+client connections). A planner that dies closes its link. One that hangs, or a link cut in one direction only, closes
+nothing: without this check every request would wait for its own deadline, and new ones would be accepted meanwhile. No
+extra messages are sent: an edge with no events to send needs no answer. Only time during which this edge was running
+counts, because after a stall of its own the answers may lie unread in its socket.
 """
 
 from __future__ import annotations
--- a/yardspindle/core/fleet/release_keys.py
+++ b/yardspindle/core/fleet/release_keys.py
@@ -1,4 +1,9 @@
-"""The store's records of units, permits, orders and the release, and the transactions on them."""
+"""The store's records of units, permits, orders and the release, and the transactions on them.
+
+The store is a key-value store that the fleet's processes share: etcd or a file. A unit is a dispatcher or model host; a
+permit allows it to be out of service, and an order tells its supervisor what to do. The duty `release` is a background
+task with one owner at a time, which grants permits and gives orders.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +33,7 @@
 
 
 class AuditEntry(Struct, frozen=True):
-    """An entry of the audit log."""
+    """An entry of the audit log: who changed a release or requested a drain, when and why."""
 
     at_us: int
     by: str
--- a/yardspindle/core/fleet/release_plan.py
+++ b/yardspindle/core/fleet/release_plan.py
@@ -1,8 +1,11 @@
 """A release as desired state: waves of units that must run a version, and the next steps given the current state.
 
-Pure: the owner of the duty `release` passes in the release, the units' statuses, permits and limits, and gets the steps
-to write next. All state is in the store, so that another owner can continue at any point. A rollback installs the
-previous version on the same units, newest wave first, under the same permits.
+A unit is a dispatcher or model host. The release is carried out by the owner of the duty `release`, a background task
+with one owner at a time.
+
+Pure: the owner passes in the release, the units' statuses, permits and limits, and gets the steps to write next. All
+state is in the store, so that another owner can continue at any point. A rollback installs the previous version on the
+same units, newest wave first, under the same permits (`permits.py`).
 """
 
 from __future__ import annotations
@@ -53,7 +56,7 @@
 
 
 class Order(Struct, frozen=True):
-    """An order to a unit: `go` drains, stops and starts it with a version; `drain` and `undrain` leave its version."""
+    """Order to a unit's supervisor: `go` drains, stops and starts it with a version; `(un)drain` leaves its version."""
 
     number: int  # one higher than the unit's previous order, so that each is carried out once
     do: Literal["go", "undrain", "drain"]
--- a/yardspindle/core/fleet/sweep.py
+++ b/yardspindle/core/fleet/sweep.py
@@ -1,9 +1,11 @@
 """Decides which edges are dead, so that their holds at engines can be released; never those of one that may be alive.
 
-An epoch is confirmed dead when its registration has ended *and* its page proves it: the machine refuses connections
-there, or another epoch answers. An expired lease alone proves nothing: an edge that is cut off from the store goes on
-serving. A page that does not answer proves nothing either: the network path may be down, or the process suspended. An
-epoch that has ended cannot start again, so a confirmed death is final.
+An edge is a process that holds client connections. Its holds are the KV states and the reserved memory (places) that
+engines keep for its requests. An epoch is one start of a process; it is confirmed dead when its registration has ended
+*and* its page proves it: the machine refuses connections there, or another epoch answers. An expired lease alone proves
+nothing: an edge that is cut off from the store goes on serving. A page that does not answer proves nothing either: the
+network path may be down, or the process suspended. An epoch that has ended cannot start again, so a confirmed death is
+final.
 """
 
 from __future__ import annotations
@@ -41,7 +43,7 @@
 
 @dataclass(slots=True)
 class EndedEpochs:
-    """The unregistered edge epochs that may have left holds at engines."""
+    """The edge epochs without a registration in the store, which may have left holds at engines."""
 
     ended: dict[str, EndedEpoch] = field(default_factory=dict)
 
--- a/yardspindle/core/fleet/unit.py
+++ b/yardspindle/core/fleet/unit.py
@@ -1,9 +1,10 @@
 """The unit supervisor's state machine: carries out each order once, in the stages drain, stop, start and check.
 
-Pure: `step` maps the state, the time and an event to the next state and commands. Each stage is saved before it begins
+A unit is a dispatcher or model host that a release restarts; its supervisor is the process that runs it. Pure: `step`
+maps the state, the time and an event to the next state and commands. Each stage is saved before it begins
 (`SaveState`), so that a supervisor that is killed between stop and start resumes with the start and never stops the
-unit a second time. Orders are read from the store only, where each was written under its issuer's fence; an order with
-a lower fence than one already obeyed is ignored.
+unit a second time. Orders are read from the fleet's store only, where each was written under its issuer's fence (a
+number that grows with each new issuer); an order with a lower fence than one already obeyed is ignored.
 """
 
 from __future__ import annotations
