--- a/yardspindle/core/fleet/release_keys.py
+++ b/yardspindle/core/fleet/release_keys.py
@@ -52,9 +52,9 @@
     drain_requests: dict[str, DrainRequest] = field(default_factory=dict)
     audit_log: dict[str, AuditEntry] = field(default_factory=dict)
     release: release_plan.Release | None = None
-    release_mod: int = 0
-    head_mod: int = 0
-    order_mods: dict[str, int] = field(default_factory=dict)
+    release_mod: int = 0  # revision that last wrote the release
+    head_mod: int = 0  # revision that last wrote the head key, which every grant of a permit writes
+    order_mods: dict[str, int] = field(default_factory=dict)  # by unit: revision that last wrote its order
 
     def snapshot(self, limits: tuple[Limit, ...], age_us: int) -> permit_rules.FleetSnapshot:
         """The input of a permit decision."""
--- a/yardspindle/core/fleet/release_plan.py
+++ b/yardspindle/core/fleet/release_plan.py
@@ -52,7 +52,7 @@
     why: str = ""
     wave: int = 0
     settled_us: int = 0  # since when the current wave is complete, by the owner's clock; 0: it is not
-    trial: SequentialTest = SequentialTest()
+    trial: SequentialTest = SequentialTest()  # the test whether the version does harm
 
 
 class Order(Struct, frozen=True):
--- a/yardspindle/core/request/__init__.py
+++ b/yardspindle/core/request/__init__.py
@@ -1,1 +1,1 @@
-"""The edge's handling of a request, without I/O: accepted, sent, answered, released."""
+"""The handling of a request at the edge (the process that holds the client connections), without I/O."""
--- a/yardspindle/core/request/answer.py
+++ b/yardspindle/core/request/answer.py
@@ -1,5 +1,9 @@
 """Interprets a writer's stream of events and maps final answers to HTTP.
 
+A writer is a server that runs the decode stage; it sends the answer as server-sent events. The edge is the process that
+holds the client connections. It ends each request with one final answer: served, refused (a retry is harmless) or
+failed.
+
 `AnswerTracker` inspects each event once and decides what is forwarded to the client and when the answer is complete: a
 `finish_reason`, then `[DONE]`. An engine that sends `error`, or stops before that, has broken its stream. Events are
 forwarded unchanged, except the usage event that the edge asked for, which is dropped if the client did not ask for it.
@@ -158,10 +162,13 @@
             target[name] = value
 
 
+# Messages to clients, by code.
 MESSAGES = {
     "overloaded": "The service is busy; nothing of this request has run.",
     "edge_full": "This router holds as many requests as it may.",
+    # The edge has no planner (the process that decides which server does what), or has lost the one of this request.
     "planner_lost": "Nothing can be planned at the moment.",
+    # Given up by the routing policy: the request may have run and must not run twice.
     "gave_up": "The request was given up.",
     "deadline": "No answer came in time.",
     "may_have_run": "The request failed and may have run; it was not repeated.",
@@ -182,7 +189,10 @@
 
 
 def http_error(answer: Answer, unsafe: bool) -> HttpError:
-    """Status, error and headers of a refusal or failure. Raises ValueError for a served answer."""
+    """Status, error and headers of a refusal or failure. Raises ValueError for a served answer.
+
+    `unsafe`: the request's class is unsafe, so its clients must not repeat a request that may have run.
+    """
     message = MESSAGES.get(answer.code, answer.code)
     if answer.final is Final.REFUSED:
         wait_ms = max(answer.retry_after_us // 1_000, 1)
--- a/yardspindle/core/request/commands.py
+++ b/yardspindle/core/request/commands.py
@@ -1,4 +1,9 @@
-"""Commands from the edge's core to its I/O. Plain data without logic."""
+"""Commands from the edge's core to its I/O. Plain data without logic.
+
+The edge is the process that holds the client connections; its core decides, without I/O, what is sent and answered. A
+reader is a server that runs the prefill stage, a writer one that runs the decode stage. A state is the KV cache that a
+read leaves at its reader until the writer has fetched it; a place is memory reserved at a writer ahead of a write.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +18,7 @@
 
 
 class Final(Enum):
-    """The kinds of final answer."""
+    """The kinds of final answer (the one answer that ends a request); a refusal promises that a retry is harmless."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -22,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """Start an attempt at a reader; it times out at `deadline_us`."""
+    """Start an attempt (one send of a request's stage to one server) at a reader; it times out at `deadline_us`."""
 
     request: int
     attempt: int
@@ -66,7 +71,8 @@
 class TrackUnreadCall:
     """Track a call that a server may have received but not read, and may act on later.
 
-    `silent`: its connection was unresponsive for longer than a server that reads takes, whatever others bring.
+    `silent`: its connection was unresponsive for longer than a running server takes to read a call, even if the server
+    answers on other connections.
     """
 
     request: int
@@ -149,14 +155,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NotifyPlanner:
-    """Send an event to the policy in the planner."""
+    """Send an event to the policy in the planner (the process that decides which server does what)."""
 
     event: i.Event
 
 
 @dataclass(frozen=True, slots=True)
 class Warn:
-    """An interlock stopped an action that would have broken a rule: log and count it."""
+    """An interlock stopped an action of the policy that would have broken a rule: log and count it."""
 
     request: int
     rule: str
--- a/yardspindle/core/request/completion.py
+++ b/yardspindle/core/request/completion.py
@@ -1,4 +1,8 @@
-"""Ends requests at the edge: final answers, aborts of attempts and releases of what engines hold."""
+"""Ends requests at the edge: final answers, aborts of attempts and releases of what engines hold.
+
+The edge is the process that holds the client connections; the planner decides which server does what. Engines hold for
+a request its state (the KV cache that a read leaves) and its place (memory reserved at the writer).
+"""
 
 from __future__ import annotations
 
@@ -22,7 +26,7 @@
         self._commands: list[c.Command] = []
 
     def _give_up(self, record: RequestRecord, code: str, retry_after_us: int | None = None) -> None:
-        """Answer at once, without a planner: refuse where a retry is harmless, else fail."""
+        """Give up a request at the edge, without a planner: refuse it where a retry is harmless, else fail it."""
         if harmless_to_repeat(record.effect, record.may_have_run):
             self._final(
                 record, c.Final.REFUSED, code, self.rules.retry_after_us if retry_after_us is None else retry_after_us
@@ -161,7 +165,7 @@
         record.place = None
 
     def _notify(self, record: RequestRecord, event: i.Event) -> None:
-        """Send an event to the planner, if the one that knows the request is still in charge."""
+        """Send an event to the planner, if the planner that knows the request is still in charge."""
         if record.epoch and record.epoch == self.epoch:
             self._commands.append(c.NotifyPlanner(event))
 
--- a/yardspindle/core/request/edge_core.py
+++ b/yardspindle/core/request/edge_core.py
@@ -1,7 +1,8 @@
 """The edge's core: request life cycles, the rule checker and the pending releases.
 
-The edge's I/O handles requests through this class alone. Every command passes the rule checker before it goes out;
-releases are queued and go out as engines can be reached.
+The edge is the process that holds the client connections; the planner is the process that decides which server does
+what. The edge's I/O handles requests through the class `EdgeCore` alone. Every command passes the rule checker before
+it goes out; releases are queued and go out as engines can be reached.
 """
 
 from __future__ import annotations
@@ -63,7 +64,7 @@
         return self._out(now_us, self.lifecycle.planner_down(now_us))
 
     def shut_down(self, now_us: int) -> list[c.Command]:
-        """The process is about to exit."""
+        """The edge's process is about to exit."""
         return self._out(now_us, self.lifecycle.shut_down(now_us))
 
     def stream_flushed(self, now_us: int, request: int) -> list[c.Command]:
@@ -96,12 +97,12 @@
     def place_answered(
         self, now_us: int, request: int, number: int, server: Server, held: bool | None
     ) -> list[c.Command]:
-        """A writer granted or declined a place, or (None) did not answer."""
+        """A writer granted or declined a place (memory reserved for a write), or (None) did not answer."""
         self.rule_checker.place_answered(now_us, request, number, server.name, held)
         return self._out(now_us, self.lifecycle.place_answered(now_us, request, number, server, held))
 
     def first_token(self, now_us: int, request: int, number: int) -> tuple[bool, list[c.Command]]:
-        """The answer begins; returns whether its request is still open, and the commands."""
+        """An attempt's answer begins; returns whether its request is still open, and the commands."""
         begun = self.lifecycle.first_token(now_us, request, number)
         if begun:
             self.rule_checker.stream_began(request)
--- a/yardspindle/core/request/engine_releases.py
+++ b/yardspindle/core/request/engine_releases.py
@@ -1,8 +1,9 @@
 """Pending releases of single states and places, queued by engine and retried until confirmed or expired.
 
-A lost release leaves memory pinned at an engine until the engine's own time-out. So each one is retried with growing
-pauses for as long as the engine may still hold the resource, and no longer. An engine that is down must not cost a
-task for everything it ever held: a few releases go to each server at a time, the others wait in its queue.
+A state is the KV cache that a read (prefill) leaves at its engine; a place is memory reserved for a write (decode). A
+lost release leaves memory pinned at an engine until the engine's own time-out. So each one is retried with growing
+pauses for as long as the engine may still hold the resource, and no longer. An engine that is down must not cost a task
+for everything it ever held: a few releases go to each server at a time, the others wait in its queue.
 """
 
 from __future__ import annotations
@@ -59,7 +60,7 @@
         self.dropped = 0
 
     def add(self, now_us: int, server: Server, kind: ResourceKind, request: int, number: int) -> None:
-        """Queue a release, unless the server lacks the extension that knows releases."""
+        """Queue a release, unless the server lacks this router's protocol extension, which has the call for it."""
         if not server.places:
             return
         queue = self._queues.setdefault((server.host, server.port), _Queue())
--- a/yardspindle/core/request/estimate.py
+++ b/yardspindle/core/request/estimate.py
@@ -1,8 +1,9 @@
 """Estimates the number of tokens of a prompt before an engine has counted them.
 
-A tokenizer for every model would be exact but slow; the router needs the size only to weigh reads. The estimate is the
-size in bytes times a ratio learned from the `usage` that engines report. Each kind of text (tenant and class) has its
-own ratio, since languages and templates differ; a kind with little evidence is weighted towards the overall ratio.
+A tokenizer for every model would be exact but slow; the router needs the size only to weigh reads (prefills). The
+estimate is the size in bytes times a ratio learned from the `usage` that engines report. Each kind of text (tenant and
+class) has its own ratio, since languages and templates differ; a kind with little evidence is weighted towards the
+overall ratio.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 INITIAL_BYTES_PER_TOKEN = 4.0  # the usual figure for English in byte-pair vocabularies
 PRIOR_BYTES = 20_000.0  # evidence at which a kind's own ratio weighs as much as the overall one
 MAX_EVIDENCE_BYTES = 2_000_000.0  # older evidence decays so that about this much counts at most
-MAX_KINDS = 4_096  # kinds remembered; the least recently learned is evicted first
+MAX_KINDS = 4_096  # kinds of text remembered; the least recently learned is evicted first
 MAX_TOKENS_PER_BYTE = 4.0  # a higher count cannot be of this text and would distort the mean
 
 
--- a/yardspindle/core/request/evidence.py
+++ b/yardspindle/core/request/evidence.py
@@ -1,9 +1,10 @@
-"""Evidence of how far an attempt has progressed.
+"""Evidence of how far an attempt (one send of a request's stage to one server) has progressed.
 
 Written bytes may sit in a buffer of this machine, of the network, or of a server that is not running: a partitioned
 machine, a paused process and a dead connection all accept them without an error. So *written* proves only that the
 attempt may run. Only a server's message proves that a running server has it: an answer, or what another server reports
-of it. Time limits (what is held for a request must be used or released) run until there is such a message.
+of it. The time limit within which states and places held for a request must be used or released runs until there is
+such a message.
 """
 
 from __future__ import annotations
--- a/yardspindle/core/request/graceful_shutdown.py
+++ b/yardspindle/core/request/graceful_shutdown.py
@@ -1,9 +1,10 @@
 """Schedule of a dispatcher's graceful shutdown: when it closes connections, refuses requests, cuts streams and exits.
 
-The platform kills the process no earlier than the longest deadline (three seconds at most) plus 0.7 s after the signal.
-The times count back from there. Streams are cut well before the kill: in a rolling restart the next dispatcher gets its
-signal at about the time of this kill, and a client that resumes its stream there would find it gone. Idle connections
-are served until shortly before the cut, since the dispatcher restarted before may not be back.
+A dispatcher is a router process on the operators' platform. The platform kills the process no earlier than the longest
+deadline (three seconds at most) plus 0.7 s after the signal. The times count back from there. Streams are cut well
+before the kill: in a rolling restart the next dispatcher gets its signal at about the time of this kill, and a client
+that resumes its stream there would find it gone. Idle connections are served until shortly before the cut, since the
+dispatcher restarted before may not be back.
 
 Where clients do not resume streams, cutting one loses its request. There streams run to their end or to the kill, which
 costs nothing for requests that arrived early enough. New requests are therefore refused once their service is no longer
@@ -14,12 +15,12 @@
 
 from dataclasses import dataclass
 
-MAX_DEADLINE_US = 3_000_000  # the longest deadline counts up to this
+MAX_DEADLINE_US = 3_000_000  # the longest deadline of a request counts up to this
 KILL_GRACE_US = 700_000  # added to it; for so long after the signal new requests must be served in any case
 STOP_LEAD_US = 1_100_000  # streams are cut this long before the kill; at 0.3 s a third of what arrived failed
 CLOSE_LEAD_US = 1_500_000  # idle connections close this long before the kill: time to answer their last requests
 FINAL_ANSWERS_US = 150_000  # to send the remaining answers
-RELEASES_US = 900_000  # for pending releases: the rule allows 0.6 s, and the kill is 0.2 s away then
+RELEASES_US = 900_000  # for pending releases: the platform's rule allows 0.6 s, and the kill is 0.2 s away then
 STREAMS_US = 60_000_000  # for streams that run to their end; the kill comes long before
 
 
--- a/yardspindle/core/request/held_resources.py
+++ b/yardspindle/core/request/held_resources.py
@@ -1,9 +1,11 @@
 """Places and KV states that engines hold for unanswered requests, and the time limit for releasing them.
 
-What is held must be used by an attempt or released within the configured release time. The clock stops only while a
-running server is known to have an attempt (`evidence.py`): not while a connection is being made, and not once the
-attempt's bytes are written, as an unresponsive server never reads them. An attempt without an answer by
-`RELEASE_FRACTION` of the time is aborted and what is held is released; the rest is for the release to be confirmed.
+A place is memory reserved at a writer (decode server); a state is the KV cache that a reader (prefill server) keeps
+until the writer has fetched it. What is held must be used by an attempt or released within the configured release time.
+The clock stops only while a running server is known to have an attempt (`evidence.py`): not while a connection is being
+made, and not once the attempt's bytes are written, as an unresponsive server never reads them. An attempt without an
+answer by `RELEASE_FRACTION` of the time is aborted and what is held is released; the rest is for the release to be
+confirmed.
 """
 
 from __future__ import annotations
--- a/yardspindle/core/request/intake.py
+++ b/yardspindle/core/request/intake.py
@@ -7,7 +7,8 @@
   hash of the tools and the leading system and developer messages, if they are long enough to be worth caching;
 - *session*: `metadata.session` or the header `X-Session-Id`, else a hash up to the first message after the
   shared prefix: a later turn of the conversation starts with the same;
-- *class*: `metadata.class` or `X-Request-Class`, else the configured default, else the first safe class;
+- *class*: `metadata.class` or `X-Request-Class`, else the configured default, else the first safe class (one whose
+  requests may run twice);
 - *deadline*: `X-Request-Timeout-Ms`, `metadata.timeout_ms`, or the read time-out that OpenAI's clients send,
   none later than the class's own. It bounds the first token of a streamed answer and the last of a buffered one,
   which gets additional time for its maximum length.
@@ -26,7 +27,7 @@
 from yardspindle.core.config import Config, microseconds
 from yardspindle.core.request.estimate import TokenEstimate
 
-MIN_PREFIX_TOKENS = 64.0  # a shorter prefix saves less than one step of a reader
+MIN_PREFIX_TOKENS = 64.0  # a shorter prefix saves less than one step of a reader (prefill server)
 MAX_NAME_CHARS = 512
 MIN_TIMEOUT_MS = 1.0
 BUFFERED_TOKEN_MS = 60.0  # per token of a buffered answer, if the class sets no time per token
--- a/yardspindle/core/request/lifecycle.py
+++ b/yardspindle/core/request/lifecycle.py
@@ -1,10 +1,12 @@
 """State machine of the requests at the edge: attempts in flight, resources held, final answers.
 
-The planner decides; the edge carries out its actions as far as five rules allow. These interlocks hold even when the
-planner is down, slow or wrong:
+The edge holds the client connections, the planner decides which server does what. An attempt is one send of a request's
+stage, read (prefill) or write (decode), to one server. A state is the KV cache that a read leaves; a place is memory
+reserved at a writer. The edge carries out the planner's actions as far as five rules allow. These interlocks hold even
+when the planner is down, slow or wrong:
 
 - every accepted request gets exactly one final answer, at most `answer_slack_us` after its deadline;
-- an unsafe request that may have run is neither sent again nor refused;
+- an unsafe request (one that must not run twice) that may have run is neither sent again nor refused;
 - a request never has two attempts in flight;
 - no new work goes to a server that has been draining or gone for longer than the grace period;
 - a state or place is released in time unless a running server is known to have an attempt, and at once when the
@@ -70,7 +72,7 @@
                 if self.rules.resume and record.attempt is not None:
                     self._commands.append(c.FlushStream(record.request.request, record.attempt.number))
                 continue
-            if record.attempt is not None:  # a read counts as run, too: see docs/questions.md
+            if record.attempt is not None:  # by the platform's rules a read counts as run, too (docs/questions.md)
                 record.may_have_run = record.may_have_run or self.rules.release_by_request and record.attempt.written
                 self._abort(now_us, record, c.AbortReason.SHUTDOWN)
             self._give_up(record, "draining", 0)  # other dispatchers can serve it: no need to wait
--- a/yardspindle/core/request/planning.py
+++ b/yardspindle/core/request/planning.py
@@ -1,8 +1,9 @@
 """Hosts one edge's policy in the planner: its clock, its timers and the handling of exceptions that it raises.
 
-The policy runs on the edge's clock: events carry the edge's time, and what happens in the planner (timers, list
-updates) is converted with the clock offset measured at the handshake. The offset is fixed for the session, since start
-times of servers are converted with it and must not appear to move.
+The planner is the process that decides which server does what, by one policy object for each edge (a process that holds
+client connections). The policy runs on the edge's clock: events carry the edge's time, and what happens in the planner
+(timers, list updates) is converted with the clock offset measured at the handshake. The offset is fixed for the
+session, since start times of servers are converted with it and must not appear to move.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
         return decisions
 
     def handle_events(self, edge_now_us: int, events: list[i.Event]) -> Decisions:
-        """Pass on the events of one frame in order, after the timers that are due before them."""
+        """Pass the events of one message from the edge to the policy in order, after the timers that are due before."""
         decisions = Decisions()
         self._fire_due(edge_now_us, decisions)
         for event in events:
--- a/yardspindle/core/request/records.py
+++ b/yardspindle/core/request/records.py
@@ -1,4 +1,8 @@
-"""Records of the edge's open requests, and the settings of its interlocks."""
+"""Records of the edge's open requests, and the settings of its interlocks.
+
+The edge is the process that holds the client connections. Its interlocks are rules that override an action of the
+policy in the planner, the process that decides which server does what.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +33,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """An attempt in flight."""
+    """An attempt in flight: one send of a request's stage, read (prefill) or write (decode), to one server."""
 
     number: int
     server: Server
@@ -51,7 +55,7 @@
 
 @dataclass(slots=True)
 class Place:
-    """A place requested at a writer, and whether the writer has granted it."""
+    """A place (memory for a write) requested at a writer, and whether the writer has granted it."""
 
     number: int
     server: Server
@@ -79,7 +83,7 @@
     streaming: bool = False
     may_have_run: bool = False  # an attempt of it may have had an effect
     final: c.Final | None = None  # also set (to FAILED) when the client disconnects: no answer may follow
-    state: Any = None
+    state: Any = None  # what the read returned, with which the writer fetches the KV cache
     state_attempt: int = 0
     state_server: Server | None = None
     place: Place | None = None
--- a/yardspindle/core/request/request_releases.py
+++ b/yardspindle/core/request/request_releases.py
@@ -1,10 +1,10 @@
 """Pending releases by request, where one message to any engine releases all that any engine holds for the request.
 
-Any live engine forwards such a release, so an engine that is down does not excuse a missing one. The engine that
-answered last is asked first; if it does not answer, several others are asked at once, since in a partition most of
-those that answered last are unreachable. An engine that did not answer is asked last for all other requests too. Those
-of which nothing is known are asked in an order of each edge's own, or a whole fleet would ask one engine, dead or not,
-at the same moment.
+What is held is a state (the KV cache that a read leaves) or a place (memory reserved for a write). Any live engine
+forwards such a release, so an engine that is down does not excuse a missing one. The engine that answered last is asked
+first; if it does not answer, several others are asked at once, since in a partition most of those that answered last
+are unreachable. An engine that did not answer is asked last for all other requests too. Those of which nothing is known
+are asked in an order of each edge's own, or a whole fleet would ask one engine, dead or not, at the same moment.
 
 A read whose connection was closed may still leave its state after the release, which is therefore repeated a little
 later. A release that arrives while a newer attempt of its request runs would take that attempt's state or place, and an
@@ -27,9 +27,9 @@
 MAX_LATE_CALLS = 16  # overdue calls still awaited: a host may be slow to accept, but a dead fleet never answers
 REPEAT_DELAY_US = 120_000  # by then a read that ended while its connection was closed is over, but not the release time
 RETRY_FANOUT = 3  # engines asked at once after one did not answer: with half unreachable, one round in eight fails
-IMMEDIATE_TRIES = 10  # engines asked without a pause, in four rounds; the rule allows 300 ms in all
+IMMEDIATE_TRIES = 10  # engines asked without a pause, in four rounds; the platform's rule allows 300 ms in all
 RETRY_PAUSE_US = 100_000
-EXPIRY_US = 10_000_000  # engines release by themselves; a day later no engine could be told anyway
+EXPIRY_US = 10_000_000  # engines free what they hold by a time-out of their own: a later release is pointless
 
 
 @dataclass(slots=True)
--- a/yardspindle/core/request/retry_safety.py
+++ b/yardspindle/core/request/retry_safety.py
@@ -1,8 +1,8 @@
 """Which ends of an attempt make a retry safe. Used by the edge's interlocks and by the client of the engines.
 
-An unsafe request may be retried or refused only if nothing of it can have run. A connection that was never made, and
-an engine's answer that it declined the request, prove that. A reset, a time-out, an error or a cancellation proves
-nothing: the engine may have started. A read has no effect, however it ends.
+An unsafe request is one that must not run twice. It may be retried or refused only if nothing of it can have run. A
+connection that was never made, and an engine's answer that it declined the request, prove that. A reset, a time-out, an
+error or a cancellation proves nothing: the engine may have started. A read (prefill) has no effect, however it ends.
 """
 
 from __future__ import annotations
--- a/yardspindle/core/request/rule_checker.py
+++ b/yardspindle/core/request/rule_checker.py
@@ -1,9 +1,10 @@
 """Checks the five rules on every command that leaves the edge's core. Always on.
 
-`Lifecycle` is written to keep the rules; this checks that it does, on records of its own that share nothing with it:
-what was accepted, is in flight, may have run, is held, was answered. A violation is counted and logged with its
-request, and a harmful command is withheld where that is safe: a second answer, a forbidden attempt. The property tests
-and the simulations on the virtual clock read the same records.
+The edge is the process that holds the client connections; its core decides, without I/O, what is sent and answered. The
+rules are listed in `lifecycle.py`. `Lifecycle` is written to keep them; this checks that it does, on records of its own
+that share nothing with it: what was accepted, is in flight, may have run, is held, was answered. A violation is counted
+and logged with its request, and a harmful command is withheld where that is safe: a second answer, a forbidden attempt.
+The property tests and the simulations on the virtual clock read the same records.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
     streaming: bool = False
     answered: bool = False
     disconnected: bool = False
-    state: tuple[int, str] | None = None  # attempt of the read, its server
+    state: tuple[int, str] | None = None  # the KV cache that a read left: attempt of the read, its server
     places: dict[int, str] = field(default_factory=dict)
     write_places: dict[int, tuple[int, str]] = field(default_factory=dict)  # by write: the place that it uses
     place_reads: dict[int, int] = field(default_factory=dict)  # by place: the read during which it was requested
@@ -124,7 +125,7 @@
         return True
 
     def place_answered(self, now_us: int, request: int, place: int, server: str, held: bool | None) -> None:
-        """A writer holds a place for a request, or does not, or (None) did not answer."""
+        """A writer holds a place (reserved memory) for a request, or does not, or (None) did not answer."""
         record = self._find(request)
         if record is None:
             return
--- a/yardspindle/core/request/timeouts.py
+++ b/yardspindle/core/request/timeouts.py
@@ -1,4 +1,9 @@
-"""Time-outs of the node program towards its peers, each with the reason for its value; in microseconds."""
+"""Time-outs of the node program towards its peers, each with the reason for its value; in microseconds.
+
+The node program is the dispatcher (router process) that speaks the platform's protocol. Its peers are clients, model
+hosts and discovery: an agent that reports the list of hosts. Where a comment speaks of the rule, it is the platform's
+time limit for using or releasing what model hosts hold for a request.
+"""
 
 from __future__ import annotations
 
@@ -53,11 +58,11 @@
 AGENT_MOVE_WAIT_US = AGENT_MOVE_LIMIT_US - LIST_RECHECK_PAUSE_US - AGENT_RESPONSE_US - LIST_BODY_US
 
 # The first list. What the agent has counts as announced from a process's first moment, so "up" waits for it. But nine
-# in ten restarted processes must be ready within 6 s on short days (10 s on others), even if the agent is unresponsive
-# throughout; then the last known list takes effect and the calls above go on: what the agent has on its return takes
-# effect 0.25 s later, as after any silence. A longer wait is safer for lists, a shorter one better for clients: all
-# that the 6 s leave is used. Until Node.start a process takes 0.36 s of processor time, about 1 s on a slow part of a
-# core.
+# in ten restarted processes must be ready within 6 s on short days (test runs; 10 s on others), even if the agent is
+# unresponsive throughout; then the last known list takes effect and the calls above go on: what the agent has on its
+# return takes effect 0.25 s later, as after any silence. A longer wait is safer for lists, a shorter one better for
+# clients: all that the 6 s leave is used. Until Node.start a process takes 0.36 s of processor time, about 1 s on a
+# slow part of a core.
 READY_LIMIT_US = 6_000_000  # from a process's start
 STARTUP_US = 1_000_000  # of it until the first call to the agent
 READY_MARGIN_US = 750_000  # of it for a slower start, and until a front end that polls from time to time has noticed
--- a/yardspindle/core/request/unread_calls.py
+++ b/yardspindle/core/request/unread_calls.py
@@ -1,5 +1,8 @@
 """Tracks calls that may lie unread at a server after their connection was closed; their releases are repeated.
 
+A release is the message that frees what servers hold for a request: a place (memory reserved for a decode) or the KV
+state that a prefill leaves.
+
 A server that was paused or partitioned reads, on its return, what had been written to it and may act on it: it holds a
 place, or reads a prompt, for a request that ended long ago. The release sent at that end arrived too early. So it is
 repeated, often enough for the release time limit, until the server answers again, and once more after that. A call on
@@ -20,7 +23,7 @@
 
 @dataclass(slots=True)
 class UnreadCall:
-    """A request's calls that may lie unread."""
+    """A request's calls that may lie unread at servers."""
 
     since_us: int
     due_us: int
