--- a/yardspindle/core/config.py
+++ b/yardspindle/core/config.py
@@ -1,7 +1,8 @@
 """The configuration: one TOML file for edge and planner, fully validated before anything starts.
 
-An error is one line that names the file, the key and the reason. Times are in milliseconds in the file and in
-microseconds in the programs. The defaults suit a small fleet on one machine.
+The edge holds the client connections, the planner decides which server does what. An error is one line that names the
+file, the key and the reason. Times are in milliseconds in the file and in microseconds in the programs. The defaults
+suit a small fleet on one machine.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 class ClassConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """A class of requests: its time limits, its value, and whether a request may run twice (`effect`)."""
+    """A class of requests: its latency target (`aim_ms`), time limit, value and whether it may run twice (`effect`)."""
 
     name: Name
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
@@ -45,7 +46,7 @@
 
 
 class KindConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """A kind of engine host."""
+    """A kind of engine host; `role` is the stage that it runs: `read` (prefill), `write` (decode) or both."""
 
     name: Name
     role: Literal["read", "write", "both"]
@@ -121,7 +122,10 @@
 
 
 class FleetConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """The fleet's shared store and this process's membership. Without `store`, nothing is shared."""
+    """The fleet's shared store (a key-value store: etcd or a file) and this process's membership.
+
+    Without `store`, nothing is shared.
+    """
 
     store: tuple[StoreLocation, ...] = ()
     name: Name = "main"
@@ -137,7 +141,10 @@
 
 
 class Limit(Struct, forbid_unknown_fields=True, frozen=True):
-    """For each value of a group, or the one named by `only`: the most units out and the fewest serving."""
+    """For each value of a group, or the one named by `only`: the most units out of service and the fewest serving.
+
+    A unit is a dispatcher or model host that a release restarts.
+    """
 
     group: Literal["all", "zone", "cell", "role", "kind", "rack"]
     only: str = ""
@@ -147,7 +154,7 @@
 
 
 class ReleaseConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """The roll-out of a version: how many units may be out at once."""
+    """The roll-out of a version: how many units may be out of service at once."""
 
     limit: tuple[Limit, ...] = ()
 
--- a/yardspindle/core/hosts/directory.py
+++ b/yardspindle/core/hosts/directory.py
@@ -1,4 +1,8 @@
-"""The servers known to an edge: their addresses, roles and states, and since when each accepts no new work."""
+"""The servers known to an edge: their addresses, roles and states, and since when each accepts no new work.
+
+The edge is the process that holds the client connections; the planner, which decides what each server does, sends it
+the list.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +23,7 @@
     port: int
     role: Role
     state: State
-    places: bool  # it supports this router's extension: places and releases
+    places: bool  # it supports this router's extension: reserving memory for a write (places), and releases
     events: str | None = None  # address at which it publishes cache events
     replay: str | None = None  # address at which it replays missed ones
     up_since_ms: float = 0.0  # Unix time of its last start, as listed
--- a/yardspindle/core/hosts/discovery_schedule.py
+++ b/yardspindle/core/hosts/discovery_schedule.py
@@ -1,7 +1,8 @@
 """Decides what the next call to discovery requests, the full list or a watch, and the pause before it. No I/O.
 
-After a fault the full list is requested at once, unless there was another fault within a second: an agent that
-corrupts every second answer must not make a dispatcher call it in a tight loop.
+Discovery is an agent of the operators' platform that reports the list of model hosts; a watch waits for changes. After
+a fault the full list is requested at once, unless there was another fault within a second: an agent that corrupts every
+second answer must not make a dispatcher call it in a tight loop.
 """
 
 from __future__ import annotations
--- a/yardspindle/core/hosts/host_list.py
+++ b/yardspindle/core/hosts/host_list.py
@@ -1,4 +1,4 @@
-"""The list of engine hosts, from the platform's discovery. Malformed or implausible answers do not change it.
+"""The list of engine hosts, from the platform's discovery agent. Malformed or implausible answers do not change it.
 
 An answer holds the full list, or the entries that changed since the requested revision. It is applied as a whole or
 not at all. The policy identifies hosts by a number that is a hash of their id, independent of the order in which they
--- a/yardspindle/core/hosts/idle_limit.py
+++ b/yardspindle/core/hosts/idle_limit.py
@@ -12,7 +12,7 @@
 
 
 class IdleLimit:
-    """The idle limit of one dispatcher's connection pool."""
+    """The idle limit of one dispatcher's (router process's) pool of connections to engines."""
 
     def __init__(self, configured_us: int) -> None:
         """`configured_us` is the limit while no connection was found closed early."""
--- a/yardspindle/core/hosts/resource_budget.py
+++ b/yardspindle/core/hosts/resource_budget.py
@@ -1,4 +1,7 @@
-"""How a dispatcher divides its file descriptors among clients, engines and idle connections, and its memory."""
+"""How a dispatcher divides its file descriptors among clients, engines and idle connections, and its memory.
+
+A dispatcher is a router process: it forwards clients' requests to engines.
+"""
 
 from __future__ import annotations
 
--- a/yardspindle/core/hosts/server_list.py
+++ b/yardspindle/core/hosts/server_list.py
@@ -1,5 +1,8 @@
 """The planner's server list: a document is applied as a whole or not at all, and becomes a list event for each policy.
 
+The planner is the process that decides which server does what, by one policy for each edge (a process that holds client
+connections). The `units` of a server are its capacity relative to other servers.
+
 A list that was truncated while being written can still parse, so it states how many servers it has. A list that names
 a server or an address twice, gives every server zero units, or names a kind that is not configured is refused: the
 list in force stays, and the reason is logged. Each name gets a number that stays the same as long as this planner
--- a/yardspindle/core/prefix/cache_feed.py
+++ b/yardspindle/core/prefix/cache_feed.py
@@ -28,7 +28,7 @@
 from yardspindle.core.prefix.prefix_index import PrefixIndex
 
 MAX_EARLY_BATCHES = 256  # buffered behind a gap; beyond it the gap is skipped
-REPLAY_TIMEOUT_US = 2_000_000  # for a replay to arrive; engines keep batches for longer than a request takes
+REPLAY_TIMEOUT_US = 2_000_000  # for a replay to arrive; engines keep batches for longer than asking for a replay takes
 TRUST_HALF_LIFE_US = 5_000_000  # of what was known before a gap; cache contents turn over at about this rate
 MIN_TRUST = 0.5  # below it an engine's events are not used: the router's own estimate is better
 MAX_BLOCK_HASHES = 400_000  # engine block hashes remembered for each engine; the oldest are dropped first
--- a/yardspindle/core/prefix/claim_accuracy.py
+++ b/yardspindle/core/prefix/claim_accuracy.py
@@ -1,4 +1,5 @@
-"""How far an engine's cache events agree with what its reads find; the claims of an engine that disagrees are not used.
+"""How far an engine's cache events agree with what its reads (prefills) find; the claims of an engine that disagrees
+are not used.
 
 Events can be in perfect order and still be wrong: a publisher of another model, a proxy that mixes engines up, a bug.
 Each read reports what it really found (`cached_tokens`), so what was claimed before it can be checked. The agreement
--- a/yardspindle/core/prefix/prefix_estimate.py
+++ b/yardspindle/core/prefix/prefix_estimate.py
@@ -1,11 +1,11 @@
 """Estimates which blocks an engine still has cached, from the router's own reads, for engines without cache events.
 
-A read leaves its blocks in the reader's cache, and later reads evict them. What matters is therefore not time but the
-*volume*: how many uncached tokens the engine has read since a block was last used. Each block is stamped with the
-engine's volume at its last use. The volume that evicts a block differs by engine and is not published. It is learned
-from each read's `cached_tokens`: for each power of two of that volume, the fraction of the expected blocks that were
-found. A block counts as held while that probability is at least one half. When an engine has nothing of several
-blocks that it very likely held, its cache was lost: all estimates for it are dropped at once.
+A read (prefill) leaves its blocks in the cache of the reader (prefill server), and later reads evict them. What matters
+is therefore not time but the *volume*: how many uncached tokens the engine has read since a block was last used. Each
+block is stamped with the engine's volume at its last use. The volume that evicts a block differs by engine and is not
+published. It is learned from each read's `cached_tokens`: for each power of two of that volume, the fraction of the
+expected blocks that were found. A block counts as held while that probability is at least one half. When an engine has
+nothing of several blocks that it very likely held, its cache was lost: all estimates for it are dropped at once.
 """
 
 from __future__ import annotations
--- a/yardspindle/core/prefix/prefix_index.py
+++ b/yardspindle/core/prefix/prefix_index.py
@@ -1,9 +1,9 @@
 """A map from block to the engines that hold it, with the longest match of all engines found in one walk.
 
-The holders of a block are a bit set with one bit for each engine. Blocks of one prompt are mostly held by the same
-engines, so the bit sets are interned: a block costs one dict entry and a pointer. Clearing an engine takes constant
-time: it gets a new bit with its next block, and its old bit is dead, ignored at once and swept out of the map in
-small steps.
+A block is a run of prompt tokens with the hash of the prompt up to its end (`blocks.py`). The holders of a block are a
+bit set with one bit for each engine. Blocks of one prompt are mostly held by the same engines, so the bit sets are
+interned: a block costs one dict entry and a pointer. Clearing an engine takes constant time: it gets a new bit with its
+next block, and its old bit is dead, ignored at once and swept out of the map in small steps.
 
 Memory is bounded by the number of blocks, in two segments: new blocks are on probation until a request asks for
 them, so a flood of prompts that are never repeated evicts only other blocks on probation, not those in use. Eviction
--- a/yardspindle/core/prefix/prefix_tracker.py
+++ b/yardspindle/core/prefix/prefix_tracker.py
@@ -1,5 +1,5 @@
-"""Predicts how many of a prompt's tokens each reader has cached: from its cache events where it publishes them, else
-from the router's own estimates.
+"""Predicts how many of a prompt's tokens each reader (prefill server) has cached: from its cache events where it
+publishes them, else from the router's own estimates.
 
 The prediction never chooses a reader: the policy weighs it among the readers that it may use anyway. For a reader
 whose events are uncertain, the prediction is scaled by the trust in them; below a trust of one half the estimate
--- a/yardspindle/core/prefix/tokenizer.py
+++ b/yardspindle/core/prefix/tokenizer.py
@@ -29,7 +29,7 @@
     """One token for each byte of a simple template."""
 
     def encode_prompt(self, messages: Messages, tools: bytes) -> bytes:
-        """See Tokenizer."""
+        """Renders a prompt by the template and packs its bytes as tokens (`Tokenizer`)."""
         text = b"".join([tools, *(b"<|%s|>%s" % (role.encode(), text) for role, text in messages)])
         out = bytearray(TOKEN_BYTES * len(text))
         out[::TOKEN_BYTES] = text
@@ -49,7 +49,7 @@
             raise ValueError(str(error)) from None
 
     def encode_prompt(self, messages: Messages, tools: bytes) -> bytes:
-        """See Tokenizer."""
+        """Renders a prompt by the model's chat template and packs its tokens (`Tokenizer`)."""
         text = self._template.render(
             messages=[{"role": role, "content": text.decode(errors="replace")} for role, text in messages],
             tools=tools.decode(errors="replace") or None,
--- a/yardspindle/drill.py
+++ b/yardspindle/drill.py
@@ -1,7 +1,7 @@
-"""Adapter to the operators' simulator: runs policy instances over its line protocol on stdin and stdout.
+"""Adapter to the operators' simulator: runs instances of the routing policy over its line protocol on stdin and stdout.
 
-It only translates between lines and the types of yardspindle/interface.py. Input comes in frames; the reply to each
-frame ends with `yield`.
+It only translates between lines and the types of yardspindle/interface.py. Input comes in frames (groups of lines); the
+reply to each frame ends with `yield`.
 """
 
 from __future__ import annotations
@@ -82,7 +82,7 @@
 
 
 class Instances:
-    """The policy instances of this process, and the server lists that `view` events refer to by number."""
+    """The policies of this process, one per simulated router, and the server lists that `view` events refer to."""
 
     def __init__(self) -> None:
         """Start with no instance and no list."""
--- a/yardspindle/interface.py
+++ b/yardspindle/interface.py
@@ -1,4 +1,8 @@
-"""Types exchanged with the routing policy: its settings, the events it receives, the actions it returns."""
+"""Types exchanged with the routing policy: its settings, the events it receives, the actions it returns.
+
+A state is the KV cache that a read leaves at its reader until the writer has fetched it; a place is memory reserved at
+a writer ahead of the write. An attempt is one send of a request's stage to one server.
+"""
 
 from __future__ import annotations
 
@@ -156,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A server in the server list."""
+    """A server in the server list; `units` is its capacity relative to other servers."""
 
     server: int
     zone: str
@@ -303,7 +307,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed; the request may have run."""
+    """Final answer: failed, as the policy gave up a request that may have run."""
 
     request: int
 
--- a/yardspindle/policy/readers.py
+++ b/yardspindle/policy/readers.py
@@ -1,4 +1,9 @@
-"""Choice of the reader: rendezvous hashing by key, bounded by backlog and expected delay."""
+"""Choice of the reader: rendezvous hashing by key, bounded by backlog and expected delay.
+
+A reader is a server that runs the prefill stage (a read), a writer one that runs the decode stage. A state is
+the KV cache that a read leaves until the writer has fetched it; a cell is a group of servers within which
+states move fast. A key is the request's shared prefix, else its session, else its own number.
+"""
 
 from __future__ import annotations
 
--- a/yardspindle/policy/request_lifecycle.py
+++ b/yardspindle/policy/request_lifecycle.py
@@ -1,4 +1,9 @@
-"""Lifecycle of a request: read, write, wait, retry, final answer, and release of what is held for it."""
+"""Lifecycle of a request: read, write, wait, retry, final answer, and release of what is held for it.
+
+A read is the prefill stage, a write the decode stage. Held are a state (the KV cache that a read leaves until
+the writer has fetched it) and a place (memory reserved at a writer). The final answer, served, refused or
+failed, ends a request.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +19,7 @@
 # Fraction of the latency target (aim) that a request may wait before its read; the rest is for the work.
 MAX_WAIT_AIM_FRACTION = 0.2
 MEAN_WEIGHT = 0.1  # weight of a new observation in the exponentially weighted means
-LOG_INTERVAL_US = 5_000_000  # at most one log line on requests given up in this time
+LOG_INTERVAL_US = 5_000_000  # at most one log line on requests that the policy gave up in this time
 
 
 class RequestLifecycle(WriterSelection):
--- a/yardspindle/policy/servers.py
+++ b/yardspindle/policy/servers.py
@@ -1,4 +1,8 @@
-"""Server membership and health: the server list, outlier ejection, and the share of reads per cell."""
+"""Server membership and health: the server list, outlier ejection, and the share of reads per cell.
+
+A read is the prefill stage, run by a reader; a writer runs the decode stage and fetches the KV state that the
+read left. A cell is a group of servers within which such states move fast.
+"""
 
 from __future__ import annotations
 
--- a/yardspindle/policy/slow_start.py
+++ b/yardspindle/policy/slow_start.py
@@ -1,8 +1,8 @@
 """Slow start: limits what all routers together send to a cold server; each knows its own traffic only.
 
-A server that has just started fails if all routers together send it more than `fall_multiple` times its
-current capacity within `fall_us`. Each router therefore limits its own share, by what it knows from its start
-on and never by failures that it observes:
+A cold server is one that has just started. It fails if all routers together send it more than `fall_multiple`
+times its current capacity within `fall_us`. Each router therefore limits its own share, by what it knows from
+its start on and never by failures that it observes:
 
 - A request may go to its home: the one server of each stage that it would get if every listed server could
   serve. The home requests of a server are thus its even share, however many others are full, dead or cold.
--- a/yardspindle/policy/state.py
+++ b/yardspindle/policy/state.py
@@ -1,4 +1,9 @@
-"""State of one router's policy: settings, servers, open requests. Types: yardspindle/interface.py."""
+"""State of one router's policy: settings, servers, open requests. Types: yardspindle/interface.py.
+
+Readers are servers that run the prefill stage (a read), writers those that run the decode stage (a write). A
+state of a request is the KV cache that a read leaves until the writer has fetched it; a place is memory
+reserved at a writer.
+"""
 
 from __future__ import annotations
 
@@ -108,7 +113,7 @@
         self.mean_service_us = 0.0  # running mean duration of a read without queueing
         self.mean_backlog_tokens = 0.0  # running mean of OpenRequest.backlog_tokens
         self.min_aim_us = min(cls.aim_us for cls in settings.classes)
-        self.next_log_us = 0  # earliest time of the next log line on requests given up
+        self.next_log_us = 0  # earliest time of the next log line on requests that the policy gave up
         # When an attempt was last lost, or a connection last broke in a way that says nothing of its server.
         self.last_loss_us = LONG_AGO_US
         self.last_place_refused_us = LONG_AGO_US  # when a writer last refused a place to this router
--- a/yardspindle/policy/writers.py
+++ b/yardspindle/policy/writers.py
@@ -1,4 +1,9 @@
-"""Choice of the writer: the least loaded one, preferably in the reader's cell."""
+"""Choice of the writer: the least loaded one, preferably in the reader's cell.
+
+A reader runs the prefill stage of a request and keeps its state (the KV cache) until the writer, which runs
+the decode stage, has fetched it. A place is memory reserved at a writer; a cell is a group of servers within
+which states move fast.
+"""
 
 from __future__ import annotations
 
--- a/yardspindle/settings_map.py
+++ b/yardspindle/settings_map.py
@@ -1,4 +1,4 @@
-"""Maps settings in the users' format to the policy's settings.
+"""Maps settings in the users' format to the routing policy's settings (`interface.Settings`).
 
 Both the simulator adapter and the dispatcher on the platform use this mapping: the format is that of the simulator's
 first message and of the platform's configuration. Standard library only.
