--- a/yardspindle/core/fleet/release_keys.py
+++ b/yardspindle/core/fleet/release_keys.py
@@ -1,4 +1,9 @@
-"""The store's records of units, permits, orders and the release, and the transactions on them."""
+"""The store's records of units, permits, orders and the release, and the transactions on them.
+
+The store is a key-value store that the fleet's processes share: etcd or a file. A unit is a dispatcher or model host; a
+permit allows it to be out of service, and an order tells its supervisor what to do. The duty `release` is a background
+task with one owner at a time, which grants permits and gives orders.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +33,7 @@
 
 
 class AuditEntry(Struct, frozen=True):
-    """An entry of the audit log."""
+    """An entry of the audit log: who changed a release or requested a drain, when and why."""
 
     at_us: int
     by: str
@@ -47,9 +52,9 @@
     drain_requests: dict[str, DrainRequest] = field(default_factory=dict)
     audit_log: dict[str, AuditEntry] = field(default_factory=dict)
     release: release_plan.Release | None = None
-    release_mod: int = 0
-    head_mod: int = 0
-    order_mods: dict[str, int] = field(default_factory=dict)
+    release_mod: int = 0  # revision that last wrote the release
+    head_mod: int = 0  # revision that last wrote the head key, which every grant of a permit writes
+    order_mods: dict[str, int] = field(default_factory=dict)  # by unit: revision that last wrote its order
 
     def snapshot(self, limits: tuple[Limit, ...], age_us: int) -> permit_rules.FleetSnapshot:
         """The input of a permit decision."""
