--- a/yardspindle/fleet/__init__.py
+++ b/yardspindle/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet from a process's point of view: server list, membership, shared store, planned departures."""
+"""The fleet from a process's point of view: server list, membership, shared key-value store, planned departures."""
--- a/yardspindle/fleet/departure.py
+++ b/yardspindle/fleet/departure.py
@@ -1,4 +1,8 @@
-"""Requests a departure permit before a program shuts down: the same permit that a release needs, in bounded time."""
+"""Requests a departure permit before a program shuts down, in bounded time.
+
+A permit is an entry in the fleet's shared key-value store that allows one unit (a dispatcher or model host) to be out
+of service. Releases need the same permits, so a program that shuts down by itself counts against the same limits.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +35,7 @@
             rows = store.range(keys.root, prefix_end(keys.root))
             units = keys.read({row.key: row for row in rows.rows})
             denial = p.check_departure(units.snapshot(config.release.limit, 0), unit)
-            if unit in units.permits:  # from a release, or from a call of ours whose answer was lost
+            if unit in units.permits:  # granted by a release, or by a call whose answer was lost
                 log.info("leave was given", unit=unit, by=units.permits[unit].by)
                 return True
             if denial is None:
@@ -40,7 +44,7 @@
                     unit, status.epoch if status is not None else "", unit, "asked to end", since_us=world.now_us()
                 )
                 store.txn(keys.grant_own_permit(units, permit))
-                continue  # read back: it was granted, or another unit got a permit first
+                continue  # read the store again: either this permit was granted, or another unit got one first
             reason = denial.reason
         except (StoreError, OSError) as error:
             reason = str(error)
--- a/yardspindle/fleet/fleet_watcher.py
+++ b/yardspindle/fleet/fleet_watcher.py
@@ -1,5 +1,6 @@
-"""Keeps a view of the fleet's data in the store: one full read, then a watch; another full read after any doubt.
+"""Keeps a view (a local copy) of the fleet's data in the store, the key-value store that its processes share.
 
+One full read, then a watch; another full read whenever the watch breaks or may have missed a change.
 A watch can stop delivering without breaking. Other answers of the store carry its revision (`observe_revision`); a
 view that stays behind such a revision for more than `MAX_LAG_US` is read in full again.
 """
@@ -27,7 +28,10 @@
     """Keeps one process's `FleetView` up to date with the store."""
 
     def __init__(self, world: World, store: Store, keys: FleetKeys, on_change: Callable[[], None]) -> None:
-        """`on_change` is called after each update of the view, also one that brings no changes."""
+        """`world`: the interface to clock, sockets and files.
+
+        `on_change` is called after each update of the view, also one that brings no changes.
+        """
         self._world, self._store, self._keys, self._on_change = world, store, keys, on_change
         self.view = FleetView(keys)
         self.confirmed_us = 0  # when the view was last known to match the store
--- a/yardspindle/fleet/member_page.py
+++ b/yardspindle/fleet/member_page.py
@@ -1,8 +1,9 @@
 """The member page: an HTTP endpoint that every member serves as long as its process runs.
 
-`GET /v1/yardspindle/member` returns its registration and its clock. The page has a listener of its own because a
-draining program closes the listener for its clients while it still runs: a refused connection here means that the
-process has ended.
+Members are the processes that register in the fleet's shared key-value store: edges and planners (the router), stewards
+(background tasks) and unit supervisors (which start and stop a process for releases). `GET /v1/yardspindle/member`
+returns the member's registration and its clock. The page has a listener of its own because a draining program closes
+the listener for its clients while it still runs: a refused connection here means that the process has ended.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
     """Serves a member's page."""
 
     def __init__(self, world: World, member: Callable[[], Member]) -> None:
-        """`member` returns the current registration."""
+        """`world`: the interface to clock, sockets and files. `member` returns the current registration."""
         self._world, self._member = world, member
 
     def start(self, host: str, port: int) -> tuple[str, int]:
@@ -48,17 +49,17 @@
         return listener.host, listener.port
 
     def early_reply(self, head: http1.RequestHead) -> Reply | None:
-        """See Handler."""
+        """The reply to a request that is answered without reading its body, or None (Handler)."""
         if head.target != MEMBER_PATH or head.method not in (b"GET", b"HEAD"):
             return ApiError(404, "not_found", "There is nothing at this path.").reply()
         return Reply(200, [JSON_CONTENT_TYPE], msgspec.json.encode(MemberStatus(self._member(), self._world.now_us())))
 
     def handle(self, exchange: Exchange) -> None:
-        """See Handler."""
+        """Answer a request (Handler)."""
         raise AssertionError("early_reply answers every request")
 
     def malformed(self, error: http1.ProtocolError) -> Reply:
-        """See Handler."""
+        """The reply to input that is not a valid request (Handler)."""
         return ApiError(error.status, "malformed_request", error.reason).reply()
 
 
--- a/yardspindle/fleet/membership.py
+++ b/yardspindle/fleet/membership.py
@@ -1,7 +1,9 @@
 """Registers a process as a member of its fleet, under a lease that is kept alive. No other work waits for it.
 
-Runs in a task of its own. While the store is unavailable it retries with growing pauses. Programs that depend on
-the lease are notified by `LeaseCallbacks`; others continue without the store.
+The registration is a row in the store (the key-value store that the fleet's processes share); the lease deletes it when
+the process stops renewing. Runs in a task of its own. While the store is unavailable it retries with growing pauses.
+Programs that depend on the lease, such as stewards (which own background tasks, called duties, under it), are notified
+by `LeaseCallbacks`; others continue without the store.
 """
 
 from __future__ import annotations
@@ -59,7 +61,7 @@
         version: str,
         callbacks: LeaseCallbacks | None = None,
     ) -> None:
-        """Opens no sockets and makes no calls; see `start`."""
+        """`world`: the interface to clock, sockets and files. Opens no sockets and makes no calls before `start`."""
         self._world, self._store = world, store
         self._ttl_us = microseconds(config.ttl_ms)
         self._listen, self._advertise = config.listen, config.advertise
@@ -79,7 +81,7 @@
         self._world.spawn("membership", self._run)
 
     def set_able(self, able: bool) -> None:
-        """Set whether this process can take duties; a change is written to the store soon."""
+        """Set whether this process can take duties (background tasks); a change is written to the store soon."""
         if able != self.member.able:
             self.member = msgspec.structs.replace(self.member, able=able)
             self._update_needed.set()
@@ -91,7 +93,7 @@
             self._update_needed.set()
 
     def deregister(self) -> None:
-        """Remove the registration by revoking the lease. The sweep still releases what this epoch holds at engines."""
+        """Remove the registration by revoking the lease. A steward still frees what this run held at engines."""
         lease, self.lease = self.lease, -1
         if lease > 0:
             try:
@@ -133,7 +135,7 @@
         if self.lease > 0:
             self.lease = 0
             with contextlib.suppress(StoreError):
-                self._store.revoke(granted.lease)  # its rows need not wait until it expires
+                self._store.revoke(granted.lease)  # deletes its rows now, not only when it expires
         return True
 
     def _register(self, lease: int) -> bool:
--- a/yardspindle/fleet/server_list_file.py
+++ b/yardspindle/fleet/server_list_file.py
@@ -1,4 +1,4 @@
-"""Reads the server list from a file at a fixed interval; a list is applied completely or not at all.
+"""Reads the list of prefill and decode servers from a file at a fixed interval; applies it completely or not at all.
 
 A rejected file leaves the current list in force and is logged once, and again when the reason changes. The file is
 polled because reading it costs little compared with a late list, and detects every way of replacing a file.
@@ -23,7 +23,7 @@
     def __init__(
         self, world: World, path: str, config: Config, server_list: ServerList, on_change: Callable[[], None]
     ) -> None:
-        """`on_change` is called after a changed list has been applied."""
+        """`world`: the interface to clock, sockets and files. `on_change` is called after a list was applied."""
         self._world = world
         self._path = path
         self._config = config
--- a/yardspindle/fleet/store/embedded.py
+++ b/yardspindle/fleet/store/embedded.py
@@ -1,4 +1,4 @@
-"""A store for one machine: a SQLite file that its processes share, with etcd's semantics.
+"""The fleet's key-value store on one machine: a SQLite file that its processes share, with etcd's semantics.
 
 Table `versions` holds the history of each key until it is compacted, table `now` the current rows; transactions follow
 `evaluate` in core/fleet/kv.py. Leases use the machine's monotonic clock, which all processes share and which cannot be
@@ -60,7 +60,7 @@
     """Implements Store with a SQLite file."""
 
     def __init__(self, world: World, path: str, call_us: int) -> None:
-        """Open or create the file; `call_us` bounds each call.
+        """Open or create the file; `call_us` bounds each call. `world`: the interface to clock, sockets and files.
 
         Raises StoreError if the file cannot be read or is not a store of this schema version."""
         self._world, self._path, self._call_us = world, path, call_us
@@ -77,15 +77,15 @@
     # --- calls
 
     def range(self, key: bytes, end: bytes = b"", revision: int = 0) -> RangeResult:
-        """See Store."""
+        """The rows of a range of keys, at the current or a given revision (Store)."""
         return self._retry_while_locked(lambda: self._range(key, end, revision), is_read=True)
 
     def txn(self, txn: Txn) -> TxnResult:
-        """See Store."""
+        """Execute a transaction atomically (Store)."""
         return self._write(lambda: self._txn(txn))
 
     def grant(self, ttl_us: int) -> LeaseGrant:
-        """See Store."""
+        """Create a lease of at least the given time (Store)."""
         ttl_us = -(-ttl_us // 1_000_000) * 1_000_000
 
         def grant() -> LeaseGrant:
@@ -100,7 +100,7 @@
         return self._write(grant)
 
     def keep_alive(self, lease: int) -> KeepAliveResult:
-        """See Store."""
+        """Restart a lease's time to live (Store)."""
 
         def renew() -> KeepAliveResult:
             rows = self._db.run("SELECT ttl_us FROM leases WHERE lease = ?", (lease,))
@@ -113,11 +113,11 @@
         return self._write(renew)
 
     def revoke(self, lease: int) -> None:
-        """See Store."""
+        """End a lease and delete its keys (Store)."""
         self._write(lambda: self._revoke(lease))
 
     def remaining_ttl_us(self, lease: int) -> int:
-        """See Store."""
+        """The remaining time of a lease; -1 if it has ended (Store)."""
 
         def remaining() -> int:
             rows = self._db.run("SELECT ends_us FROM leases WHERE lease = ? AND boot = ?", (lease, self._boot_id))
@@ -127,7 +127,7 @@
         return self._retry_while_locked(remaining, is_read=True)
 
     def watch(self, key: bytes, end: bytes, revision: int) -> EmbeddedWatch:
-        """See Store."""
+        """Watch a range of keys from a revision on (Store)."""
         return EmbeddedWatch(self, key, end, revision)
 
     def close(self) -> None:
@@ -215,7 +215,7 @@
 
     def _revision(self) -> int:
         revision = int(self._metadata("revision"))
-        if revision < self.last_revision:  # permanent: once the store catches up, the loss could no longer be seen
+        if revision < self.last_revision:  # permanent: a loss cannot be detected later, when the store has caught up
             self._refusal_reason = f"{self._path} stands at revision {revision}; it had told {self.last_revision}"
         if self._refusal_reason:
             raise InconsistentStore(self._refusal_reason)
@@ -223,7 +223,7 @@
         return revision
 
     def rows(self, key: bytes, end: bytes) -> list[KeyValue]:
-        """See kv.Reader."""
+        """The current rows of a range, ordered by key (RowReader)."""
         where, arguments = _range_condition(key, end)
         return [
             _to_key_value(row)
@@ -231,7 +231,7 @@
         ]
 
     def has_lease(self, lease: int) -> bool:
-        """See kv.Reader."""
+        """Whether a lease exists and has not ended (RowReader)."""
         return bool(self._db.run("SELECT 1 FROM leases WHERE lease = ?", (lease,)))
 
     def _range(self, key: bytes, end: bytes, revision: int) -> RangeResult:
@@ -342,7 +342,7 @@
         self._next_revision = revision
 
     def next(self) -> Changes:
-        """See Watch."""
+        """Wait for the next changes of the watched range (Watch)."""
         world = self._store._world
         while True:
             changes = self._store.changes_since(self._key, self._end, self._next_revision)
@@ -352,7 +352,7 @@
             world.sleep_until(world.now_us() + WATCH_POLL_US)
 
     def close(self) -> None:
-        """See Watch."""
+        """End the watch (Watch)."""
 
 
 def _range_condition(key: bytes, end: bytes) -> tuple[str, tuple[bytes, ...]]:
--- a/yardspindle/fleet/store/etcd.py
+++ b/yardspindle/fleet/store/etcd.py
@@ -1,4 +1,4 @@
-"""etcd v3 through its JSON gateway: several endpoints, each call bounded in time.
+"""The fleet's key-value store in etcd v3, through its JSON gateway: several endpoints, each call bounded in time.
 
 Reads are linearizable (never `serializable`). An answer with a lower revision than one received before the call
 therefore proves that the store lost data, for example because an old backup was restored; such a store is not used
@@ -43,7 +43,7 @@
     """Implements Store with an etcd cluster."""
 
     def __init__(self, world: World, endpoints: Sequence[tuple[str, int]], call_us: int) -> None:
-        """`call_us` bounds one call to one endpoint."""
+        """`world`: the interface to clock, sockets and files. `call_us` bounds one call to one endpoint."""
         self._world = world
         self._endpoints = list(endpoints)
         self._endpoint_index = 0
@@ -55,13 +55,13 @@
         self._refusal_reason = ""  # why this store must no longer be used; empty while it may
 
     def range(self, key: bytes, end: bytes = b"", revision: int = 0) -> RangeResult:
-        """See Store."""
+        """The rows of a range of keys, at the current or a given revision (Store)."""
         call = j.RangeRequest(j.encode_base64(key), j.encode_base64(end), str(revision) if revision else 0)
         reply = self._request(j.RANGE_PATH, msgspec.json.encode(call), j.RangeResponse, is_write=False)
         return RangeResult(int(reply.header.revision), tuple(j.decode_row(row) for row in reply.kvs))
 
     def txn(self, txn: Txn) -> TxnResult:
-        """See Store."""
+        """Execute a transaction atomically (Store)."""
         data, min_revision = self._call(j.TXN_PATH, j.encode_txn(txn), is_write=True)
         try:
             result = j.decode_txn_result(data)
@@ -71,13 +71,13 @@
         return result
 
     def grant(self, ttl_us: int) -> LeaseGrant:
-        """See Store."""
+        """Create a lease of at least the given time (Store)."""
         call = j.LeaseRequest(TTL=str(-(-ttl_us // 1_000_000)))
         reply = self._request(j.LEASE_GRANT_PATH, msgspec.json.encode(call), j.LeaseResponse, is_write=True)
         return LeaseGrant(int(reply.ID), int(reply.TTL) * 1_000_000)
 
     def keep_alive(self, lease: int) -> KeepAliveResult:
-        """See Store."""
+        """Restart a lease's time to live (Store)."""
         reply = self._request(
             j.LEASE_KEEP_ALIVE_PATH,
             msgspec.json.encode(j.LeaseRequest(ID=str(lease))),
@@ -87,7 +87,7 @@
         return KeepAliveResult(int(reply.result.TTL) * 1_000_000, int(reply.result.header.revision))
 
     def revoke(self, lease: int) -> None:
-        """See Store."""
+        """End a lease and delete its keys (Store)."""
         try:
             self._request(
                 j.LEASE_REVOKE_PATH, msgspec.json.encode(j.LeaseRequest(ID=str(lease))), j.LeaseResponse, is_write=True
@@ -97,7 +97,7 @@
                 raise
 
     def remaining_ttl_us(self, lease: int) -> int:
-        """See Store."""
+        """The remaining time of a lease; -1 if it has ended (Store)."""
         reply = self._request(
             j.LEASE_TTL_PATH, msgspec.json.encode(j.LeaseRequest(ID=str(lease))), j.LeaseResponse, is_write=False
         )
@@ -105,7 +105,7 @@
         return left * 1_000_000 if left > 0 else left
 
     def watch(self, key: bytes, end: bytes, revision: int) -> EtcdWatch:
-        """See Store."""
+        """Watch a range of keys from a revision on (Store)."""
         call = j.WatchRequest(j.WatchCreateRequest(j.encode_base64(key), j.encode_base64(end), str(revision), True))
         response = self._send(j.WATCH_PATH, msgspec.json.encode(call), False, self._world.signal())
         return EtcdWatch(self, response)
@@ -212,7 +212,7 @@
         self._buffer = b""
 
     def next(self) -> Changes:
-        """See Watch."""
+        """Wait for the next changes of the watched range (Watch)."""
         while True:
             line, found, rest = self._buffer.partition(b"\n")
             if not found:
@@ -246,5 +246,5 @@
         return chunk
 
     def close(self) -> None:
-        """See Watch."""
+        """End the watch (Watch)."""
         self._response.close()
--- a/yardspindle/fleet/store/etcd_json.py
+++ b/yardspindle/fleet/store/etcd_json.py
@@ -1,7 +1,8 @@
 """Encodes and decodes the JSON requests and responses of etcd's gateway (`/v3/...`). No I/O.
 
 This is protobuf's JSON mapping as the gateway writes it: snake-case field names, 64-bit integers as strings, bytes in
-base64, zero values left out, enums by name. Used by the client and by the simulated etcd server.
+base64, zero values left out, enums by name. Used by the client (store/etcd.py) and by the simulated etcd server
+(lab/etcd.py).
 """
 
 from __future__ import annotations
--- a/yardspindle/fleet/store/factory.py
+++ b/yardspindle/fleet/store/factory.py
@@ -1,4 +1,4 @@
-"""Creates the store that the configuration selects."""
+"""Creates the store (the key-value store that the fleet's processes share) that the configuration selects."""
 
 from __future__ import annotations
 
--- a/yardspindle/fleet/store/interface.py
+++ b/yardspindle/fleet/store/interface.py
@@ -1,4 +1,7 @@
-"""The interface that all stores implement. Every call may block; callers can bound it with a deadline of their World.
+"""The interface that all stores implement. A store is the key-value store that a fleet's processes share.
+
+Every call may block; callers can bound it with `World.deadline` (the World is a program's interface to clock, sockets
+and files).
 
 A call ends in one of three ways: with an answer; with `NotApplied`, which proves that nothing was changed; or with
 `OutcomeUnknown`, after which a change may or may not have been made and must be read back before it is relied on.
@@ -13,15 +16,15 @@
 
 
 class StoreError(Exception):
-    """The store could not be used."""
+    """A call to the store failed, or the store cannot be opened."""
 
 
 class NotApplied(StoreError):
-    """Nothing was changed: no endpoint was reached, or the store rejected the call."""
+    """The call changed nothing: the client reached no endpoint of the store, or the store rejected the call."""
 
 
 class OutcomeUnknown(StoreError):
-    """The answer was lost: a change may have been made."""
+    """The client lost the store's answer to a write: the store may have made the change."""
 
 
 class InconsistentStore(StoreError):
@@ -29,7 +32,7 @@
 
 
 class WatchBroken(StoreError):
-    """The watch ended; what it missed must be read again."""
+    """The store or the connection ended the watch; the caller must read the range again."""
 
 
 @dataclass(frozen=True, slots=True)
