--- a/yardspindle/cli/common.py
+++ b/yardspindle/cli/common.py
@@ -17,7 +17,7 @@
 
 
 class CliError(click.ClickException):
-    """An error that prints one line on standard error and exits with code 2."""
+    """A wrong argument, a wrong file or a failed start; prints one line on standard error and exits with code 2."""
 
     exit_code = 2
 
@@ -64,6 +64,7 @@
 ) -> None:
     """Run a program: start it, print the ready line, wait for a stop signal, stop it.
 
+    `world` is the interface to clock, sockets, files and signals.
     `where` is put before an OSError's text and names the setting at fault. Raises CliError if the start fails."""
 
     def program() -> None:
--- a/yardspindle/cli/edge.py
+++ b/yardspindle/cli/edge.py
@@ -1,4 +1,4 @@
-"""`yardspindle edge FILE`: runs an edge."""
+"""`yardspindle edge FILE`: runs an edge (the process that holds the client connections)."""
 
 from __future__ import annotations
 
--- a/yardspindle/cli/fleet.py
+++ b/yardspindle/cli/fleet.py
@@ -1,4 +1,8 @@
-"""`yardspindle fleet members` and `fleet duties`: print the fleet's members and duties from the store."""
+"""`yardspindle fleet members` and `fleet duties`: print the fleet's members and duties from the store.
+
+Members are the registered processes; a duty is a background task of the fleet with one owner at a time; the store is
+the key-value store that the processes share.
+"""
 
 from __future__ import annotations
 
--- a/yardspindle/cli/plan.py
+++ b/yardspindle/cli/plan.py
@@ -1,4 +1,4 @@
-"""`yardspindle plan FILE`: runs a planner."""
+"""`yardspindle plan FILE`: runs a planner (the process that decides which server does what)."""
 
 from __future__ import annotations
 
--- a/yardspindle/cli/release.py
+++ b/yardspindle/cli/release.py
@@ -1,4 +1,8 @@
-"""`yardspindle release ...`, `drain`, `undrain`: operator commands for releases and units, kept in the audit log."""
+"""`yardspindle release ...`, `drain`, `undrain`: operator commands for releases and units, kept in the audit log.
+
+A unit is a dispatcher or model host, which a release restarts with a new version. The commands write to the fleet's
+shared key-value store; stewards (background processes) and unit supervisors act on it.
+"""
 
 from __future__ import annotations
 
--- a/yardspindle/cli/simulation.py
+++ b/yardspindle/cli/simulation.py
@@ -1,4 +1,8 @@
-"""`yardspindle lab seeds`, `seed` and `shrink`: seeded simulations on virtual time."""
+"""`yardspindle lab seeds`, `seed` and `shrink`: seeded simulations on virtual time.
+
+`--world` selects what runs: `traffic` (clients, edges, planner and engines) or `fleet` (stewards, store, edges,
+engines).
+"""
 
 from __future__ import annotations
 
--- a/yardspindle/cli/steward.py
+++ b/yardspindle/cli/steward.py
@@ -1,4 +1,4 @@
-"""`yardspindle steward FILE`: runs a steward, which does work on behalf of the whole fleet."""
+"""`yardspindle steward FILE`: runs a steward, which does background tasks (duties) for the whole fleet."""
 
 from __future__ import annotations
 
--- a/yardspindle/cli/unit.py
+++ b/yardspindle/cli/unit.py
@@ -1,4 +1,4 @@
-"""`yardspindle unit FILE`: runs the supervisor of one dispatcher or model host."""
+"""`yardspindle unit FILE`: runs the supervisor of one unit (a dispatcher or model host that releases restart)."""
 
 from __future__ import annotations
 
--- a/yardspindle/cli/up.py
+++ b/yardspindle/cli/up.py
@@ -1,4 +1,4 @@
-"""`yardspindle up`: runs one dispatcher with simulated engines on loopback; needs no configuration, leaves no files."""
+"""`yardspindle up`: runs a dispatcher (edge and planner) with simulated engines on loopback, without configuration."""
 
 from __future__ import annotations
 
