--- a/yardspindle/link/__init__.py
+++ b/yardspindle/link/__init__.py
@@ -1,1 +1,1 @@
-"""What edge and planner say to each other."""
+"""The link between an edge (which holds the client connections) and its planner (which decides what servers do)."""
--- a/yardspindle/link/frames.py
+++ b/yardspindle/link/frames.py
@@ -1,10 +1,12 @@
 """Frames of the link between an edge and its planner: a four-byte length, then msgpack; versioned, limited in size.
 
-The edge connects and sends `Hello`; the planner answers with `Welcome`, then with the server list. From then on the
-edge sends `Events` and the planner sends `Actions`, independently of each other. `Events.number` numbers the edge's
+An edge is the process that holds the client connections; its planner is the process that decides which server does
+what. The edge connects and sends `Hello`; the planner answers with `Welcome`, then with the server list. From then on
+the edge sends `Events` and the planner sends `Actions`, independently of each other. `Events.number` numbers the edge's
 frames, and `Actions.answers` is the number of the last one that the planner has processed, from which the edge detects
-that its planner is lagging. Interface types are encoded as arrays tagged with the type's name. A frame that cannot be
-decoded closes the link, because the two sides might otherwise disagree on which attempts are in flight.
+that its planner is lagging. Events and actions are encoded as arrays tagged with the names of their types in
+yardspindle/interface.py. A frame that cannot be decoded closes the link, because the two sides might otherwise disagree
+on which attempts (a request's calls to servers) are in flight.
 """
 
 from __future__ import annotations
--- a/yardspindle/protocol/__init__.py
+++ b/yardspindle/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Protocol parsers and serializers that work on bytes only, independent of sockets, clocks and other packages."""
+"""Parsers and serializers of HTTP/1.1 and server-sent events on bytes only, independent of sockets and clocks."""
--- a/yardspindle/protocol/chunks.py
+++ b/yardspindle/protocol/chunks.py
@@ -1,4 +1,4 @@
-"""Reader for chunked bodies that are relayed: returns whole chunks, at little cost per chunk.
+"""Reader for chunked HTTP bodies that the router relays to a client: returns whole chunks, at little cost per chunk.
 
 `http1.ResponseParser` returns parts of chunks as they arrive. Relayed data must not be part of a chunk that later turns
 out to be malformed, so this reader returns only chunks that end where their size says; `take_partial` is the exception,
--- a/yardspindle/protocol/http1.py
+++ b/yardspindle/protocol/http1.py
@@ -96,7 +96,9 @@
     return not has_token(head.headers, b"connection", b"close")
 
 
-BETWEEN_MESSAGES = _Stage.HEAD  # also set by code that read a message's body without the parser
+# Before the head of a message. `ResponseStream` (node/host_client.py) sets it too, so that a connection can be
+# used again: it reads chunked bodies with the faster `ChunkReader`, so the parser does not see the message's end.
+BETWEEN_MESSAGES = _Stage.HEAD
 
 
 @dataclass(slots=True)
@@ -253,7 +255,7 @@
             if len(self.buffer) >= self.limits.head:
                 raise ProtocolError("the head is too large", 431)
             if BARE_LF.search(self.buffer, self.head_searched):
-                raise ProtocolError("a line ends without CRLF")  # now: the end of such a head is never found
+                raise ProtocolError("a line ends without CRLF")  # now: the CRLF that ends such a head never comes
             if self.buffer and self.closed:
                 raise ProtocolError("the peer closed inside a head")
             self.head_searched = len(self.buffer)
--- a/yardspindle/runtime/database.py
+++ b/yardspindle/runtime/database.py
@@ -1,4 +1,4 @@
-"""Embedded database of the real World: SQLite from the standard library, shared by the processes of one machine.
+"""Embedded database for `RealWorld` (the interface to the real machine): SQLite, shared by the machine's processes.
 
 No call blocks on another process, which may be stopped while it holds the write lock: `DatabaseBusy` is raised
 immediately, and the caller waits on the scheduler before it retries. WAL mode lets readers proceed while another
--- a/yardspindle/runtime/detached_process.py
+++ b/yardspindle/runtime/detached_process.py
@@ -1,4 +1,5 @@
-"""Long-lived processes of the real World that outlive the program that started them.
+"""Processes on the real machine that outlive the program that started them: a unit (a dispatcher or model host) keeps
+running when its supervisor restarts. `RealWorld` is the real machine's interface to clock, sockets and files.
 
 A process id can be reused, so a process is identified by its id together with its start time as recorded by the
 kernel. A signal is sent through a pidfd that is opened before the start time is checked, so it cannot reach another
--- a/yardspindle/runtime/poller.py
+++ b/yardspindle/runtime/poller.py
@@ -1,4 +1,8 @@
-"""Poller of the real World: the machine's clock, and one `select.poll` wait on behalf of all tasks."""
+"""The poller of programs that run on a real machine: its clock, and one `select.poll` wait on behalf of all tasks.
+
+The scheduler (runtime/scheduler.py) calls it; `RealWorld` (runtime/real.py) parks tasks in it. In simulations,
+`VirtualClock` takes its place.
+"""
 
 from __future__ import annotations
 
--- a/yardspindle/runtime/process.py
+++ b/yardspindle/runtime/process.py
@@ -1,4 +1,7 @@
-"""Child processes of the real World: started, read, waited for and terminated without blocking the event loop."""
+"""Child processes on the real machine: started, read, waited for and terminated without blocking the event loop.
+
+They use `RealWorld`, the real machine's interface to clock, sockets and files.
+"""
 
 from __future__ import annotations
 
--- a/yardspindle/runtime/real.py
+++ b/yardspindle/runtime/real.py
@@ -1,4 +1,4 @@
-"""The World of a real machine: its clock, files and signals, and non-blocking sockets with `select.poll`."""
+"""The World (a program's interface to its environment) on a real machine: its clock, files, signals and sockets."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
             self.peer = "?"
 
     def read(self, limit: int = 65_536) -> bytes:
-        """See Stream."""
+        """Wait for data; empty bytes at the end of the stream (Stream)."""
         while True:
             if self._descriptor < 0:
                 raise StreamError("closed here")
@@ -98,7 +98,7 @@
             return data
 
     def write(self, data: bytes) -> None:
-        """See Stream."""
+        """Write all data, waiting while the peer does not read (Stream)."""
         if self._descriptor < 0:
             raise StreamError("closed here")
         try:
@@ -112,7 +112,7 @@
             rest = memoryview(data)
         while rest:
             self._world.poller.block(self._world.scheduler, self._descriptor, WRITE_MASK)
-            self._world.scheduler.raise_interrupt()  # the canceller assumes that the rest is not sent
+            self._world.scheduler.raise_interrupt()  # whoever cancelled this task assumes that the rest is not sent
             if self._descriptor < 0:
                 raise StreamError("closed here")
             try:
@@ -122,7 +122,7 @@
                     raise StreamError(os.strerror(error.errno or 0)) from None
 
     def is_idle(self) -> bool:
-        """See Stream."""
+        """Whether there is no unread input and the peer has not closed (Stream)."""
         if self._descriptor < 0:
             return False
         try:
@@ -132,25 +132,25 @@
         return False
 
     def wait_input(self) -> None:
-        """See Stream."""
+        """Wait until the peer sends data or closes, without reading it (Stream)."""
         if self._descriptor >= 0:
             self._world.poller.block(self._world.scheduler, self._descriptor, READ_MASK)
 
     def send_eof(self) -> None:
-        """See Stream."""
+        """Close the sending side only (Stream)."""
         if self._descriptor >= 0:
             with contextlib.suppress(OSError):  # the connection was reset
                 self._sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
-        """See Stream."""
+        """Close the connection; with a reset if received bytes were not read (Stream)."""
         if self._descriptor >= 0:
             self._world.poller.unregister(self._descriptor)
             self._descriptor = -1
             self._sock.close()
 
     def abort(self) -> None:
-        """See Stream."""
+        """Close with a reset, discarding unsent data (Stream)."""
         if self._descriptor >= 0:
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             self.close()
@@ -167,7 +167,7 @@
         self.closed = False
 
     def accept(self) -> Stream:
-        """See Listener. If no descriptor is free, retries after a delay; meanwhile clients stay in the backlog."""
+        """Wait for a connection (Listener); without a free descriptor, retry later: clients stay in the backlog."""
         while True:
             if self.closed:
                 raise Closed
@@ -185,7 +185,7 @@
                     raise
 
     def stop(self, admit: Callable[[Stream], None]) -> None:
-        """See Listener. After `listen(0)` the kernel queues one connection and drops SYNs, which clients resend."""
+        """Stop (Listener); after `listen(0)` the kernel queues one connection and drops SYNs, which clients resend."""
         if not self.closed:
             with contextlib.suppress(OSError):
                 self._accept_pending(admit)
@@ -205,7 +205,7 @@
                     raise
 
     def close(self) -> None:
-        """See Listener."""
+        """Stop listening and reset connections that were not accepted yet (Listener)."""
         if not self.closed:
             self.closed = True
             self._world.poller.unregister(self._sock.fileno())
@@ -213,7 +213,7 @@
 
 
 class RealWorld:
-    """Implements World on the real machine."""
+    """Implements World on the real machine, with non-blocking sockets and `select.poll`."""
 
     def __init__(self, seed: int | None = None) -> None:
         """Use the given seed, or one from the system's entropy source."""
@@ -234,39 +234,39 @@
                 self._zmq = None
 
     def now_us(self) -> int:
-        """See World."""
+        """The program's time in microseconds since the epoch (World)."""
         return self.poller.now_us()
 
     def sleep_until(self, at_us: int) -> None:
-        """See World."""
+        """Park the current task until the given time (World)."""
         self.scheduler.sleep_until(at_us)
 
     def deadline(self, at_us: int) -> Deadline:
-        """See World."""
+        """A context manager that limits the time of its block (World)."""
         return self.scheduler.deadline(at_us)
 
     def spawn(self, name: str, function: Callable[..., Any], *args: Any) -> Task:
-        """See World."""
+        """Start a task that runs `function(*args)` (World)."""
         return self.scheduler.spawn(name, function, *args)
 
     def current(self) -> Task:
-        """See World."""
+        """The running task (World)."""
         return self.scheduler.current
 
     def call_at(self, at_us: int, callback: Callable[[], None]) -> Callable[[], None]:
-        """See World."""
+        """Schedule a callback; returns a function that cancels it (World)."""
         return self.scheduler.timers.set(at_us, callback).cancel
 
     def channel(self, capacity: int) -> Channel[Any]:
-        """See World."""
+        """Create a bounded queue between tasks (World)."""
         return self.scheduler.channel(capacity)
 
     def signal(self) -> Signal:
-        """See World."""
+        """Create a flag that tasks can wait for (World)."""
         return Signal(self.scheduler)
 
     def listen(self, host: str, port: int, backlog: int = 512) -> Listener:
-        """See World."""
+        """Listen on an address; port 0: any free port (World)."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM)
         try:
@@ -280,7 +280,7 @@
         return RealListener(self, sock)
 
     def connect(self, host: str, port: int, deadline_us: int) -> Stream:
-        """See World. Hosts are IP addresses: resolving a name would block the event loop."""
+        """Connect by the deadline (World). Hosts are IP addresses: resolving a name would block the event loop."""
         try:
             sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:
@@ -315,7 +315,7 @@
     def message_socket(
         self, kind: Literal["sub", "pub", "dealer", "router"], host: str, port: int, topic: bytes = b""
     ) -> MessageSocket:
-        """See World."""
+        """Create a ZeroMQ socket that is connected or bound (World)."""
         import zmq  # imported on first use: saves the library's memory in programs that send no messages
 
         from yardspindle.runtime.zeromq import ZmqSocket
@@ -325,16 +325,16 @@
         return ZmqSocket(self.scheduler, self.poller, self._zmq, kind, host, port, topic)
 
     def random(self, name: str) -> random.Random:
-        """See World."""
+        """A seeded random generator; each name has an independent sequence (World)."""
         return random.Random(f"{self.seed} {name}")
 
     def read_file(self, path: str, max_bytes: int = -1) -> bytes:
-        """See World."""
+        """Read a file, or its first `max_bytes` (World)."""
         with open(path, "rb", opener=lambda name, flags: os.open(name, flags | os.O_NONBLOCK)) as file:
             return file.read(max_bytes) or b""  # None is read from an empty pipe that has a writer
 
     def append_file(self, path: str, data: bytes) -> None:
-        """See World."""
+        """Append to a file with a single write (World)."""
         descriptor = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
         try:
             os.write(descriptor, data)
@@ -342,7 +342,7 @@
             os.close(descriptor)
 
     def replace_file(self, path: str, data: bytes) -> None:
-        """See World."""
+        """Replace a file atomically (World)."""
         descriptor = os.open(path + ".new", os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o644)
         try:
             os.write(descriptor, data)
@@ -352,17 +352,17 @@
         os.replace(path + ".new", path)
 
     def max_descriptors(self) -> int:
-        """See World."""
+        """The number of file descriptors that the program may have open (World)."""
         soft_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         return 1 << 20 if soft_limit == resource.RLIM_INFINITY else soft_limit  # RLIM_INFINITY is -1
 
     def uptime_us(self) -> int:
-        """See World."""
+        """Microseconds since the machine booted (World)."""
         return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000
 
     def database(self, path: str) -> Database:
-        """See World."""
-        from yardspindle.runtime.database import SqliteDatabase  # on first use: not loaded in programs without a store
+        """Open a database that processes of one machine share (World)."""
+        from yardspindle.runtime.database import SqliteDatabase  # on first use: not loaded if no file is the store
 
         return SqliteDatabase(path)
 
--- a/yardspindle/runtime/scheduler.py
+++ b/yardspindle/runtime/scheduler.py
@@ -2,7 +2,7 @@
 
 A hub greenlet runs the event loop: first the ready tasks, in the order in which they were woken, then the timers that
 are due, then the `Poller`, which waits for external events until the next timer. The real poller waits in
-`select.poll`; the virtual one advances its clock. An error that ends a task is raised in the tasks that join it, or
+`select.poll`; a simulation's advances its clock. An error that ends a task is raised in the tasks that join it, or
 passed to the crash hook if there are none, so it is never lost.
 """
 
--- a/yardspindle/runtime/virtual.py
+++ b/yardspindle/runtime/virtual.py
@@ -108,7 +108,9 @@
 
 
 class VirtualWorld:
-    """Implements World for one run of one program, and injects faults into it."""
+    """Implements World, the interface to clock, sockets, files and randomness, for one run of one program.
+
+    It also injects faults into the program."""
 
     def __init__(self, sim: Simulation, name: str, number: int = 1) -> None:
         """Create the World of a program; called by `Simulation.program`."""
@@ -157,34 +159,34 @@
     # --- World
 
     def now_us(self) -> int:
-        """See World."""
+        """The program's time in microseconds since the epoch (World)."""
         now = self.sim.now_us() + self._clock_offset_us
         if now > self._last_us:
             self._last_us = now
         return self._last_us
 
     def sleep_until(self, at_us: int) -> None:
-        """See World."""
+        """Park the current task until the given time (World)."""
         self._check_alive()
         self.scheduler.sleep_until(at_us - self._clock_offset_us)
 
     def deadline(self, at_us: int) -> Deadline:
-        """See World."""
+        """A context manager that limits the time of its block (World)."""
         return self.scheduler.deadline(at_us - self._clock_offset_us)
 
     def spawn(self, name: str, function: Callable[..., Any], *args: Any) -> Task:
-        """See World."""
+        """Start a task that runs `function(*args)` (World)."""
         self._check_alive()
         task = self.scheduler.spawn(name, function, *args)
         task.gate = self.gate
         return task
 
     def current(self) -> Task:
-        """See World."""
+        """The running task (World)."""
         return self.scheduler.current
 
     def call_at(self, at_us: int, callback: Callable[[], None]) -> Callable[[], None]:
-        """See World."""
+        """Schedule a callback; returns a function that cancels it (World)."""
 
         def due() -> None:
             if self.gate.shut:
@@ -195,15 +197,15 @@
         return self.scheduler.timers.set(at_us - self._clock_offset_us, due).cancel
 
     def channel(self, capacity: int) -> Channel[Any]:
-        """See World."""
+        """Create a bounded queue between tasks (World)."""
         return self.scheduler.channel(capacity)
 
     def signal(self) -> Signal:
-        """See World."""
+        """Create a flag that tasks can wait for (World)."""
         return Signal(self.scheduler)
 
     def listen(self, host: str, port: int, backlog: int = 512) -> Listener:
-        """See World."""
+        """Listen on an address; port 0: any free port (World)."""
         self._check_alive()
         listeners = self.sim.network.listeners
         port = port or self.sim.next_port()
@@ -213,7 +215,7 @@
         return listeners[(host, port)]
 
     def connect(self, host: str, port: int, deadline_us: int) -> Stream:
-        """See World."""
+        """Connect to an address, waiting until the deadline at most (World)."""
         self._check_alive()
         limit = self.deadline(deadline_us)
         try:
@@ -246,22 +248,22 @@
     def message_socket(
         self, kind: Literal["sub", "pub", "dealer", "router"], host: str, port: int, topic: bytes = b""
     ) -> MessageSocket:
-        """See World."""
+        """Create a ZeroMQ socket that is connected or bound (World)."""
         self._check_alive()
         return VirtualMessageSocket(self, kind, (host, port or self.sim.next_port()), topic)
 
     def random(self, name: str) -> random.Random:
-        """See World."""
+        """A seeded random generator; each name has an independent sequence (World)."""
         return self.sim.random(f"{self.name} {self._number} {name}")
 
     def read_file(self, path: str, max_bytes: int = -1) -> bytes:
-        """See World."""
+        """Read a file, or its first `max_bytes` (World)."""
         if path not in self.sim.files:
             raise FileNotFoundError(2, "No such file or directory", path)
         return self.sim.files[path][: None if max_bytes < 0 else max_bytes]
 
     def append_file(self, path: str, data: bytes) -> None:
-        """See World."""
+        """Append to a file with a single write (World)."""
         if not self.alive:
             return
         self.sim.files[path] = self.sim.files.get(path, b"") + data
@@ -269,20 +271,20 @@
             self.sim.on_append(path, data)
 
     def replace_file(self, path: str, data: bytes) -> None:
-        """See World."""
+        """Replace a file atomically (World)."""
         if self.alive:
             self.sim.files[path] = data
 
     def max_descriptors(self) -> int:
-        """See World. Descriptors are not limited in the simulation."""
+        """The limit of open file descriptors (World), which the simulation does not enforce."""
         return 1 << 20
 
     def uptime_us(self) -> int:
-        """See World."""
+        """Microseconds since the machine booted (World)."""
         return self.sim.now_us()
 
     def database(self, path: str) -> Database:
-        """See World. Not supported: simulated programs share a store over the network."""
+        """Not supported (World): simulated programs share a key-value store over the network instead."""
         raise OSError(95, "Operation not supported", path)
 
     def _check_alive(self) -> None:
--- a/yardspindle/runtime/virtual_network.py
+++ b/yardspindle/runtime/virtual_network.py
@@ -1,4 +1,4 @@
-"""Simulated network: byte streams, listeners and message sockets between programs in one process.
+"""Simulated network: byte streams, listeners and message sockets (ZeroMQ) between programs in one process.
 
 Each direction between two programs is a `NetworkPath` with its own latency, jitter and bandwidth. A path can be cut:
 segments of streams are then held, as TCP would retransmit them, and arrive in order once the path is restored; messages
@@ -161,7 +161,7 @@
         self.network.streams[self] = None
 
     def read(self, limit: int = 65_536) -> bytes:
-        """See Stream."""
+        """Wait for data; empty bytes at the end of the stream (Stream)."""
         while True:
             if self._closed or self._reset:
                 raise StreamError("closed here" if self._closed else "Connection reset by peer")
@@ -179,7 +179,7 @@
             self._readable.wait()
 
     def write(self, data: bytes) -> None:
-        """See Stream."""
+        """Write all data, waiting while the peer does not read (Stream)."""
         rest = memoryview(data)
         while rest:
             remote = self.remote
@@ -188,7 +188,7 @@
             room = WINDOW_BYTES - remote._unread_bytes
             if room <= 0:
                 self._writable.wait()
-                self.world.scheduler.raise_interrupt()  # the canceller assumes that the rest is not sent
+                self.world.scheduler.raise_interrupt()  # whoever cancelled this task assumes that the rest is not sent
                 continue
             if len(rest) > 1 and self.network.rng.random() < PARTIAL_IO_PROBABILITY:
                 room = min(room, self.network.rng.randrange(1, len(rest)))
@@ -197,26 +197,26 @@
             remote._enqueue(segment)
 
     def is_idle(self) -> bool:
-        """See Stream."""
+        """Whether there is no unread input and the peer has not closed (Stream)."""
         return not (self._closed or self._reset or self._ended or self._inbox)
 
     def wait_input(self) -> None:
-        """See Stream."""
+        """Wait until the peer sends data or closes, without reading it (Stream)."""
         while self.is_idle():
             self._readable.wait()
 
     def send_eof(self) -> None:
-        """See Stream."""
+        """Close the sending side only (Stream)."""
         if not (self._closed or self._finished or self.remote is None):
             self._finished = True
             self.remote._schedule(0, self.remote._receive_eof)
 
     def close(self) -> None:
-        """See Stream."""
+        """Close the connection; with a reset if received bytes were not read (Stream)."""
         self._disconnect(lambda far: far._receive_eof())
 
     def abort(self) -> None:
-        """See Stream."""
+        """Close with a reset, discarding unsent data (Stream)."""
         self._disconnect(lambda far: far.receive_reset())
 
     @property
@@ -293,17 +293,17 @@
         self.queue: Channel[VirtualStream] = Channel(world.scheduler, backlog)
 
     def accept(self) -> Stream:
-        """See Listener."""
+        """Wait for a connection and return it (Listener)."""
         return self.queue.get()
 
     def stop(self, admit: Callable[[Stream], None]) -> None:
-        """See Listener."""
+        """Stop listening and pass connections that were not accepted yet to `admit` (Listener)."""
         for stream in self.queue.drain():
             admit(stream)
         self.close()
 
     def close(self) -> None:
-        """See Listener."""
+        """Stop listening and reset connections that were not accepted yet (Listener)."""
         self.world.sim.network.listeners.pop((self.host, self.port), None)
         for stream in self.queue.drain():
             stream.abort()
@@ -326,7 +326,7 @@
         self.network.message_sockets.append(self)
 
     def receive(self) -> list[bytes]:
-        """See MessageSocket."""
+        """Wait for the next message and return its parts (MessageSocket)."""
         while not self._inbox:
             if self._closed:
                 raise Closed
@@ -334,7 +334,7 @@
         return self._inbox.popleft()
 
     def send(self, parts: list[bytes]) -> bool:
-        """See MessageSocket."""
+        """Send without waiting; False if the message was dropped (MessageSocket)."""
         peers = [
             other for other in self.network.message_sockets if other._address == self._address and other is not self
         ]
@@ -356,7 +356,7 @@
         return True
 
     def close(self) -> None:
-        """See MessageSocket."""
+        """Close, discarding unsent messages (MessageSocket)."""
         self._closed = True
         if self in self.network.message_sockets:
             self.network.message_sockets.remove(self)
--- a/yardspindle/runtime/zeromq.py
+++ b/yardspindle/runtime/zeromq.py
@@ -1,4 +1,4 @@
-"""ZeroMQ sockets on the scheduler: a task waits for the library's descriptor as for any other.
+"""ZeroMQ sockets on the scheduler: a task waits for the descriptor of the ZeroMQ library as for any other.
 
 The descriptor is edge-triggered: it may not become readable although a message is queued, because a send consumed the
 notification. A receive therefore always tries first, and sockets that both send and receive also check periodically.
@@ -56,7 +56,7 @@
         self._descriptor = int(self._socket.getsockopt(zmq.FD))
 
     def receive(self) -> list[bytes]:
-        """See MessageSocket."""
+        """Wait for the next message and return its parts (MessageSocket)."""
         while True:
             if self.closed:
                 raise Closed
@@ -78,7 +78,7 @@
                     raise
 
     def send(self, parts: list[bytes]) -> bool:
-        """See MessageSocket."""
+        """Send without waiting; False if the message was dropped (MessageSocket)."""
         if self.closed:
             return False
         try:
@@ -88,7 +88,7 @@
         return True
 
     def close(self) -> None:
-        """See MessageSocket."""
+        """Close, discarding unsent messages (MessageSocket)."""
         if not self.closed:
             self.closed = True
             self._poller.unregister(self._descriptor)
