--- a/yardspindle/lab/audit.py
+++ b/yardspindle/lab/audit.py
@@ -1,14 +1,15 @@
 """The audit: checks a run against the router's five rules, from what clients and engines recorded at their sockets.
 
 The rules: 1. each try of a request gets one final answer, in time, and nothing after it ("one final answer"); 2. what
-must not run twice does not, and what was refused did not run ("no effect twice"); 3. a draining engine gets nothing
-new ("drains kept"); 4. no cold engine is overloaded ("no cold server pushed over"); 5. engines hold no state or place
-that nobody uses ("nothing left pinned").
+must not run twice does not, and what was refused did not run ("no effect twice"); 3. a draining engine gets nothing new
+("drains kept"); 4. no cold engine is overloaded ("no cold server pushed over"); 5. engines hold no state (KV cache that
+a prefill leaves for the decode) or place (memory reserved for a decode) that nobody uses ("nothing left pinned").
 
 The audit shares no code with the router and reads none of its logs. Its input is the journals of `clients.py` and
 `engine.py`, where an engine is called `box`, and lines of the fault injection: `killed` for an engine; `control` for a
-command to it; `edge killed`, `edge started`, `edge stalled`, `edge woke` for an edge, by its port and the prefix of
-its ids; `blind` and `seen` for an engine that edges cannot reach. Times are microseconds of one clock, in order.
+command to it; `edge killed`, `edge started`, `edge stalled`, `edge woke` for an edge (the process that holds the client
+connections), by its port and the prefix of its request ids; `blind` and `seen` for an engine that edges cannot reach.
+Times are microseconds of one clock, in order.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
 @dataclass(slots=True)
 class AuditReport:
-    """Violations of the rules, final answers by class and outcome, and other counts."""
+    """Violations of the rules, final answers by request class and outcome, and other counts."""
 
     violations: list[tuple[str, str]] = field(default_factory=list)
     outcomes: dict[str, Counter[str]] = field(default_factory=dict)
@@ -102,10 +103,10 @@
         self._edges: dict[int, _Edge] = defaultdict(_Edge)
         self._edge_outages: dict[str, Spans] = defaultdict(list)  # by edge id, the prefix of its request ids
         self._runs: dict[str, list[JournalLine]] = defaultdict(list)
-        self._try_of_run: dict[str, str] = {}  # by attempt id, once its writer runs it
+        self._try_of_run: dict[str, str] = {}  # by attempt id, once its writer (decode engine) runs it
         self._ends: dict[tuple[str, str], JournalLine] = {}
         self._order_runs: Counter[str] = Counter()
-        self._complete_events: dict[str, int] = {}  # by try: events of an answer that its writer sent whole
+        self._complete_events: dict[str, int] = {}  # by try: number of events of an answer that its writer completed
         self._draining_since: dict[str, int] = {}
         self._attempt_spans: dict[str, Spans] = defaultdict(list)  # by request: start, end of each attempt
         self._open_attempts: dict[tuple[str, str], list[int]] = {}
--- a/yardspindle/lab/block_cache.py
+++ b/yardspindle/lab/block_cache.py
@@ -1,4 +1,4 @@
-"""A stand-in engine's prefix cache: an LRU of token blocks that publishes cache events.
+"""A stand-in engine's prefix cache: an LRU of token blocks that publishes cache events (blocks stored, removed).
 
 Events are vLLM's, in numbered batches; the latest batches are kept for replay. Published block hashes are salted, as
 an engine's are, so that no other process can compute them.
--- a/yardspindle/lab/clients.py
+++ b/yardspindle/lab/clients.py
@@ -1,7 +1,8 @@
 """Generated chat clients: sessions with shared prefixes, hang-ups, stalled reading, retries after a refusal.
 
 All choices come from a seed. Each try of a request is recorded as the client saw it on its socket: when it was sent,
-when its first token arrived, and how it ended. What the router owes a client is checked by the audit, not here.
+when its first token arrived, and how it ended. Whether the answers follow the router's rules is checked by the audit
+(audit.py), not here. Clients connect to edges, the router's processes that hold the client connections.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
 
 
 class ClientClass(Struct, forbid_unknown_fields=True, frozen=True):
-    """A class of requests: its share of all requests, the client's deadline, and the answer's length."""
+    """A request class of the router: its share of all requests, the client's deadline, and the answer's length."""
 
     name: str
     share: float
@@ -118,7 +119,7 @@
     def __init__(
         self, world: World, model: str, record: Callable[[dict[str, Any]], None], habits: ClientHabits
     ) -> None:
-        """`record` is called with each journal line."""
+        """`world`: the interface to clock, sockets and files. `record` is called with each journal line."""
         self._world = world
         self._model = model
         self._record = record
--- a/yardspindle/lab/day.py
+++ b/yardspindle/lab/day.py
@@ -1,7 +1,9 @@
 """A scripted day: a fleet of real processes, generated clients, faults at set times, and an audit of the journals.
 
-A file describes the fleet, the load and the faults; all random choices come from its seed. The run ends by itself: the
-clients stop, open requests end, all processes are stopped by their ids, and the audit reads the two journals.
+A file describes the fleet, the load and the faults; all random choices come from its seed. In the file, `box` is an
+engine, and a dispatcher is an edge (which holds the client connections) with its planner (which decides which engine
+does what). The run ends by itself: the clients stop, open requests end, all processes are stopped by their ids, and the
+audit reads the two journals (what clients and what engines recorded).
 """
 
 from __future__ import annotations
@@ -121,7 +123,10 @@
     def __init__(
         self, world: RealWorld, day: Day, print_line: Callable[[str], None], journal_folder: str | None = None
     ) -> None:
-        """`print_line` gets progress messages; `journal_folder` keeps the journals after the run."""
+        """`world`: the interface to the real clock, sockets and files.
+
+        `print_line` gets progress messages; `journal_folder` keeps the journals after the run.
+        """
         self.world = world
         self.day = day
         self.print_line = print_line
@@ -264,7 +269,7 @@
             self.fleet.write_list()
 
     def _wait_for_stage(self, when: str, candidates: list[EngineInstance]) -> EngineInstance:
-        """Wait until the journal shows a candidate in a read, a move (of a state) or a stream; returns that engine."""
+        """Wait until the journal shows a candidate in a read, a move (of KV cache) or a stream; returns that engine."""
         at = os.path.getsize(self.engine_journal)
         engines = {engine.settings.name: engine for engine in candidates}
         while True:
--- a/yardspindle/lab/engine.py
+++ b/yardspindle/lab/engine.py
@@ -1,9 +1,10 @@
 """A stand-in engine: serves vLLM's two-stage calls and yardspindle's extensions, takes time, and injects faults.
 
-It does not emulate a GPU: a read processes its uncached tokens, and an answer takes one step per token, both slower
-with more running requests. Slots, queue, prefix cache, states and places are real: they run out and expire, and the
-writer fetches a state from its reader over a socket. Every request, token count, hold and release is appended to a
-journal before its effect is visible; the audit reads no other record of an engine.
+It does not emulate a GPU: a read (prefill) processes its uncached tokens, and a write (decode) takes one step per
+token, both slower with more running requests. Slots, queue, prefix cache, states (KV cache kept for the decode) and
+places (memory reserved for a decode) are real: they run out and expire, and the writer fetches a state from its reader
+over a socket. Every request, token count, hold and release is appended to a journal before its effect is visible; the
+audit reads no other record of an engine.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
     """One engine process: HTTP routes, simulated work, cache events and faults set by `POST /v1/lab/control`."""
 
     def __init__(self, world: World, settings: EngineSettings) -> None:
-        """Opens no sockets before `start`."""
+        """`world`: the interface to clock, sockets and files. Opens no sockets before `start`."""
         super().__init__(world, settings)
         self.tokenizer = ByteTokenizer()
         salt = world.random(f"salt {settings.name} {world.now_us()}").getrandbits(63)
@@ -90,7 +91,7 @@
     # --- routes
 
     def early_reply(self, head: http1.RequestHead) -> Reply | None:
-        """See Handler."""
+        """The reply to a request that is answered without reading its body, or None (Handler)."""
         target = head.target
         if head.method in (b"DELETE", b"GET") and self.hang_signal is not None:
             self.hang_signal.wait()
@@ -105,11 +106,11 @@
         return ApiError(404, "not_found", "No such path.").reply()
 
     def malformed(self, error: http1.ProtocolError) -> Reply:
-        """See Handler."""
+        """The reply to input that is not a valid request (Handler)."""
         return ApiError(error.status, "malformed_request", error.reason).reply()
 
     def handle(self, exchange: Exchange) -> None:
-        """See Handler."""
+        """Answer a request (Handler)."""
         target = exchange.head.target
         if target == CONTROL:
             return self._control(exchange)
@@ -208,7 +209,7 @@
         """Take a slot, queueing for one if necessary; False if refused. Raises StreamError if the client leaves."""
         if not self._within_cold_limit(work_us):
             self.record("fell", request)
-            self.hang_signal = self.world.signal()  # it never answers again
+            self.hang_signal = self.world.signal()  # the overloaded engine never answers again
         full = self.full or (self.load.running >= self.settings.slots and len(self.load.waiting) >= self.settings.queue)
         if full or self.draining:
             code = "engine_draining" if self.draining else "engine_full"
@@ -230,7 +231,7 @@
             exchange.on_disconnect = previous
             if wakeup in self.load.waiting:
                 self.load.waiting.remove(wakeup)
-            elif exchange.disconnected and self.load.waiting:  # it was given a slot: pass it on
+            elif exchange.disconnected and self.load.waiting:  # a slot was given to this request: pass it on
                 self.load.waiting.popleft().set()
             if exchange.disconnected:
                 closed.set()
@@ -302,7 +303,7 @@
             self.record("take place", place)
             self._free_slot(reservation.tokens)
         elif place:
-            self._remember_release(place)  # the reservation may still arrive: it is then refused
+            self._remember_release(place)  # its reservation may arrive later: this engine then refuses it
         steps = self._answer_length(call, lab_id)
         if not self._admit(exchange, request, total, steps * self.settings.step_ms * 1_000, closed):
             return "turned away"
--- a/yardspindle/lab/engine_holds.py
+++ b/yardspindle/lab/engine_holds.py
@@ -1,9 +1,12 @@
 """States and places that a stand-in engine holds: reservation, release, expiry, and the check of fencing tokens.
 
-Beyond the releases that edges send, there are two extensions. `GET /v1/yardspindle/holds` lists every hold with its
-id. A list or release request may also come from a steward acting for the fleet; it then names its duty and carries
-its fence, and is refused with 409 `stale_fence` if a higher fence of that duty has been seen. The highest fences are
-kept in a file and survive a restart.
+A state is the KV cache that a prefill leaves at its engine until the decode has fetched it; a place is memory reserved
+at a decode engine. Both are normally released by an edge, the router's process that holds the client connections.
+Beyond its releases, there are two extensions. `GET /v1/yardspindle/holds` lists every hold with its id. A list or
+release request may also come from a steward, a process that does background work for the whole fleet; it then names its
+duty (the background task, which has one owner at a time) and carries its fence (the number of that ownership), and is
+refused with 409 `stale_fence` if a higher fence of that duty has been seen. The highest fences are kept in a file and
+survive a restart.
 """
 
 from __future__ import annotations
@@ -29,7 +32,10 @@
     """States and places of one engine, its load, and its journal."""
 
     def __init__(self, world: World, settings: EngineSettings) -> None:
-        """Starts with no holds; the highest fences are read from the file that earlier starts wrote."""
+        """`world`: the interface to clock, sockets and files.
+
+        Starts with no holds; the highest fences are read from the file that earlier starts wrote.
+        """
         self.world = world
         self.settings = settings
         self.load = Load()
@@ -52,7 +58,7 @@
         return fences
 
     def record(self, event: str, request: str = "", **more: object) -> None:
-        """Append an event to the journal, without buffering."""
+        """Append an event to the journal, without buffering; `box` is the engine's name."""
         if self.settings.journal:
             line = {"t": self.world.now_us(), "box": self.settings.name, "ev": event, "id": request, **more}
             self.world.append_file(self.settings.journal, msgspec.json.encode(line) + b"\n")
@@ -67,7 +73,10 @@
     # --- routes
 
     def _check_fence(self, head: http1.RequestHead) -> Reply | None:
-        """The refusal of a request with a stale fence; None if its fence is current, or if it carries none."""
+        """The refusal of a request with a stale fence; None if its fence is current, or if it carries none.
+
+        Each request with a fence is journalled as an `order`, with the last part of its path (`holds` or a hold's id).
+        """
         fence = head.get(FENCE_HEADER)
         if fence is None:
             return None
--- a/yardspindle/lab/engine_settings.py
+++ b/yardspindle/lab/engine_settings.py
@@ -1,4 +1,8 @@
-"""A stand-in engine's settings, the bodies of its calls, and the records of its holds and load."""
+"""A stand-in engine's settings, the bodies of its calls, and the records of its holds and load.
+
+An engine reads (prefill), writes (decode) or does both. A hold is a state (KV cache that a read leaves until the write
+has fetched it) or a place (memory reserved for a write).
+"""
 
 from __future__ import annotations
 
@@ -33,8 +37,8 @@
     places: bool = True
     events: bool = False
     journal: str = ""
-    holds: bool = True  # it lists its holds, and checks the fence of releases that carry one
-    fences: str = ""  # file that keeps the highest fences seen across restarts
+    holds: bool = True  # it lists its holds, and checks the fence (number of a duty's owner) of releases that carry one
+    fences: str = ""  # file that keeps the highest fence seen of each duty (background task) across restarts
 
 
 class EngineControl(Struct, forbid_unknown_fields=True):
--- a/yardspindle/lab/etcd.py
+++ b/yardspindle/lab/etcd.py
@@ -1,4 +1,4 @@
-"""A stand-in for etcd's JSON gateway: the store model of core/fleet behind HTTP, with a journal and injected faults.
+"""A stand-in for etcd's JSON gateway: the store model of core/fleet/kv.py behind HTTP, with a journal and faults.
 
 `POST /lab/control` with `{"do": ...}` injects or ends a fault: `no_leader` and `leader`; `late` (`ms` before each
 answer); `lose` (the answers to the next `count` calls that write are lost after their commit); `break_watches`;
@@ -65,7 +65,7 @@
     """An etcd cluster of one member."""
 
     def __init__(self, world: World, journal: str = "") -> None:
-        """Opens no sockets before `start`."""
+        """`world`: the interface to clock, sockets and files. Opens no sockets before `start`."""
         self.world = world
         self.model = StoreModel()
         self.journal = journal
@@ -108,17 +108,17 @@
     # --- routes
 
     def early_reply(self, head: http1.RequestHead) -> Reply | None:
-        """See Handler."""
+        """The reply to a request that is answered without reading its body, or None (Handler)."""
         if head.method != b"POST" or head.target not in PATHS:
             return ApiError(404, "not_found", "Not Found").reply()
         return None
 
     def malformed(self, error: http1.ProtocolError) -> Reply:
-        """See Handler."""
+        """The reply to input that is not a valid request (Handler)."""
         return ApiError(error.status, "malformed_request", error.reason).reply()
 
     def handle(self, exchange: Exchange) -> None:
-        """See Handler."""
+        """Answer a request (Handler)."""
         target, body = exchange.head.target, exchange.body
         if target == CONTROL:
             self._control(msgspec.json.decode(body, type=EtcdControl))
--- a/yardspindle/lab/fault_injection.py
+++ b/yardspindle/lab/fault_injection.py
@@ -1,7 +1,8 @@
 """Injects the faults of a script into a simulated fleet, and undoes them.
 
-Each fault begins, lasts and ends in a task of its own. The audit is sent what clients and engines cannot record
-themselves: kills, stalls, and the times when an engine cannot be reached.
+Each fault begins, lasts and ends in a task of its own. An edge is the process that holds the client connections, its
+planner the process that decides which engine does what, and the link the connection between the two. The audit is sent
+what clients and engines cannot record themselves: kills, stalls, and the times when an engine cannot be reached.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
     sim.scheduler.sleep_until(fleet.started_us + fault.at_ms * 1_000)
     undo = _INJECTORS[fault.kind](fleet, fault)
     sim.scheduler.sleep_until(sim.now_us() + fault.for_ms * 1_000)
-    if undo is not None:  # not reached if the run is stopped meanwhile: nothing may start again then
+    if undo is not None:  # not run if the run was stopped meanwhile: then no program may be started again
         undo()
 
 
@@ -198,7 +199,7 @@
 
 
 def _cut(near: str, far: str, fleet: SimulatedFleet, unreachable: str) -> Undo:
-    """Drop traffic one way. `unreachable` names the engine that the audit excuses; empty for the planner's link."""
+    """Drop traffic one way. `unreachable`: the engine that the audit excuses; empty if the planner's link is cut."""
     network = fleet.sim.network
     network.cut(near, far)
     if unreachable:
--- a/yardspindle/lab/fleet.py
+++ b/yardspindle/lab/fleet.py
@@ -1,7 +1,8 @@
-"""A fleet of child processes on loopback: stand-in engines, dispatchers (planner and edge), and their files.
+"""A fleet of child processes on loopback: stand-in engines, dispatchers, and their files.
 
-Used by `yardspindle up`, by scripted days, load runs and benchmarks. The system chooses each port at a process's first
-start; restarts reuse it, so that other processes find a restarted one at its former address.
+A dispatcher is an edge (the process that holds the client connections) with its planner (the process that decides which
+server does what). Used by `yardspindle up`, by scripted days, load runs and benchmarks. The system chooses each port at
+a process's first start; restarts reuse it, so that other processes find a restarted one at its former address.
 """
 
 from __future__ import annotations
@@ -53,13 +54,16 @@
 
 @dataclass(slots=True)
 class LocalFleet:
-    """The processes and the folder of a fleet. `config` holds the settings that all dispatchers share."""
+    """The processes and the folder of a fleet. `config` holds the settings that all dispatchers share.
+
+    `world` is this program's interface to clock, sockets and files.
+    """
 
     world: RealWorld
     config: dict[str, Any]
     engines: list[EngineInstance]
     dispatchers: list[Dispatcher]
-    shared_store: bool = False  # dispatchers share a store, a file in the fleet's folder, and a steward runs
+    shared_store: bool = False  # the dispatchers share a key-value store, a file in the folder, and a steward runs
     steward: Child | None = None
     folder: tempfile.TemporaryDirectory[str] = field(
         default_factory=lambda: tempfile.TemporaryDirectory(prefix="yardspindle-")
--- a/yardspindle/lab/fleet_simulation.py
+++ b/yardspindle/lab/fleet_simulation.py
@@ -1,9 +1,11 @@
 """Seeded runs of fleet coordination: store, stewards, dispatchers and engines on the virtual World, with faults.
 
-The programs are those that run on real sockets. Invariants, checked all the time: no engine obeys a lower fence after a
-higher one of the same duty; nothing is released for an edge that is alive; no two stewards may act for one duty (not
-checked if a clock steps or leases end early). After the last fault, every duty has exactly one owner again, and
-nothing is held for an edge that is dead.
+The store is the key-value store that the programs share; a steward owns duties (background tasks with one owner at a
+time; a fence numbers the owners); the dispatchers are edges, which hold the client connections. The programs are those
+that run on real sockets; only the World (their interface to clock, sockets, files and randomness) is a simulated one.
+Invariants, checked all the time: no engine obeys a lower fence after a higher one of the same duty; nothing is released
+for an edge that is alive; no two stewards may act for one duty (not checked if a clock steps or leases end early).
+After the last fault, every duty has exactly one owner again, and nothing is held for an edge that is dead.
 """
 
 from __future__ import annotations
@@ -45,7 +47,7 @@
     "dies": (STEWARDS + EDGES, (), 50, 5_000),
     "dies holding": (EDGES, (), 50, 6_000),
     "stalls": (STEWARDS + EDGES, (), 50, 7_000),
-    "steps": (STEWARDS, (), 0, 0),  # the clock, by a minute
+    "steps": (STEWARDS, (), 0, 0),  # the program's clock, by a minute
     "cut": (STEWARDS + EDGES, (STORE, *ENGINES), 50, 6_000),  # traffic in both directions
     "deaf": (STEWARDS + EDGES, (STORE,), 50, 6_000),  # traffic from the store only
     "engine dies": (ENGINES, (), 50, 3_000),
@@ -102,12 +104,12 @@
 
 
 class RecordingEngine(StandInEngine):
-    """A stand-in engine that reports each fenced order to the simulation."""
+    """A stand-in engine that reports each order (a steward's request with a fence) to the simulation."""
 
     on_order: Callable[[str, dict[str, Any]], None]
 
     def record(self, event: str, request: str = "", **more: object) -> None:
-        """See StandInEngine."""
+        """Append an event to the journal (StandInEngine)."""
         if event == "order":
             self.on_order(self.settings.name, {"id": request, **more})
 
@@ -229,7 +231,7 @@
             self.stewards[name].start()
 
     def world(self, name: str) -> VirtualWorld:
-        """A program's World."""
+        """A program's World, its interface to clock, sockets and files."""
         return self.sim.programs[name]
 
     # --- faults
@@ -306,7 +308,7 @@
     # --- rules
 
     def _check_order(self, engine: str, order: dict[str, Any]) -> None:
-        """Check an order with a fence that an engine received."""
+        """Check an order that an engine received."""
         key = (engine, order["duty"])
         if not order["admitted"]:
             self.counts["orders refused"] += 1
--- a/yardspindle/lab/load.py
+++ b/yardspindle/lab/load.py
@@ -1,8 +1,9 @@
 """Open-loop load: random arrivals, sessions with turns, shared prefixes with Zipf popularity.
 
-Open loop: a request is sent at its drawn time, whether or not earlier ones have been answered. Latency is measured
-from the intended send time, so that a stalled router cannot hide its stall. The same file and seed give the same
-traffic, so that two runs can be compared request by request.
+Open loop: a request is sent at its drawn time, whether or not earlier ones have been answered. Latency is measured from
+the intended send time, so that a stalled router cannot hide its stall. The same file and seed give the same traffic, so
+that two runs can be compared request by request. Requests go to edges, the router's processes that hold the client
+connections. `World` is the interface to clock, sockets and files.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
 
 
 class Traffic(Struct, forbid_unknown_fields=True, frozen=True):
-    """The traffic, as its file describes it."""
+    """The traffic, as its file describes it. `cls` is the request class, sent to the router as metadata `class`."""
 
     seed: int
     seconds: Annotated[float, Meta(gt=0, le=3_600)]
--- a/yardspindle/lab/release_simulation.py
+++ b/yardspindle/lab/release_simulation.py
@@ -1,9 +1,11 @@
-"""Seeded runs of releases: store, stewards and unit supervisors on the virtual World, with faults.
-
-A unit's process outlives its supervisor. At every grant, the number of units that are out, by permit or by an outage
-that the steward must know of, is recomputed from the store's rows alone and checked against the limits. Each order
-starts its unit at most once. After the last fault, the release completes, or halts and is rolled back; then every unit
-runs the same version and none is out.
+"""Seeded runs of releases: store, stewards and unit supervisors in simulated time, with faults.
+
+A unit is a dispatcher or model host; its process outlives its supervisor. A steward, which does background work for the
+fleet, runs the release through the store, the key-value store that all share: it grants a unit a permit to be out of
+service and writes an order, such as the version to run. At every grant, the number of units that are out, by permit or
+by an outage that the steward must know of, is recomputed from the store's rows alone and checked against the limits.
+Each order starts its unit at most once. After the last fault, the release completes, or halts and is rolled back; then
+every unit runs the same version and none is out.
 """
 
 from __future__ import annotations
@@ -54,23 +56,23 @@
 
 
 class SimulatedRunner:
-    """Runs a unit's commands in virtual time; see Hands."""
+    """Starts, stops and checks a unit in virtual time (UnitRunner)."""
 
     def __init__(self, world: VirtualWorld, unit: SimulatedUnit) -> None:
-        """For one start of the supervisor."""
+        """For one start of the supervisor; `world` is its simulated clock, network and files."""
         self._world, self._unit = world, unit
         self._process = (0, 0)
 
     def adopt(self, pid: int, born: int) -> None:
-        """See Hands."""
+        """Take over the process that an earlier run of the supervisor started (UnitRunner)."""
         self._process = (pid, born)
 
     def id(self) -> tuple[int, int]:
-        """See Hands."""
+        """The process id and start time of the unit's process; zeros if there is none (UnitRunner)."""
         return self._process
 
     def alive(self) -> bool:
-        """See Hands."""
+        """Whether the unit's process is running (UnitRunner)."""
         if (
             self._unit.running
             and self._unit.version == CRASHING_VERSION
@@ -86,7 +88,7 @@
         )
 
     def start(self, version: str, mark: str) -> int:
-        """See Hands."""
+        """Start the unit, unless a process with this mark is running; 0 on success (UnitRunner)."""
         if not (self._unit.running and self._unit.mark == mark):
             self._unit.starts[mark] += 1
             self._unit.start_number += 1
@@ -98,17 +100,17 @@
         return 0
 
     def stop(self) -> None:
-        """See Hands."""
+        """Stop the unit, and wait until it has exited (UnitRunner)."""
         self._take_time(1_000_000)
         self._unit.running = False
 
     def drain(self, version: str) -> int | None:
-        """See Hands."""
+        """Wait until the unit is idle; 0 on success (UnitRunner)."""
         self._take_time(1_500_000)
         return 0
 
     def check(self, version: str) -> tuple[int | None, bytes]:
-        """See Hands."""
+        """The health check's exit code (0: well, 1: cold, other: failing) and output (UnitRunner)."""
         self._take_time(200_000)
         return (0 if self._unit.sim.now_us() - self._unit.started_us > 800_000 else 1) if self._unit.running else 2, b""
 
@@ -316,7 +318,7 @@
             down = {unit for unit, since in self._down_since.items() if now - since > KNOWN_OUTAGE_US} - permits
             out = permits | down
             zone = {unit for unit in out if int(unit[1:]) % 3 == int(name[1:]) % 3}
-            already_out = name in self._down_since  # it is down anyway, and a roll-back must be able to reach it
+            already_out = name in self._down_since  # down without the permit, and a roll-back must reach the unit
             if not already_out and (len(out) > MAX_OUT or len(zone) > 1):
                 self.violations.append(
                     f"limit: {name} got a permit with {sorted(permits - {name})} out, {sorted(down)} down"
--- a/yardspindle/lab/script.py
+++ b/yardspindle/lab/script.py
@@ -1,8 +1,8 @@
 """Scripts of simulated runs: requests and faults, drawn from a seed as plain data.
 
-A run depends on its script alone. A script can be printed, shrunk request by request and fault by fault, kept in a
-test and run again. Faults often overlap: half of them begin during an earlier fault, and half of those have the same
-target, so that rare combinations occur.
+A run depends on its script alone. A script can be printed, shrunk request by request and fault by fault, kept in a test
+and run again. Faults often overlap: half of them begin during an earlier fault, and half of those have the same target,
+so that rare combinations occur. An edge holds the client connections; its planner decides which engine does what.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 FAULT_COUNT_RANGE = (5, 14)
 
 # kind: (target, shortest duration, longest duration in ms). Kinds include failures that users reported. In the names,
-# "box" is an engine, "move" a state's transfer from reader to writer, and "link" the one between edge and planner.
+# "box" is an engine, "move" a KV cache's transfer from reader to writer, and "link" the one between edge and planner.
 FAULT_KINDS: dict[str, tuple[str, int, int]] = {
     "box hangs": ("box", 50, 3_000),
     "box stalls": ("box", 20, 2_000),
--- a/yardspindle/lab/seeds.py
+++ b/yardspindle/lab/seeds.py
@@ -1,4 +1,4 @@
-"""Runs many seeds on several cores, sums up the results, and shrinks a failing script to what still fails.
+"""Runs many seeds on several CPU cores, sums up the results, and shrinks a failing script to what still fails.
 
 A worker process runs one simulation after another. Automatic garbage collection is off, with a collection every few
 runs: a simulation is one large object graph that is dropped as a whole. A run never depends on its worker or on
@@ -98,7 +98,7 @@
 ) -> Generator[Outcome, None, None]:
     """Yield outcomes in the order of completion. Closing the iterator ends the workers.
 
-    `world`: `traffic` (edges, planner, engines, clients) or `fleet` (stewards, store, dispatchers, engines).
+    `world`: `traffic` (clients, edges, planner, engines) or `fleet` (stewards, store, edges, engines).
     """
     inputs = ((seed, transitions) for seed in range(first, first + count))
     run = _run_fleet if world == "fleet" else _run_traffic
--- a/yardspindle/lab/simulated_fleet.py
+++ b/yardspindle/lab/simulated_fleet.py
@@ -1,6 +1,8 @@
 """A whole fleet on the virtual World: the real edge and planner programs, stand-in engines, clients, and faults.
 
-What clients and engines see goes to the audit as it happens, and the run stops at the step that violates a rule.
+The World is a program's interface to clock, sockets, files and randomness; an edge is the process that holds the client
+connections, the planner the process that decides which engine does what. What clients and engines see goes to the audit
+as it happens, and the run stops at the step that violates a rule.
 """
 
 from __future__ import annotations
@@ -70,12 +72,12 @@
     """A stand-in engine whose journal lines go to the audit, with the simulation's clock instead of its own."""
 
     def __init__(self, fleet: SimulatedFleet, world: VirtualWorld, settings: EngineSettings) -> None:
-        """See StandInEngine."""
+        """An engine of the given fleet, in its own World."""
         self._fleet = fleet
         super().__init__(world, settings)
 
     def record(self, event: str, request: str = "", **more: object) -> None:
-        """See StandInEngine."""
+        """Append an event to the journal (StandInEngine)."""
         world = self.world
         assert isinstance(world, VirtualWorld)
         if world.alive:
--- a/yardspindle/lab/traffic_simulation.py
+++ b/yardspindle/lab/traffic_simulation.py
@@ -1,7 +1,7 @@
-"""Runs one seeded script to its end: a whole fleet on the virtual World, with faults, checking the rules at each step.
+"""Runs one seeded script to its end: a whole fleet in simulated time, with faults, checking the rules at each step.
 
-After the last fault, service has to recover: probe requests are served by every edge, and afterwards no request is
-open, no hold, pending release or task is left.
+After the last fault, service has to recover: probe requests are served by every edge (the process that holds the client
+connections), and afterwards no request is open, no hold, pending release or task is left.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 )
 
 PROBE_CLASS = ClientClass("chat", 1.0, 4_000.0, 4)
-# The edge's last resort: never needed while its planner decides in time.
+# Interlocks (rules by which an edge overrides its planner) that must not act while the planner decides in time.
 FALLBACK_INTERLOCKS = {"answer overdue", "held too long"}
 QUIESCE_US = 8_000_000  # after the probes: longer than any hold, time-out and idle connection
 RECOVERY_TIMEOUT_US = 6_000_000  # every edge must serve again within this time after the last fault
