--- a/yardspindle/lab/fleet_simulation.py
+++ b/yardspindle/lab/fleet_simulation.py
@@ -357,7 +357,7 @@
         duties = {"clock", "sweep/0", "sweep/1"}
         while True:
             alive = {edge.instance_id for name, edge in self.edges.items() if self.world(name).alive}
-            # An edge that died before it was registered in the store is not swept: its death is not known to stewards.
+            # Stewards sweep (release at engines what a dead edge left) only for edges that had registered in the store.
             left = [
                 hold
                 for hold in self.held_ids()
