--- a/benchmarks/fairness.py
+++ b/benchmarks/fairness.py
@@ -1,24 +1,25 @@
-"""How evenly one day's room was shared, from the dispatchers' logs: answered shares, floors, and the least margin.
+"""Fairness of one day, from the dispatchers' logs: answered shares, lower bounds and the smallest margin.
 
     python benchmarks/fairness.py [--quiet | --roll] [--effects CLASS=EFFECT,...] FOLDER
 
-FOLDER holds one `*.log` a dispatcher; of a panel each day has a folder of its own, named after it. A row has requests,
-the share of them that was answered, the floor and the margin over it. Without --quiet or --roll the day is any other.
-
-What is counted. A client's repeat has a new id and no mark in the log: lines of one class, tenant, session and prompt
-length, at whichever dispatcher, are one request, which came with the first of them and is answered if any of them was
-served to its end, in time or late. One whose client left is not answered: the policy that it is compared with meets
-the same clients. It is refused if each of its lines was (a failure that was never sent on counts as a refusal). Streams
-that were broken off and never served again are not answered. A dispatcher's stretches count lines, not requests.
-
-What is known. Floors of whole classes, tenants, effects and thirds of the day are parts of what a policy serves that
-sees the true state late, which no log tells: they have no margin here. Prompts: the longest tenth of a class (under 400
-requests: the quarter) and the next fifth are answered at least half as often as their class, two thirds on a quiet day;
-the gate asks less where the other policy does worse. Sessions, on a quiet day: refused throughout is at most 0.12 of a
-class's more than chance gives, which is the mean over its sessions of its refused share to the power of the turns.
-Dispatchers, on quiet and roll days: at most one in ten turns away all that it gets, 15 or more, for 4 s on end from the
-first to the last, with no attempt in between. Of repeated attempts the log tells the last one's time alone, so a
-stretch may be taken for longer than it was. Worth, shares of tenants and what a killed process had open are not told.
+FOLDER holds one `*.log` per dispatcher; in a panel of days each day has a folder named after it. A row has the number
+of requests, the answered share, its bound and the margin. Without --quiet or --roll the day is an ordinary one.
+
+Counting: a client's retry has a new id and no mark in the log, so lines with the same class, tenant, session and prompt
+length, at any dispatcher, are one request. It arrives with the first line, is answered if any line was served to its
+end, in time or late, and is refused if every line was (a failure that was never sent to a host counts as a refusal). A
+request whose client disconnected is not answered: the policy of comparison meets the same clients. Nor is a stream that
+broke and was never served again. The stretches of a dispatcher count lines, not requests.
+
+Bounds: those of classes, tenants, effects and thirds of the day are fractions of what a policy serves that sees the
+true state late; the logs do not show it, so these rows have no margin. Prompts: the longest tenth of a class (under 400
+requests the longest quarter) and the next fifth are answered at least half as often as their class, two thirds on a
+quiet day; the gate asks less where the policy of comparison does worse. Sessions, on a quiet day: the share of a
+class's sessions that are refused throughout exceeds chance by at most 0.12; chance is the mean over the sessions of the
+class's refused share to the power of their turns. Dispatchers, on quiet and roll days: at most one in ten refuses all,
+15 or more requests, for 4 s from the first to the last with no attempt in between. The log has only the time of the
+last attempt of each stage, so a stretch may appear longer than it was. Request values, tenant shares and the requests
+open at a killed process are not in the logs.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent))
 
-from stages import Row, rows, sent
+from stages import Row, rows, send_times
 
 REFUSALS = {"overloaded", "draining", "edge_full", "planner_lost"}
 PROMPT_PART, PROMPT_PART_QUIET = 1 / 2, 2 / 3
@@ -43,20 +44,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """What a client wanted once, however often it sent it."""
+    """A client's request, with all its retries."""
 
     cls: str
     tenant: str
     session: str
     prompt: float
-    came_ms: float
+    arrived_ms: float
     answered: bool
     refused: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """One row: a share of some requests, sessions or dispatchers, and what bounds it, if that is known."""
+    """One row: a share of requests, sessions or dispatchers, with its bound if it has one."""
 
     name: str
     count: int
@@ -66,7 +67,7 @@
 
     @property
     def margin(self) -> float | None:
-        """How far on the right side of its bound it is."""
+        """Distance to the bound, negative if it is violated."""
         if self.bound is None:
             return None
         return self.bound - self.share if self.at_most else self.share - self.bound
@@ -78,22 +79,22 @@
 
 
 def never_sent(row: Row) -> bool:
-    """No attempt was made for it."""
+    """Whether no attempt was made for the request."""
     reads, writes, _, _ = row["tries"].split(",")
     return reads == writes == "0"
 
 
 def refused(row: Row) -> bool:
-    """It was turned away, or failed with nothing done, which counts as the same."""
+    """Whether the request was refused; a failure without any attempt counts as a refusal."""
     return row["end"] in REFUSALS or (row["end"] != "left" and never_sent(row))
 
 
 def requests(lines: Iterable[Row]) -> list[Request]:
-    """All that clients wanted, by the time it first came."""
-    same: dict[tuple[str, ...], list[Row]] = defaultdict(list)
+    """Group log lines into requests, ordered by first arrival."""
+    copies_by_key: dict[tuple[str, ...], list[Row]] = defaultdict(list)
     for row in lines:
-        alone = row["id"] if row["session"] in ("", "-", "None") else ""  # of no session: every line is its own
-        same[row["cls"], row["tenant"], row["session"], row["prompt"], alone].append(row)
+        alone = row["id"] if row["session"] in ("", "-", "None") else ""  # without a session each line is a request
+        copies_by_key[row["cls"], row["tenant"], row["session"], row["prompt"], alone].append(row)
     found = [
         Request(
             cls,
@@ -104,18 +105,18 @@
             any(row["end"] == "served" for row in copies),
             all(refused(row) for row in copies),
         )
-        for (cls, tenant, session, prompt, alone), copies in same.items()
+        for (cls, tenant, session, prompt, alone), copies in copies_by_key.items()
     ]
-    return sorted(found, key=lambda r: (r.came_ms, r.session, r.prompt))
+    return sorted(found, key=lambda r: (r.arrived_ms, r.session, r.prompt))
 
 
 def answered(some: list[Request]) -> float:
-    """The answered share; 1 of none."""
+    """Return the answered share, 1 for no requests."""
     return sum(r.answered for r in some) / len(some) if some else 1.0
 
 
 def prompt_groups(some: list[Request]) -> dict[str, list[Request]]:
-    """A class's longest prompts and the next ones, by what they are called."""
+    """Return the requests of a class with the longest and the next longest prompts, by row name."""
     ordered = sorted(some, key=lambda r: -r.prompt)
     name, part = ("quarter", 4) if len(some) < 400 else ("tenth", 10)
     end = max(len(some) // part, 1)
@@ -124,7 +125,7 @@
 
 
 def refused_sessions(name: str, some: list[Request], quiet: bool) -> Figure:
-    """How many of a class's sessions were refused throughout."""
+    """Return the row for the share of a class's sessions that were refused throughout."""
     sessions: dict[str, list[bool]] = defaultdict(list)
     for request in some:
         sessions[request.session].append(request.refused)
@@ -141,32 +142,35 @@
 
 
 def longest_ms(lines: list[Row]) -> float:
-    """How long one dispatcher turned away all that came, many enough; clients that left unserved are passed over."""
-    away = [(float(row["came"]), True) for row in lines if refused(row) and never_sent(row)]
+    """Return the longest time in which one dispatcher refused STRETCH_REQUESTS or more requests and served none.
+
+    Clients that disconnected before any attempt are ignored.
+    """
+    turned_away = [(float(row["came"]), True) for row in lines if refused(row) and never_sent(row)]
     others = [(float(row["came"]), False) for row in lines if not never_sent(row)]
-    attempts = [(at, False) for times in sent(lines).values() for at in times]
+    attempts = [(at, False) for times in send_times(lines).values() for at in times]
     stretch: list[float] = []
     longest = 0.0
-    for at, turned in sorted(away + others + attempts):
-        stretch = [*stretch, at] if turned else []
+    for at, is_turned_away in sorted(turned_away + others + attempts):
+        stretch = [*stretch, at] if is_turned_away else []
         if len(stretch) >= STRETCH_REQUESTS:
             longest = max(longest, at - stretch[0])
     return longest
 
 
 def figures(dispatchers: list[list[Row]], effects: dict[str, str], quiet: bool, roll: bool) -> list[Figure]:
-    """All rows of a day, from the lines of each dispatcher."""
+    """Compute all rows of a day from the log lines of each dispatcher."""
     everything = requests(row for lines in dispatchers for row in lines)
     if not everything:
         return []
-    start, span = everything[0].came_ms, max(everything[-1].came_ms - everything[0].came_ms, 1.0)
+    start, span = everything[0].arrived_ms, max(everything[-1].arrived_ms - everything[0].arrived_ms, 1.0)
     groups: dict[str, list[Request]] = defaultdict(list)
     for r in everything:
         groups[f"0 class {r.cls}"].append(r)
         groups[f"1 tenant {r.tenant}"].append(r)
         if effects:
             groups[f"2 effect {effects[r.cls]}"].append(r)
-        groups[f"3 third {min(int(3 * (r.came_ms - start) / span), 2) + 1} of the day"].append(r)
+        groups[f"3 third {min(int(3 * (r.arrived_ms - start) / span), 2) + 1} of the day"].append(r)
     out = [Figure("all", len(everything), answered(everything))]
     out += [Figure(name[2:], len(some), answered(some)) for name, some in sorted(groups.items())]
     for cls in sorted({r.cls for r in everything}):
@@ -190,18 +194,21 @@
 
 
 def least(day: list[Figure]) -> str:
-    """The last line; bounds of which nothing is used come last, for they'd hide the others."""
+    """Return the last line: the smallest margin.
+
+    Upper bounds on a share of zero are considered last, because their margins would hide the others.
+    """
     known = [(f.at_most and not f.share, f.margin, f.name) for f in day if f.margin is not None]
     return f"least margin {min(known)[1]:+.3f}: {min(known)[2]}" if known else "least margin: none is known"
 
 
 @click.command()
-@click.option("--quiet", is_flag=True, help="A quiet day (calm): two thirds, and all bounds.")
-@click.option("--roll", is_flag=True, help="A roll day: dispatchers are bound.")
-@click.option("--effects", default="", help="CLASS=EFFECT,... of all classes, as the day's settings have them.")
+@click.option("--quiet", is_flag=True, help="A quiet day (calm): two thirds for prompts, and all bounds.")
+@click.option("--roll", is_flag=True, help="A roll day: the bound on dispatchers applies.")
+@click.option("--effects", default="", help="CLASS=EFFECT,... for all classes, as in the day's settings.")
 @click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
 def main(folder: Path, quiet: bool, roll: bool, effects: str) -> None:
-    """Print a day's rows and the least margin."""
+    """Print a day's rows and the smallest margin."""
     dispatchers = [rows(path.read_text().splitlines()) for path in sorted(folder.glob("*.log"))]
     by_class = dict(part.split("=", 1) for part in effects.split(",") if "=" in part)
     unknown = sorted({row["cls"] for lines in dispatchers for row in lines} - by_class.keys()) if effects else []
@@ -213,8 +220,8 @@
         "\n".join(
             [
                 *map(str, day),
-                "no bound: it is a part of what the late-seeing policy serves, which logs do "
-                "not tell, or is not asked on such a day",
+                "no bound: it depends on what the policy of comparison serves, which the logs do "
+                "not show, or is not required on such a day",
                 least(day),
             ]
         )
--- a/benchmarks/first_token.py
+++ b/benchmarks/first_token.py
@@ -1,9 +1,9 @@
-"""Time to first token with cache events, with guesses and with neither, through the whole router at 10 and 40 readers.
+"""Time to first token with cache events, with estimates and without an index, through the router at 10 and 40 readers.
 
-Run: python benchmarks/first_token.py [--jobs N]. Edges, planner, link, engines and clients are the programs as they
-run on sockets, on the virtual World: times are virtual, the same every time, and no measure of this machine. Three
-kinds of traffic: steady shared texts with sessions; unseen texts in a flood in the middle third; everything forgotten
-in the middle. Latencies are from the intended send. The same traffic is paired request by request.
+Run: python benchmarks/first_token.py [--jobs N]. Edges, planner, link, engines and clients are the real programs on the
+virtual World, so times are virtual, reproducible and independent of the machine. Three kinds of traffic: steady shared
+prefixes with sessions (steady); unseen prompts during the middle third (flood); all caches cleared half-way (forget).
+Latency counts from the intended send time. Modes are compared request by request on the same traffic.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 from yardspindle.runtime.virtual import Simulation
 
 EDGES = 2
-RATE_PER_READER = 6.0  # a little over half busy without any cache
+RATE_PER_READER = 6.0  # slightly over half utilisation without any cache
 SECONDS = {10: 12.0, 40: 4.0}
 KINDS = ("steady", "flood", "forget")
 MODES = ("events", "guess", "off")
 HOST = "127.0.0.1"
 
 
-def traffic(readers: int, seed: int, **more: Any) -> Traffic:
+def traffic(readers: int, seed: int, **overrides: Any) -> Traffic:
     return Traffic(
         **{
             "seed": seed,
@@ -44,27 +44,27 @@
             "rate_per_s": RATE_PER_READER * readers,
             "openings": 200,
             "answer_tokens": 4,
-            **more,
+            **overrides,
         }
     )
 
 
 def play(job: tuple[str, int, str]) -> tuple[tuple[str, int, str], dict[int, int], dict[str, int], float]:
-    """One case: times to first token by request, outcomes, and the part of the tokens read that were cached."""
+    """Run one case; returns it with times to first token by request, outcomes and the share of cached prompt tokens."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
     kind, readers, mode = job
     sim = Simulation(1)
-    boxes: list[EngineInstance] = []
+    instances: list[EngineInstance] = []
     engines: list[StandInEngine] = []
     counts = {"tokens": 0, "kept": 0}
 
-    def seen(_path: str, data: bytes) -> None:
+    def count_tokens(_path: str, data: bytes) -> None:
         line = msgspec.json.decode(data)
         if line["ev"] == "hold state":
             counts["tokens"] += line["tokens"]
             counts["kept"] += line["kept"]
 
-    sim.on_append = seen
+    sim.on_append = count_tokens
 
     def program() -> LoadReport:
         for number in range(readers + readers // 2):
@@ -85,7 +85,7 @@
             engine = StandInEngine(sim.program(name), settings)
             _, port = engine.start(HOST, 0)
             engines.append(engine)
-            boxes.append(
+            instances.append(
                 EngineInstance(
                     settings,
                     0,
@@ -95,7 +95,7 @@
                     replay_port=engine.replay_port,
                 )
             )
-        sim.files["servers.toml"] = server_list(boxes).encode()
+        sim.files["servers.toml"] = server_list(instances).encode()
         document: dict[str, Any] = {"index": {"block_size": 64, "mode": mode}}
         planner = Planner(sim.program("planner"), parse("c", to_toml({**document, "planner": {"listen": f"{HOST}:0"}})))
         _, port = planner.start()
@@ -138,7 +138,7 @@
 @click.command()
 @click.option("--jobs", default=multiprocessing.cpu_count())
 def main(jobs: int) -> None:
-    """Play all cases and print a table."""
+    """Run all cases and print a table."""
     cases = [(kind, readers, mode) for readers in sorted(SECONDS, reverse=True) for kind in KINDS for mode in MODES]
     with multiprocessing.get_context("spawn").Pool(jobs) as pool:
         results = {
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -1,7 +1,6 @@
-"""What owning costs: time without an owner by fault, store calls by fleet size, a dead edge's holds, a store away.
+"""Duty ownership: time without an owner by fault, store calls by fleet size, release of a dead edge's holds, outages.
 
-All on the virtual World, with the programs as they run on sockets: virtual times and counts, so that no machine's
-speed is in them.
+The real programs run on the virtual World, so times are virtual and counts do not depend on the machine's speed.
 
     python -m benchmarks.ownership [RUNS]
 """
@@ -31,7 +30,7 @@
 
 
 class Stewards:
-    """A store and stewards, with duties of their own and no engines."""
+    """A store and stewards with duties but no engines."""
 
     def __init__(self, seed: int, stewards: int, cells: int, members: int = 0) -> None:
         self.sim = Simulation(seed)
@@ -86,15 +85,15 @@
                 return name
         return None
 
-    def until(self, look: Callable[[], bool], step_us: int = 2_000) -> int:
+    def until(self, condition: Callable[[], bool], step_us: int = 2_000) -> int:
         began = self.sim.now_us()
-        while not look():
+        while not condition():
             self.sim.scheduler.sleep_until(self.sim.now_us() + step_us)
         return self.sim.now_us() - began
 
 
-def without_owner(kind: str, seed: int) -> int:
-    """Microseconds from the fault to the next owner's first moment."""
+def time_without_owner(kind: str, seed: int) -> int:
+    """Return the microseconds without an owner, from the fault or the last owner's stop to the next owner."""
     bench = Stewards(seed, 3, 3)
     gap = 0
 
@@ -128,8 +127,8 @@
     return gap
 
 
-def calls_a_member(members: int) -> tuple[float, float]:
-    """Store calls a second for each member, at rest, and in all."""
+def calls_per_member(members: int) -> tuple[float, float]:
+    """Return the store calls per second of an idle fleet, per member and in total."""
     bench = Stewards(1, 5, 49, members - 5)
     seconds = 20
 
@@ -144,12 +143,12 @@
     return total / members, total
 
 
-def last_hold(seed: int, stewards: bool) -> int | None:
-    """Microseconds from an edge's death to its last hold let go of; None when nothing was held."""
+def last_hold_released(seed: int, stewards: bool) -> int | None:
+    """Return the microseconds from an edge's death to the release of its last hold; None if it held nothing."""
     world = FleetSimulation(FleetScript(seed, (), tuple(range(0, 3_000, 120))))
     took: int | None = None
 
-    def trouble() -> None:
+    def kill_edge() -> None:
         nonlocal took
         sim = world.sim
         if not stewards:
@@ -163,7 +162,7 @@
             took = sim.now_us() - died
 
     real = world._run_fault
-    world._run_fault = lambda fault, started: trouble() if fault.kind == "bench" else real(fault, started)  # type: ignore
+    world._run_fault = lambda fault, started: kill_edge() if fault.kind == "bench" else real(fault, started)  # type: ignore
     world.script = FleetScript(seed, (FleetFault("bench", "edge0", "", 500, 0),), world.script.requests)
     world._check_settled = lambda: None  # type: ignore[method-assign]
     for box in world.instances.values():
@@ -172,8 +171,8 @@
     return took
 
 
-def served(store: bool, seed: int) -> Counter[str]:
-    """How the same requests end, with the store there or away all along."""
+def outcomes(store: bool, seed: int) -> Counter[str]:
+    """Count the outcomes of the same requests with the store available or unavailable throughout."""
     faults = () if store else (FleetFault("no leader", "store", "", 0, 14_000),)
     world = FleetSimulation(FleetScript(seed, faults, tuple(range(200, 12_000, 100))))
     world._check_settled = lambda: None  # type: ignore[method-assign]
@@ -195,16 +194,19 @@
     runs = int(sys.argv[1]) if len(sys.argv) > 1 else 200
     print(f"lease {TTL_MS / 1_000:g} s, margin 0.2 s; {runs} runs each, virtual time")
     for kind in ("killed", "stopped", "cut from the store", "lease ended", "leaves"):
-        print(f"without an owner, {kind}: {quantiles([without_owner(kind, seed) for seed in range(runs)])}", flush=True)
+        print(
+            f"without an owner, {kind}: {quantiles([time_without_owner(kind, seed) for seed in range(runs)])}",
+            flush=True,
+        )
     for members in (10, 200, 1_000):
-        each, total = calls_a_member(members)
+        each, total = calls_per_member(members)
         print(f"{members} members, 50 duties: {each:.2f} store calls a second for each, {total:.0f} in all", flush=True)
-    after = [took for seed in range(max(runs // 8, 4)) if (took := last_hold(seed, True)) is not None]
+    after = [took for seed in range(max(runs // 8, 4)) if (took := last_hold_released(seed, True)) is not None]
     print(f"from an edge's death to its last hold, with stewards: {quantiles(after)} ({len(after)} deaths with holds)")
     for store in (True, False):
         counts: Counter[str] = Counter()
         for seed in range(max(runs // 20, 2)):
-            counts.update(served(store, seed))
+            counts.update(outcomes(store, seed))
         print(f"store {'there' if store else 'away'}: {dict(counts)}", flush=True)
 
 
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,14 +1,14 @@
-"""What the dispatcher costs: CPU of a streamed event and of a request, system calls, time to first token.
+"""Overhead of the dispatcher: CPU per streamed event and per request, system calls, time to first token.
 
-Run: python benchmarks/path.py [--seconds N]. Everything is on loopback, bounded, and compared within the run:
+Run: python benchmarks/path.py. Everything runs on loopback with bounded load and is compared within the run:
 
-- a streamed event: CPU of the edge's process over that of a bare loop which copies bytes between two sockets on the
-  same scheduler, both fed the same streams by the same stand-in engine;
-- a request: CPU of edge and planner for answers of one token, over the same bare loop;
-- time to first token: through the dispatcher over the same two calls made straight at the same engines, in turn;
-- system calls of the edge for each request and for each event, counted at its sockets and its poll.
+- streamed event: CPU of the edge over that of a bare loop which copies bytes between two sockets on the same scheduler,
+  both fed the same streams by the same stand-in engine;
+- request: CPU of edge and planner for answers of one token, over the same bare loop;
+- time to first token: through the dispatcher over the same two calls made directly to the same engines, alternating;
+- system calls of the edge per request and per event, counted at its sockets; the poll is shared and not counted.
 
-CPU is what the kernel counts for each process (`/proc/PID/schedstat`).
+CPU time is the kernel's count for each process (`/proc/PID/schedstat`).
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 STREAMS = 40
 EVENTS = 400
 STEP_MS = 10.0
-SHORT = 400
+SHORT_REQUESTS = 400
 HEADERS: http1.Headers = [(b"content-type", b"application/json")]
 
 
@@ -62,7 +62,7 @@
 
 
 def stream(http: HttpClient, address: tuple[str, int], data: bytes) -> tuple[int, int]:
-    """Events of an answer, and when the first came."""
+    """Return the number of events of an answer and when the first arrived."""
     response = http.request(*address, b"POST", b"/v1/chat/completions", HEADERS, data)
     parser, events, first = SseParser(), 0, 0
     while (piece := response.read()) is not None:
@@ -74,7 +74,7 @@
 
 
 def relay(world: RealWorld, upstream: tuple[str, int]) -> None:
-    """The bare loop: bytes from one socket to the other, both ways."""
+    """Run the bare loop: copy bytes between two sockets in both directions."""
     listener = world.listen("127.0.0.1", 0)
     click.echo(f"ready http://127.0.0.1:{listener.port}/")
     sys.stdout.flush()
@@ -98,23 +98,23 @@
 
 
 def load(world: RealWorld, http: HttpClient, address: tuple[str, int], streams: int, rounds: int, tokens: int) -> int:
-    """Events of `streams` clients at once, each asking `rounds` times."""
+    """Return the events received by `streams` concurrent clients that send `rounds` requests each."""
     total = 0
 
     def client(number: int) -> None:
         nonlocal total
-        for each in range(rounds):
-            total += stream(http, address, body(tokens, number * 1_000 + each))[0]
+        for round_number in range(rounds):
+            total += stream(http, address, body(tokens, number * 1_000 + round_number))[0]
 
     for task in [world.spawn("client", client, number) for number in range(streams)]:
         task.join()
     return total
 
 
-def measure(world: RealWorld, fleet: LocalFleet, both: EngineInstance) -> None:
+def measure(world: RealWorld, fleet: LocalFleet, direct_engine: EngineInstance) -> None:
     http = HttpClient(world, 1_000_000, 4_000_000)
     here = str(Path(__file__))
-    bare = Child(world, "relay", [sys.executable, here, "--relay", str(both.port)], fleet.path("relay.log"))
+    bare = Child(world, "relay", [sys.executable, here, "--relay", str(direct_engine.port)], fleet.path("relay.log"))
     bare_address = ("127.0.0.1", int(bare.first_line(10_000_000).rpartition(":")[2].strip("/")))
     dispatcher = fleet.dispatchers[0]
     address = ("127.0.0.1", dispatcher.port)
@@ -126,20 +126,20 @@
         ratios, splits = [], []
         for _ in range(3):
             before = cpu_ns(edge), cpu_ns(bare.pid)
-            ours = load(world, http, address, STREAMS, 1, EVENTS)
-            theirs = load(world, http, bare_address, STREAMS, 1, EVENTS)
+            edge_events = load(world, http, address, STREAMS, 1, EVENTS)
+            bare_events = load(world, http, bare_address, STREAMS, 1, EVENTS)
             after = cpu_ns(edge), cpu_ns(bare.pid)
-            ratios.append((after[0] - before[0]) / ours / ((after[1] - before[1]) / theirs))
+            ratios.append((after[0] - before[0]) / edge_events / ((after[1] - before[1]) / bare_events))
         print(
             f"CPU of a streamed event, edge / bare copy loop: {statistics.median(ratios):.2f} "
             f"(of {', '.join(f'{r:.2f}' for r in ratios)}); aim: at most 3"
         )
         for _ in range(3):
             started = [cpu_ns(pid) for pid in (edge, planner, bare.pid)]
-            load(world, http, address, 4, SHORT // 4, 1)
-            load(world, http, bare_address, 4, SHORT // 4, 1)
+            load(world, http, address, 4, SHORT_REQUESTS // 4, 1)
+            load(world, http, bare_address, 4, SHORT_REQUESTS // 4, 1)
             ended = [cpu_ns(pid) for pid in (edge, planner, bare.pid)]
-            splits.append([(b - a) / SHORT for a, b in zip(started, ended, strict=True)])
+            splits.append([(b - a) / SHORT_REQUESTS for a, b in zip(started, ended, strict=True)])
         edge_part = statistics.median(s[0] / s[2] for s in splits)
         planner_part = statistics.median(s[1] / s[2] for s in splits)
         print(f"CPU of a request of one token, over the bare loop: edge {edge_part:.1f}, planner {planner_part:.1f}")
@@ -151,11 +151,11 @@
 def first_tokens(world: RealWorld, fleet: LocalFleet, http: HttpClient, address: tuple[str, int]) -> None:
     reader = next(box for box in fleet.engines if box.kind == "reader")
     writer = next(box for box in fleet.engines if box.kind == "writer")
-    ours, straight = [], []
+    via_dispatcher, direct = [], []
     for number in range(100):
         started = world.now_us()
         _, first = stream(http, address, body(1, 10_000 + number))
-        ours.append(first - started)
+        via_dispatcher.append(first - started)
         started = world.now_us()
         read = http.request(
             "127.0.0.1",
@@ -172,13 +172,13 @@
             ("127.0.0.1", writer.port),
             body(1, 20_000 + number, kv_transfer_params={**params, "do_remote_prefill": True}),
         )
-        straight.append(first - started)
-    ratio = statistics.median(ours) / statistics.median(straight)
+        direct.append(first - started)
+    ratio = statistics.median(via_dispatcher) / statistics.median(direct)
     print(f"time to first token, dispatcher / straight at the same engines: {ratio:.2f} (medians of 100 each)")
 
 
 def system_calls() -> None:
-    """Counted in one process with all parts, but only at the edge's own sockets; the poll is shared."""
+    """Count system calls at the edge's sockets only; all programs share one process and its poll."""
     import tempfile
 
     counts = {"recv": 0, "send": 0}
@@ -246,14 +246,14 @@
 
 
 @click.command()
-@click.option("--relay", "relay_to", type=int, hidden=True)
-def main(relay_to: int | None) -> None:
+@click.option("--relay", "relay_port", type=int, hidden=True)
+def main(relay_port: int | None) -> None:
     configure_logging(LogConfig(level="error"))
     world = RealWorld()
-    if relay_to is not None:
-        world.run("relay", relay, world, ("127.0.0.1", relay_to))
+    if relay_port is not None:
+        world.run("relay", relay, world, ("127.0.0.1", relay_port))
         return
-    boxes = [
+    instances = [
         EngineInstance(
             EngineSettings(
                 name=name,
@@ -268,14 +268,14 @@
         )
         for name, role, kind in (("r0", "read", "reader"), ("w0", "write", "writer"), ("b0", "both", "both"))
     ]
-    boxes[2].listed = False  # the bare loop's own engine: it reads and writes
+    instances[2].listed = False  # the bare loop's engine, which reads and writes
     config = {"log": {"level": "warning"}, "edge": {"stalled_client_ms": 60_000.0}}
-    fleet = LocalFleet(world, config, boxes, [Dispatcher(0)])
+    fleet = LocalFleet(world, config, instances, [Dispatcher(0)])
 
     def program() -> None:
         try:
             fleet.start()
-            measure(world, fleet, boxes[2])
+            measure(world, fleet, instances[2])
         finally:
             fleet.stop()
             fleet.remove_files()
--- a/benchmarks/prefix_hits.py
+++ b/benchmarks/prefix_hits.py
@@ -1,10 +1,10 @@
-"""Hit rate with cache events, with guesses, with neither, and with an oracle under the same bound.
+"""Cache hit rate with cache events, with estimates, with neither, and with an oracle under the same limits.
 
-Run: python benchmarks/prefix_hits.py. The policy and the cores run on drawn traffic against emulated caches on a
-clock of the benchmark's own: no socket, the same figures every time. Three kinds of traffic, at 10 and 40 readers:
-steady shared texts, unseen texts in a flood, everything forgotten in the middle. The oracle tells the policy what
-each reader really keeps; "neither" tells it nothing, so that it goes by its own memory as ever. Several routers read
-at the same boxes and know nothing of each other.
+Run: python benchmarks/prefix_hits.py. The policy and the cores run on random traffic against emulated caches and a
+simulated clock, without sockets; the figures are reproducible. Three kinds of traffic, at 10 and 40 readers: steady
+shared prefixes (steady), unseen prompts during the middle third (flood), all caches cleared half-way (forget). The
+oracle gives the policy the true content of each cache; with "neither" the policy relies on its own history. Several
+routers share the readers and know nothing of each other.
 """
 
 from __future__ import annotations
@@ -25,38 +25,39 @@
 from yardspindle.core.prefix.tokenizer import ByteTokenizer
 from yardspindle.lab.block_cache import BlockCache
 
-SIZE = 16
+BLOCK_SIZE = 16
 ROUTERS = 3
-SECONDS = {10: 20.0, 40: 6.0}  # by readers: as many requests in each
-RATE_PER_READER = 30.0  # busy: with less, every prompt is read at its home and nothing depends on knowing
+SECONDS = {10: 20.0, 40: 6.0}  # by number of readers, for equally many requests
+# High load: below it every prompt is read at its home and knowledge of the caches makes no difference.
+RATE_PER_READER = 30.0
 TOKENS_PER_S = 20_000.0
-ROOM_BLOCKS = 2_500
+CACHE_BLOCKS = 2_500
 KINDS = ("steady", "flood", "forget")
 MODES = ("oracle", "events", "guess", "neither")
 
 
 @dataclass
 class Reader:
-    """A cache and one queue."""
+    """A reader with its cache and one queue."""
 
     cache: BlockCache
-    free_us: int = 0
-    sent: list[tuple[int, bytes]] = field(default_factory=list)
+    idle_at_us: int = 0
+    events: list[tuple[int, bytes]] = field(default_factory=list)
 
 
 @dataclass
 class Tally:
-    """Tokens and times."""
+    """Totals of one run: prompt tokens, cached tokens and read times."""
 
-    asked: int = 0
-    cached: int = 0
+    prompt_tokens: int = 0
+    cached_tokens: int = 0
     waits_us: list[int] = field(default_factory=list)
 
 
-def prompt(
+def draw_prompt(
     rng: random.Random, kind: str, now_s: float, sessions: dict[int, list[int]], seconds: float
 ) -> tuple[str, str, list[int], int]:
-    """Shared text's name, session's name, tokens, and the shared text's length."""
+    """Draw a prompt: name of the shared prefix, session, tokens, and length of the shared prefix."""
     if kind == "flood" and seconds / 3 < now_s < 2 * seconds / 3 and rng.random() < 0.3:
         name = rng.randrange(10**9)
         return f"u{name}", f"su{name}", [rng.randrange(50_000) for _ in range(1_500)], 1_400
@@ -72,14 +73,14 @@
 
 def play(kind: str, readers: int, mode: str) -> Tally:
     rng, seconds = random.Random(f"{kind} {readers}"), SECONDS[readers]
-    boxes: list[Reader] = []
+    reader_states: list[Reader] = []
     for _ in range(readers):
         sent: list[tuple[int, bytes]] = []
-        boxes.append(
+        reader_states.append(
             Reader(
                 BlockCache(
-                    ROOM_BLOCKS,
-                    SIZE,
+                    CACHE_BLOCKS,
+                    BLOCK_SIZE,
                     rng.getrandbits(60),
                     lambda n, d, s=sent: s.append((n, d)),  # type: ignore[misc]
                     lambda: now_us / 1e6,
@@ -106,75 +107,77 @@
     now_us = 0
     for policy in policies:
         policy.handle(0, i.Members(i.ListKind.COMPLETE, 1, entries))
-    known = [
-        PrefixTracker(ByteTokenizer(), SIZE, 1_000_000, use_estimates=mode == "guess", use_events=mode == "events")
+    trackers = [
+        PrefixTracker(
+            ByteTokenizer(), BLOCK_SIZE, 1_000_000, use_estimates=mode == "guess", use_events=mode == "events"
+        )
         for _ in range(ROUTERS)
     ]
     names = [str(n + 1) for n in range(readers)]
-    for knowledge in known:
-        knowledge.set_publishers(names)
-    due: list[tuple[int, int, str, Any]] = []
+    for tracker in trackers:
+        tracker.set_publishers(names)
+    queue: list[tuple[int, int, str, Any]] = []
     order = 0
 
-    def later(at_us: int, what: str, value: Any) -> None:
+    def schedule(at_us: int, what: str, value: Any) -> None:
         nonlocal order
         order += 1
-        heapq.heappush(due, (at_us, order, what, value))
+        heapq.heappush(queue, (at_us, order, what, value))
 
     tally, number = Tally(), 0
     sessions: dict[int, list[int]] = {}
-    asks: dict[int, tuple[int, list[int], PromptBlocks, dict[str, float]]] = {}
-    heard = [[0] * readers for _ in range(ROUTERS)]
+    requests: dict[int, tuple[int, list[int], PromptBlocks, dict[str, float]]] = {}
+    received = [[0] * readers for _ in range(ROUTERS)]
     at = 0.0
     while (at := at + rng.expovariate(RATE_PER_READER * readers)) < seconds:
-        later(int(at * 1e6), "ask", None)
+        schedule(int(at * 1e6), "ask", None)
     if kind == "forget":
-        later(int(seconds / 2 * 1e6), "forget", None)
+        schedule(int(seconds / 2 * 1e6), "forget", None)
 
     def act(router: int, actions: list[i.Action]) -> None:
         for action in actions:
             if isinstance(action, i.SetTimer):
-                later(action.due_us, "timer", (router, action.token))
+                schedule(action.due_us, "timer", (router, action.token))
             elif isinstance(action, i.Send):
-                _, tokens, blocks, told = asks[action.request]
+                _, tokens, blocks, kept_by_server = requests[action.request]
                 if action.server == 10_000:
-                    later(now_us + 1_000, "written", (router, action.request))
+                    schedule(now_us + 1_000, "written", (router, action.request))
                     continue
-                reader = boxes[action.server - 1]
+                reader = reader_states[action.server - 1]
                 packed = pack_tokens(tokens)
-                cached = reader.cache.cached_prefix_blocks(list(blocks.hashes)) * SIZE
+                cached = reader.cache.cached_prefix_blocks(list(blocks.hashes)) * BLOCK_SIZE
                 reader.cache.insert(list(blocks.hashes), packed)
-                started = max(now_us, reader.free_us)
-                reader.free_us = started + int((len(tokens) - cached) / TOKENS_PER_S * 1e6)
-                tally.asked += len(tokens)
-                tally.cached += cached
-                tally.waits_us.append(reader.free_us - now_us)
-                later(reader.free_us, "read", (router, action.request, action.server, cached, now_us))
-
-    while due:
-        now_us, _, what, value = heapq.heappop(due)
+                started = max(now_us, reader.idle_at_us)
+                reader.idle_at_us = started + int((len(tokens) - cached) / TOKENS_PER_S * 1e6)
+                tally.prompt_tokens += len(tokens)
+                tally.cached_tokens += cached
+                tally.waits_us.append(reader.idle_at_us - now_us)
+                schedule(reader.idle_at_us, "read", (router, action.request, action.server, cached, now_us))
+
+    while queue:
+        now_us, _, what, value = heapq.heappop(queue)
         if what == "ask":
             number += 1
             router = rng.randrange(ROUTERS)
-            text, session, tokens, shared = prompt(rng, kind, now_us / 1e6, sessions, seconds)
-            blocks = PromptBlocks(boxes[0].cache.prompt_hashes(pack_tokens(tokens)), len(tokens))
-            knowledge = known[router]
+            prefix, session, tokens, shared = draw_prompt(rng, kind, now_us / 1e6, sessions, seconds)
+            blocks = PromptBlocks(reader_states[0].cache.prompt_hashes(pack_tokens(tokens)), len(tokens))
+            tracker = trackers[router]
             if mode == "events":
-                for n, reader in enumerate(boxes):
-                    for seq, data in reader.sent[heard[router][n] :]:
-                        knowledge.receive_batch(now_us, names[n], seq, msgspec.msgpack.decode(data, type=Batch))
-                    heard[router][n] = len(reader.sent)
+                for n, reader in enumerate(reader_states):
+                    for seq, data in reader.events[received[router][n] :]:
+                        tracker.receive_batch(now_us, names[n], seq, msgspec.msgpack.decode(data, type=Batch))
+                    received[router][n] = len(reader.events)
             if mode == "oracle":
-                told = {
-                    name: float(box.cache.cached_prefix_blocks(list(blocks.hashes)) * SIZE)
-                    for name, box in zip(names, boxes, strict=True)
+                kept_by_server = {
+                    name: float(reader.cache.cached_prefix_blocks(list(blocks.hashes)) * BLOCK_SIZE)
+                    for name, reader in zip(names, reader_states, strict=True)
                 }
             elif mode == "neither":
-                told = {}
+                kept_by_server = {}
             else:
-                told = knowledge.predict_from_index(now_us, blocks, names, float(len(tokens)))
-            asks[number] = (router, list(tokens), blocks, told)
-            kept = {int(name): value for name, value in told.items()} if mode != "neither" else None
+                kept_by_server = tracker.predict_from_index(now_us, blocks, names, float(len(tokens)))
+            requests[number] = (router, list(tokens), blocks, kept_by_server)
+            kept = {int(name): value for name, value in kept_by_server.items()} if mode != "neither" else None
             act(
                 router,
                 policies[router].handle(
@@ -186,7 +189,7 @@
                         float(len(tokens)),
                         float(shared),
                         20.0,
-                        prefix=text,
+                        prefix=prefix,
                         session=session,
                         kept=kept,
                     ),
@@ -194,9 +197,9 @@
             )
         elif what == "read":
             router, request, server, cached, sent_us = value
-            _, tokens, blocks, told = asks[request]
+            _, tokens, blocks, kept_by_server = requests[request]
             if mode == "guess":
-                known[router].read(names[server - 1], blocks, len(tokens), cached, None)
+                trackers[router].record_read(names[server - 1], blocks, len(tokens), cached, None)
             act(
                 router,
                 policies[router].handle(
@@ -209,31 +212,31 @@
         elif what == "timer":
             act(value[0], policies[value[0]].handle(now_us, i.Timer(value[1])))
         else:
-            for reader in boxes:
+            for reader in reader_states:
                 reader.cache.clear()
     return tally
 
 
 @click.command()
-@click.option("--routers", default=ROUTERS, help="That read at the same boxes and know nothing of each other.")
-@click.option("--seconds", type=float, help="Of traffic, instead of the stated.")
-@click.option("--readers", type=int, multiple=True, default=tuple(SECONDS), help="Sizes to play.")
+@click.option("--routers", default=ROUTERS, help="Number of routers that share the readers.")
+@click.option("--seconds", type=float, help="Seconds of traffic instead of the defaults.")
+@click.option("--readers", type=int, multiple=True, default=tuple(SECONDS), help="Numbers of readers.")
 def main(routers: int, seconds: float | None, readers: tuple[int, ...]) -> None:
-    """Play every kind of traffic in every mode."""
+    """Run every kind of traffic in every mode."""
     global ROUTERS
     ROUTERS = routers
     for size in readers:
         SECONDS[size] = seconds or SECONDS[size]
         for kind in KINDS:
             tallies = {mode: play(kind, size, mode) for mode in MODES}
-            best = tallies["oracle"]
+            oracle = tallies["oracle"]
             rows = []
             for mode, tally in tallies.items():
-                rate = tally.cached / tally.asked
+                rate = tally.cached_tokens / tally.prompt_tokens
                 mean = sum(tally.waits_us) / len(tally.waits_us)
-                work = (tally.asked - tally.cached) / (best.asked - best.cached)
-                of_best = rate / (best.cached / best.asked)
-                wait = mean / (sum(best.waits_us) / len(best.waits_us))
+                work = (tally.prompt_tokens - tally.cached_tokens) / (oracle.prompt_tokens - oracle.cached_tokens)
+                of_best = rate / (oracle.cached_tokens / oracle.prompt_tokens)
+                wait = mean / (sum(oracle.waits_us) / len(oracle.waits_us))
                 rows.append(f"{mode} {rate:.3f} ({of_best:.2f} of the oracle; work {work:.2f}, read time {wait:.2f})")
             print(f"{size} readers, {kind}: " + "; ".join(rows))
 
--- a/benchmarks/prefix_index.py
+++ b/benchmarks/prefix_index.py
@@ -1,7 +1,7 @@
-"""The prefix index against a plain dict of sets: look-ups, updates, bytes a block.
+"""The prefix index compared with a dict of sets: look-ups, updates, bytes per block.
 
-Run: python benchmarks/prefix_index.py [--blocks N]. The same drawn texts are stored in both; times are ratios of
-medians within the run, memory is what tracemalloc counts.
+Run: python benchmarks/prefix_index.py [--blocks N]. Both store the same random prompts; times are ratios of medians
+within the run, memory is measured with tracemalloc.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 from yardspindle.core.prefix.prefix_index import PrefixIndex
 
-TEXT = 64  # blocks of a text
-HOLDERS = 6.0  # mean number of boxes that hold a text
+PROMPT_BLOCKS = 64  # blocks per prompt
+MEAN_HOLDERS = 6.0  # mean number of engines that hold a prompt
 
 
-class Plain:
-    """A dict of sets."""
+class DictIndex:
+    """Baseline index: a dict from block to the set of its holders."""
 
     def __init__(self) -> None:
         self.blocks: dict[int, set[str]] = {}
@@ -59,18 +59,18 @@
         return found
 
 
-def filled(make: Callable[[], Any], texts: list[list[int]], holders: list[list[str]]) -> tuple[Any, int]:
+def build(make: Callable[[], Any], prompts: list[list[int]], holders: list[list[str]]) -> tuple[Any, int]:
     tracemalloc.start()
-    made = make()
-    for text, boxes in zip(texts, holders, strict=True):
+    index = make()
+    for prompt, boxes in zip(prompts, holders, strict=True):
         for box in boxes:
-            made.store(box, text)
+            index.store(box, prompt)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return made, size
+    return index, size
 
 
-def timed(work: Callable[[], object], times: int = 5) -> float:
+def median_time(work: Callable[[], object], times: int = 5) -> float:
     took = []
     for _ in range(times):
         started = time.perf_counter()
@@ -82,27 +82,30 @@
 def compare(count: int, blocks: int) -> None:
     rng = random.Random(1)
     boxes = [f"box{n}" for n in range(count)]
-    texts = [[rng.getrandbits(64) for _ in range(TEXT)] for _ in range(blocks // TEXT)]
-    holders = [rng.sample(boxes, min(count, 1 + int(rng.expovariate(1 / (HOLDERS - 1))))) for _ in texts]
-    ours, our_bytes = filled(lambda: PrefixIndex(2 * blocks), texts, holders)
-    plain, plain_bytes = filled(Plain, texts, holders)
-    sample = rng.sample(texts, 1_000)
-    assert all(ours.match(text) == plain.match(text) for text in sample)
-
-    def updates(made: Any) -> Callable[[], None]:
+    prompts = [[rng.getrandbits(64) for _ in range(PROMPT_BLOCKS)] for _ in range(blocks // PROMPT_BLOCKS)]
+    holders = [rng.sample(boxes, min(count, 1 + int(rng.expovariate(1 / (MEAN_HOLDERS - 1))))) for _ in prompts]
+    ours, our_bytes = build(lambda: PrefixIndex(2 * blocks), prompts, holders)
+    plain, plain_bytes = build(DictIndex, prompts, holders)
+    sample = rng.sample(prompts, 1_000)
+    assert all(ours.match(prompt) == plain.match(prompt) for prompt in sample)
+
+    def updates(index: Any) -> Callable[[], None]:
         def work() -> None:
-            for text in sample:
-                made.remove("box1", text)
-                made.store("box1", text)
+            for prompt in sample:
+                index.remove("box1", prompt)
+                index.store("box1", prompt)
 
         return work
 
-    look = timed(lambda: [ours.match(text) for text in sample]) / timed(lambda: [plain.match(text) for text in sample])
-    update = timed(updates(ours)) / timed(updates(plain))
-    clear = timed(lambda: ours.clear("box2"), 1) / timed(lambda: plain.clear("box2"), 1)
+    lookup = median_time(lambda: [ours.match(prompt) for prompt in sample]) / median_time(
+        lambda: [plain.match(prompt) for prompt in sample]
+    )
+    update = median_time(updates(ours)) / median_time(updates(plain))
+    clear = median_time(lambda: ours.clear("box2"), 1) / median_time(lambda: plain.clear("box2"), 1)
     print(
-        f"{count} boxes, {len(texts) * TEXT} blocks, ours / dict of sets: look-up {look:.2f}, update {update:.2f}, "
-        f"clear {clear:.6f}; bytes a block {our_bytes / blocks:.0f} against {plain_bytes / blocks:.0f}"
+        f"{count} boxes, {len(prompts) * PROMPT_BLOCKS} blocks, ours / dict of sets: "
+        f"look-up {lookup:.2f}, update {update:.2f}, clear {clear:.6f}; "
+        f"bytes a block {our_bytes / blocks:.0f} against {plain_bytes / blocks:.0f}"
     )
 
 
--- a/benchmarks/releases.py
+++ b/benchmarks/releases.py
@@ -1,6 +1,6 @@
-"""What a release costs and sees, by the decisions alone: requests until a halt, false halts, time and steps by size.
+"""Release decisions in isolation: requests until a halt, false halts, and duration and steps by fleet size.
 
-Simulated counts and virtual seconds; no processes. Units take a drawn time to drain, stop, start and warm up.
+Simulated counts and virtual seconds, without processes. Units take a random time to drain, stop, start and warm up.
     python -m benchmarks.releases [RUNS]
 """
 
@@ -17,15 +17,18 @@
 
 S = 1_000_000
 MIXES = ((100, 400), (400, 100), (30, 30))  # requests of released and other units in a window
-LOOK_US = 1_000_000  # ten times as seldom as the steward: it changes little, and the benchmark ends
+POLL_US = 1_000_000  # a tenth of the steward's rate: the result changes little and the benchmark stays short
 
 
-def until_halt(seed: int, base: float, more: float, mix: tuple[int, int], windows: int) -> int | None:
-    """Requests of released units until the halt. A quarter of the windows is five times as bad for both."""
+def until_halt(seed: int, base: float, added_rate: float, mix: tuple[int, int], windows: int) -> int | None:
+    """Return the requests of released units until the halt; None without a halt.
+
+    In a quarter of the windows the failure rate of both groups is five times as high.
+    """
     rng, trial = random.Random(seed), SequentialTest()
     for number in range(windows):
         rate = base * (5 if number % 20 > 14 else 1)
-        bad = sum(rng.random() < min(rate + more, 1) for _ in range(mix[0]))
+        bad = sum(rng.random() < min(rate + added_rate, 1) for _ in range(mix[0]))
         others = sum(rng.random() < rate for _ in range(mix[1]))
         trial = add_window(trial, OutcomeCounts(mix[0], bad), OutcomeCounts(mix[1], others))
         if trial.shows_harm:
@@ -33,26 +36,26 @@
     return None
 
 
-def whole(size: int, most_out: float, seed: int) -> tuple[float, int]:
-    """Virtual seconds and store transactions of a whole release."""
+def run_release(size: int, max_out_share: float, seed: int) -> tuple[float, int]:
+    """Return the virtual seconds and store transactions of a complete release."""
     rng = random.Random(seed)
     names = [f"u{n:04}" for n in range(size)]
-    places = {
+    placements = {
         n: p.UnitPlacement(n, "dispatcher", {"zone": "abc"[at % 3], "cell": str(at % 20)}) for at, n in enumerate(names)
     }
     fleet = p.FleetSnapshot(
-        places,
+        placements,
         {n: p.UnitStatus(n, "0", "well", "v1") for n in names},
         {},
-        (Limit("all", most_out_share=most_out), Limit("zone", most_out_share=4 * most_out)),
+        (Limit("all", most_out_share=max_out_share), Limit("zone", most_out_share=4 * max_out_share)),
     )
-    release = r.create_release("r", r.PlanFile("v2", "v1", tuple(names), settle_s=10, start_s=120), places)
+    release = r.create_release("r", r.PlanFile("v2", "v1", tuple(names), settle_s=10, start_s=120), placements)
     orders: dict[str, r.Order] = {}
     due: dict[str, int] = {}
     now = began = S
     steps = 0
     while release.phase == "running":
-        now += LOOK_US
+        now += POLL_US
         for name in [name for name, at in due.items() if at <= now]:
             del due[name]
             fleet = replace(fleet, statuses={**fleet.statuses, name: p.UnitStatus(name, "1", "well", "v2")})
@@ -90,7 +93,7 @@
             )
     for size in (20, 60, 300):
         for share in (0.05, 0.1):
-            seconds, steps = whole(size, share, size)
+            seconds, steps = run_release(size, share, size)
             print(
                 f"{size} units, {share:.0%} out at most: {seconds / 60:.1f} minutes, {steps / size:.1f} transactions "
                 "a unit",
--- a/benchmarks/slow_start_fleet.py
+++ b/benchmarks/slow_start_fleet.py
@@ -1,12 +1,12 @@
-"""Policies of a whole fleet in virtual time, on hosts that are a simple model: what each cold host is sent by all.
+"""Slow start of a whole fleet in virtual time: policies of all dispatchers against modelled hosts.
 
     python benchmarks/slow_start_fleet.py [SEED]
 
-prints for each case the largest ratio to the allowance in any window: over all senders, over those told of the start,
-and where over two thirds came from those; and for what part of its cold time a host was at work.
+Prints for each case the largest ratio to the allowance in any window: over all senders (all), over senders that knew of
+the start (told), over windows with more than two thirds from such senders (rule); and utilisation while cold (busy).
 
-What counts is what the pages count: every attempt that reaches the host, also one that it turns away, as one request of
-mean work. A place asked is none, and a connection that was refused reached nobody.
+As in the platform's rules, every attempt that reaches the host counts as one request of mean work, also one that it
+refuses. Reservations of places and refused connections do not count.
 """
 
 from __future__ import annotations
@@ -28,64 +28,64 @@
 sys.path.insert(0, str(Path(__file__).parent))
 
 from slow_start_hosts import (  # noqa: E402
-    A_SECOND,
     AIM_US,
     COLD_US,
+    DEADLINE_US,
+    FALL_MULTIPLE,
     FALL_US,
     HOP_US,
-    LIFE_US,
+    MAX_QUEUED_READS,
     MS,
-    MULTIPLE,
-    QUEUE,
-    SLOTS,
-    START,
-    START_AT,
-    TOKENS,
+    PROMPT_TOKENS,
+    RETURN_AT_US,
+    START_CAPACITY,
+    WARM_RATE,
+    WRITER_SLOTS,
     Host,
     S,
+    all_but_one_pair,
+    all_but_one_writer,
     allowance,
     budget,
-    first,
-    half,
-    other_writers,
-    others,
+    every_second,
+    one_pair,
 )
 
 
 @dataclass
 class Case:
-    """What a fleet goes through; hosts in cells of six, the first half of each reads, cells in two zones."""
+    """Parameters of one scenario; cells have three readers and three writers and are spread over two zones."""
 
-    cold: Callable[[int, Host], bool]  # by place in the list, from 0
+    cold: Callable[[int, Host], bool]  # by index in the list
     cells: int = 4
-    quota: tuple[float, ...] = (0.8,)  # of all tenants together, over what the warm hosts do; none: no tenants
-    load: float = 0.9  # work offered over what the warm hosts of a stage do
-    burst: float = 1.5  # times that, from the hosts' return on
-    dead: Callable[[int, Host], bool] = lambda at, host: False  # to the end,
-    dead_us: int = 0  # from so long after the return on
-    rate: float = A_SECOND
-    by_work: bool = False  # cold hosts warm by what they do, or are cold to the end; not by time
-    roots: int = 2  # that a host bears beyond N; the pages give 3 for N under 30
+    quota: tuple[float, ...] = (0.8,)  # tenants' quotas over the capacity of the warm hosts; empty: no tenants
+    load: float = 0.9  # offered work over the capacity of the warm hosts of a stage
+    burst: float = 1.5  # factor on the load from the hosts' return on
+    dies: Callable[[int, Host], bool] = lambda at, host: False  # hosts that die for good
+    death_delay_us: int = 0  # time of their death after the return
+    rate: float = WARM_RATE
+    by_work: bool = False  # cold hosts warm up by completed work only, not by time
+    roots: int = 2  # square roots of N allowed beyond N; the platform's rules give 3 for N under 30
     full: Callable[[int, Host], bool] = lambda at, host: False
-    down_us: int = 1 * S  # for how long it was gone
-    told_us: tuple[int, int] = (300 * MS, 700 * MS)  # after its start, by dispatcher
-    ahead_us: int = 0  # how far its clock is before ours
-    begin_at: int = 0  # when the dispatchers start
-    uneven: float = 0.0  # exponent of the dispatchers' traffic by rank
-    hot: float = 0.0  # part of the requests with one text, whose home is the first cold reader
-    texts: int = 60
-    repeats: int = 0  # times that a client comes again at once, to another dispatcher
-    apart_us: int = 0  # by so much each of them comes back later than the one before
-    until: int = START_AT + COLD_US
+    downtime_us: int = 1 * S  # how long the cold hosts were down
+    listed_after_us: tuple[int, int] = (300 * MS, 700 * MS)  # after the start, drawn per dispatcher
+    clock_ahead_us: int = 0  # how far a cold host's clock is ahead
+    started_at: int = 0  # when the dispatchers start
+    traffic_exponent: float = 0.0  # exponent of the dispatchers' traffic by rank
+    hot_prefix_share: float = 0.0  # share of the requests with one prefix, whose home is the first cold reader
+    prefixes: int = 60
+    repeats: int = 0  # immediate retries of a client, at a random dispatcher
+    stagger_us: int = 0  # delay between the returns of consecutive cold hosts
+    end_us: int = RETURN_AT_US + COLD_US
 
 
 class Fleet:
-    """Plays a case."""
+    """Simulates a case: dispatchers' policies, hosts and clients, driven by one event queue."""
 
     def __init__(self, case: Case, dispatchers: int, seed: int) -> None:
-        self.case, self.draw, self.now = case, random.Random(seed), 0
+        self.case, self.rng, self.now = case, random.Random(seed), 0
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
-        self.pushed = 0
+        self.scheduled = 0
         hosts = case.cells * 6
         self.hosts = {
             n + 1: Host(
@@ -98,12 +98,12 @@
         }
         self.cold = [h for at, h in enumerate(self.hosts.values()) if case.cold(at, h)]
         self.policies = [Policy(self.settings(me, dispatchers), seed * 1_000 + me) for me in range(dispatchers)]
-        self.told: dict[tuple[int, int], int] = {}
-        self.asks: dict[int, tuple[int, i.Request, int]] = {}  # by number: dispatcher, request, repeats left
-        self.out: dict[tuple[int, int], Host] = {}
+        self.start_known_at: dict[tuple[int, int], int] = {}
+        self.requests: dict[int, tuple[int, i.Request, int]] = {}  # by number: dispatcher, request, retries left
+        self.in_flight: dict[tuple[int, int], Host] = {}
         self.attempts: Counter[int] = Counter()
         self.places: dict[int, set[Host]] = {}
-        self.ends: Counter[str] = Counter()
+        self.counts: Counter[str] = Counter()
         self.reads: Counter[int] = Counter()
 
     def settings(self, me: int, dispatchers: int) -> i.Settings:
@@ -112,220 +112,228 @@
             me=me,
             instances=dispatchers,
             zone="ab"[me % 2],
-            classes=(i.RequestClass("c", AIM_US, LIFE_US),),
-            kinds=(i.Kind("r", i.Role.READ), i.Kind("w", i.Role.WRITE, SLOTS * TOKENS * 4)),
+            classes=(i.RequestClass("c", AIM_US, DEADLINE_US),),
+            kinds=(i.Kind("r", i.Role.READ), i.Kind("w", i.Role.WRITE, WRITER_SLOTS * PROMPT_TOKENS * 4)),
             tenants=tuple(i.Tenant("t", 1.0, part * warm) for part in self.case.quota),
             cold_us=COLD_US,
-            start_capacity=START,
-            fall_multiple=MULTIPLE,
+            start_capacity=START_CAPACITY,
+            fall_multiple=FALL_MULTIPLE,
             fall_us=FALL_US,
             cancel=True,
             retry_after=True,
             max_retry_after_us=500 * MS,
         )
 
-    def at(self, when: float, then: Callable[[], None]) -> None:
-        self.pushed += 1
-        heapq.heappush(self.heap, (int(when), self.pushed, then))
+    def schedule(self, when: float, then: Callable[[], None]) -> None:
+        self.scheduled += 1
+        heapq.heappush(self.heap, (int(when), self.scheduled, then))
 
     def feed(self, me: int, event: i.Event) -> None:
         for action in self.policies[me].handle(self.now, event):
-            self.act(me, action)
+            self.apply(me, action)
 
-    # --- dispatchers' acts
+    # --- the dispatchers' actions
 
-    def act(self, me: int, action: i.Action) -> None:
+    def apply(self, me: int, action: i.Action) -> None:
         match action:
             case i.Send():
                 self.send(me, action.request, self.hosts[action.server])
             case i.Ahead():
-                self.at(self.now + HOP_US, lambda: self.claim(me, action.request, self.hosts[action.server]))
+                self.schedule(
+                    self.now + HOP_US, lambda: self.reserve_place(me, action.request, self.hosts[action.server])
+                )
             case i.Discard():
                 for host in self.places.pop(action.request, set()):
-                    host.busy -= 1
+                    host.used_slots -= 1
             case i.Cancel():
-                self.out.pop((action.request, action.attempt), None)
+                self.in_flight.pop((action.request, action.attempt), None)
             case i.Refuse() | i.Fail():
-                self.ends["refused"] += 1
-                self.again(action.request)
+                self.counts["refused"] += 1
+                self.retry(action.request)
             case i.SetTimer():
-                self.at(action.due_us, lambda: self.feed(me, i.Timer(action.token)))
+                self.schedule(action.due_us, lambda: self.feed(me, i.Timer(action.token)))
 
-    def again(self, number: int) -> None:
-        _, ask, left = self.asks.pop(number)
+    def retry(self, number: int) -> None:
+        _, ask, left = self.requests.pop(number)
         if left:
-            me = self.draw.randrange(len(self.policies))
-            self.at(self.now + 20 * MS, lambda: self.ask(me, replace(ask, repeat=True), left - 1))
+            me = self.rng.randrange(len(self.policies))
+            self.schedule(self.now + 20 * MS, lambda: self.send_request(me, replace(ask, repeat=True), left - 1))
 
-    def claim(self, me: int, number: int, host: Host) -> None:
-        held = not host.dead(self.now) and not host.full and host.busy < SLOTS and number in self.asks
+    def reserve_place(self, me: int, number: int, host: Host) -> None:
+        held = (
+            not host.is_down(self.now) and not host.full and host.used_slots < WRITER_SLOTS and number in self.requests
+        )
         if held:
-            host.busy += 1
+            host.used_slots += 1
             self.places.setdefault(number, set()).add(host)
-        reads = [(seq, h) for (n, seq), h in self.out.items() if n == number and h.reads]
+        reads = [(seq, h) for (n, seq), h in self.in_flight.items() if n == number and h.is_reader]
         if reads:
             self.feed(me, i.Note(number, reads[0][0], reads[0][1].entry.server, held))
 
     def send(self, me: int, number: int, host: Host) -> None:
         seq = self.attempts[number]
         self.attempts[number] += 1
-        self.out[number, seq] = host
-        self.at(self.now + HOP_US, lambda: self.reach(me, number, seq, host))
+        self.in_flight[number, seq] = host
+        self.schedule(self.now + HOP_US, lambda: self.attempt_arrives(me, number, seq, host))
         sent = self.now
-        self.at(self.asks[number][1].expires_us, lambda: self.late(me, number, seq, sent))
+        self.schedule(self.requests[number][1].expires_us, lambda: self.deadline_passed(me, number, seq, sent))
 
-    def reach(self, me: int, number: int, seq: int, host: Host) -> None:
+    def attempt_arrives(self, me: int, number: int, seq: int, host: Host) -> None:
         sent = self.now - HOP_US
-        if (number, seq) not in self.out:
+        if (number, seq) not in self.in_flight:
             return None
-        if host.dead(self.now):
-            return self.end(me, number, seq, i.Status.CONNECT_FAILED, sent)
-        if host in self.cold and self.now >= host.up:
+        if host.is_down(self.now):
+            return self.end_attempt(me, number, seq, i.Status.CONNECT_FAILED, sent)
+        if host in self.cold and self.now >= host.up_at:
             host.sent.append(
-                (self.now, host.warmth(self.now), self.now >= self.told.get((me, host.entry.server), 1 << 60))
+                (self.now, host.warmth(self.now), self.now >= self.start_known_at.get((me, host.entry.server), 1 << 60))
             )
-        took = self.draw.uniform(0.5, 1.5) / host.warmth(self.now)
+        work = self.rng.uniform(0.5, 1.5) / host.warmth(self.now)
         held = host in self.places.get(number, set())
-        if host.full or (host.waiting >= QUEUE if host.reads else host.busy >= SLOTS and not held):
-            return self.end(me, number, seq, i.Status.FULL, sent)
-        life = host.life
+        if host.full or (
+            host.queued >= MAX_QUEUED_READS if host.is_reader else host.used_slots >= WRITER_SLOTS and not held
+        ):
+            return self.end_attempt(me, number, seq, i.Status.FULL, sent)
+        incarnation = host.incarnation
         host.done += 1
-        if host.reads:
-            host.waiting += 1
-            begun = max(host.free_at, self.now)
-            host.free_at = begun + took * S / host.rate
-            host.work.append((begun, host.free_at))
-            return self.at(host.free_at, lambda: self.done(me, number, seq, host, sent, life))
-        host.busy += not held
-        host.work.append((self.now, self.now + took * SLOTS / host.rate * S))
+        if host.is_reader:
+            host.queued += 1
+            begun = max(host.idle_at, self.now)
+            host.idle_at = begun + work * S / host.rate
+            host.busy_intervals.append((begun, host.idle_at))
+            return self.schedule(host.idle_at, lambda: self.work_done(me, number, seq, host, sent, incarnation))
+        host.used_slots += not held
+        host.busy_intervals.append((self.now, self.now + work * WRITER_SLOTS / host.rate * S))
         if held:
             self.places[number].discard(host)
-        write_us = took * SLOTS / host.rate * S
-        self.at(self.now + write_us / 10, lambda: self.first(me, number, seq, host, sent))
-        return self.at(self.now + write_us, lambda: self.done(me, number, seq, host, sent, life))
-
-    def first(self, me: int, number: int, seq: int, host: Host, sent: int) -> None:
-        if (number, seq) in self.out:
-            ask = self.asks[number][1]
-            self.ends["in aim"] += self.now <= ask.expires_us - LIFE_US + AIM_US
-            self.asks[number] = (me, replace(ask, expires_us=1 << 60), 0)  # a stream has no deadline
+        write_us = work * WRITER_SLOTS / host.rate * S
+        self.schedule(self.now + write_us / 10, lambda: self.first_event(me, number, seq, host, sent))
+        return self.schedule(self.now + write_us, lambda: self.work_done(me, number, seq, host, sent, incarnation))
+
+    def first_event(self, me: int, number: int, seq: int, host: Host, sent: int) -> None:
+        if (number, seq) in self.in_flight:
+            ask = self.requests[number][1]
+            self.counts["in aim"] += self.now <= ask.expires_us - DEADLINE_US + AIM_US
+            self.requests[number] = (me, replace(ask, expires_us=1 << 60), 0)  # a stream has no deadline
             self.feed(me, i.First(number, seq, host.entry.server, self.now - sent))
 
-    def die(self, host: Host) -> None:
-        host.life, host.waiting, host.busy, host.free_at, host.done = host.life + 1, 0, 0, 0.0, 0
-        host.work.clear()
+    def kill_host(self, host: Host) -> None:
+        host.incarnation, host.queued, host.used_slots, host.idle_at, host.done = host.incarnation + 1, 0, 0, 0.0, 0
+        host.busy_intervals.clear()
         for held in self.places.values():
             held.discard(host)
-        for number, seq in [key for key, at in self.out.items() if at is host]:
-            me = self.asks[number][0]
-            self.end(me, number, seq, i.Status.RESET, self.now)
+        for number, seq in [key for key, at in self.in_flight.items() if at is host]:
+            me = self.requests[number][0]
+            self.end_attempt(me, number, seq, i.Status.RESET, self.now)
 
-    def done(self, me: int, number: int, seq: int, host: Host, sent: int, life: int) -> None:
-        """The host's work is over; it did it to its end, whoever had left."""
-        if life != host.life:
+    def work_done(self, me: int, number: int, seq: int, host: Host, sent: int, incarnation: int) -> None:
+        """End a piece of work; the host completes it even if the attempt was cancelled."""
+        if incarnation != host.incarnation:
             return
-        host.waiting -= host.reads
-        host.busy -= not host.reads
-        self.end(me, number, seq, i.Status.READ if host.reads else i.Status.SERVED, sent)
+        host.queued -= host.is_reader
+        host.used_slots -= not host.is_reader
+        self.end_attempt(me, number, seq, i.Status.READ if host.is_reader else i.Status.SERVED, sent)
 
-    def late(self, me: int, number: int, seq: int, sent: int) -> None:
-        if number in self.asks and self.asks[number][1].expires_us <= self.now:
-            self.end(me, number, seq, i.Status.TIMEOUT, sent)
+    def deadline_passed(self, me: int, number: int, seq: int, sent: int) -> None:
+        if number in self.requests and self.requests[number][1].expires_us <= self.now:
+            self.end_attempt(me, number, seq, i.Status.TIMEOUT, sent)
 
-    def end(self, me: int, number: int, seq: int, status: i.Status, sent: int) -> None:
-        host = self.out.pop((number, seq), None)
+    def end_attempt(self, me: int, number: int, seq: int, status: i.Status, sent: int) -> None:
+        host = self.in_flight.pop((number, seq), None)
         if host is None:
-            return  # called off
+            return  # cancelled
         closed = status is i.Status.SERVED
         if closed:
-            self.ends["served"] += 1
-            self.asks.pop(number)
+            self.counts["served"] += 1
+            self.requests.pop(number)
         self.feed(me, i.Outcome(number, seq, host.entry.server, status, self.now - sent, closed))
 
     # --- the world
 
-    def ask(self, me: int, ask: i.Request, left: int) -> None:
-        self.ends["asked"] += 1
-        number = self.ends["asked"]
-        ask = replace(ask, request=number, expires_us=self.now + LIFE_US)
-        self.asks[number] = (me, ask, left)
+    def send_request(self, me: int, ask: i.Request, left: int) -> None:
+        self.counts["asked"] += 1
+        number = self.counts["asked"]
+        ask = replace(ask, request=number, expires_us=self.now + DEADLINE_US)
+        self.requests[number] = (me, ask, left)
         self.feed(me, ask)
 
-    def list_to(self, me: int, kind: i.ListKind, hosts: list[Host]) -> None:
-        """What the list says now of hosts that serve; a dead one is listed as it was."""
+    def send_list(self, me: int, kind: i.ListKind, hosts: list[Host]) -> None:
+        """Send a dispatcher the current entries of these hosts; a dead host is listed unchanged."""
         entries = []
         for host in hosts:
-            back = host in self.cold and host.up <= self.now
-            entries.append(replace(host.entry, up_since_us=host.up + self.case.ahead_us if back else 0))
-            if back:
-                self.told.setdefault((me, host.entry.server), self.now)
+            returned = host in self.cold and host.up_at <= self.now
+            entries.append(replace(host.entry, up_since_us=host.up_at + self.case.clock_ahead_us if returned else 0))
+            if returned:
+                self.start_known_at.setdefault((me, host.entry.server), self.now)
         self.feed(me, i.Members(kind, 1, tuple(entries)))
 
-    def arrive(self, times: Iterator[float], ranks: list[float]) -> None:
+    def next_arrival(self, times: Iterator[float], ranks: list[float]) -> None:
         when = next(times)
-        if when < self.case.until:
-            self.at(when, lambda: self.arrive(times, ranks))
-        me = bisect_left(ranks, self.draw.random() * ranks[-1])
-        session = f"s{self.draw.randrange(2_000)}"
-        text = f"t{self.draw.randrange(self.case.texts)}" if self.draw.random() < 0.5 else None
-        if self.draw.random() < self.case.hot:
-            text = self.hot
-        self.ask(
+        if when < self.case.end_us:
+            self.schedule(when, lambda: self.next_arrival(times, ranks))
+        me = bisect_left(ranks, self.rng.random() * ranks[-1])
+        session = f"s{self.rng.randrange(2_000)}"
+        prefix = f"t{self.rng.randrange(self.case.prefixes)}" if self.rng.random() < 0.5 else None
+        if self.rng.random() < self.case.hot_prefix_share:
+            prefix = self.hot_prefix
+        self.send_request(
             me,
-            i.Request(0, "c", 0, TOKENS, TOKENS / 2 if text else 0.0, prefix=text, session=session),
+            i.Request(0, "c", 0, PROMPT_TOKENS, PROMPT_TOKENS / 2 if prefix else 0.0, prefix=prefix, session=session),
             self.case.repeats,
         )
 
-    def times(self) -> Iterator[float]:
-        """A Poisson stream for both stages, half as much again from the return on."""
+    def arrival_times(self) -> Iterator[float]:
+        """Yield Poisson arrival times, with the burst factor from the hosts' return on."""
         warm = self.case.cells * 3 * self.case.rate * self.case.load / S
-        now = self.case.begin_at + 1.0
+        now = self.case.started_at + 1.0
         while True:
-            now += self.draw.expovariate(warm * (self.case.burst if now >= START_AT else 1.0))
+            now += self.rng.expovariate(warm * (self.case.burst if now >= RETURN_AT_US else 1.0))
             yield now
 
     def play(self) -> None:
-        case, everyone = self.case, list(self.hosts.values())
+        case, hosts = self.case, list(self.hosts.values())
         for at, host in enumerate(self.cold):
-            host.up = START_AT + at * case.apart_us
-            host.down = host.up - case.down_us
-        for at, host in enumerate(everyone):
-            if case.dead(at, host):
-                host.again_down = START_AT + case.dead_us
-            for when in (host.down, host.again_down):
-                if when < case.until:
-                    self.at(when, partial(self.die, host))
+            host.up_at = RETURN_AT_US + at * case.stagger_us
+            host.down_at = host.up_at - case.downtime_us
+        for at, host in enumerate(hosts):
+            if case.dies(at, host):
+                host.final_down_at = RETURN_AT_US + case.death_delay_us
+            for when in (host.down_at, host.final_down_at):
+                if when < case.end_us:
+                    self.schedule(when, partial(self.kill_host, host))
             host.full = case.full(at, host)
         for me in range(len(self.policies)):
-            self.at(case.begin_at, partial(self.list_to, me, i.ListKind.COMPLETE, everyone))
-            for up in {host.up for host in self.cold}:
-                told = up + self.draw.uniform(*case.told_us)
-                if told > case.begin_at:
-                    self.at(told, partial(self.list_to, me, i.ListKind.CHANGES, self.cold))
-        self.hot = self.home()
-        ranks = list(accumulate((n + 1) ** -case.uneven for n in range(len(self.policies))))
-        self.at(case.begin_at, lambda: self.arrive(self.times(), ranks))
-        while self.heap and self.heap[0][0] <= case.until:
+            self.schedule(case.started_at, partial(self.send_list, me, i.ListKind.COMPLETE, hosts))
+            for up in {host.up_at for host in self.cold}:
+                listed_at = up + self.rng.uniform(*case.listed_after_us)
+                if listed_at > case.started_at:
+                    self.schedule(listed_at, partial(self.send_list, me, i.ListKind.CHANGES, self.cold))
+        self.hot_prefix = self.prefix_of_cold_reader()
+        ranks = list(accumulate((n + 1) ** -case.traffic_exponent for n in range(len(self.policies))))
+        self.schedule(case.started_at, lambda: self.next_arrival(self.arrival_times(), ranks))
+        while self.heap and self.heap[0][0] <= case.end_us:
             self.now, _, then = heapq.heappop(self.heap)
             then()
 
-    def home(self) -> str:
-        """A text whose home, at every dispatcher, is the first cold reader."""
-        reader = next((h.entry.server for h in self.cold if h.reads), None)
+    def prefix_of_cold_reader(self) -> str:
+        """Return a prefix whose home, at every dispatcher, is the first cold reader."""
+        reader = next((h.entry.server for h in self.cold if h.is_reader), None)
         policy = Policy(self.policies[0].settings, 1)
         policy.handle(0, i.Members(i.ListKind.COMPLETE, 1, tuple(h.entry for h in self.hosts.values())))
         return next(
             t for t in map("h{}".format, count()) if reader is None or policy._reader_order(t)[0].entry.server == reader
         )
 
-    # --- what came of it
+    # --- results
 
-    def worst(self, told: bool = False) -> float:
-        """The largest ratio to the allowance, of any cold host in any window; of what those told had sent alone."""
-        return max((self.ratio(h, [row for row in h.sent if row[2] or not told]) for h in self.cold), default=0.0)
+    def worst_ratio(self, informed: bool = False) -> float:
+        """Return the largest ratio to the allowance in any window of a cold host; `informed`: of informed senders."""
+        return max(
+            (self.largest_ratio(h, [row for row in h.sent if row[2] or not informed]) for h in self.cold), default=0.0
+        )
 
-    def ratio(self, host: Host, sent: list[tuple[int, float, bool]]) -> float:
-        while_cold = [row for row in sent if row[0] < host.up + COLD_US]
+    def largest_ratio(self, host: Host, sent: list[tuple[int, float, bool]]) -> float:
+        while_cold = [row for row in sent if row[0] < host.up_at + COLD_US]
         times = [at for at, _, _ in while_cold]
         return max(
             (
@@ -335,90 +343,94 @@
             default=0.0,
         )
 
-    def broken(self) -> float:
-        """As the pages break the rule: the largest ratio of a window of which over two thirds came from those told."""
-        most = 0.0
+    def informed_ratio(self) -> float:
+        """Return the largest ratio of a window with over two thirds from informed senders, as the rule is judged."""
+        largest = 0.0
         for host in self.cold:
-            sent = [row for row in host.sent if row[0] < host.up + COLD_US]
+            sent = [row for row in host.sent if row[0] < host.up_at + COLD_US]
             for n, (at, warmth, _) in enumerate(sent):
                 window = [knew for when, _, knew in sent[n:] if when < at + FALL_US]
                 if 3 * sum(window) > 2 * len(window):
-                    most = max(most, len(window) / allowance(budget(host, warmth), self.case.roots))
-        return most
+                    largest = max(largest, len(window) / allowance(budget(host, warmth), self.case.roots))
+        return largest
 
-    def busy(self) -> float:
-        """For what part of their cold time cold hosts were at work, by slots: at the stage where that is more."""
+    def utilisation(self) -> float:
+        """Return the utilisation of cold hosts while cold, by slots, at the stage where it is higher."""
         parts = []
         for reads in (True, False):
-            could = done = 0.0
-            for host in (h for h in self.cold if h.reads is reads):
-                until = min(host.up + COLD_US, self.case.until)
-                could += max(until - host.up, 0) * (1 if reads else SLOTS)
-                done += sum(max(min(to, until) - max(begun, host.up), 0.0) for begun, to in host.work)
-            parts.append(done / max(could, 1.0))
+            capacity = done = 0.0
+            for host in (h for h in self.cold if h.is_reader is reads):
+                until = min(host.up_at + COLD_US, self.case.end_us)
+                capacity += max(until - host.up_at, 0) * (1 if reads else WRITER_SLOTS)
+                done += sum(max(min(to, until) - max(begun, host.up_at), 0.0) for begun, to in host.busy_intervals)
+            parts.append(done / max(capacity, 1.0))
         return max(parts)
 
     def failing(self) -> set[str]:
-        """Which do not hold: the allowance over all, of those told, the rule as the pages break it, busy hosts.
-
-        Where none is cold: that nothing is refused.
-        """
+        """Return the names of failed checks: all, told, rule and busy; without cold hosts that nothing is refused."""
         if not self.cold:
-            return {"refused"} if self.ends["refused"] else set()
+            return {"refused"} if self.counts["refused"] else set()
         return {
             name
             for name, holds in {
-                "all": self.worst() <= 1,
-                "told": self.worst(told=True) <= 1,
-                "rule": self.broken() <= 1,
-                "busy": self.busy() >= 0.8,
+                "all": self.worst_ratio() <= 1,
+                "told": self.worst_ratio(informed=True) <= 1,
+                "rule": self.informed_ratio() <= 1,
+                "busy": self.utilisation() >= 0.8,
             }.items()
             if not holds
         }
 
 
-LATE = (3 * S, 3_500 * MS)  # the list tells of it so long after its start
-SHORT = START_AT + 3 * S
-CASES: dict[str, tuple[Case, tuple[int, ...]]] = {  # and how many dispatchers
-    "listed at once": (Case(first), (20,)),
-    "back before the list says so": (Case(first, told_us=LATE, down_us=2 * S), (30, 200)),
-    "started before the processes did": (Case(first, begin_at=START_AT + 500 * MS), (200,)),
-    "half of all in an outage of discovery": (Case(half, told_us=LATE, down_us=2 * S), (30,)),
-    "half of all": (Case(half), (20, 200)),
+LISTED_LATE = (3 * S, 3_500 * MS)  # the list shows a start this much later
+SHORT_END_US = RETURN_AT_US + 3 * S
+CASES: dict[str, tuple[Case, tuple[int, ...]]] = {  # each with its numbers of dispatchers
+    "listed at once": (Case(one_pair), (20,)),
+    "back before the list says so": (Case(one_pair, listed_after_us=LISTED_LATE, downtime_us=2 * S), (30, 200)),
+    "started before the processes did": (Case(one_pair, started_at=RETURN_AT_US + 500 * MS), (200,)),
+    "half of all in an outage of discovery": (
+        Case(every_second, listed_after_us=LISTED_LATE, downtime_us=2 * S),
+        (30,),
+    ),
+    "half of all": (Case(every_second), (20, 200)),
     "every host": (Case(lambda at, host: True), (30, 200)),
-    "every host, one after the other": (Case(lambda at, host: True, apart_us=150 * MS), (30,)),
+    "every host, one after the other": (Case(lambda at, host: True, stagger_us=150 * MS), (30,)),
     "the reader's cell": (Case(lambda at, host: host.entry.cell == 0), (30,)),
-    "all writers, placed ahead": (Case(lambda at, host: not host.reads), (20, 30)),
-    "few carry most": (Case(first, uneven=1.5), (200,)),
-    "started in the future": (Case(first, ahead_us=3_600 * S), (30,)),
-    "repeats: all others die": (Case(first, dead=others, repeats=2, until=SHORT), (20, 200)),
-    "repeats: a zone dies": (Case(first, dead=lambda at, host: host.entry.zone == "b", repeats=2, until=SHORT), (30,)),
-    "repeats: all others full": (Case(first, full=others, repeats=2, until=SHORT), (30, 200)),
-    "a hot text": (Case(first, hot=0.3), (30, 200)),
+    "all writers, placed ahead": (Case(lambda at, host: not host.is_reader), (20, 30)),
+    "few carry most": (Case(one_pair, traffic_exponent=1.5), (200,)),
+    "started in the future": (Case(one_pair, clock_ahead_us=3_600 * S), (30,)),
+    "repeats: all others die": (Case(one_pair, dies=all_but_one_pair, repeats=2, end_us=SHORT_END_US), (20, 200)),
+    "repeats: a zone dies": (
+        Case(one_pair, dies=lambda at, host: host.entry.zone == "b", repeats=2, end_us=SHORT_END_US),
+        (30,),
+    ),
+    "repeats: all others full": (Case(one_pair, full=all_but_one_pair, repeats=2, end_us=SHORT_END_US), (30, 200)),
+    "a hot text": (Case(one_pair, hot_prefix_share=0.3), (30, 200)),
     "survivors of a role": (
-        Case(first, dead=other_writers, dead_us=3 * S, rate=2.5, by_work=True, roots=3, repeats=2),
+        Case(one_pair, dies=all_but_one_writer, death_delay_us=3 * S, rate=2.5, by_work=True, roots=3, repeats=2),
         (6, 200),
     ),
-    "warm by work": (Case(half, by_work=True), (6, 200)),
+    "warm by work": (Case(every_second, by_work=True), (6, 200)),
     "no start at all": (Case(lambda at, host: False, load=0.6, burst=1.0), (6, 200)),
 }
 
 
 def played(name: str, dispatchers: int, seed: int = 1) -> Fleet:
-    """A case, played to its end."""
+    """Run a case to its end."""
     fleet = Fleet(CASES[name][0], dispatchers, seed)
     fleet.play()
     return fleet
 
 
 def main(seed: str = "1") -> None:
-    """Print the table."""
+    """Print a line for each case and number of dispatchers."""
     for name, (_, sizes) in CASES.items():
         for dispatchers in sizes:
             fleet = played(name, dispatchers, int(seed))
             print(
-                f"{name:<40}{dispatchers:>5}  all {fleet.worst():.2f}  told {fleet.worst(told=True):.2f}  "
-                f"rule {fleet.broken():.2f}  busy {fleet.busy():.2f}  {' '.join(sorted(fleet.failing()))}"
+                f"{name:<40}{dispatchers:>5}  all {fleet.worst_ratio():.2f}  "
+                f"told {fleet.worst_ratio(informed=True):.2f}  rule {fleet.informed_ratio():.2f}  "
+                f"busy {fleet.utilisation():.2f}  {' '.join(sorted(fleet.failing()))}"
             )
 
 
--- a/benchmarks/slow_start_hosts.py
+++ b/benchmarks/slow_start_hosts.py
@@ -1,4 +1,4 @@
-"""The hosts of `slow_start_fleet.py`: a simple model of readers and writers, and what a cold one may be sent."""
+"""Simple model of readers and writers for `slow_start_fleet.py`, with the allowance of a cold host."""
 
 from __future__ import annotations
 
@@ -9,71 +9,75 @@
 
 MS = 1_000
 S = 1_000 * MS
-START, COLD_US, MULTIPLE, FALL_US = 0.26, 5 * S, 2.5, 2 * S
-A_SECOND = 8.0  # requests of mean work that a warm host does in a second, reader or writer
-TOKENS, QUEUE, SLOTS, HOP_US = 2_000.0, 16, 8, 500
-AIM_US, LIFE_US = 1_500 * MS, 4 * S
-START_AT = 2 * S  # when the hosts of a case come back
+START_CAPACITY, COLD_US, FALL_MULTIPLE, FALL_US = 0.26, 5 * S, 2.5, 2 * S
+WARM_RATE = 8.0  # requests of mean work that a warm reader or writer completes per second
+PROMPT_TOKENS, MAX_QUEUED_READS, WRITER_SLOTS, HOP_US = 2_000.0, 16, 8, 500
+AIM_US, DEADLINE_US = 1_500 * MS, 4 * S
+RETURN_AT_US = 2 * S  # when the cold hosts of a case return
 
 
 @dataclass(eq=False)
 class Host:
-    """A reader that reads one prompt after the other, or a writer of some slots; slower by what it lacks in warmth."""
+    """A reader with a queue of prompts or a writer with parallel slots; slower while it is cold."""
 
     entry: i.Entry
-    reads: bool
-    rate: float = A_SECOND
-    by_work: bool = False  # once back it warms by what it does, not by time
-    done: int = 0  # pieces of work since it came back
-    up: int = -(1 << 50)  # since when it serves
-    down: int = 1 << 60  # from when on, until `up`, it refuses connections; never
-    again_down: int = 1 << 60  # from when on it refuses them for good
-    full: bool = False  # turns all away
-    free_at: float = 0.0  # reader: when its queue is done
-    waiting: int = 0
-    busy: int = 0  # writer: streams and places
-    sent: list[tuple[int, float, bool]] = field(default_factory=list)  # when, how warm, its sender was told
-    work: list[tuple[float, float]] = field(default_factory=list)  # at which it was, from, to; a writer's in slots
-    life: int = 0  # which: what it was at when it died is lost
+    is_reader: bool
+    rate: float = WARM_RATE
+    by_work: bool = False  # after its return it warms up by completed work instead of time
+    done: int = 0  # attempts accepted since its return
+    up_at: int = -(1 << 50)  # when it begins to serve
+    down_at: int = 1 << 60  # from then until `up_at` it refuses connections; default: never
+    final_down_at: int = 1 << 60  # from then on it refuses connections for good
+    full: bool = False  # answers every attempt with "full"
+    idle_at: float = 0.0  # reader: when its queue is empty
+    queued: int = 0
+    used_slots: int = 0  # writer: streams and reserved places
+    sent: list[tuple[int, float, bool]] = field(
+        default_factory=list
+    )  # time, warmth, whether the sender knew of the start
+    busy_intervals: list[tuple[float, float]] = field(
+        default_factory=list
+    )  # begin and end of each piece of work; of a writer per slot
+    incarnation: int = 0  # incremented at its death, which loses all work
 
     def warmth(self, now: int) -> float:
-        if now >= self.up + COLD_US:
+        if now >= self.up_at + COLD_US:
             return 1.0
-        part = self.done / (self.rate * COLD_US / S) if self.by_work else max(now - self.up, 0) / COLD_US
-        return START + (1 - START) * min(part, 1.0)
+        part = self.done / (self.rate * COLD_US / S) if self.by_work else max(now - self.up_at, 0) / COLD_US
+        return START_CAPACITY + (1 - START_CAPACITY) * min(part, 1.0)
 
-    def dead(self, now: int) -> bool:
-        return self.down <= now < self.up or now >= self.again_down
+    def is_down(self, now: int) -> bool:
+        return self.down_at <= now < self.up_at or now >= self.final_down_at
 
 
 def allowance(n: float, roots: int) -> float:
-    """Beyond it a cold host falls."""
+    """Return the requests that a cold host can take for a budget of `n`; beyond that it fails."""
     return n + roots * math.sqrt(n) + roots
 
 
 def budget(host: Host, warmth: float) -> float:
-    """N of a host that is so warm, by the settings."""
-    return MULTIPLE * warmth * host.rate * FALL_US / S
+    """Return the budget N that the settings allow a host at this warmth."""
+    return FALL_MULTIPLE * warmth * host.rate * FALL_US / S
 
 
-# --- which hosts of a fleet, by place in the list
+# --- selections of hosts by their index in the list
 
 
-def first(at: int, host: Host) -> bool:
-    """A reader and a writer of one cell."""
+def one_pair(at: int, host: Host) -> bool:
+    """One reader and one writer of the same cell."""
     return at in (0, 3)
 
 
-def others(at: int, host: Host) -> bool:
-    """All but these."""
+def all_but_one_pair(at: int, host: Host) -> bool:
+    """All hosts except that pair."""
     return at not in (0, 3)
 
 
-def half(at: int, host: Host) -> bool:
-    """Every second."""
+def every_second(at: int, host: Host) -> bool:
+    """Every second host."""
     return at % 2 == 0
 
 
-def other_writers(at: int, host: Host) -> bool:
-    """All but one of them."""
-    return not host.reads and at != 3
+def all_but_one_writer(at: int, host: Host) -> bool:
+    """All writers except one."""
+    return not host.is_reader and at != 3
--- a/benchmarks/stages.py
+++ b/benchmarks/stages.py
@@ -1,11 +1,11 @@
-"""A table of one day from the dispatchers' logs: ends, kept prompt tokens, spread, places, moves, time by stage.
+"""Table of one day from the dispatchers' logs: outcomes, cached prompt tokens, spread, places, moves, time by stage.
 
     python benchmarks/stages.py FOLDER [COLD_S [WINDOW_S]]
 
-FOLDER holds one `*.log` a dispatcher. With COLD_S, how long a host is cold, it also counts what all dispatchers sent to
-hosts that had started so lately, in any window of WINDOW_S (2); places and releases are not counted. The best possible
-share of kept tokens is that of one cache without end, empty at first, which all requests that were read pass in the
-order of their arrival.
+FOLDER holds one `*.log` per dispatcher. With COLD_S, the time for which a host is cold, it also counts the attempts
+that all dispatchers sent to hosts started less than COLD_S ago, in any window of WINDOW_S (default 2); places and
+releases do not count. The best possible share of cached tokens is that of one infinite cache, empty at first, which all
+requests that were read pass in order of arrival.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 
 
 def rows(lines: Iterable[str]) -> list[Row]:
-    """The lines of requests that are over."""
+    """Parse the lines of finished requests."""
     return [dict(FIELD.findall(line)) for line in lines if " request id=" in f" {line}" and " ms=" in line]
 
 
 def quantile(values: list[float], part: float) -> float:
-    """The value under which a part of them lies; 0 of none."""
+    """Return the quantile of the values, 0 for none."""
     ordered = sorted(values)
     return ordered[min(int(part * len(ordered)), len(ordered) - 1)] if ordered else 0.0
 
 
-def best_kept(requests: list[Row]) -> float:
-    """Prompt tokens that one cache without end would have kept."""
+def best_possible_kept(requests: list[Row]) -> float:
+    """Return the prompt tokens that one infinite cache would have served."""
     sessions: dict[str, float] = {}
     prefixes: set[str] = set()
     kept = 0.0
@@ -48,13 +48,13 @@
 
 
 def spread(counts: Counter[str]) -> str:
-    """How unevenly hosts were used: how many, and the most of any against their mean."""
+    """Describe how evenly hosts were used: their number and the largest count over the mean."""
     mean = counts.total() / max(len(counts), 1)
     return f"{len(counts)} hosts, the fullest {max(counts.values(), default=0) / max(mean, 1e-9):.1f} times their mean"
 
 
 def table(requests: list[Row]) -> list[str]:
-    """The table's lines."""
+    """Return the lines of the table."""
     out = [f"requests {len(requests)}"]
     for cls in sorted({row["cls"] for row in requests}):
         ends = Counter(row["end"] for row in requests if row["cls"] == cls)
@@ -64,8 +64,8 @@
     kept = sum(min(float(row["kept"]), float(row["prompt"])) for row in read)
     out.append(
         f"kept {kept / max(prompts, 1):.3f} of the prompt tokens read, best possible "
-        f"{best_kept(read) / max(prompts, 1):.3f}; new tokens a read {(prompts - kept) / max(len(read), 1):.0f}"
-        f" of {prompts / max(len(read), 1):.0f}"
+        f"{best_possible_kept(read) / max(prompts, 1):.3f}; "
+        f"new tokens a read {(prompts - kept) / max(len(read), 1):.0f} of {prompts / max(len(read), 1):.0f}"
     )
     tries = [[int(part) for part in row["tries"].split(",")] for row in requests]
     reads, writes, asked, refused = (sum(column) for column in zip(*tries, strict=True)) if tries else (0, 0, 0, 0)
@@ -90,8 +90,8 @@
     return out
 
 
-def sent(requests: list[Row]) -> dict[str, list[float]]:
-    """By host: when the last attempts were written, in milliseconds of Unix time."""
+def send_times(requests: list[Row]) -> dict[str, list[float]]:
+    """Return the times by host at which requests' last attempts were written, in milliseconds of Unix time."""
     times: dict[str, list[float]] = defaultdict(list)
     for row in requests:
         stages = dict(part.split(":") for part in row["ms"].split(",") if part)
@@ -103,8 +103,11 @@
     return times
 
 
-def failed(lines: Iterable[str], requests: list[Row]) -> Iterator[tuple[str, float]]:
-    """Host and about when (their ends are told) of attempts that failed; a log's own clock is put on Unix time."""
+def failed_attempts(lines: Iterable[str], requests: list[Row]) -> Iterator[tuple[str, float]]:
+    """Yield host and approximate time of failed attempts: the log has their end, on its own clock.
+
+    That clock is converted to Unix time with the median offset at the lines of finished requests.
+    """
     ends = {
         row["id"]: float(row["came"]) + sum(float(p.split(":")[1]) for p in row["ms"].split(",") if p)
         for row in requests
@@ -123,30 +126,30 @@
 
 
 def cold(lines: list[str], cold_ms: float, window_ms: float) -> list[str]:
-    """By kind: hosts that started, and the most that any was sent in a window while it was cold."""
+    """Return a line per kind of host: hosts started, and the most attempts to any of them in a window while cold."""
     requests = rows(lines)
-    times = sent(requests)
-    for host, at in failed(lines, requests):
+    times = send_times(requests)
+    for host, at in failed_attempts(lines, requests):
         times[host].append(at)
     starts = {
         (row["id"], row["kind"], float(row["up"]))
         for row in (dict(FIELD.findall(line)) for line in lines if "host started id=" in line)
     }
-    most: dict[str, list[int]] = defaultdict(list)
+    max_sent: dict[str, list[int]] = defaultdict(list)
     for host, kind, up in starts:
         while_cold = sorted(at for at in times[host] if up <= at < up + cold_ms)
-        most[kind].append(
+        max_sent[kind].append(
             max((sum(at <= other < at + window_ms for other in while_cold) for at in while_cold), default=0)
         )
     return [
         f"cold {kind}: {len(counts)} started, sent in {window_ms / 1_000:g} s at most {max(counts)}, "
         f"median {quantile([float(n) for n in counts], 0.5):.0f}"
-        for kind, counts in sorted(most.items())
+        for kind, counts in sorted(max_sent.items())
     ]
 
 
 def main(folder: str, cold_s: str = "0", window_s: str = "2") -> None:
-    """Print the table of a folder of logs."""
+    """Print the table for a folder of logs."""
     lines = [line for path in sorted(Path(folder).glob("*.log")) for line in path.read_text().splitlines()]
     print("\n".join([*table(rows(lines)), *cold(lines, float(cold_s) * 1_000, float(window_s) * 1_000)]))
 
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -1,7 +1,7 @@
-"""Timers that are mostly cancelled: our buckets against a plain heap that marks the cancelled ones.
+"""Timers that are mostly cancelled: bucketed timers compared with a heap that marks cancelled entries.
 
-Run: python benchmarks/timers.py. Each request sets a deadline some seconds away and cancels it soon after. Printed:
-entries still held for cancelled timers at the end, and our time as a multiple of the plain heap's in the same run.
+Run: python benchmarks/timers.py. Each request sets a deadline some seconds away and cancels it soon after. Prints the
+entries still held at the end, and the time of the bucketed timers over that of the heap in the same run.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 REQUESTS = 200_000
 DEADLINE_US = 7_500_000
-OPEN = 200  # requests that are open at once
+OPEN_REQUESTS = 200  # concurrent requests
 GAP_US = 100
 
 
 class PlainHeap:
-    """What most event loops do: cancelled entries stay until they would have been due."""
+    """Baseline as in most event loops: cancelled entries stay in the heap until they would have been due."""
 
     def __init__(self) -> None:
         self.heap: list[tuple[int, int, list[Callable[[], None] | None]]] = []
@@ -36,7 +36,7 @@
             heapq.heappop(self.heap)
 
 
-def nothing() -> None:
+def no_op() -> None:
     pass
 
 
@@ -45,8 +45,8 @@
     open_timers: list[Callable[[], None]] = []
     for number in range(REQUESTS):
         now_us = number * GAP_US
-        open_timers.append(set_timer(now_us + DEADLINE_US, nothing))
-        if len(open_timers) > OPEN:
+        open_timers.append(set_timer(now_us + DEADLINE_US, no_op))
+        if len(open_timers) > OPEN_REQUESTS:
             open_timers.pop(0)()
         if number % 10 == 0:
             pop_due(now_us)
@@ -54,16 +54,16 @@
 
 
 def main() -> None:
-    ours, plain = Timers(), PlainHeap()
+    bucketed, plain = Timers(), PlainHeap()
     ratios = []
     for _ in range(5):
-        ours, plain = Timers(), PlainHeap()
+        bucketed, plain = Timers(), PlainHeap()
         ratios.append(
-            run(lambda due, call, t=ours: t.set(due, call).cancel, ours.pop_due)  # type: ignore[misc]
+            run(lambda due, call, t=bucketed: t.set(due, call).cancel, bucketed.pop_due)  # type: ignore[misc]
             / run(plain.set, plain.pop_due)
         )
     print(
-        f"held for {OPEN} open timers: ours {len(ours)} timers and {ours.heap_size} ticks, "
+        f"held for {OPEN_REQUESTS} open timers: ours {len(bucketed)} timers and {bucketed.heap_size} ticks, "
         f"plain heap {len(plain.heap)} entries"
     )
     print(f"time, ours / plain: median {sorted(ratios)[2]:.2f} of {', '.join(f'{r:.2f}' for r in ratios)}")
