--- a/tests/agent_standin.py
+++ b/tests/agent_standin.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery's agent on the virtual World, whose calls can go wrong in each of their phases."""
+"""Stand-in for a discovery agent on the virtual World, with faults for each phase of a call."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n"
 ENDLESS = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
-Fault = Callable[["Agent", Stream, bytes], None]  # what a call meets instead of its answer, which is given
+Fault = Callable[["Agent", Stream, bytes], None]  # runs in place of the answer, which it is given
 
 
 class Agent:
-    """Answers with a list of hosts; `fault` is met by the next `faulty` answers that have something to tell."""
+    """Answers with a list of hosts; `fault` replaces the next `faulty` answers."""
 
     def __init__(self, sim: Simulation, address: str, revision: int = 5, hosts: int = 2) -> None:
         self.sim, self.revision = sim, revision
@@ -26,14 +26,14 @@
         self.world = sim.program(f"agent {address}")
         self.fault: Fault | None = None
         self.faulty = 0
-        self.reached_us = 0  # it could not be reached until then
-        self.met: Signal = self.world.signal()  # a call has met the fault
+        self.reached_us = 0  # unreachable until then
+        self.met: Signal = self.world.signal()  # set when a call meets the fault
         self.asked: list[tuple[int, bytes]] = []
         self.streams: list[Stream] = []
-        self.again: list[bytes] = []  # sent once more, a little after the next answer
+        self.again: list[bytes] = []  # additional answers, sent shortly after the next one
         self.waits = True
         self.complete = True
-        self.says: bytes | None = None  # in place of any list
+        self.says: bytes | None = None  # body in place of the list
         host, _, port = address.rpartition(":")
         self.listener = self.world.listen(host, int(port))
         self.world.spawn("accept", self.accept)
@@ -89,7 +89,7 @@
         stream.close()
 
 
-# --- faults by phase
+# --- faults, by phase of the call
 
 
 def silent(agent: Agent, stream: Stream, answer: bytes) -> None:
@@ -105,11 +105,11 @@
 
 
 def after(part: float, then: Fault) -> Fault:
-    """A part of the answer, and then the fault."""
+    """Send a part of the answer, then apply the fault."""
 
     def fault(agent: Agent, stream: Stream, answer: bytes) -> None:
         stream.write(answer[: round(part * len(answer))])
-        agent.sleep(5_000)  # it arrives
+        agent.sleep(5_000)  # lets the sent part arrive
         then(agent, stream, answer)
 
     return fault
@@ -131,7 +131,7 @@
 
 
 def bytewise(every_us: int) -> Fault:
-    """The true answer in pieces of one byte."""
+    """Send the answer one byte at a time."""
 
     def fault(agent: Agent, stream: Stream, answer: bytes) -> None:
         for at in range(len(answer)):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What holds for all tests: drawn cases are the same at every run; known failures; one dispatcher for a file."""
+"""Shared pytest set-up: deterministic Hypothesis cases, known failures, and one dispatcher per test file."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect the listed tests to fail; one that passes fails the run, so that it is taken off the list."""
+    """Mark listed tests as strict expected failures: one that passes fails the run until it is taken off the list."""
     for item in items:
         for known in read_known_failures(KNOWN_FAILURES):
-            if known.names(item.nodeid):
+            if known.matches(item.nodeid):
                 item.add_marker(pytest.mark.xfail(reason=known.cause, strict=True))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print what is known to fail."""
+    """Print the list of known failures."""
     known: list[KnownFailure] = read_known_failures(KNOWN_FAILURES)
     if known:
         terminalreporter.section("known failures, listed in KNOWN-RED.txt")
--- a/tests/fleet_check.py
+++ b/tests/fleet_check.py
@@ -1,9 +1,12 @@
-"""What passed at the store and at the engines, checked from their journals alone; knows none of the code it checks.
-
-Rules: an engine never obeys a lower fence of a duty after a higher one, over its own restarts too; nothing is let go of
-for an edge that lives; a duty's key is never taken from an owner who has it, nor removed by another; what is written
-on behalf of a duty is written by who holds it then; an order carries a fence that the store once gave to that duty; who
-has seen a store go back takes no duty from it.
+"""Checks the journals of the store and the engines against the fleet's rules, sharing no code with the fleet.
+
+Rules:
+- an engine never obeys a lower fence of a duty after a higher one, also across its own restarts;
+- nothing is released for an edge that is alive;
+- a duty's key is never taken over from its owner, nor removed by another steward;
+- writes on behalf of a duty are made by its current owner;
+- an order carries a fence that the store has assigned to that duty;
+- a steward that has seen the store's revision go back acquires no duty from it.
 """
 
 from __future__ import annotations
@@ -15,11 +18,11 @@
 from pathlib import Path
 from typing import Any
 
-MARGIN_US = 1_000_000  # between an edge's last sign of life and an order that lets go of what it held
+MARGIN_US = 1_000_000  # between an edge's last sign of life and an order that releases what it held
 
 
-def read(path: Path) -> list[dict[str, Any]]:
-    """A journal; a last line that a kill cut off is passed over."""
+def read_journal(path: Path) -> list[dict[str, Any]]:
+    """Read a journal; a last line cut short by a kill is skipped."""
     rows = []
     for line in path.read_text().splitlines() if path.exists() else []:
         try:
@@ -29,53 +32,53 @@
     return rows
 
 
-def text(data: str) -> str:
+def decode_text(data: str) -> str:
     return base64.b64decode(data).decode()
 
 
 def check(folder: Path, engines: Iterable[str], fleet: str = "main") -> list[str]:
-    """What was broken; nothing when all held."""
-    store = Store(f"/yardspindle/{fleet}/")
-    for row in read(folder / "store.jsonl"):
-        store.take(row)
-    found = store.broken
+    """Return the rule violations found in a run's journals."""
+    store = StoreHistory(f"/yardspindle/{fleet}/")
+    for row in read_journal(folder / "store.jsonl"):
+        store.apply(row)
+    found = store.violations
     for engine in engines:
-        found += obeyed(engine, read(folder / f"{engine}.jsonl"), store)
-    return found + released(folder, engines, store)
+        found += check_fence_order(engine, read_journal(folder / f"{engine}.jsonl"), store)
+    return found + check_releases(folder, engines, store)
 
 
-class Store:
-    """The store's own account: which fence had a duty when, and who was registered when."""
+class StoreHistory:
+    """The history of the store from its journal: fences by duty and registrations by epoch, with their times."""
 
     def __init__(self, root: str) -> None:
         self.root = root
         self.keys: dict[str, tuple[str, int, int]] = {}  # value, create, lease
         self.fences: dict[str, dict[int, tuple[int, int | None]]] = defaultdict(dict)  # duty, fence: from, to
         self.registered: dict[str, list[tuple[int, int | None]]] = defaultdict(list)  # epoch: from, to
-        self.owners: set[str] = set()  # epochs that took a duty
-        self.fooled: set[str] = set()  # those of them that saw the store go back
-        self.broken: list[str] = []
+        self.owners: set[str] = set()  # epochs that acquired a duty
+        self.saw_rollback: set[str] = set()  # owners that saw the store's revision go back
+        self.violations: list[str] = []
 
-    def take(self, row: dict[str, Any]) -> None:
+    def apply(self, row: dict[str, Any]) -> None:
         now = row["t"]
         match row["ev"]:
             case "expired":
-                self._end(list(row["leases"]), now)
+                self._end_leases(list(row["leases"]), now)
             case "control" if row["do"] == "expire":
-                self._end([lease for _, _, lease in self.keys.values() if lease], now)
+                self._end_leases([lease for _, _, lease in self.keys.values() if lease], now)
             case "control" if row["do"] == "restore":
-                self.keys.clear()  # an older revision: what it holds is not in the journal any more
-                self.fooled = set(self.owners)
+                self.keys.clear()  # an older revision, whose keys the journal does not show
+                self.saw_rollback = set(self.owners)
             case "call" if row["path"] == "/v3/lease/revoke":
-                self._end([int(row["call"]["ID"])], now)
+                self._end_leases([int(row["call"]["ID"])], now)
             case "call" if row["path"] == "/v3/kv/txn":
-                self._txn(row["call"], row["answer"], now)
+                self._apply_txn(row["call"], row["answer"], now)
 
-    def _end(self, leases: list[int], now: int) -> None:
+    def _end_leases(self, leases: list[int], now: int) -> None:
         for key in [key for key, (_, _, lease) in self.keys.items() if lease in leases]:
-            self._gone(key, now)
+            self._remove(key, now)
 
-    def _gone(self, key: str, now: int) -> None:
+    def _remove(self, key: str, now: int) -> None:
         value, create, _ = self.keys.pop(key)
         if key.startswith(self.root + "duties/"):
             duty = key[len(self.root + "duties/") :]
@@ -84,53 +87,62 @@
             rows = self.registered[json.loads(value)["epoch"]]
             rows[-1] = (rows[-1][0], now)
 
-    def _txn(self, call: dict[str, Any], answer: dict[str, Any], now: int) -> None:
+    def _apply_txn(self, call: dict[str, Any], answer: dict[str, Any], now: int) -> None:
         ops = call.get("success", []) if answer.get("succeeded") else call.get("failure", [])
         revision = int(answer["header"]["revision"])
-        under = [
-            text(c["key"])
+        compared_keys = [
+            decode_text(c["key"])
             for c in call.get("compare", [])
             if c.get("target") == "CREATE" and int(c.get("create_revision") or 0)
         ]
         for op in ops:
             if put := op.get("request_put"):
-                self._put(text(put["key"]), text(put.get("value", "")), int(put.get("lease", 0)), revision, now, under)
+                self._apply_put(
+                    decode_text(put["key"]),
+                    decode_text(put.get("value", "")),
+                    int(put.get("lease", 0)),
+                    revision,
+                    now,
+                    compared_keys,
+                )
             elif delete := op.get("request_delete_range"):
-                key = text(delete["key"])
-                if key.startswith(self.root + "duties/") and key in self.keys and key not in under:
-                    self.broken.append(f"{key}: removed by somebody who did not say that he holds it")
+                key = decode_text(delete["key"])
+                if key.startswith(self.root + "duties/") and key in self.keys and key not in compared_keys:
+                    self.violations.append(f"{key}: removed by somebody who did not compare its create revision")
                 if key.startswith(self.root + "epochs/"):
-                    self._on_behalf(key, under)
+                    self._check_fenced_write(key, compared_keys)
                 if key in self.keys:
-                    self._gone(key, now)
+                    self._remove(key, now)
 
-    def _put(self, key: str, value: str, lease: int, revision: int, now: int, under: list[str]) -> None:
+    def _apply_put(self, key: str, value: str, lease: int, revision: int, now: int, compared_keys: list[str]) -> None:
         old = self.keys.get(key)
         if key.startswith(self.root + "duties/"):
             duty = key[len(self.root + "duties/") :]
             if old is not None and old[0] != value:
-                self.broken.append(f"duty {duty}: taken over while {old[0]} holds it")
+                self.violations.append(f"duty {duty}: taken over while {old[0]} holds it")
             if old is None:
                 self.fences[duty][revision] = (now, None)
             epoch = json.loads(value)["epoch"]
             self.owners.add(epoch)
-            if epoch in self.fooled:
-                self.broken.append(f"duty {duty}: taken from a store that went back by one who knew it")
+            if epoch in self.saw_rollback:
+                self.violations.append(
+                    f"duty {duty}: acquired from a store that went back, by an owner that had seen it"
+                )
         if key == self.root + "clocks":
-            self._on_behalf(key, under)
+            self._check_fenced_write(key, compared_keys)
         if key.startswith(self.root + "members/edge/"):
             rows = self.registered[json.loads(value)["epoch"]]
             if old is None or not rows or rows[-1][1] is not None:
                 rows.append((now, None))
         self.keys[key] = (value, old[1] if old else revision, lease)
 
-    def _on_behalf(self, key: str, under: list[str]) -> None:
-        if not any(name.startswith(self.root + "duties/") and name in self.keys for name in under):
-            self.broken.append(f"{key}: written on behalf of a duty that the writer did not prove to hold")
+    def _check_fenced_write(self, key: str, compared_keys: list[str]) -> None:
+        if not any(name.startswith(self.root + "duties/") and name in self.keys for name in compared_keys):
+            self.violations.append(f"{key}: written on behalf of a duty that the writer did not prove to hold")
 
 
-def obeyed(engine: str, rows: list[dict[str, Any]], store: Store) -> list[str]:
-    """Fences in the order in which one engine obeyed them."""
+def check_fence_order(engine: str, rows: list[dict[str, Any]], store: StoreHistory) -> list[str]:
+    """Check the fences of the orders that one engine obeyed."""
     found: list[str] = []
     highest: dict[str, int] = defaultdict(int)
     for row in rows:
@@ -146,19 +158,19 @@
     return found
 
 
-def released(folder: Path, engines: Iterable[str], store: Store) -> list[str]:
-    """Nothing is let go of for an edge that lives: one that is registered, or asks an engine for something later."""
-    found, seen, orders = [], dict[str, int](), []
+def check_releases(folder: Path, engines: Iterable[str], store: StoreHistory) -> list[str]:
+    """Check that nothing is released for a live edge: one that is registered or sends an engine a request later."""
+    found, last_seen, orders = [], dict[str, int](), []
     for engine in engines:
-        for row in read(folder / f"{engine}.jsonl"):
+        for row in read_journal(folder / f"{engine}.jsonl"):
             epoch = row["id"].partition("-")[0]
             if row["ev"] == "arrive":
-                seen[epoch] = max(seen.get(epoch, 0), row["t"])
+                last_seen[epoch] = max(last_seen.get(epoch, 0), row["t"])
             elif row["ev"] == "order" and row["admitted"] and row["id"] not in ("", "holds"):
                 orders.append((epoch, row["t"], engine, row["id"]))
     for epoch, at, engine, hold in orders:
         if any(start <= at and (end is None or at < end) for start, end in store.registered[epoch]):
-            found.append(f"{engine}: {hold} let go of while its edge is registered")
-        if seen.get(epoch, 0) > at:
-            found.append(f"{engine}: {hold} let go of while its edge still sends")
+            found.append(f"{engine}: {hold} released while its edge is registered")
+        if last_seen.get(epoch, 0) > at:
+            found.append(f"{engine}: {hold} released while its edge still sends")
     return found
--- a/tests/fleet_scenarios.py
+++ b/tests/fleet_scenarios.py
@@ -1,4 +1,4 @@
-"""What is done to several real programs, and what must then be seen of them."""
+"""Fault scenarios for a fleet of real programs; each injects faults and waits for the expected reaction."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from tests.fleet_check import check
 from tests.processes import Processes, S
 
-DUTIES = 3  # clock, release and the sweep of one cell
+DUTY_COUNT = 3  # clock, release and the sweep of one cell
 
 
-def small(p: Processes, stewards: int = 3) -> None:
+def start_fleet(p: Processes, stewards: int = 3) -> None:
     p.store()
     p.engine("r0", "read")
     p.engine("w0", "write")
-    p.lists()
+    p.write_server_list()
     p.dispatcher(0)
     for number in range(stewards):
         p.steward(f"s{number}")
 
 
 def an_edge_that_is_killed_leaves_nothing_behind(p: Processes) -> None:
-    small(p, 2)
+    start_fleet(p, 2)
     p.until("an owner", lambda: p.owner("sweep/0"))
     p.until("the edge", lambda: "edge/edge0" in p.rows("members/"))
     epoch = p.rows("members/")["edge/edge0"][0]["epoch"]
     assert p.chat()[0] == 200
-    # A state that waits for a writer that hangs: held when the edge dies.
+    # The writer hangs, so the state is still held when the edge dies.
     p.call(p.ports["w0"], "POST", "/v1/lab/control", {"do": "hang"})
     thread = p.world.spawn("chat", p.chat, 0, 400, "hold this", 8.0)
     p.until("a hold", lambda: p.holds("r0"))
@@ -43,36 +43,36 @@
     thread.join()
 
 
-def ready(p: Processes, stewards: int = 3) -> tuple[str, int]:
-    """A small fleet with an owner of the sweep, a held state in r0, and its edge's epoch."""
-    small(p, stewards)
+def start_balanced_fleet(p: Processes, stewards: int = 3) -> tuple[str, int]:
+    """Start a fleet whose duties are spread evenly; returns the owner of the sweep and its fence."""
+    start_fleet(p, stewards)
     p.until("the edge", lambda: "edge/edge0" in p.rows("members/"))
 
-    def spread() -> bool:  # from then on nothing changes hands by itself
+    def duties_are_spread() -> bool:  # after that no duty moves without a fault
         names = [row["name"] for row, _ in p.rows("duties/").values()]
         held = [names.count(f"s{number}") for number in range(stewards)]
-        return len(names) == DUTIES and max(held) - min(held) < 2
+        return len(names) == DUTY_COUNT and max(held) - min(held) < 2
 
-    p.until("duties are spread", spread, 30 * S)
+    p.until("duties are spread", duties_are_spread, 30 * S)
     return p.until("an owner", lambda: p.owner("sweep/0"))
 
 
 def hold_a_state(p: Processes) -> str:
-    """A state at r0 that nothing but a sweep lets go of: its writer hangs."""
+    """Leave a state at r0 that only a sweep releases, because its writer hangs."""
     p.call(p.ports["w0"], "POST", "/v1/lab/control", {"do": "hang"})
     p.world.spawn("chat", p.chat, 0, 400, "hold this", 8.0)
     return p.until("a hold", lambda: p.holds("r0"))[0]
 
 
-def checked(p: Processes) -> None:
+def assert_rules_hold(p: Processes) -> None:
     assert check(p.folder, p.boxes) == []
 
 
-def ordered(p: Processes, fence: int) -> bool:
+def engine_received_order(p: Processes, fence: int) -> bool:
     return any(row["ev"] == "order" and row["fence"] == fence for row in p.lines("r0"))
 
 
-def other_owner(p: Processes, than: str) -> tuple[str, int]:
+def wait_for_other_owner(p: Processes, than: str) -> tuple[str, int]:
     def look() -> tuple[str, int] | None:
         owner = p.owner("sweep/0")
         return owner if owner is not None and owner[0] != than else None
@@ -81,22 +81,22 @@
 
 
 def an_owner_that_was_stopped_wakes_up_late_and_does_no_harm(p: Processes) -> None:
-    name, fence = ready(p)
+    name, fence = start_balanced_fleet(p)
     hold_a_state(p)
     relay = p.relays[f"r0 {name}"]
-    p.until("it has swept", lambda: ordered(p, fence))
+    p.until("it has swept", lambda: engine_received_order(p, fence))
     relay.cut()
     p.kill("edge0")
-    p.until("its orders lie in sockets", lambda: relay.held)
+    p.until("its orders lie in sockets", lambda: relay.delayed_chunks)
     p.send(name, signal.SIGSTOP)
     stopped = p.world.now_us()
-    _, later = other_owner(p, name)
+    _, later = wait_for_other_owner(p, name)
     assert later > fence
     p.until("nothing held", lambda: not p.holds("r0"))
     while p.world.now_us() - stopped < 3 * p.ttl_ms * 1_000:
         p.world.sleep_until(stopped + 3 * p.ttl_ms * 1_000)
     seen = len(p.lines("r0"))
-    relay.mend()
+    relay.restore()
     p.until(
         "its order arrives", lambda: any(row["ev"] == "order" and row["fence"] == fence for row in p.lines("r0")[seen:])
     )
@@ -104,24 +104,24 @@
     p.until("it knows", lambda: p.logged(name, "duty ended"))
     p.until("it takes part again", lambda: f"steward/{name}" in p.rows("members/"))
     assert p.owner("sweep/0") is not None
-    checked(p)
+    assert_rules_hold(p)
 
 
 def an_owner_cut_off_from_the_store_alone_stops_by_itself(p: Processes) -> None:
-    name, fence = ready(p)
+    name, fence = start_balanced_fleet(p)
     p.relays[f"store {name}"].cut()
     cut = p.world.now_us()
-    _, later = other_owner(p, name)
+    _, later = wait_for_other_owner(p, name)
     assert later > fence and p.world.now_us() - cut < 4 * p.ttl_ms * 1_000
     ended = p.until("it stops by itself", lambda: p.logged(name, "duty ended", duty="sweep/0"))
     assert ended["why"] == "its lease could not be kept alive"
-    p.relays[f"store {name}"].mend()
+    p.relays[f"store {name}"].restore()
     p.until("it takes part again", lambda: f"steward/{name}" in p.rows("members/"))
-    checked(p)
+    assert_rules_hold(p)
 
 
 def an_edge_cut_off_from_the_store_keeps_what_it_holds(p: Processes) -> None:
-    ready(p, 2)
+    start_balanced_fleet(p, 2)
     hold = hold_a_state(p)
     p.relays["store edge0"].cut()
     p.until("its registration's end", lambda: "edge/edge0" not in p.rows("members/"))
@@ -131,13 +131,13 @@
         p.world.sleep_until(p.world.now_us() + 50_000)
     p.call(p.ports["w0"], "POST", "/v1/lab/control", {"do": "wake"})
     assert p.chat()[0] == 200, "traffic goes on without the store"
-    p.relays["store edge0"].mend()
+    p.relays["store edge0"].restore()
     p.until("it is back", lambda: "edge/edge0" in p.rows("members/"))
-    checked(p)
+    assert_rules_hold(p)
 
 
 def a_stopped_edge_is_not_taken_for_a_dead_one(p: Processes) -> None:
-    ready(p, 2)
+    start_balanced_fleet(p, 2)
     hold = hold_a_state(p)
     p.send("edge0", signal.SIGSTOP)
     p.until("its registration's end", lambda: "edge/edge0" not in p.rows("members/"))
@@ -147,21 +147,21 @@
         p.world.sleep_until(p.world.now_us() + 50_000)
     p.send("edge0", signal.SIGCONT)
     p.until("it is back", lambda: "edge/edge0" in p.rows("members/"))
-    checked(p)
+    assert_rules_hold(p)
 
 
 def answers_lost_at_the_take_over(p: Processes) -> None:
-    name, fence = ready(p)
+    name, fence = start_balanced_fleet(p)
     p.control("lose", count=4)
     p.kill(name)
-    other, later = other_owner(p, name)
+    other, later = wait_for_other_owner(p, name)
     assert later > fence
     p.until("it acts", lambda: p.logged(other, "duty taken", duty="sweep/0", fence=later))
-    checked(p)
+    assert_rules_hold(p)
 
 
 def leases_that_end_early(p: Processes) -> None:
-    name, fence = ready(p)
+    name, fence = start_balanced_fleet(p)
     p.control("expire")
     newer = p.until(
         "it is owned anew", lambda: owner if (owner := p.owner("sweep/0")) is not None and owner[1] > fence else None
@@ -169,18 +169,18 @@
     p.until("the owner of before stops", lambda: p.logged(name, "duty ended", duty="sweep/0", fence=fence))
     p.until("the next one acts", lambda: p.logged(newer[0], "duty taken", duty="sweep/0", fence=newer[1]))
     p.until("all are back", lambda: len(p.rows("members/steward/")) == 3)
-    checked(p)
+    assert_rules_hold(p)
 
 
 def two_processes_of_one_configuration_are_one_member(p: Processes) -> None:
-    small(p, 1)
+    start_fleet(p, 1)
     p.until("an owner", lambda: p.owner("sweep/0"))
     p.child("copy", "steward", str(p.folder / "s0.toml"))
     p.until("the copy is refused", lambda: p.logged("copy", "not registered"))
     assert p.logged("copy", "duty taken") is None
     p.kill("s0")
     p.until("the copy takes its place", lambda: p.logged("copy", "duty taken", duty="sweep/0"))
-    checked(p)
+    assert_rules_hold(p)
 
 
 def a_store_that_is_away_and_comes_back_older_is_refused(p: Processes) -> None:
@@ -188,7 +188,7 @@
     p.control("mark")
     p.engine("r0", "read")
     p.engine("w0", "write")
-    p.lists()
+    p.write_server_list()
     p.dispatcher(0)
     p.steward("s0")
     p.until("an owner", lambda: p.owner("sweep/0"))
@@ -197,16 +197,16 @@
     assert p.chat()[0] == 200, "traffic goes on without the store"
     p.control("restore")
     p.control("leader")
-    said = p.until(
+    logged = p.until(
         "it says so", lambda: p.logged("s0", "the store went back; nothing is taken from it or written to it")
     )
-    assert "it had told" in said["reason"]
+    assert "it had told" in logged["reason"]
     assert p.owner("sweep/0") is None and p.chat()[0] == 200
-    checked(p)
+    assert_rules_hold(p)
 
 
 def all_stewards_killed_at_once(p: Processes) -> None:
-    _, fence = ready(p)
+    _, fence = start_balanced_fleet(p)
     hold_a_state(p)
     for name in ("s0", "s1", "s2", "edge0"):
         p.kill(name)
@@ -216,19 +216,19 @@
     )
     assert owner[0] == "s3"
     p.until("what the edge left is found by one who did not see it end", lambda: not p.holds("r0"))
-    checked(p)
+    assert_rules_hold(p)
 
 
 def all_but_the_owner_race(p: Processes) -> None:
-    name, _ = ready(p)
+    name, _ = start_balanced_fleet(p)
     p.kill(name)
-    other_owner(p, name)
+    wait_for_other_owner(p, name)
     p.until("it acts", lambda: len([n for n in ("s0", "s1", "s2") if p.logged(n, "duty taken", duty="sweep/0")]) > 1)
-    checked(p)
+    assert_rules_hold(p)
 
 
 def an_edge_lives_while_another_dies(p: Processes) -> None:
-    small(p, 1)
+    start_fleet(p, 1)
     p.dispatcher(1, 2)
     p.until("both edges", lambda: len(p.rows("members/edge/")) == 2)
     hold = hold_a_state(p)
@@ -237,45 +237,45 @@
     at = p.world.now_us()
     p.until("engines were swept since", lambda: any(row["ev"] == "order" and row["t"] > at for row in p.lines("r0")))
     assert hold in p.holds("r0")
-    checked(p)
+    assert_rules_hold(p)
 
 
 def an_engine_that_was_restarted_refuses_an_old_order(p: Processes) -> None:
-    name, fence = ready(p)
+    name, fence = start_balanced_fleet(p)
     relay = p.relays[f"r0 {name}"]
-    p.until("it has swept", lambda: ordered(p, fence))
+    p.until("it has swept", lambda: engine_received_order(p, fence))
     relay.reset()
     relay.cut()
     p.kill("edge0")
-    p.until("its order lies in a socket", lambda: relay.held)
+    p.until("its order lies in a socket", lambda: relay.delayed_chunks)
     p.send(name, signal.SIGSTOP)
-    _, later = other_owner(p, name)
-    p.until("the next owner orders", lambda: ordered(p, later))
+    _, later = wait_for_other_owner(p, name)
+    p.until("the next owner orders", lambda: engine_received_order(p, later))
     p.kill("r0")
     p.engine("r0", "read", port=p.ports["r0"])
     seen = len(p.lines("r0"))
-    relay.mend()
+    relay.restore()
     p.until(
         "the old order arrives",
         lambda: any(row["ev"] == "order" and row["fence"] == fence for row in p.lines("r0")[seen:]),
     )
-    checked(p)
+    assert_rules_hold(p)
 
 
 def handing_over_on_purpose_takes_less_than_a_tenth_of_a_second(p: Processes) -> None:
-    name, fence = ready(p)
+    name, fence = start_balanced_fleet(p)
     p.send(name, signal.SIGTERM)
     assert p.children[name].wait(p.world.now_us() + 5 * S) == 0
-    other, later = other_owner(p, name)
+    other, later = wait_for_other_owner(p, name)
     rows = [row for row in p.lines("store") if row["ev"] == "call" and row["path"] == "/v3/kv/txn"]
     ends = [row["t"] for row in rows if "request_delete_range" in str(row["call"]) and row["answer"].get("succeeded")]
     takes = [row["t"] for row in rows if int(row["answer"]["header"]["revision"]) == later]
     assert any(0 <= takes[0] - end < 100_000 for end in ends), (ends, takes)
-    checked(p)
+    assert_rules_hold(p)
 
 
 def clocks_are_told(p: Processes) -> None:
-    ready(p, 1)
+    start_balanced_fleet(p, 1)
     p.until("clocks are told", lambda: p.rows("clocks"))
 
 
--- a/tests/fleet_thread.py
+++ b/tests/fleet_thread.py
@@ -1,4 +1,4 @@
-"""A whole router with stand-in engines in one World in a thread, for clients that block."""
+"""Runs a complete router with stand-in engines in one World in a thread, for tests with blocking clients."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class FleetThread:
-    """Edge, planner and engines; `call` runs a function inside the World and gives its result."""
+    """Edge, planner and engines in one thread; `call` runs a function inside the World and returns its result."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self.world = RealWorld(seed=7)
         self.engines: list[StandInEngine] = []
         self.states: dict[str, str] = {}
-        self._calls: list[tuple[Callable[[], Any], list[Any], threading.Event]] = []
+        self._pending_calls: list[tuple[Callable[[], Any], list[Any], threading.Event]] = []
         self._ready, self._stop = threading.Event(), threading.Event()
         self.crashes: list[str] = []
         self._thread = threading.Thread(target=self._run)
@@ -95,8 +95,8 @@
         self._ready.set()
         while not self._stop.is_set():
             self.world.sleep_until(self.world.now_us() + 2_000)
-            while self._calls:
-                function, result, done = self._calls.pop(0)
+            while self._pending_calls:
+                function, result, done = self._pending_calls.pop(0)
                 try:
                     result.append(function())
                 finally:
@@ -108,7 +108,7 @@
         _, self.planner_port = self.planner.start()
 
     def stop_planner(self) -> None:
-        """As if it were killed: its links break and nobody listens."""
+        """Simulate a killed planner: its links break and connects are refused."""
         assert self.planner._listener is not None
         self.planner._listener.close()
         for session in self.planner.sessions:
@@ -137,12 +137,12 @@
     def call(self, function: Callable[[], Any]) -> Any:
         result: list[Any] = []
         done = threading.Event()
-        self._calls.append((function, result, done))
+        self._pending_calls.append((function, result, done))
         assert done.wait(20)
         return result[0]
 
     def until(self, condition: Callable[[], bool]) -> None:
-        """Wait inside the World for a condition that must come true."""
+        """Wait inside the World until a condition holds, at most 10 s."""
 
         def wait() -> bool:
             with self.world.deadline(self.world.now_us() + 10_000_000):
--- a/tests/ledger.py
+++ b/tests/ledger.py
@@ -1,6 +1,7 @@
-"""A ledger of the five rules: feeds a policy legal events in any order and checks what it does.
+"""Property-test harness for policies: feeds legal events in random order and checks five rules on the actions.
 
-There is no model of servers or of time here: outcomes, their order and the gaps between them are drawn.
+The rules (names as in the violations): answered, effects, drains, cold, pinned. Servers and time are not modelled:
+outcomes, their order and the gaps between them are drawn.
 """
 
 from __future__ import annotations
@@ -16,18 +17,18 @@
 FAILURES = (i.Status.ERROR, i.Status.FULL, i.Status.CONNECT_FAILED, i.Status.RESET)
 
 
-class Decides(Protocol):
-    """What the ledger drives."""
+class PolicyUnderTest(Protocol):
+    """Interface of a policy as the ledger drives it."""
 
     def handle(self, now_us: int, event: i.Event) -> list[i.Action]: ...
 
 
 class Broken(AssertionError):
-    """A rule was broken."""
+    """A policy violated a rule."""
 
 
 def settings(**other: object) -> i.Settings:
-    """Settings with every effect and every role."""
+    """Return settings that cover every effect and every role."""
     base: dict[str, object] = {
         "me": 0,
         "instances": 2,
@@ -55,160 +56,166 @@
 
 
 @dataclass
-class Held:
-    """What the ledger knows of a request."""
+class RequestRecord:
+    """The ledger's record of a request: its attempts, its answer and what is held for it."""
 
-    ask: i.Request
+    request: i.Request
     cls: i.RequestClass
     attempts: int = 0
-    out: dict[int, tuple[int, int, int]] = field(default_factory=dict)  # number: server, sent, expires
+    in_flight: dict[int, tuple[int, int, int]] = field(default_factory=dict)  # number: server, sent, expires
     streaming: int | None = None
     finished: bool = False
-    state: bool = False
-    place: int | None = None
+    has_state: bool = False
+    place_server: int | None = None
     held_since: int | None = None
-    ran: list[tuple[int, int]] = field(default_factory=list)  # server, sent
+    may_have_run: list[tuple[int, int]] = field(default_factory=list)  # server, sent
 
 
 class Ledger:
-    """Feeds events, keeps the books, raises Broken."""
+    """Feeds events to a policy, tracks its actions and raises Broken on a rule violation."""
 
-    def __init__(self, policy: Decides, conf: i.Settings, seed: int) -> None:
-        self.policy, self.set, self.draw = policy, conf, random.Random(seed)
+    def __init__(self, policy: PolicyUnderTest, conf: i.Settings, seed: int) -> None:
+        self.policy, self.settings, self.rng = policy, conf, random.Random(seed)
         self.now = 1_000_000_000
         self.entries: dict[int, i.Entry] = {}
-        self.leaving: dict[int, int] = {}
+        self.leaving_since: dict[int, int] = {}
         self.timers: list[tuple[int, int]] = []
-        self.held: dict[int, Held] = {}
+        self.requests: dict[int, RequestRecord] = {}
         self.number = 0
         self.sent_cold: dict[int, list[int]] = defaultdict(list)
         self.version = 0
         self.actions: list[i.Action] = []
-        self.called_off: list[tuple[int, int, int, int]] = []  # attempts whose end is still to be told
+        self.cancelled: list[tuple[int, int, int, int]] = []  # cancelled attempts whose outcome is not yet reported
 
     # --- events
 
     def feed(self, event: i.Event) -> None:
         for action in self.policy.handle(self.now, event):
             self.actions.append(action)
-            self.act(action)
+            self.apply(action)
 
-    def listing(self, entries: list[i.Entry], kind: i.ListKind) -> None:
+    def update_list(self, entries: list[i.Entry], kind: i.ListKind) -> None:
         if kind is not i.ListKind.CHANGES:
             for number in self.entries.keys() - {e.server for e in entries}:
-                self.leaving.setdefault(number, self.now)
+                self.leaving_since.setdefault(number, self.now)
         for entry in entries:
             self.entries[entry.server] = entry
             if entry.state is i.State.SERVING:
-                self.leaving.pop(entry.server, None)
+                self.leaving_since.pop(entry.server, None)
             else:
-                self.leaving.setdefault(entry.server, self.now)
+                self.leaving_since.setdefault(entry.server, self.now)
         self.version += 1
         self.feed(i.Members(kind, self.version, tuple(entries)))
 
     def fleet(self, spec: str) -> None:
-        """A letter a server: its kind; cells of four, zones of eight."""
-        self.listing(
+        """List one server per letter of `spec`, which is its kind; cells have four servers, zones eight."""
+        self.update_list(
             [i.Entry(at + 1, "ab"[at // 8 % 2], kind, at // 4, i.State.SERVING, 1.0) for at, kind in enumerate(spec)],
             i.ListKind.STALE,
         )
 
     def ask(self, cls: str | None = None, life_us: int = 3_000_000, prompt: float = 1000.0) -> int:
         self.number += 1
-        row = self.draw.choice(self.set.classes) if cls is None else next(c for c in self.set.classes if c.name == cls)
-        ask = i.Request(
+        cls_settings = (
+            self.rng.choice(self.settings.classes)
+            if cls is None
+            else next(c for c in self.settings.classes if c.name == cls)
+        )
+        request = i.Request(
             self.number,
-            row.name,
+            cls_settings.name,
             self.now + life_us,
             prompt,
-            prefix=self.draw.choice([None, "p", "q"]),
+            prefix=self.rng.choice([None, "p", "q"]),
             session=f"s{self.number % 9}",
         )
-        self.held[self.number] = Held(ask, row)
-        self.feed(ask)
-        return ask.request
+        self.requests[self.number] = RequestRecord(request, cls_settings)
+        self.feed(request)
+        return request.request
 
     def resolve(self, number: int, attempt: int, status: i.Status, note: int = 0) -> None:
-        h = self.held[number]
-        server, sent, _ = h.out.pop(attempt)
-        reading = self.reads(server)
-        closed = h.finished or status is i.Status.SERVED or h.streaming == attempt
-        if h.streaming == attempt:
-            h.streaming = None
-        h.finished = closed
+        record = self.requests[number]
+        server, sent, _ = record.in_flight.pop(attempt)
+        is_read = self.is_reader(server)
+        closed = record.finished or status is i.Status.SERVED or record.streaming == attempt
+        if record.streaming == attempt:
+            record.streaming = None
+        record.finished = closed
         if status is i.Status.READ:
-            h.state = True
-        elif not reading and status not in PROVEN:
-            h.ran.append((server, sent))
+            record.has_state = True
+        elif not is_read and status not in PROVEN:
+            record.may_have_run.append((server, sent))
         elif status is i.Status.FULL and note == 1:
-            h.state = False
-        if (h.state or h.place is not None) and not h.out:
-            h.held_since = self.now
+            record.has_state = False
+        if (record.has_state or record.place_server is not None) and not record.in_flight:
+            record.held_since = self.now
         self.feed(i.Outcome(number, attempt, server, status, self.now - sent, closed, note))
 
     def step(self) -> None:
-        """One legal event, drawn."""
-        self.advance(self.draw.choice([0, 0, 2_000, 10_000, 50_000, 120_000]))
-        alive = [(n, a) for n, h in self.held.items() for a in h.out]
-        move = self.draw.random()
-        if move < 0.25 or not alive:
+        """Feed one random legal event."""
+        self.advance(self.rng.choice([0, 0, 2_000, 10_000, 50_000, 120_000]))
+        in_flight = [(n, a) for n, h in self.requests.items() for a in h.in_flight]
+        choice = self.rng.random()
+        if choice < 0.25 or not in_flight:
             self.ask(
-                life_us=self.draw.choice([4_000, 300_000, 3_000_000]), prompt=self.draw.choice([10.0, 1000.0, 30_000.0])
+                life_us=self.rng.choice([4_000, 300_000, 3_000_000]), prompt=self.rng.choice([10.0, 1000.0, 30_000.0])
             )
-        elif move < 0.75:
-            number, attempt = self.draw.choice(alive)
-            h = self.held[number]
-            server = h.out[attempt][0]
-            if h.streaming == attempt:
+        elif choice < 0.75:
+            number, attempt = self.rng.choice(in_flight)
+            record = self.requests[number]
+            server = record.in_flight[attempt][0]
+            if record.streaming == attempt:
                 good = i.Status.SERVED
-            elif self.reads(server):
+            elif self.is_reader(server):
                 good = i.Status.READ
             else:
                 good = i.Status.SERVED
-            status = good if self.draw.random() < 0.6 else self.draw.choice(FAILURES)
-            if h.streaming == attempt and status in PROVEN:
+            status = good if self.rng.random() < 0.6 else self.rng.choice(FAILURES)
+            if record.streaming == attempt and status in PROVEN:
                 status = i.Status.RESET
-            note = int(status is i.Status.FULL and not self.reads(server) and self.draw.random() < 0.5)
+            note = int(status is i.Status.FULL and not self.is_reader(server) and self.rng.random() < 0.5)
             self.resolve(number, attempt, status, note)
-        elif move < 0.85:
-            number, attempt = self.draw.choice(alive)
-            h = self.held[number]
-            server, sent, _ = h.out[attempt]
-            if self.reads(server):
-                if h.place is not None:
-                    held = self.draw.random() < 0.5
-                    event = i.Note(number, attempt, server, held)  # as the wire does: the reader's number
-                    h.place = h.place if held else None
+        elif choice < 0.85:
+            number, attempt = self.rng.choice(in_flight)
+            record = self.requests[number]
+            server, sent, _ = record.in_flight[attempt]
+            if self.is_reader(server):
+                if record.place_server is not None:
+                    held = self.rng.random() < 0.5
+                    event = i.Note(
+                        number, attempt, server, held
+                    )  # carries the number of the read attempt, as on the wire
+                    record.place_server = record.place_server if held else None
                     self.feed(event)
-            elif h.streaming is None and not h.finished:
-                h.streaming, h.state, h.place, h.held_since = attempt, False, None, None
+            elif record.streaming is None and not record.finished:
+                record.streaming, record.has_state, record.place_server, record.held_since = attempt, False, None, None
                 self.feed(i.First(number, attempt, server, self.now - sent))
-        elif move < 0.9:
-            number, _ = self.draw.choice(alive)
-            self.held[number].finished = True
+        elif choice < 0.9:
+            number, _ = self.rng.choice(in_flight)
+            self.requests[number].finished = True
             self.feed(i.Hangup(number))
         else:
-            entry = self.draw.choice(list(self.entries.values()))
-            state = self.draw.choice(list(i.State))
-            since = self.now if state is i.State.SERVING and self.draw.random() < 0.5 else entry.up_since_us
-            self.listing(
+            entry = self.rng.choice(list(self.entries.values()))
+            state = self.rng.choice(list(i.State))
+            since = self.now if state is i.State.SERVING and self.rng.random() < 0.5 else entry.up_since_us
+            self.update_list(
                 [i.Entry(entry.server, entry.zone, entry.kind, entry.cell, state, 1.0, since)], i.ListKind.CHANGES
             )
 
     def advance(self, by_us: int) -> None:
-        """Let time pass; what falls due in between happens in its order."""
+        """Advance time; timers and time-outs that become due fire in order."""
         until = self.now + by_us
-        while self.called_off:
-            number, attempt, server, sent = self.called_off.pop(0)
-            took, over = self.now - sent, self.held[number].finished
+        while self.cancelled:
+            number, attempt, server, sent = self.cancelled.pop(0)
+            took, over = self.now - sent, self.requests[number].finished
             self.feed(i.Outcome(number, attempt, server, i.Status.CANCELLED, took, over))
         while True:
             due = [(max(t, self.now), 0, token, 0) for t, token in self.timers]
             due += [
                 (max(x[2], self.now), 1, n, a)
-                for n, h in self.held.items()
-                for a, x in h.out.items()
-                if h.streaming != a
+                for n, record in self.requests.items()
+                for a, x in record.in_flight.items()
+                if record.streaming != a
             ]
             due = [row for row in due if row[0] <= until]
             if not due:
@@ -225,97 +232,105 @@
         self.check()
 
     def settle(self) -> None:
-        """Let all that is open run out."""
+        """Advance until everything in flight has ended; every request must have a final answer."""
         for _ in range(40):
             self.advance(200_000)
-            for number, h in list(self.held.items()):
-                if h.streaming is not None:
-                    self.resolve(number, h.streaming, i.Status.SERVED)
-        for number, h in self.held.items():
-            if not h.finished:
+            for number, record in list(self.requests.items()):
+                if record.streaming is not None:
+                    self.resolve(number, record.streaming, i.Status.SERVED)
+        for number, record in self.requests.items():
+            if not record.finished:
                 raise Broken(f"answered: request {number} has no final answer")
 
-    # --- the books
+    # --- checks
 
-    def reads(self, server: int) -> bool:
+    def is_reader(self, server: int) -> bool:
         kind = self.entries[server].kind
-        return next(k.role for k in self.set.kinds if k.name == kind) is i.Role.READ
+        return next(k.role for k in self.settings.kinds if k.name == kind) is i.Role.READ
 
-    def drained(self, server: int) -> None:
-        if self.now > self.leaving.get(server, self.now) + self.set.drain_grace_us:
-            raise Broken(f"drains: server {server} was told to be leaving")
+    def check_drain(self, server: int) -> None:
+        if self.now > self.leaving_since.get(server, self.now) + self.settings.drain_grace_us:
+            raise Broken(f"drains: server {server} was sent work after its drain grace")
 
-    def act(self, action: i.Action) -> None:
+    def apply(self, action: i.Action) -> None:
         match action:
             case i.Send(number, server, timeout):
-                h = self.held[number]
-                if h.finished:
+                record = self.requests[number]
+                if record.finished:
                     raise Broken(f"answered: send for {number}, which has ended")
-                self.drained(server)
-                if h.out and not self.set.second_copies:
+                self.check_drain(server)
+                if record.in_flight and not self.settings.second_copies:
                     raise Broken(f"effects: two attempts out for {number}")
-                if not self.reads(server):
-                    for before, sent in h.ran:
-                        cells = self.entries[before].cell, self.entries[server].cell
-                        same = h.cls.group == "all" or cells[0] == cells[1]
-                        keyed = h.cls.effect is i.Effect.KEYED and same and self.now - sent <= h.cls.window_us
-                        if h.cls.effect is not i.Effect.SAFE and not keyed:
+                if not self.is_reader(server):
+                    for server_before, sent in record.may_have_run:
+                        cells = self.entries[server_before].cell, self.entries[server].cell
+                        same = record.cls.group == "all" or cells[0] == cells[1]
+                        keyed = record.cls.effect is i.Effect.KEYED and same and self.now - sent <= record.cls.window_us
+                        if record.cls.effect is not i.Effect.SAFE and not keyed:
                             raise Broken(f"effects: {number} is sent again")
-                ends = h.ask.expires_us if timeout == 0 else min(self.now + timeout, h.ask.expires_us)
-                h.out[h.attempts] = (server, self.now, ends)
-                h.attempts += 1
-                h.held_since = None
-                if h.attempts > self.set.max_attempts:
+                expires = (
+                    record.request.expires_us if timeout == 0 else min(self.now + timeout, record.request.expires_us)
+                )
+                record.in_flight[record.attempts] = (server, self.now, expires)
+                record.attempts += 1
+                record.held_since = None
+                if record.attempts > self.settings.max_attempts:
                     raise Broken(f"attempts: {number} has too many")
-                self.cold(server)
+                self.check_slow_start(server)
             case i.Ahead(number, server):
-                self.drained(server)
-                self.held[number].place = server
+                self.check_drain(server)
+                self.requests[number].place_server = server
             case i.Discard(number):
-                h = self.held[number]
-                h.state, h.place, h.held_since = False, None, None
+                record = self.requests[number]
+                record.has_state, record.place_server, record.held_since = False, None, None
             case i.Refuse(number) | i.Fail(number):
-                h = self.held[number]
-                if h.finished:
+                record = self.requests[number]
+                if record.finished:
                     raise Broken(f"answered: {number} is answered twice")
-                h.finished = True
-                may = h.ran or any(not self.reads(row[0]) for row in h.out.values())
-                harmless = h.cls.effect is i.Effect.SAFE or (h.cls.effect is i.Effect.KEYED and h.cls.group == "all")
-                if isinstance(action, i.Refuse) and may and not harmless:
+                record.finished = True
+                may_have_run = record.may_have_run or any(
+                    not self.is_reader(row[0]) for row in record.in_flight.values()
+                )
+                harmless = record.cls.effect is i.Effect.SAFE or (
+                    record.cls.effect is i.Effect.KEYED and record.cls.group == "all"
+                )
+                if isinstance(action, i.Refuse) and may_have_run and not harmless:
                     raise Broken(f"effects: {number} is refused though it may have run")
-                if self.now > h.ask.expires_us + self.set.answer_slack_us:
+                if self.now > record.request.expires_us + self.settings.answer_slack_us:
                     raise Broken(f"answered: {number} is answered late")
-            case i.Cancel(number, attempt) if attempt in self.held[number].out:
-                h = self.held[number]
-                server, sent, _ = h.out.pop(attempt)
-                h.streaming = None if h.streaming == attempt else h.streaming
-                if not self.reads(server):
-                    h.ran.append((server, sent))
-                elif not h.finished:
-                    h.state = True  # it may have ended well just before
-                h.held_since = self.now if h.state or h.place is not None else h.held_since
-                self.called_off.append((number, attempt, server, sent))
+            case i.Cancel(number, attempt) if attempt in self.requests[number].in_flight:
+                record = self.requests[number]
+                server, sent, _ = record.in_flight.pop(attempt)
+                record.streaming = None if record.streaming == attempt else record.streaming
+                if not self.is_reader(server):
+                    record.may_have_run.append((server, sent))
+                elif not record.finished:
+                    record.has_state = True  # the read may have succeeded just before
+                record.held_since = (
+                    self.now if record.has_state or record.place_server is not None else record.held_since
+                )
+                self.cancelled.append((number, attempt, server, sent))
             case i.SetTimer(due, token):
                 self.timers.append((due, token))
             case _:
                 pass
 
-    def cold(self, server: int) -> None:
-        """Alone, an instance may send a cold server what its part of the budget surely allows."""
+    def check_slow_start(self, server: int) -> None:
+        """Check that this instance alone sends a cold server no more than its certain share of the budget."""
         since = self.entries[server].up_since_us
-        if since and self.now - since < self.set.cold_us:
-            times = self.sent_cold[server] = [t for t in self.sent_cold[server] if t > self.now - self.set.fall_us] + [
-                self.now
-            ]
+        if since and self.now - since < self.settings.cold_us:
+            times = self.sent_cold[server] = [
+                t for t in self.sent_cold[server] if t > self.now - self.settings.fall_us
+            ] + [self.now]
             busiest = max(1, self.number)
-            if len(times) > max(1.0, self.set.fall_multiple * busiest):
+            if len(times) > max(1.0, self.settings.fall_multiple * busiest):
                 raise Broken(f"cold: server {server} got {len(times)} in a span")
 
     def check(self) -> None:
-        for number, h in self.held.items():
-            idle = self.now - h.held_since if h.held_since is not None and not h.out else 0
-            if idle > self.set.release_us:
+        for number, record in self.requests.items():
+            idle = self.now - record.held_since if record.held_since is not None and not record.in_flight else 0
+            if idle > self.settings.release_us:
                 raise Broken(f"pinned: something is held for {number}")
-            late = self.now > h.ask.expires_us + self.set.answer_slack_us
-            if late and not h.finished and h.streaming is None:
+            late = self.now > record.request.expires_us + self.settings.answer_slack_us
+            if late and not record.finished and record.streaming is None:
                 raise Broken(f"answered: {number} is overdue")
--- a/tests/ownership_model.py
+++ b/tests/ownership_model.py
@@ -1,9 +1,9 @@
-"""A small explicit-state model of ownership: two processes, one store, one receiver of orders, every order of events.
+"""Explicit-state model checker for duty ownership: two processes, one store and one receiver, every order of events.
 
-The processes run the code's own transition function, the store the code's own transactions, the receiver the code's own
-fences; what the model adds is only what may happen between them: calls commit late, answers are late or lost, a process
-sleeps at any point, an order lies in a socket, the store ends a lease early. Calls other than takes are answered at
-once, but for one kept-alive lease whose answer is late.
+The processes run the production transition function, the store the production transactions, and the receiver the
+production fence check. The model adds only the environment: calls commit late, answers are late or lost, a process
+stops at any point, an order waits in a socket, the store ends a lease early. Calls other than acquisitions are answered
+at once, except that one lease renewal may be answered late.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from yardspindle.core.fleet.members import FleetKeys, Owner, decode_holder
 
 KEYS, DUTY = FleetKeys("m"), "d"
-UNIT = 1_000_000  # one step of time; leases have whole seconds
+STEP_US = 1_000_000  # one time step; leases last whole seconds
 NAMES = ("a", "b")
 
 
 @dataclass(frozen=True)
 class Call:
-    """A store call on its way: `answer` once it has committed."""
+    """A store call in flight; `answer` is set once it has committed."""
 
     who: int
     kind: str  # grant, keep, take, look, over
@@ -37,21 +37,21 @@
 
 @dataclass(frozen=True)
 class World:
-    """Everything, as plain data; the store as the calls that made it."""
+    """One state of the model: processes, calls and orders in flight, and the store."""
 
     now: int
     states: tuple[own.OwnershipState, ...]
     calls: tuple[Call, ...]
     stopped: tuple[bool, ...]
-    orders: tuple[tuple[int, int], ...]  # who, fence: written into a socket
+    orders: tuple[tuple[int, int], ...]  # process and fence of orders waiting in a socket
     accepted: tuple[int, ...]  # fences of the orders obeyed, in order
     highest: int
-    written: tuple[int, ...]  # fences of writes that the store took
+    written: tuple[int, ...]  # fences of writes that the store accepted
     store: StoreModel
     early: bool  # a lease was ended early
     ever_stopped: bool
     lost: int  # answers lost so far
-    late: bool = False  # an answer was kept back
+    late: bool = False  # an answer has been delayed
 
     def key(self) -> str:
         store = (
@@ -80,12 +80,15 @@
 
 @dataclass(frozen=True)
 class Rules:
-    """What is left out on purpose, to see that the model then finds what it guards against."""
+    """Options of a search: guards that can be removed, events that may occur, and bounds.
+
+    With a guard removed the search must find the violation that the guard prevents.
+    """
 
     receiver_compares: bool = True
     store_compares: bool = True
     counts_from_before: bool = True
-    late: bool = False  # what may happen
+    late: bool = False  # events that may occur
     lost: bool = False
     stops: bool = False
     orders: int = 0
@@ -93,26 +96,28 @@
     ttl: int = 3
     margin: int = 1
     until: int = 7
-    states: int = 20_000  # where the search ends at the latest
+    states: int = 20_000  # maximum number of states searched
 
 
 class Explorer:
+    """Searches all reachable states breadth first for a violation."""
+
     def __init__(self, rules: Rules) -> None:
         self.rules = rules
 
-    def first(self) -> World:
+    def initial(self) -> World:
         states, calls = [], []
         for who, name in enumerate(NAMES):
-            state, commands = own.start(name, own.LeaseTiming(self.rules.ttl * UNIT, self.rules.margin * UNIT), 0)
+            state, commands = own.start(name, own.LeaseTiming(self.rules.ttl * STEP_US, self.rules.margin * STEP_US), 0)
             states.append(state)
-            calls += self._calls(who, 0, commands)
+            calls += self._calls_for(who, 0, commands)
         world = World(0, tuple(states), (), (False, False), (), (), 0, (), StoreModel(), False, False, 0)
         for call in calls:
             world = self._commit(world, world.calls, call)
-            world = self._answered(world, world.calls[:-1], world.calls[-1])
+            world = self._deliver_answer(world, world.calls[:-1], world.calls[-1])
         return world
 
-    def _calls(self, who: int, now: int, commands: tuple[own.Command, ...]) -> list[Call]:
+    def _calls_for(self, who: int, now: int, commands: tuple[own.Command, ...]) -> list[Call]:
         calls = []
         for command in commands:
             match command:
@@ -131,30 +136,30 @@
         states = list(world.states)
         states[who] = state
         world = replace(world, states=tuple(states))
-        for call in self._calls(who, world.now, commands):
+        for call in self._calls_for(who, world.now, commands):
             if call.kind == "take":
                 world = replace(world, calls=(*world.calls, call))
-            else:  # at once: what may go wrong with them is left to the seeded worlds
+            else:  # answered at once; their failures are covered by the seeded simulations
                 world = self._commit(world, world.calls, call)
-                world = self._answered(world, world.calls[:-1], world.calls[-1])
+                world = self._deliver_answer(world, world.calls[:-1], world.calls[-1])
         return world
 
-    # --- what may happen next
+    # --- possible next events
 
-    def nexts(self, world: World) -> Iterator[tuple[str, World]]:
-        if world.now < self.rules.until * UNIT:
-            yield "time", self._time(world, False)
+    def successors(self, world: World) -> Iterator[tuple[str, World]]:
+        if world.now < self.rules.until * STEP_US:
+            yield "time", self._advance_time(world, False)
             if self.rules.late and not world.late:
-                yield "time, and an answer that is late", self._time(world, True)
+                yield "time, and an answer that is late", self._advance_time(world, True)
         for at, call in enumerate(world.calls):
             rest = world.calls[:at] + world.calls[at + 1 :]
             if call.done and not world.stopped[call.who]:
-                yield f"late answer to {NAMES[call.who]}", self._answered(world, rest, call)
+                yield f"late answer to {NAMES[call.who]}", self._deliver_answer(world, rest, call)
             elif not call.done:
                 then = self._commit(world, rest, call)
                 answered = then.calls[-1]
                 if not world.stopped[call.who]:
-                    yield f"{NAMES[call.who]} takes", self._answered(then, then.calls[:-1], answered)
+                    yield f"{NAMES[call.who]} takes", self._deliver_answer(then, then.calls[:-1], answered)
                 if self.rules.lost and not world.lost:
                     look = Call(call.who, "look", world.now, call.lease, done=True)
                     yield "an answer is lost", replace(then, lost=1, calls=(*then.calls[:-1], look))
@@ -170,14 +175,14 @@
                 yield f"{NAMES[who]} is stopped", replace(world, stopped=stopped, ever_stopped=True)
         for at, (who, fence) in enumerate(world.orders):
             left = world.orders[:at] + world.orders[at + 1 :]
-            yield f"order {fence} of {NAMES[who]} arrives", self._arrive(replace(world, orders=left), fence)
+            yield f"order {fence} of {NAMES[who]} arrives", self._deliver_order(replace(world, orders=left), fence)
         if world.store.leases and not world.early and self.rules.early:
             store = world.store.copy()
             store.revoke(min(store.leases))
             yield "a lease ends early", replace(world, store=store, early=True)
 
-    def _time(self, world: World, late: bool) -> World:
-        now, store = world.now + UNIT, world.store.copy()
+    def _advance_time(self, world: World, late: bool) -> World:
+        now, store = world.now + STEP_US, world.store.copy()
         store.expire(now)
         world = replace(world, now=now, store=store)
         for who in range(2):
@@ -195,7 +200,7 @@
                 if late and not world.late:
                     world = replace(world, late=True)
                 else:
-                    world = self._answered(world, world.calls[:-1], world.calls[-1])
+                    world = self._deliver_answer(world, world.calls[:-1], world.calls[-1])
         return world
 
     def _commit(self, world: World, rest: tuple[Call, ...], call: Call) -> World:
@@ -213,17 +218,17 @@
                 store.txn(KEYS.hand_over(DUTY, call.fence))
         return replace(world, store=store, calls=(*rest, replace(call, answer=answer, done=True)))
 
-    def _answered(self, world: World, rest: tuple[Call, ...], call: Call) -> World:
+    def _deliver_answer(self, world: World, rest: tuple[Call, ...], call: Call) -> World:
         world = replace(world, calls=rest)
         sent = call.sent_us if self.rules.counts_from_before else world.now
         row = next(iter(world.store.rows(KEYS.duty(DUTY), b"")), None)
         match call.kind:
             case "grant":
                 assert isinstance(call.answer, int)
-                return self.feed(world, call.who, own.LeaseGranted(call.answer, sent, self.rules.ttl * UNIT))
+                return self.feed(world, call.who, own.LeaseGranted(call.answer, sent, self.rules.ttl * STEP_US))
             case "keep":
                 assert isinstance(call.answer, int)
-                return self.feed(world, call.who, own.LeaseRenewed(call.lease, sent, call.answer * UNIT))
+                return self.feed(world, call.who, own.LeaseRenewed(call.lease, sent, call.answer * STEP_US))
             case "take" if call.answer is not None:
                 row = call.answer.results[-1][0]  # type: ignore[attr-defined]
             case "over":
@@ -233,8 +238,8 @@
         held = decode_holder(row) if row is not None else None
         return self.feed(world, call.who, own.AcquireResult(DUTY, call.lease, held, world.store.revision))
 
-    def _arrive(self, world: World, fence: int) -> World:
-        """The receiver obeys or not; it also writes for the duty in the store, under the fence."""
+    def _deliver_order(self, world: World, fence: int) -> World:
+        """Deliver an order: the receiver checks its fence, and a write under that fence goes to the store."""
         receiver = FenceRegistry({DUTY: world.highest} if world.highest else {})
         if receiver.admits(DUTY, fence) or not self.rules.receiver_compares:
             world = replace(world, accepted=(*world.accepted, fence), highest=max(world.highest, fence))
@@ -243,9 +248,9 @@
         done = store.txn(txn if self.rules.store_compares else replace(txn, compare=()))
         return replace(world, store=store, written=(*world.written, fence) if done.succeeded else world.written)
 
-    # --- what must hold
+    # --- invariants
 
-    def broken(self, before: World, world: World) -> str:
+    def violation(self, before: World, world: World) -> str:
         acting = [own.may_act(state, world.now, DUTY) for state in world.states]
         if not world.early and all(fence is not None for fence in acting):
             return f"two owners at once: fences {acting}"
@@ -255,20 +260,20 @@
         return ""
 
     def explore(self) -> tuple[int, str, list[str]]:
-        """States seen, what broke (or nothing), and the way there."""
-        first = self.first()
-        seen, front = {first.key()}, [(first, [""])]
-        while front:
+        """Return the number of states seen, the violation (or ""), and the events that led to it."""
+        first = self.initial()
+        seen, frontier = {first.key()}, [(first, [""])]
+        while frontier:
             after = []
-            for world, way in front:
-                for what, then in self.nexts(world):
-                    if problem := self.broken(world, then):
-                        return len(seen), problem, [*way[1:], what]
+            for world, path in frontier:
+                for what, then in self.successors(world):
+                    if problem := self.violation(world, then):
+                        return len(seen), problem, [*path[1:], what]
                     key = then.key()
                     if key not in seen:
                         seen.add(key)
-                        after.append((then, [*way, what]))
+                        after.append((then, [*path, what]))
                 if len(seen) >= self.rules.states:
                     return len(seen), "", []
-            front = after
+            frontier = after
         return len(seen), "", []
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -1,8 +1,8 @@
-"""Faults to plant: realistic mistakes in cores, link, clients and life cycles, switched on one at a time.
+"""Planted faults: realistic bugs in cores, link, clients and request life cycles, enabled one at a time.
 
-`python -m tests.planted [--seeds N] [--jobs J] [NAME ...]` plays seeds in order for each until a world finds it, and
-prints how many it took and what was found. A mistake that a second layer makes up for is planted in both, as a
-mistake in what they share would be; the table in `docs/design/virtual-clock.md` says which.
+`python -m tests.planted [--seeds N] [--jobs J] [NAME ...]` runs seeds in order for each fault until one detects it, and
+prints the number of seeds and the violation. A fault that a second layer would mask is planted in both layers, like a
+bug in code that they share; the table in `docs/design/virtual-clock.md` lists these.
 """
 
 from __future__ import annotations
@@ -50,29 +50,29 @@
 
 
 def swap(owner: Any, name: str, make: Callable[[Any], Any]) -> None:
-    """Replace a method or function by what `make` gives for the present one."""
+    """Replace a method or function with the result of `make` for the original."""
     setattr(owner, name, make(getattr(owner, name)))
 
 
 @plant
 def state_release_forgotten() -> None:
-    def forget(self: Lifecycle, r: RequestRecord) -> None:
-        r.state, r.state_server = None, None
+    def forget(self: Lifecycle, record: RequestRecord) -> None:
+        record.state, record.state_server = None, None
 
     swap(Lifecycle, "_release_state", lambda _: forget)
 
 
 @plant
 def place_release_forgotten() -> None:
-    def forget(self: Lifecycle, r: RequestRecord) -> None:
-        r.place = None
+    def forget(self: Lifecycle, record: RequestRecord) -> None:
+        record.place = None
 
     swap(Lifecycle, "_release_place", lambda _: forget)
 
 
 @plant
 def place_of_an_unheard_write_forgotten() -> None:
-    swap(Lifecycle, "_unconfirmed_write", lambda _: lambda self, r, out: None)
+    swap(Lifecycle, "_unconfirmed_write", lambda _: lambda self, record, out: None)
 
 
 @plant
@@ -92,8 +92,8 @@
 @plant
 def state_of_an_aborted_read_forgotten() -> None:
     def make(real: Any) -> Any:
-        def abort(self: Lifecycle, now: int, r: RequestRecord) -> None:
-            real(self, now, r)
+        def abort(self: Lifecycle, now: int, record: RequestRecord) -> None:
+            real(self, now, record)
             self._commands = [row for row in self._commands if not isinstance(row, c.ReleaseState)]
 
         return abort
@@ -127,17 +127,17 @@
 
 @plant
 def refusal_crosses_with_the_stream() -> None:
-    def answer(self: Lifecycle, now: int, r: RequestRecord, final: c.Final, code: str, retry: int = 0) -> None:
-        if r.final is None:
-            self._final(r, final, code, retry)
-            self._settle(now, r)
+    def answer(self: Lifecycle, now: int, record: RequestRecord, final: c.Final, code: str, retry: int = 0) -> None:
+        if record.final is None:
+            self._final(record, final, code, retry)
+            self._settle(now, record)
 
     swap(Lifecycle, "_answer", lambda _: answer)
 
     def tick(self: Lifecycle, now: int) -> list[c.Command]:
-        for r in list(self.requests.values()):
-            if r.final is None and now >= r.request.expires_us + self.rules.answer_slack_us:
-                answer(self, now, r, c.Final.FAILED, "deadline")
+        for record in list(self.requests.values()):
+            if record.final is None and now >= record.request.expires_us + self.rules.answer_slack_us:
+                answer(self, now, record, c.Final.FAILED, "deadline")
         return self._take_commands()
 
     swap(Lifecycle, "tick", lambda _: tick)
@@ -148,8 +148,8 @@
     swap(lifecycle, "harmless_to_repeat", lambda _: lambda effect, ran: True)
 
 
-def _ending(change: Callable[[Any, Any], Any]) -> None:
-    """Change how the end of an attempt is taken."""
+def _change_outcome(change: Callable[[Any, Any], Any]) -> None:
+    """Change the outcome of every attempt before the executor handles it."""
     swap(
         Executor,
         "_attempt_ended",
@@ -159,7 +159,7 @@
 
 @plant
 def reset_taken_for_not_connected() -> None:
-    _ending(
+    _change_outcome(
         lambda run, ended: (
             replace(ended, status=i.Status.CONNECT_FAILED)
             if ended.status is i.Status.RESET and not run.first_us
@@ -170,7 +170,7 @@
 
 @plant
 def cut_stream_taken_for_whole() -> None:
-    _ending(
+    _change_outcome(
         lambda run, ended: (
             replace(ended, status=i.Status.SERVED) if ended.status is i.Status.RESET and run.first_us else ended
         )
@@ -180,11 +180,11 @@
 @plant
 def draining_lost_from_the_list() -> None:
     def make(real: Any) -> Any:
-        def take(self: ServerList, document: server_list.ListDocument) -> Any:
+        def apply(self: ServerList, document: server_list.ListDocument) -> Any:
             rows = tuple(msgspec.structs.replace(row, state="serving") for row in document.servers)
             return real(self, msgspec.structs.replace(document, servers=rows))
 
-        return take
+        return apply
 
     swap(ServerList, "apply", make)
 
@@ -192,12 +192,12 @@
 @plant
 def gone_servers_kept_open() -> None:
     def make(real: Any) -> Any:
-        def take(self: ServerList, document: server_list.ListDocument) -> Any:
+        def apply(self: ServerList, document: server_list.ListDocument) -> Any:
             listed = {row.name for row in document.servers}
             kept = tuple(row for row in self.servers if row.name not in listed)
             return real(self, msgspec.structs.replace(document, servers=(*document.servers, *kept)))
 
-        return take
+        return apply
 
     swap(ServerList, "apply", make)
 
@@ -205,11 +205,11 @@
 @plant
 def start_times_lost_from_the_list() -> None:
     def make(real: Any) -> Any:
-        def take(self: ServerList, document: server_list.ListDocument) -> Any:
+        def apply(self: ServerList, document: server_list.ListDocument) -> Any:
             rows = tuple(msgspec.structs.replace(row, up_since_ms=0.0) for row in document.servers)
             return real(self, msgspec.structs.replace(document, servers=rows))
 
-        return take
+        return apply
 
     swap(ServerList, "apply", make)
 
@@ -227,16 +227,16 @@
 
 @plant
 def unheard_release_given_up() -> None:
-    swap(ReleaseQueues, "settled", lambda real: lambda self, now, owed, heard: real(self, now, owed, True))
+    swap(ReleaseQueues, "settled", lambda real: lambda self, now, release, confirmed: real(self, now, release, True))
 
 
 @plant
 def unheard_releases_use_up_the_line() -> None:
     def make(real: Any) -> Any:
-        def settled(self: ReleaseQueues, now: int, owed: Any, heard: bool) -> None:
-            real(self, now, owed, heard)
-            if not heard:
-                self._queues[(owed.server.host, owed.server.port)].in_flight += 1
+        def settled(self: ReleaseQueues, now: int, release: Any, confirmed: bool) -> None:
+            real(self, now, release, confirmed)
+            if not confirmed:
+                self._queues[(release.server.host, release.server.port)].in_flight += 1
 
         return settled
 
@@ -271,11 +271,13 @@
 @plant
 def deadline_later_than_the_client_said() -> None:
     def make(real: Any) -> Any:
-        def take(self: Intake, now: int, number: int, said: Any) -> Any:
-            taken = real(self, now, number, said)
-            return replace(taken, request=replace(taken.request, expires_us=taken.request.expires_us + 600_000))
+        def accept(self: Intake, now: int, number: int, fields: Any) -> Any:
+            accepted = real(self, now, number, fields)
+            return replace(
+                accepted, request=replace(accepted.request, expires_us=accepted.request.expires_us + 600_000)
+            )
 
-        return take
+        return accept
 
     swap(Intake, "accept", make)
 
@@ -296,13 +298,13 @@
 
 @plant
 def stale_epoch_believed() -> None:
-    """Requests of an earlier planner pass to the next, which knows nothing of them."""
+    """Requests of an earlier planner stay open under the next one, which does not know them."""
 
     def up(self: Lifecycle, now: int, epoch: int) -> list[c.Command]:
         self.epoch = epoch
         self.directory = Directory()
-        for r in self.requests.values():
-            r.epoch = epoch
+        for record in self.requests.values():
+            record.epoch = epoch
         return self._take_commands()
 
     swap(Lifecycle, "planner_up", lambda _: up)
@@ -372,7 +374,7 @@
     def parse(real: Any, file: str, data: bytes, config: Any) -> Any:
         text = data.decode(errors="ignore")
         rows = text.split("[[servers]]")
-        rows = rows if text.endswith("\n") else rows[:-1]  # the last is cut
+        rows = rows if text.endswith("\n") else rows[:-1]  # the last row is incomplete
         good = rows[:1]
         for row in rows[1:]:
             if "places = " in row:
@@ -384,7 +386,7 @@
 
 
 def find(name: str, seeds: int) -> tuple[str, int, str]:
-    """Play seeds with one fault planted until a world finds it: its name, seeds played (-1: not found), what."""
+    """Run seeds with one fault planted; returns its name, the seeds until detection (-1: none) and the violation."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
     gc.disable()
     PLANTED[name]()
@@ -405,13 +407,13 @@
 
 
 @click.command()
-@click.option("--seeds", default=10_000, help="How many seeds to play at most for each.")
+@click.option("--seeds", default=10_000, help="Maximum number of seeds per fault.")
 @click.option("--jobs", default=multiprocessing.cpu_count())
 @click.argument("names", nargs=-1)
 def main(seeds: int, jobs: int, names: tuple[str, ...]) -> None:
-    """Find each planted fault."""
+    """Check that each planted fault is detected."""
     wanted = [(name, seeds) for name in names or PLANTED]
-    with multiprocessing.get_context("spawn").Pool(jobs, maxtasksperchild=1) as pool:  # each in a process of its own
+    with multiprocessing.get_context("spawn").Pool(jobs, maxtasksperchild=1) as pool:  # one process per fault
         for name, found, what in pool.imap_unordered(_find, wanted):
             click.echo(f"{name:45} {'not found' if found < 0 else f'{found:5} seeds'}  {what[:150]}")
 
--- a/tests/planted_fleet.py
+++ b/tests/planted_fleet.py
@@ -1,4 +1,4 @@
-"""Mistakes to plant into the programs of a fleet: `python -m tests.planted_fleet NAME ARGUMENTS...` runs with one."""
+"""Planted faults for the programs of a fleet: `python -m tests.planted_fleet NAME ARGUMENTS...` runs with one."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from yardspindle.lab.engine_holds import HoldRegistry
 from yardspindle.steward import app, sweep
 
-PLANTS: dict[str, Callable[[], None]] = {}
+PLANTED: dict[str, Callable[[], None]] = {}
 
 
 def plant(function: Callable[[], None]) -> Callable[[], None]:
-    PLANTS[function.__name__] = function
+    PLANTED[function.__name__] = function
     return function
 
 
@@ -40,7 +40,7 @@
         "candidate_orders",
         lambda real: (
             lambda free, holders, names: {
-                duty: sorted(order, key=lambda name: name != _me[0])
+                duty: sorted(order, key=lambda name: name != _own_name[0])
                 for duty, order in real(free, holders, names).items()
             }
         ),
@@ -48,13 +48,13 @@
     _swap(app.Steward, "__init__", _remember_name)
 
 
-_me = [""]
+_own_name = [""]
 
 
 def _remember_name(real: Callable[..., None]) -> Callable[..., None]:
     def init(self: app.Steward, *arguments: Any) -> None:
         real(self, *arguments)
-        _me[0] = self.name
+        _own_name[0] = self.name
 
     return init
 
@@ -108,7 +108,7 @@
 
 @plant
 def a_fence_is_guessed() -> None:
-    """The revision of the answer, not the one that made the key; a take after a lost answer is believed in."""
+    """The fence is the revision of the answer instead of the key's create revision, wrong after a lost answer."""
     _swap(app, "decode_holder", lambda real: lambda row: replace(real(row), fence=row.create + 1))
 
 
@@ -131,7 +131,7 @@
 def main() -> None:
     from yardspindle.cli.main import main as program
 
-    PLANTS[sys.argv.pop(1)]()
+    PLANTED[sys.argv.pop(1)]()
     program()
 
 
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -1,4 +1,4 @@
-"""A stand-in for the users' platform on the virtual World, written from its protocol: hosts, discovery, clients."""
+"""Stand-in for the users' platform on the virtual World, written from its protocol: hosts, discovery and clients."""
 
 from __future__ import annotations
 
@@ -54,7 +54,9 @@
     b"data: [DONE]\n\n",
 ]
 HEAD = b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
-Script = Callable[["Host", Stream, bytes], bool]  # a request with this id came; True: go on on this connection
+Script = Callable[
+    ["Host", Stream, bytes], bool
+]  # handles the request with this id; returns whether the connection stays open
 
 
 def plain(status: int, body: bytes = b"", *headers: tuple[bytes, bytes]) -> bytes:
@@ -71,7 +73,7 @@
 
 
 class Host:
-    """A reader or writer; `script` replaces what it does with a request."""
+    """A reader or writer; `script`, if set, replaces its normal handling of a request."""
 
     def __init__(self, platform: Platform, name: str, flavor: str, address: str) -> None:
         self.platform, self.name, self.flavor, self.address = platform, name, flavor, address
@@ -138,7 +140,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """What a client saw."""
+    """An answer as the client received it."""
 
     status: int
     headers: http1.Headers
@@ -149,18 +151,18 @@
 
 @dataclass
 class Platform:
-    """Two readers, three writers, discovery, and one dispatcher."""
+    """Two readers, three writers, discovery and clients; `node` starts a dispatcher."""
 
     sim: Simulation
     hosts: dict[str, Host] = field(default_factory=dict)
     seen: list[tuple[str, str, bytes]] = field(default_factory=list)
-    heads: list[tuple[int, http1.RequestHead]] = field(default_factory=list)  # of all calls to hosts, and when
+    heads: list[tuple[int, http1.RequestHead]] = field(default_factory=list)  # time and head of every call to a host
     states: set[bytes] = field(default_factory=set)
     revision: int = 1
     asked: list[bytes] = field(default_factory=list)
-    spoil: bytes | None = None  # what discovery says instead
-    watches: int = 0  # counted up: all connections to discovery that are open fall silent
-    down_until_us: int = 0  # discovery's agent is silent until then, for good on what came before
+    spoil: bytes | None = None  # body that discovery sends instead of the list
+    watches: int = 0  # incrementing it makes all open connections to discovery silent
+    down_until_us: int = 0  # until then the agent is silent; calls that arrive before are never answered
     open_watches: list[Stream] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -219,7 +221,7 @@
                 stream.write(plain(200, self.spoil or body))
 
         def answer_it(stream: Stream) -> None:
-            with contextlib.suppress(StreamError):  # it was reset
+            with contextlib.suppress(StreamError):  # the connection was reset
                 serve(stream)
 
         def accept() -> None:
@@ -264,7 +266,7 @@
 
 
 def answer(world: VirtualWorld, stream: Stream, began: int) -> Answer:
-    """Read one answer to its end, or to the connection's."""
+    """Read one answer until it or the connection ends."""
     parser = http1.ResponseParser()
     parser.expect_response(b"POST")
     head, body = None, b""
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,7 +1,7 @@
-"""The real programs of a fleet on loopback: store, stewards, dispatchers, engines, each behind relays of ours.
+"""Runs the real programs of a fleet on loopback: store, stewards, dispatchers and engines.
 
-Every connection to the store, and every one of a steward to an engine or a member's page, passes a relay of its own.
-Tests wait for events: lines of the journals, or what the store tells.
+Each program reaches the store through a relay of its own, and each steward each engine likewise, so that tests can cut
+single connections. Tests wait for events: journal lines, log lines or keys in the store.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from yardspindle.runtime.real import RealWorld
 
 T = TypeVar("T")
-READY_US = 20_000_000
+START_TIMEOUT_US = 20_000_000
 S = 1_000_000
 TTL_MS = 1_000
 CONFIG: dict[str, Any] = {
@@ -32,7 +32,7 @@
 
 
 class Processes:
-    """Runs inside a RealWorld's program."""
+    """Starts, signals and observes the programs; runs inside a program of a RealWorld."""
 
     def __init__(self, world: RealWorld, folder: Path, ttl_ms: int = TTL_MS) -> None:
         self.world, self.folder, self.ttl_ms = world, folder, ttl_ms
@@ -40,16 +40,16 @@
         self.relays: dict[str, Relay] = {}
         self.ports: dict[str, int] = {}
         self.boxes: dict[str, tuple[str, int]] = {}  # engine: role, cell
-        self.plant = ""  # a mistake that every program runs with
+        self.fault = ""  # name of the planted fault that every program runs with
 
     # --- starting
 
     def child(self, name: str, *arguments: str) -> str:
-        """Start a program; gives its ready line."""
-        run = ["tests.planted_fleet", self.plant] if self.plant else ["yardspindle"]
+        """Start a program and return its ready line."""
+        run = ["tests.planted_fleet", self.fault] if self.fault else ["yardspindle"]
         argv = [sys.executable, "-m", *run, *arguments]
         self.children[name] = Child(self.world, name, argv, str(self.folder / f"{name}.log"))
-        return self.children[name].first_line(READY_US)
+        return self.children[name].first_line(START_TIMEOUT_US)
 
     def store(self) -> None:
         ready = self.child("store", "lab", "etcd", "--journal", str(self.folder / "store.jsonl"))
@@ -74,8 +74,8 @@
         self.ports[name] = int(ready.split()[1].split("//")[1].split("/")[0].rpartition(":")[2])
         self.boxes[name] = (role, cell)
 
-    def lists(self, steward: str = "") -> None:
-        """The list of engines: the dispatchers' straight, a steward's with a relay of its own to each."""
+    def write_server_list(self, steward: str = "") -> None:
+        """Write the list of engines: direct addresses for dispatchers, one relay per engine for a steward."""
         rows = [f"count = {len(self.boxes)}"]
         for name, (role, cell) in self.boxes.items():
             port = self.relay(f"{name} {steward}", self.ports[name]).port if steward else self.ports[name]
@@ -104,7 +104,7 @@
         return str(file)
 
     def steward(self, name: str) -> None:
-        self.lists(name)
+        self.write_server_list(name)
         self.child(name, "steward", self.config(name, planner={"servers": str(self.folder / f"servers{name}.toml")}))
 
     def dispatcher(self, number: int, dispatchers: int = 1) -> None:
@@ -143,33 +143,33 @@
         for child in self.children.values():
             child.wait(self.world.now_us() + 5 * S)
 
-    # --- seeing
+    # --- observing
 
-    def until(self, what: str, look: Callable[[], T | None], within_us: int = 15 * S) -> T:
-        """Wait for something to be seen."""
-        until_us = self.world.now_us() + within_us
+    def until(self, what: str, poll: Callable[[], T | None], within_us: int = 15 * S) -> T:
+        """Poll until a result is true and return it; fails with the description `what` after the time limit."""
+        deadline_us = self.world.now_us() + within_us
         while True:
-            seen = look()
-            if seen:
-                return seen
-            assert self.world.now_us() < until_us, f"not seen: {what}"
+            result = poll()
+            if result:
+                return result
+            assert self.world.now_us() < deadline_us, f"not seen: {what}"
             self.world.sleep_until(self.world.now_us() + 5_000)
 
     def lines(self, name: str) -> list[dict[str, Any]]:
-        """A journal, or a program's log."""
+        """Return the rows of a journal or, if there is none, of a program's log."""
         for file in (self.folder / f"{name}.jsonl", self.folder / f"{name}.log"):
             if file.exists():
                 return [json.loads(line) for line in file.read_text().splitlines() if line.startswith("{")]
         return []
 
     def logged(self, name: str, event: str, **fields: Any) -> dict[str, Any] | None:
-        """The last line of a program's log with an event and these fields."""
+        """Return the last line of a program's log with this event and these fields."""
         path = self.folder / f"{name}.log"
         found = [json.loads(line) for line in path.read_text().splitlines() if f'"{event}"' in line]
         return next((row for row in reversed(found) if fields.items() <= row.items()), None)
 
     def call(self, port: int, method: str, path: str, body: Any = None, timeout: float = 10.0) -> tuple[int, bytes]:
-        """A call from a thread, while the relays go on."""
+        """Make an HTTP call from a thread, so that the relays keep running; status 0 if it failed."""
         result: list[tuple[int, bytes]] = []
 
         def work() -> None:
@@ -194,7 +194,7 @@
         assert self.call(self.ports["store"], "POST", "/lab/control", {"do": do, **more})[0] == 200
 
     def rows(self, prefix: str) -> dict[str, tuple[dict[str, Any], int]]:
-        """Keys of the store under a prefix of the fleet: value and the revision that made it."""
+        """Return the fleet's keys under a prefix with value and create revision."""
         import base64
 
         from yardspindle.core.fleet.kv import prefix_end
@@ -216,7 +216,7 @@
         }
 
     def owner(self, duty: str) -> tuple[str, int] | None:
-        """Who owns a duty, and its fence."""
+        """Return the owner of a duty and its fence."""
         row = self.rows("duties/").get(duty)
         return (row[0]["name"], row[1]) if row else None
 
@@ -231,12 +231,12 @@
 
 
 def play(folder: Path, test: Callable[[Processes], None], ttl_ms: int = TTL_MS, plant: str = "") -> None:
-    """Run a test with its programs, and end every one of them."""
+    """Run a test with its programs and stop all of them afterwards."""
     world = RealWorld(seed=3)
 
     def program() -> None:
         processes = Processes(world, folder, ttl_ms)
-        processes.plant = plant
+        processes.fault = plant
         try:
             test(processes)
         finally:
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,4 +1,4 @@
-"""A relay of our own for one connection between two programs: it delays, falls silent, cuts one direction, resets."""
+"""TCP relay between two programs that injects faults: delay, a cut of one or both directions, reset, refusal."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class Relay:
-    """Listens on loopback and passes bytes on to one address."""
+    """Listens on loopback and forwards bytes to one address."""
 
     def __init__(self, world: RealWorld, target: tuple[str, int]) -> None:
         self.world, self.target = world, target
         self.delay_us = 0
-        self.passes = {"there": True, "back": True}  # by direction; what is cut waits, as on a cut network
-        self.mended: Signal = world.signal()
+        self.is_open = {"to_server": True, "to_client": True}  # data in a cut direction waits, as on a cut network
+        self.reopened: Signal = world.signal()
         self.streams: dict[Stream, None] = {}
         self.connections = 0
-        self.held = 0  # pieces that a cut has held up so far
+        self.delayed_chunks = 0  # chunks that a cut has delayed so far
         self.listener: Listener = world.listen("127.0.0.1", 0)
         self.port = self.listener.port
         world.spawn("relay", self._accept, self.listener)
@@ -26,28 +26,31 @@
     def address(self) -> str:
         return f"127.0.0.1:{self.port}"
 
-    def cut(self, there: bool = True, back: bool = True) -> None:
-        """Nothing passes any more in these directions; connections stay open and new ones hang."""
-        self.passes = {"there": self.passes["there"] and not there, "back": self.passes["back"] and not back}
+    def cut(self, to_server: bool = True, to_client: bool = True) -> None:
+        """Stop forwarding in these directions; connections stay open and new ones hang."""
+        self.is_open = {
+            "to_server": self.is_open["to_server"] and not to_server,
+            "to_client": self.is_open["to_client"] and not to_client,
+        }
 
-    def mend(self) -> None:
-        """Everything passes again, what waited first."""
-        self.passes = {"there": True, "back": True}
-        mended, self.mended = self.mended, self.world.signal()
-        mended.set()
+    def restore(self) -> None:
+        """Resume forwarding in both directions, delayed data first."""
+        self.is_open = {"to_server": True, "to_client": True}
+        reopened, self.reopened = self.reopened, self.world.signal()
+        reopened.set()
 
     def reset(self) -> None:
-        """Break every connection."""
+        """Reset every connection."""
         for stream in list(self.streams):
             stream.abort()
 
     def refuse(self) -> None:
-        """As a machine does when nobody listens."""
+        """Close the listener and reset all connections, so that connects are refused."""
         self.listener.close()
         self.reset()
 
     def serve(self, target: tuple[str, int]) -> None:
-        """Listen again, for a program that was started anew."""
+        """Listen again, for a restarted program."""
         self.target = target
         self.listener = self.world.listen("127.0.0.1", self.port)
         self.world.spawn("relay", self._accept, self.listener)
@@ -59,36 +62,36 @@
             except Closed:
                 return
             self.connections += 1
-            self.world.spawn("relay connection", self._connection, near)
+            self.world.spawn("relay connection", self._connect, near)
 
-    def _connection(self, near: Stream) -> None:
-        self.streams[near] = None
+    def _connect(self, client: Stream) -> None:
+        self.streams[client] = None
         try:
-            first = near.read()  # clients speak first
-            self._gate("there")
-            far = self.world.connect(*self.target, self.world.now_us() + 2_000_000)
-            far.write(first)
+            first = client.read()  # clients speak first
+            self._wait_until_open("to_server")
+            server = self.world.connect(*self.target, self.world.now_us() + 2_000_000)
+            server.write(first)
         except (ConnectError, StreamError):
-            near.abort()
-            self.streams.pop(near, None)
+            client.abort()
+            self.streams.pop(client, None)
             return
-        self.streams[far] = None
-        self.world.spawn("relay there", self._pass, near, far, "there")
-        self.world.spawn("relay back", self._pass, far, near, "back")
+        self.streams[server] = None
+        self.world.spawn("relay there", self._copy, client, server, "to_server")
+        self.world.spawn("relay back", self._copy, server, client, "to_client")
 
-    def _gate(self, way: str) -> None:
-        self.held += not self.passes[way]
-        while not self.passes[way]:
-            self.mended.wait()
+    def _wait_until_open(self, direction: str) -> None:
+        self.delayed_chunks += not self.is_open[direction]
+        while not self.is_open[direction]:
+            self.reopened.wait()
 
-    def _pass(self, source: Stream, sink: Stream, way: str) -> None:
+    def _copy(self, source: Stream, sink: Stream, direction: str) -> None:
         try:
             while data := source.read():
                 if self.delay_us:
                     self.world.sleep_until(self.world.now_us() + self.delay_us)
-                self._gate(way)
+                self._wait_until_open(direction)
                 sink.write(data)
-            self._gate(way)
+            self._wait_until_open(direction)
             sink.close()
         except StreamError:
             sink.abort()
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,9 +1,9 @@
-"""Random, overlapping faults over a few dozen real processes on loopback, judged by the rules: `python -m tests.soak`.
+"""Soak test: random, overlapping faults over a few dozen real processes on loopback. Run: `python -m tests.soak`.
 
-Dispatchers are the real program; model hosts are processes of `tests/soak_host.py`; clients and discovery's agents are
-here. The seed draws traffic and faults. What passed at hosts and clients is put together after the end and judged by
-the ledger of the crossings, one for each life of each dispatcher. The machine's own scheduling is not drawn: a seed
-brings the same faults again, not the same run.
+Dispatchers are the real program and model hosts are processes of `tests/soak_host.py`; clients and discovery agents run
+in this process. The seed determines traffic and faults. After the run, the records of hosts and clients are merged and
+checked with the ledger of `tests/crossing_ledger.py`, one ledger per dispatcher process. Operating-system scheduling is
+not controlled, so a seed reproduces the faults but not the exact run.
 """
 
 from __future__ import annotations
@@ -21,57 +21,58 @@
 
 from tests.crossing_parties import HERE
 from tests.crossings import LATE, TROUBLE
-from tests.soak_judge import judge_life
-from tests.soak_parties import LISTED_LATE_S, Life, Parties, Plan, SoakHost
-from tests.soak_slow_start import COLD_S, Load, loads, pushed_over
+from tests.soak_judge import judge_run
+from tests.soak_parties import MAX_LISTING_DELAY_S, DispatcherRun, Plan, SoakCluster, SoakHost
+from tests.soak_slow_start import COLD_S, WindowLoad, fullest_windows, overloaded_hosts
 
-KILL_MOST_S, KILL_MORE_S = 3.0, 0.7  # SIGKILL follows SIGTERM after the longest deadline, 3 s at most, and 0.7 s more
+# SIGKILL follows SIGTERM after the longest request deadline (at most 3 s) plus 0.7 s.
+MAX_KILL_DELAY_S, KILL_MARGIN_S = 3.0, 0.7
 SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGSTOP, signal.SIGCONT)
-SETTLE_S = 2.0  # after the last answer, for what is still to be let go of
+RELEASE_WAIT_S = 2.0  # time after the last answer for outstanding releases
 
 
-class Soak(Parties):
-    """One run."""
+class Soak(SoakCluster):
+    """One soak run: injects faults, drives the run and judges it."""
 
-    loads: list[Load]
-    tested: dict[str, float]
+    loads: list[WindowLoad]
+    coverage: dict[str, float]
 
     # --- faults
 
-    async def fault(self, kind: str) -> None:
+    async def inject_fault(self, kind: str) -> None:
         self.injected[kind] += 1
-        draw, hosts = self.random, [h for h in self.hosts.values() if h.phase == "Ready"]
-        seconds = draw.uniform(0.3, 2.5)
+        rng, hosts = self.random, [h for h in self.hosts.values() if h.phase == "Ready"]
+        seconds = rng.uniform(0.3, 2.5)
         if kind == "host dies":
-            await self._host_dies(draw.choice(hosts))
+            await self._kill_host(rng.choice(hosts))
         elif kind == "cold return":
             await self._cold_return(hosts)
         elif kind == "burst":
-            self.say(f"burst {seconds:.2f} s")
+            self.log_event(f"burst {seconds:.2f} s")
             self.burst_until = max(self.burst_until, monotonic() + seconds)
         elif kind.startswith("host "):
-            group = self._group(hosts)
+            group = self._draw_group(hosts)
             if kind == "host mute":
-                group = self._silence(group, seconds)
-            self.say(f"{kind} {seconds:.2f} s at {' '.join(h.name for h in group)}")
+                group = self._mark_silent(group, seconds)
+            self.log_event(f"{kind} {seconds:.2f} s at {' '.join(h.name for h in group)}")
             for host in group:
-                host.order(kind[5:], seconds)
+                host.inject_fault(kind[5:], seconds)
         elif kind == "freeze":
-            await self._freeze(self._group(hosts), seconds)
+            await self._freeze(self._draw_group(hosts), seconds)
         elif kind == "drain":
-            host = draw.choice(hosts)
+            host = rng.choice(hosts)
             if sum(h.role == host.role for h in hosts) > 2:
-                self.say(f"drain {host.name}")
+                self.log_event(f"drain {host.name}")
                 host.phase, self.revision = "Terminating", self.revision + 1
         elif kind == "agents silent":
-            self.say(f"agents silent {seconds:.2f} s")
+            self.log_event(f"agents silent {seconds:.2f} s")
             self.silent_until = max(self.silent_until, monotonic() + seconds)
         else:
-            await self._dispatcher_fault(kind, draw.choice(list(self.current)))
+            await self._dispatcher_fault(kind, rng.choice(list(self.current)))
 
     async def _freeze(self, hosts: list[SoakHost], seconds: float) -> None:
-        group = self._silence([host for host in hosts if host.process.poll() is None], seconds)
-        self.say(f"freeze {seconds:.2f} s at {' '.join(h.name for h in group)}")
+        group = self._mark_silent([host for host in hosts if host.process.poll() is None], seconds)
+        self.log_event(f"freeze {seconds:.2f} s at {' '.join(h.name for h in group)}")
         for host in group:
             host.process.send_signal(signal.SIGSTOP)
         begun = monotonic()
@@ -79,31 +80,31 @@
         for host in group:
             host.process.send_signal(signal.SIGCONT)
             self.frozen.append((host.name, begun, monotonic()))
-        self.say(f"thawed: {' '.join(h.name for h in group)}")
+        self.log_event(f"thawed: {' '.join(h.name for h in group)}")
 
     async def _cold_return(self, hosts: list[SoakHost]) -> None:
-        """One or two hosts of a role come back cold; some time later all others of it fail in one way, in a burst."""
-        draw = self.random
-        role, how = draw.choice(("read", "write")), draw.choice(("full", "dead", "silent", "well"))
+        """Restart one or two hosts of a role cold; later all others of the role fail the same way during a burst."""
+        rng = self.random
+        role, outage = rng.choice(("read", "write")), rng.choice(("full", "dead", "silent", "well"))
         group = [host for host in hosts if host.role == role]
-        draw.shuffle(group)
-        back, others = group[: draw.choice((1, 1, 2))], group[2:]
-        wait_s, seconds = draw.uniform(0.0, COLD_S - 1.0), draw.uniform(0.8, 2.5)
-        self.say(f"cold return of {' '.join(h.name for h in back)}, {wait_s:.2f} s later the others are {how}")
-        self.injected[f"cold return, the others {how}"] += 1
-        await asyncio.gather(*(self._host_dies(host) for host in back))
+        rng.shuffle(group)
+        back, others = group[: rng.choice((1, 1, 2))], group[2:]
+        wait_s, seconds = rng.uniform(0.0, COLD_S - 1.0), rng.uniform(0.8, 2.5)
+        self.log_event(f"cold return of {' '.join(h.name for h in back)}, {wait_s:.2f} s later the others are {outage}")
+        self.injected[f"cold return, the others {outage}"] += 1
+        await asyncio.gather(*(self._kill_host(host) for host in back))
         await asyncio.sleep(wait_s)
         self.burst_until = max(self.burst_until, monotonic() + seconds)
-        if how == "full":
+        if outage == "full":
             for host in others:
-                self.hosts[host.name].order("decline", seconds)
-        elif how == "dead":
-            await asyncio.gather(*(self._host_dies(self.hosts[h.name], down_s=seconds) for h in others))
-        elif how == "silent":
+                self.hosts[host.name].inject_fault("decline", seconds)
+        elif outage == "dead":
+            await asyncio.gather(*(self._kill_host(self.hosts[h.name], down_s=seconds) for h in others))
+        elif outage == "silent":
             await self._freeze([self.hosts[host.name] for host in others], seconds)
 
-    def _group(self, hosts: list[SoakHost]) -> list[SoakHost]:
-        """One host, some, or all of one role."""
+    def _draw_group(self, hosts: list[SoakHost]) -> list[SoakHost]:
+        """Draw one host, a third of the hosts, or all hosts of one role."""
         how, role = self.random.choice(("one", "some", "role")), self.random.choice(("read", "write"))
         if how == "one":
             return [self.random.choice(hosts)]
@@ -111,22 +112,25 @@
             return self.random.sample(hosts, max(len(hosts) // 3, 1))
         return [host for host in hosts if host.role == role]
 
-    def _silence(self, group: list[SoakHost], seconds: float) -> list[SoakHost]:
-        """Those of a group that may fall silent now: a third of all hosts run, or nobody could be told anything."""
+    def _mark_silent(self, group: list[SoakHost], seconds: float) -> list[SoakHost]:
+        """Mark hosts of a group as silent and return them; at least a third of all hosts stays responsive.
+
+        With fewer responsive hosts, dispatchers could not send releases anywhere.
+        """
         now = monotonic()
         silent = {name for name, until in self.silent.items() if until > now}
-        room = len(self.hosts) * 2 // 3 - len(silent)
-        chosen = [host for host in group if host.name in silent] + [h for h in group if h.name not in silent][:room]
+        capacity = len(self.hosts) * 2 // 3 - len(silent)
+        chosen = [host for host in group if host.name in silent] + [h for h in group if h.name not in silent][:capacity]
         for host in chosen:
             self.silent[host.name] = max(self.silent.get(host.name, 0.0), now + seconds)
         return chosen
 
-    async def _host_dies(self, host: SoakHost, down_s: float = 0.0) -> None:
-        """It loses what it held, and comes back cold; the list tells of that at once or some time later."""
-        if host.name in self.down:
-            return  # another fault has it die just now
-        self.down.add(host.name)
-        self.say(f"{host.name} dies")
+    async def _kill_host(self, host: SoakHost, down_s: float = 0.0) -> None:
+        """Kill a host with all that it holds and restart it cold; the list shows the restart at once or later."""
+        if host.name in self.dead_hosts:
+            return  # another fault is already restarting it
+        self.dead_hosts.add(host.name)
+        self.log_event(f"{host.name} dies")
         host.process.kill()
         host.process.wait()
         for file in (self.folder / "states").iterdir():
@@ -136,69 +140,69 @@
             file_of_deaths.write(json.dumps({"host": host.name, "at": monotonic()}) + "\n")
         await asyncio.sleep(down_s or self.random.uniform(0.2, 1.0))
         self.start_host(host.name, host.role, host.port, cold=True)
-        self.down.discard(host.name)
-        back, late_s = self.hosts[host.name], self.random.choice((0.0, self.random.uniform(0.0, LISTED_LATE_S)))
+        self.dead_hosts.discard(host.name)
+        back, late_s = self.hosts[host.name], self.random.choice((0.0, self.random.uniform(0.0, MAX_LISTING_DELAY_S)))
         back.phase, back.listed_before_ms, back.listed_from = host.phase, host.up_since_ms, monotonic() + late_s
-        self.say(f"{host.name} is back, listed {late_s:.2f} s later")
+        self.log_event(f"{host.name} is back, listed {late_s:.2f} s later")
         await asyncio.sleep(late_s)
         self.revision += 1
 
     async def _dispatcher_fault(self, kind: str, name: str) -> None:
-        life = self.current[name]
-        if life.killed is not None or life.process.poll() is not None or life.ledger.term is not None:
+        run = self.current[name]
+        if run.killed is not None or run.process.poll() is not None or run.ledger.term is not None:
             return
-        if b"ready" not in life.log.read_bytes():
-            return  # told to end before it can hear that, it ends at once: nothing was taken
-        self.say(f"{kind} {name}")
+        if b"ready" not in run.log.read_bytes():
+            return  # before its signal handlers are installed SIGTERM ends it at once; it has accepted nothing
+        self.log_event(f"{kind} {name}")
         if kind == "dispatcher held up":
-            await self._hold_up(life)
+            await self._suspend(run)
             return
-        if name in self.ending:
-            return  # another fault ends it, and starts it again
-        self.ending.add(name)
+        if name in self.ending_dispatchers:
+            return  # another fault is already restarting it
+        self.ending_dispatchers.add(name)
         try:
-            await self._end_dispatcher(kind, name, life)
+            await self._end_dispatcher(kind, name, run)
         finally:
-            self.ending.discard(name)
+            self.ending_dispatchers.discard(name)
 
-    async def _end_dispatcher(self, kind: str, name: str, life: Life) -> None:
+    async def _end_dispatcher(self, kind: str, name: str, run: DispatcherRun) -> None:
         if kind == "signals":
             for each in self.random.choices(SIGNALS, k=self.random.randint(2, 5)):
-                await self._signal(life, each)
+                await self._signal(run, each)
                 await asyncio.sleep(self.random.choice((0.0, self.random.uniform(0.0, 0.2))))
-            if life.ledger.term is None:
+            if run.ledger.term is None:
                 return
         if kind == "dispatcher ends":
-            await self._signal(life, signal.SIGTERM)
-        if life.ledger.term is not None:
-            until = life.ledger.term + min(self.deadline_ms / 1_000, KILL_MOST_S) + KILL_MORE_S
-            while life.process.poll() is None and monotonic() < until:
+            await self._signal(run, signal.SIGTERM)
+        if run.ledger.term is not None:
+            until = run.ledger.term + min(self.deadline_ms / 1_000, MAX_KILL_DELAY_S) + KILL_MARGIN_S
+            while run.process.poll() is None and monotonic() < until:
                 await asyncio.sleep(0.01)
-        if life.process.poll() is None:
-            life.killed = monotonic()
-            life.process.kill()
-        life.process.wait()
-        life.ended = monotonic()
+        if run.process.poll() is None:
+            run.killed = monotonic()
+            run.process.kill()
+        run.process.wait()
+        run.ended = monotonic()
         self.start_dispatcher(name)
-        await self.ready(name)
+        await self.wait_until_ready(name)
 
-    async def _hold_up(self, life: Life) -> None:
-        life.process.send_signal(signal.SIGSTOP)
+    async def _suspend(self, run: DispatcherRun) -> None:
+        run.process.send_signal(signal.SIGSTOP)
         begun = monotonic()
         await asyncio.sleep(self.random.uniform(0.02, 0.14))
-        life.process.send_signal(signal.SIGCONT)
-        life.ledger.away.append((begun, monotonic()))
+        run.process.send_signal(signal.SIGCONT)
+        run.ledger.away.append((begun, monotonic()))
 
-    async def _signal(self, life: Life, which: signal.Signals) -> None:
-        self.injected[which.name] += 1
-        if life.process.poll() is not None:
+    async def _signal(self, run: DispatcherRun, number: signal.Signals) -> None:
+        self.injected[number.name] += 1
+        if run.process.poll() is not None:
             return
-        if which is signal.SIGSTOP:
-            await self._hold_up(life)
+        if number is signal.SIGSTOP:
+            await self._suspend(run)
             return
-        if which is signal.SIGTERM and life.ledger.term is None:
-            life.ledger.term = monotonic()
-        life.process.send_signal(which)
+        if number is signal.SIGTERM and run.ledger.term is None:
+            run.ledger.term = monotonic()
+        run.process.send_signal(number)
 
     # --- the run
 
@@ -209,30 +213,30 @@
         for at in range(self.plan.writers):
             self.start_host(f"writer-{at}", "write")
         for name in names:
-            await self.agent(name)
+            await self.start_agent(name)
             spare = await asyncio.start_server(lambda reader, writer: None, HERE, 0)
             self.ports[name] = spare.sockets[0].getsockname()[1]
             spare.close()
             await spare.wait_closed()
             self.start_dispatcher(name)
         for name in names:
-            await self.ready(name)
-        if self.crowded:
-            await asyncio.gather(*(self.crowd(name) for name in names))
+            await self.wait_until_ready(name)
+        if self.has_idle_clients:
+            await asyncio.gather(*(self.open_idle_connections(name) for name in names))
         self.began = monotonic()
         clients = [
-            asyncio.create_task(self.client(name, number)) for name in names for number in range(self.plan.clients)
+            asyncio.create_task(self.run_client(name, number)) for name in names for number in range(self.plan.clients)
         ]
-        faults = [asyncio.create_task(self._at(at, kind)) for at, kind in self._draw()]
+        faults = [asyncio.create_task(self._inject_at(at, kind)) for at, kind in self._draw_faults()]
         await asyncio.sleep(self.plan.seconds)
         await asyncio.gather(*faults)
         self.ended = True
         await asyncio.gather(*clients)
-        await asyncio.sleep(SETTLE_S)
+        await asyncio.sleep(RELEASE_WAIT_S)
         await self.close_agents()
         return self.judge()
 
-    def _draw(self) -> list[tuple[float, str]]:
+    def _draw_faults(self) -> list[tuple[float, str]]:
         kinds = (
             ["freeze"] * 5
             + ["host mute"] * 2
@@ -255,9 +259,9 @@
         drawn = [self.random.choice(kinds) for _ in range(self.plan.faults)] + ["cold return"] * self.plan.cold_returns
         return [(self.random.uniform(0.0, self.plan.seconds), kind) for kind in drawn]
 
-    async def _at(self, seconds: float, kind: str) -> None:
+    async def _inject_at(self, seconds: float, kind: str) -> None:
         await asyncio.sleep(seconds)
-        await self.fault(kind)
+        await self.inject_fault(kind)
 
     def judge(self) -> list[str]:
         rows = [
@@ -268,48 +272,48 @@
         ]
         deaths = self.folder / "deaths.jsonl"
         died = [json.loads(line) for line in deaths.read_text().splitlines()] if deaths.exists() else []
-        self.loads = loads(rows, self.cold_starts)
-        found = pushed_over(self.loads)
-        self._count_tests(rows)
-        for life in self.lives:
-            found += [f"{life.log.name}: {text}" for text in judge_life(life, rows, died, self.frozen)]
+        self.loads = fullest_windows(rows, self.cold_starts)
+        found = overloaded_hosts(self.loads)
+        self._count_coverage(rows)
+        for run in self.runs:
+            found += [f"{run.log.name}: {text}" for text in judge_run(run, rows, died, self.frozen)]
             found += [
-                f"{life.log.name}: {line}"
-                for line in life.log.read_text().splitlines()
-                if line.startswith(TROUBLE) and not (line.startswith(LATE) and life.ledger.away)
+                f"{run.log.name}: {line}"
+                for line in run.log.read_text().splitlines()
+                if line.startswith(TROUBLE) and not (line.startswith(LATE) and run.ledger.away)
             ]
-            if life.killed is None and life.process.poll() not in (None, 0):
-                found.append(f"{life.log.name}: ended with {life.process.returncode}")
+            if run.killed is None and run.process.poll() not in (None, 0):
+                found.append(f"{run.log.name}: ended with {run.process.returncode}")
         return found
 
-    def _count_tests(self, rows: list[dict[str, Any]]) -> None:
-        """How often each rule was put to the test."""
+    def _count_coverage(self, rows: list[dict[str, Any]]) -> None:
+        """Count how often each rule applied in the run."""
         kinds = Counter(row["what"] for row in rows)
-        requests = [r for life in self.lives for r in life.ledger.requests]
-        self.tested = {
+        requests = [request for run in self.runs for request in run.ledger.requests]
+        self.coverage = {
             "final answers": len(requests),
-            "orders": sum(r.cls == "order" for r in requests),
+            "orders": sum(request.cls == "order" for request in requests),
             "attempts without an answer": sum(row["what"] == "over" and not row["how"] for row in rows),
-            "drains told": sum(len(life.told) for life in self.lives),
+            "drains told": sum(len(run.drains_reported) for run in self.runs),
             "cold hosts": len(self.loads),
             "fullest of them": round(max((load.ratio for load in self.loads), default=0.0), 2),
             "releases": kinds["freed"],
             "places": kinds["placed"],
-            "shut unread": self.shut_unread,
+            "shut unread": self.closed_unread,
         }
 
     def counts(self) -> dict[str, int]:
-        """Of the answers that clients got, by status."""
+        """Count the clients' requests by answer status, "left" (client disconnected) or "none"."""
         counts: dict[str, int] = {}
-        for life in self.lives:
-            for r in life.ledger.requests:
-                key = str(r.answers[0][1].status) if r.answers else "left" if r.left else "none"
+        for run in self.runs:
+            for request in run.ledger.requests:
+                key = str(request.answers[0][1].status) if request.answers else "left" if request.left else "none"
                 counts[key] = counts.get(key, 0) + 1
         return counts
 
 
 def play(seed: int, plan: Plan, folder: Path) -> tuple[list[str], Soak]:
-    """One run: what was broken."""
+    """Run one soak test; returns the rule violations and the finished run."""
     soak = Soak(seed, plan, folder)
     try:
         return asyncio.run(soak.run()), soak
@@ -321,27 +325,27 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("first", type=int)
     parser.add_argument("count", type=int, nargs="?", default=1)
-    parser.add_argument("--keep", type=Path, help="a folder for the records of runs with breaks")
+    parser.add_argument("--keep", type=Path, help="folder in which the records of each run are written")
     for name, value in vars(Plan()).items():
         parser.add_argument(f"--{name}", type=type(value), default=value)
-    given = vars(parser.parse_args())
-    plan = Plan(**{name: given[name] for name in vars(Plan())})
-    broken, injected, tested = 0, Counter[str](), Counter[str]()
-    for seed in range(given["first"], given["first"] + given["count"]):
-        folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-", dir=given["keep"]))
+    arguments = vars(parser.parse_args())
+    plan = Plan(**{name: arguments[name] for name in vars(Plan())})
+    broken, injected, coverage = 0, Counter[str](), Counter[str]()
+    for seed in range(arguments["first"], arguments["first"] + arguments["count"]):
+        folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-", dir=arguments["keep"]))
         found, soak = play(seed, plan, folder)
         broken += bool(found)
         injected.update(soak.injected)
-        tested.update({rule: count for rule, count in soak.tested.items() if rule != "fullest of them"})
+        coverage.update({rule: count for rule, count in soak.coverage.items() if rule != "fullest of them"})
         print(
             f"seed {seed}: {len(found)} breaks, answers {soak.counts()}, {soak.family}, "
-            f"deadline {soak.deadline_ms} ms, retries {soak.retries}, crowd {soak.crowded}, {soak.tested}",
+            f"deadline {soak.deadline_ms} ms, retries {soak.retries}, crowd {soak.has_idle_clients}, {soak.coverage}",
             flush=True,
         )
         if found:
             (folder / "breaks").write_text("\n".join([*found, "", f"second 0 is {soak.began:.3f}", *soak.story]))
             print("\n".join(f"  {text}" for text in found[:20]), *(f"  {row}" for row in soak.story), sep="\n")
-    print(f"{broken} of {given['count']} runs with breaks; injected {dict(injected)}; put to the test {dict(tested)}")
+    print(f"{broken} of {arguments['count']} runs with breaks; injected {dict(injected)}; covered {dict(coverage)}")
     return int(broken > 0)
 
 
--- a/tests/soak_parties.py
+++ b/tests/soak_parties.py
@@ -1,4 +1,4 @@
-"""What takes part in the soak test: dispatchers and hosts as processes, clients and discovery as tasks here."""
+"""Participants of the soak test: dispatchers and hosts as processes, clients and discovery agents as asyncio tasks."""
 
 from __future__ import annotations
 
@@ -24,46 +24,49 @@
 
 ROOT = Path(__file__).parent.parent
 RELEASE_S, GRACE_S = SETTINGS["family-info"]["let-go-by-us"] / 1e6, SETTINGS["obligations"]["drain-grace-us"] / 1e6
-DEADLINES_MS = (3_000, 3_000, 1_500, 700)  # of a run's requests: one is drawn
-START_S = 20.0
-ORDERS_PART, LEAVE_PART = 0.4, 0.05
-PLACES_PART, RESUME_PART = 0.7, 0.6  # of the runs: places are asked ahead; clients ask for the rest of a stream
-RETRIES_PART, CROWD_PART = 0.6, 0.2  # of the runs: clients try again at once; idle clients crowd the dispatchers
-RETRIES_MOST = 2
-BY_WORK_PART = 0.5  # of the runs: cold hosts warm by their work, not by time
-CROWD, SOCKETS = 420, 512  # idle connections to each dispatcher; what it may have
-LISTED_LATE_S = 1.5  # a host's start is told by the list so much later at most
+DEADLINES_MS = (3_000, 3_000, 1_500, 700)  # each run draws one for its requests
+START_TIMEOUT_S = 20.0
+ORDER_PROBABILITY, LEAVE_PROBABILITY = 0.4, 0.05
+# Drawn per run: places are reserved ahead; clients resume broken streams; clients retry at once; many idle clients.
+PLACES_PROBABILITY, RESUME_PROBABILITY = 0.7, 0.6
+RETRIES_PROBABILITY, IDLE_CLIENTS_PROBABILITY = 0.6, 0.2
+MAX_RETRIES = 2
+WARM_BY_WORK_PROBABILITY = 0.5  # per run: cold hosts warm up by completed work instead of time
+IDLE_CLIENTS, SOCKET_LIMIT = 420, 512  # idle connections to each dispatcher; its socket limit
+MAX_LISTING_DELAY_S = 1.5  # the list shows a host's start at most this much later
 
 
 @dataclass
 class Plan:
-    """How large a run is."""
+    """Size of a run."""
 
     dispatchers: int = 6
     readers: int = 8
     writers: int = 12
-    clients: int = 5  # of each dispatcher
+    clients: int = 5  # per dispatcher
     seconds: float = 20.0
     faults: int = 24
-    cold_returns: int = 2  # faults in which hosts come back cold while the others of their role are in trouble
+    cold_returns: int = 2  # faults in which hosts restart cold while the other hosts of their role fail
 
 
 @dataclass
-class Life:
-    """A dispatcher's process, from its start to its end, and what its clients saw."""
+class DispatcherRun:
+    """One dispatcher process, from start to end, with the ledger of what its clients saw."""
 
     name: str
     ledger: Ledger
     process: subprocess.Popen[bytes]
     log: Path
-    told: dict[str, float] = field(default_factory=dict)  # hosts that were told to drain, and when
-    killed: float | None = None  # by SIGKILL
-    ended: float | None = None  # its process had
+    drains_reported: dict[str, float] = field(
+        default_factory=dict
+    )  # draining hosts and when the dispatcher was sent their drain
+    killed: float | None = None  # when it was sent SIGKILL
+    ended: float | None = None  # when the process had exited
 
 
 @dataclass
 class SoakHost:
-    """A model host."""
+    """A model host's process and its entry in the server list."""
 
     name: str
     role: str
@@ -71,10 +74,10 @@
     port: int
     phase: str = "Ready"
     up_since_ms: int = 0
-    listed_from: float = 0.0  # since when the list tells its last start
-    listed_before_ms: int = 0  # the start that it tells until then
+    listed_from: float = 0.0  # when the list begins to show its last start
+    listed_before_ms: int = 0  # the start time that the list shows until then
 
-    def entry(self) -> dict[str, Any]:
+    def list_entry(self) -> dict[str, Any]:
         return {
             "id": self.name,
             "host_port": f"{HERE}:{self.port}",
@@ -86,45 +89,45 @@
             "up_since_ms": self.up_since_ms if monotonic() >= self.listed_from else self.listed_before_ms,
         }
 
-    def order(self, kind: str, seconds: float = 0.0) -> None:
+    def inject_fault(self, kind: str, seconds: float = 0.0) -> None:
         assert self.process.stdin is not None
-        with contextlib.suppress(OSError):  # it has died meanwhile
+        with contextlib.suppress(OSError):  # the process has died meanwhile
             self.process.stdin.write(f"{kind} {seconds}\n".encode())
             self.process.stdin.flush()
 
 
-class Parties:
-    """All of one run."""
+class SoakCluster:
+    """All processes, connections and records of one run."""
 
     def __init__(self, seed: int, plan: Plan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
         self.random = Random(seed)
         self.family = {
-            "holds-allowed": self.random.random() < PLACES_PART,
-            "resume": self.random.random() < RESUME_PART,
+            "holds-allowed": self.random.random() < PLACES_PROBABILITY,
+            "resume": self.random.random() < RESUME_PROBABILITY,
         }
         self.deadline_ms = self.random.choice(DEADLINES_MS)
-        self.retries = RETRIES_MOST if self.random.random() < RETRIES_PART else 0
-        self.crowded = self.random.random() < CROWD_PART
-        self.warm_by_work = self.random.random() < BY_WORK_PART
+        self.retries = MAX_RETRIES if self.random.random() < RETRIES_PROBABILITY else 0
+        self.has_idle_clients = self.random.random() < IDLE_CLIENTS_PROBABILITY
+        self.warm_by_work = self.random.random() < WARM_BY_WORK_PROBABILITY
         self.cold_starts: list[ColdStart] = []
         self.burst_until = 0.0
-        self.shut_unread = 0  # new connections that were shut in a crowd, as the pages allow then
+        self.closed_unread = 0  # new connections closed unread near the socket limit, which the rules allow there
         self.injected: Counter[str] = Counter()
-        self.crowds: list[asyncio.StreamWriter] = []
+        self.idle_connections: list[asyncio.StreamWriter] = []
         self.hosts: dict[str, SoakHost] = {}
-        self.lives: list[Life] = []
-        self.current: dict[str, Life] = {}
+        self.runs: list[DispatcherRun] = []
+        self.current: dict[str, DispatcherRun] = {}
         self.ports: dict[str, int] = {}
         self.agents: dict[str, str] = {}
         self.servers: list[asyncio.Server] = []
-        self.down: set[str] = set()  # hosts that are dead just now
-        self.ending: set[str] = set()  # dispatchers that a fault is about to end
+        self.dead_hosts: set[str] = set()  # hosts that are dead at present
+        self.ending_dispatchers: set[str] = set()  # dispatchers that a fault is about to end
         self.revision = 1
-        self.silent_until = 0.0  # of all agents
-        self.silent: dict[str, float] = {}  # hosts that are stopped, or whose connections are silent, and until when
-        self.frozen: list[tuple[str, float, float]] = []  # host, from, to
-        self.stopped: list[tuple[float, float]] = []  # a dispatcher was
+        self.silent_until = 0.0  # until then all agents are silent
+        self.silent: dict[str, float] = {}  # stopped hosts and hosts with silent connections: end of the silence
+        self.frozen: list[tuple[str, float, float]] = []  # host, begin and end of each stop
+        self.stopped: list[tuple[float, float]] = []  # begin and end of each stop of a dispatcher
         self.story: list[str] = []
         self.began = monotonic()
         self.ended = False
@@ -132,7 +135,7 @@
         for kind in ("states", "reads"):
             (folder / kind).mkdir()
 
-    def say(self, text: str) -> None:
+    def log_event(self, text: str) -> None:
         self.story.append(f"{monotonic() - self.began:8.3f} {text}")
 
     # --- processes
@@ -171,8 +174,8 @@
                 {
                     "settings": settings,
                     "discovery": self.agents[name],
-                    "limits": {"sockets": SOCKETS},
-                    "known": self.listed(),
+                    "limits": {"sockets": SOCKET_LIMIT},
+                    "known": self.server_list(),
                 }
             )
         )
@@ -184,7 +187,7 @@
             "ROUTER_CONFIG": str(config),
             "PYTHONPATH": str(ROOT),
         }
-        log = self.folder / f"{name}-{len(self.lives)}.log"
+        log = self.folder / f"{name}-{len(self.runs)}.log"
         with open(log, "wb") as errors:
             process = subprocess.Popen(
                 [sys.executable, "-m", "yardspindle.node"],
@@ -194,12 +197,12 @@
                 stdout=subprocess.DEVNULL,
                 stderr=errors,
             )
-        life = Life(name, Ledger(RELEASE_S, GRACE_S, lambda: 0.0), process, log)
-        self.lives.append(life)
-        self.current[name] = life
+        run = DispatcherRun(name, Ledger(RELEASE_S, GRACE_S, lambda: 0.0), process, log)
+        self.runs.append(run)
+        self.current[name] = run
 
-    async def ready(self, name: str) -> None:
-        until = monotonic() + START_S
+    async def wait_until_ready(self, name: str) -> None:
+        until = monotonic() + START_TIMEOUT_S
         while b"ready" not in self.current[name].log.read_bytes():
             if monotonic() > until:
                 raise TimeoutError(f"{name} is not ready: {self.current[name].log.read_text()}")
@@ -207,10 +210,10 @@
 
     # --- discovery
 
-    def listed(self) -> dict[str, Any]:
-        return {"revision": self.revision, "complete": True, "members": [h.entry() for h in self.hosts.values()]}
+    def server_list(self) -> dict[str, Any]:
+        return {"revision": self.revision, "complete": True, "members": [h.list_entry() for h in self.hosts.values()]}
 
-    async def agent(self, name: str) -> None:
+    async def start_agent(self, name: str) -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
                 while True:
@@ -224,11 +227,11 @@
                         await asyncio.sleep(0.005)
                     for host in self.hosts.values():
                         if host.phase != "Ready":
-                            self.current[name].told.setdefault(host.name, monotonic())
-                    writer.write(plain(200, json.dumps(self.listed()).encode()))
+                            self.current[name].drains_reported.setdefault(host.name, monotonic())
+                    writer.write(plain(200, json.dumps(self.server_list()).encode()))
                     await writer.drain()
             except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
-                pass  # the dispatcher went, or this run is over
+                pass  # the dispatcher disconnected, or the run is over
             finally:
                 writer.close()
 
@@ -238,8 +241,8 @@
 
     # --- clients
 
-    async def client(self, name: str, number: int) -> None:
-        draw = Random(f"{self.random.random()} {number}")
+    async def run_client(self, name: str, number: int) -> None:
+        rng = Random(f"{self.random.random()} {number}")
         while not self.ended:
             try:
                 reader, writer = await asyncio.open_connection(HERE, self.ports[name])
@@ -247,88 +250,94 @@
                 await asyncio.sleep(0.05)
                 continue
             try:
-                await self._connection(name, reader, writer, draw)
+                await self._use_connection(name, reader, writer, rng)
             finally:
                 writer.close()
 
-    async def crowd(self, name: str) -> None:
-        """Idle clients that keep their connections for as long as they may."""
-        for _ in range(CROWD):
+    async def open_idle_connections(self, name: str) -> None:
+        """Open connections that send nothing and stay open as long as the dispatcher keeps them."""
+        for _ in range(IDLE_CLIENTS):
             with contextlib.suppress(OSError):
-                self.crowds.append((await asyncio.open_connection(HERE, self.ports[name]))[1])
+                self.idle_connections.append((await asyncio.open_connection(HERE, self.ports[name]))[1])
 
-    async def _connection(
-        self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, draw: Random
+    async def _use_connection(
+        self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, rng: Random
     ) -> None:
-        life, kept, tries_left = self.current[name], False, self.retries
-        again = False
+        run, reused, tries_left = self.current[name], False, self.retries
+        is_retry = False
         while not self.ended:
-            if not again and monotonic() >= self.burst_until:
-                await asyncio.sleep(draw.uniform(0.0, 0.12))
+            if not is_retry and monotonic() >= self.burst_until:
+                await asyncio.sleep(rng.uniform(0.0, 0.12))
             if self.ended or reader.at_eof():
                 return
-            r = self._request(name, life, draw, again)
-            leaves = draw.random() < LEAVE_PART
+            record = self._next_request(name, run, rng, is_retry)
+            disconnects = rng.random() < LEAVE_PROBABILITY
             try:
-                writer.write(r.data)
-                async with asyncio.timeout(draw.uniform(0.0, 0.4) if leaves else self.deadline_ms / 1_000 + 20.0):
-                    done = await self._answer(life, r, reader, kept)
+                writer.write(record.data)
+                async with asyncio.timeout(rng.uniform(0.0, 0.4) if disconnects else self.deadline_ms / 1_000 + 20.0):
+                    reusable = await self._read_answer(run, record, reader, reused)
             except TimeoutError:
-                r.left = monotonic()  # the connection is closed now
+                record.left = monotonic()  # the connection is closed now
                 return
             except OSError:
-                self._lost(life, r, kept, "rst")
+                self._record_lost_connection(run, record, reused, "rst")
                 return
-            if not done:
+            if not reusable:
                 return
-            kept = True
-            again = tries_left > 0 and r.answers[0][1].status != 200
-            tries_left = tries_left - 1 if again else self.retries
+            reused = True
+            is_retry = tries_left > 0 and record.answers[0][1].status != 200
+            tries_left = tries_left - 1 if is_retry else self.retries
 
-    def _request(self, name: str, life: Life, draw: Random, again: bool) -> Request:
-        """The next request of a client, noted in the ledger of its dispatcher's life."""
+    def _next_request(self, name: str, run: DispatcherRun, rng: Random, is_retry: bool) -> Request:
+        """Draw a client's next request and record it in the dispatcher's ledger."""
         self._requests += 1
-        r = request(
+        record = request(
             f"{name}.{self._requests}",
-            "order" if draw.random() < ORDERS_PART else "ask",
+            "order" if rng.random() < ORDER_PROBABILITY else "ask",
             self.deadline_ms,
-            headers=(b"Req-Retry: 1",) if again else (),
-            key=f"k{draw.randrange(40)}",
+            headers=(b"Req-Retry: 1",) if is_retry else (),
+            key=f"k{rng.randrange(40)}",
         )
-        r.asked, r.written = monotonic(), len(r.data)
-        life.ledger.requests.append(r)
-        return r
-
-    async def _answer(self, life: Life, r: Request, reader: asyncio.StreamReader, kept: bool) -> bool:
-        """Whether a whole answer came, after which the connection is used on."""
-        got = b""
+        record.asked, record.written = monotonic(), len(record.data)
+        run.ledger.requests.append(record)
+        return record
+
+    async def _read_answer(
+        self, run: DispatcherRun, record: Request, reader: asyncio.StreamReader, reused: bool
+    ) -> bool:
+        """Read an answer; returns whether it was complete, so that the connection can be reused."""
+        buffer = b""
         while True:
             data = await reader.read(1 << 16)
-            got += data
-            message, _ = read_message(got, not data)
+            buffer += data
+            message, _ = read_message(buffer, not data)
             if message is not None and (message.whole or not data):
-                r.answers.append((monotonic(), message))
+                record.answers.append((monotonic(), message))
                 return message.whole
             if not data:
-                self._lost(life, r, kept, "fin")
+                self._record_lost_connection(run, record, reused, "fin")
                 return False
 
-    def _lost(self, life: Life, r: Request, kept: bool, how: str) -> None:
-        """Its connection ended without an answer: it crossed with the close of a resting one, or its process died."""
-        if life.killed is not None:
-            r.left = monotonic()
-        elif kept:
-            r.late = True
-        elif self.crowded:  # a new connection may be shut unread then
-            r.late = True
-            self.shut_unread += 1
+    def _record_lost_connection(self, run: DispatcherRun, record: Request, reused: bool, how: str) -> None:
+        """Record a connection that ended without an answer.
+
+        Allowed if the dispatcher was killed, if the request crossed with the close of an idle connection, or if a new
+        connection was closed unread near the socket limit.
+        """
+        if run.killed is not None:
+            record.left = monotonic()
+        elif reused:
+            record.late = True
+        elif self.has_idle_clients:  # a new connection may be closed unread then
+            record.late = True
+            self.closed_unread += 1
         else:
-            life.ledger.seen.append(f"{r.id.decode()}: {how} on a new connection, without an answer")
+            run.ledger.seen.append(f"{record.id.decode()}: {how} on a new connection, without an answer")
 
     # --- the end
 
     async def close_agents(self) -> None:
-        for writer in self.crowds:
+        for writer in self.idle_connections:
             writer.close()
         for server in self.servers:
             server.close()
@@ -339,7 +348,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def close(self) -> None:
-        for process in [life.process for life in self.lives] + [host.process for host in self.hosts.values()]:
+        for process in [run.process for run in self.runs] + [host.process for host in self.hosts.values()]:
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
                 process.kill()
--- a/tests/soak_slow_start.py
+++ b/tests/soak_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start in the soak test: what each host that came back cold was sent, by all dispatchers together."""
+"""Slow-start check of the soak test: calls that all dispatchers together sent to each host that restarted cold."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from typing import Any
 
 COLD_S, START_CAPACITY, FALL_MULTIPLE, FALL_S = 5.0, 0.26, 2.5, 2.0
-WARM_RATE = {"read": 20.0, "write": 6.0}  # requests a second that a warm host of a role does
-SMALL_BUDGET = 30  # under so many requests the pages allow three times the root
+WARM_RATE_PER_S = {"read": 20.0, "write": 6.0}  # requests per second that a warm host of a role completes
+SMALL_BUDGET = 30  # below this many requests the platform's rules allow three times the square root
 OBLIGATIONS = {
     "cold-us": COLD_S * 1e6,
     "start-capacity": START_CAPACITY,
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class ColdStart:
-    """A host's start, by the machine's monotonic clock, and whether it warms by its work or by time alone."""
+    """A host's cold start (monotonic clock) and whether it warms up by completed work or by time."""
 
     host: str
     role: str
@@ -29,8 +29,8 @@
 
 
 @dataclass(frozen=True)
-class Load:
-    """The fullest window of a cold host: what it was sent, and what it may be sent."""
+class WindowLoad:
+    """The fullest window of a cold host: calls sent and calls allowed."""
 
     start: ColdStart
     age: float
@@ -43,25 +43,25 @@
 
 
 def warmth(role: str, age: float, done: int | None = None) -> float:
-    """What part of its capacity a host has regained.
+    """Return the share of its capacity that a host has regained.
 
-    The ramp is told nowhere, only that it is over after COLD_S: a line in time, or (`done`: requests since the start)
-    in the work that a warm host does in that time.
+    The platform states only that a host is warm after COLD_S. The model is linear in time or, with `done` (requests
+    since the start), linear in the work that a warm host completes in that time.
     """
     if age >= COLD_S:
         return 1.0
-    part = max(age, 0.0) / COLD_S if done is None else done / (WARM_RATE[role] * COLD_S)
+    part = max(age, 0.0) / COLD_S if done is None else done / (WARM_RATE_PER_S[role] * COLD_S)
     return START_CAPACITY + (1 - START_CAPACITY) * min(part, 1.0)
 
 
 def allowance(budget: float) -> float:
-    """What a host may be sent in a window of which the settings allow so much."""
-    times, more = (3, 3) if budget < SMALL_BUDGET else (2, 2)
-    return budget + times * math.sqrt(budget) + more
+    """Return the calls that a host may be sent in a window whose budget by the settings is given."""
+    root_factor, constant = (3, 3) if budget < SMALL_BUDGET else (2, 2)
+    return budget + root_factor * math.sqrt(budget) + constant
 
 
-def loads(rows: list[dict[str, Any]], starts: list[ColdStart]) -> list[Load]:
-    """The fullest window of each cold start that was sent anything; every call that reached the host counts."""
+def fullest_windows(rows: list[dict[str, Any]], starts: list[ColdStart]) -> list[WindowLoad]:
+    """Return the fullest window of each cold start that received calls; every call that reached the host counts."""
     found = []
     for start in starts:
         until = min(
@@ -76,9 +76,11 @@
         )
         windows = []
         for before, at in enumerate(times):
-            capacity = WARM_RATE[start.role] * warmth(start.role, at - start.at, before if start.by_work else None)
+            capacity = WARM_RATE_PER_S[start.role] * warmth(
+                start.role, at - start.at, before if start.by_work else None
+            )
             windows.append(
-                Load(
+                WindowLoad(
                     start,
                     at - start.at,
                     bisect_left(times, at + FALL_S) - before,
@@ -90,8 +92,8 @@
     return found
 
 
-def pushed_over(found: list[Load]) -> list[str]:
-    """Each cold host that was sent more than it may be."""
+def overloaded_hosts(found: list[WindowLoad]) -> list[str]:
+    """Return a line for each cold host that was sent more than allowed."""
     return [
         f"slow start: {load.start.host}, {load.age:.2f} s after its start, was sent {load.sent} calls in "
         f"{FALL_S:g} s, {load.allowed:.1f} allowed"
--- a/tests/unit_standin.py
+++ b/tests/unit_standin.py
@@ -1,6 +1,7 @@
-"""A unit for tests: serves one page with its version; a version named `bad...` does not start, or turns out bad.
+"""Stand-in for a unit: serves its load and request counts, and can fail by version.
 
-`python -m tests.unit_standin run NAME VERSION PORT JOURNAL` and `... check NAME PORT`.
+A version named `never...` exits at start; one named `ill...` serves with a high failure rate.
+Run: `python -m tests.unit_standin run NAME VERSION PORT JOURNAL` or `python -m tests.unit_standin check NAME PORT`.
 """
 
 from __future__ import annotations
@@ -14,23 +15,26 @@
 from pathlib import Path
 from typing import Any
 
-NEVER, ILL = "never", "ill"  # versions that end at once, and whose requests end badly
+FAILS_TO_START, SERVES_BADLY = (
+    "never",
+    "ill",
+)  # prefixes of versions that exit at start, and of those whose requests fail
 
 
 def run(name: str, version: str, port: int, journal: str) -> None:
-    def note(event: str) -> None:
+    def write_event(event: str) -> None:
         with Path(journal).open("a") as out:
             out.write(json.dumps({"t": time.time_ns() // 1_000, "unit": name, "ev": event, "version": version}) + "\n")
 
-    if version.startswith(NEVER):
-        note("did not start")
+    if version.startswith(FAILS_TO_START):
+        write_event("did not start")
         sys.exit(3)
     counts = {"served": 0, "bad": 0}
 
     class Page(http.server.BaseHTTPRequestHandler):
         def do_GET(self) -> None:
-            if self.path == "/work":  # a hundred requests at a time
-                bad = 20 if version.startswith(ILL) else 1
+            if self.path == "/work":  # each call counts as a hundred requests
+                bad = 20 if version.startswith(SERVES_BADLY) else 1
                 counts["served"] += 100 - bad
                 counts["bad"] += bad
             body = json.dumps({"load": 1.0, "room": 10.0, **counts}).encode()
@@ -42,13 +46,13 @@
         def log_message(self, *_: Any) -> None:
             pass
 
-    def end(*_: object) -> None:
-        note("down")
+    def shut_down(*_: object) -> None:
+        write_event("down")
         sys.exit(0)
 
     server = http.server.ThreadingHTTPServer(("127.0.0.1", port), Page)
-    signal.signal(signal.SIGTERM, end)
-    note("up")
+    signal.signal(signal.SIGTERM, shut_down)
+    write_event("up")
     server.serve_forever()
 
 
