--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a subprocess: golden frames, malformed input, end of input."""
+"""The bench adapter as a subprocess: golden frames, malformed input, end of input."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     "allowed": {"most-tries": 5, "cancel": True, "key-added-later": 3},
     "unknown": {"x": 1},
 }
-START = [
+START_FRAMES = [
     "frame 1000",
     "page 0 2",
     "entry 11 a reads 0 SERVING 1 -",
@@ -31,8 +31,8 @@
     "view 0 C 1 0",
     "eob",
 ]
-DAY = [
-    *START,
+SAMPLE_INPUT = [
+    *START_FRAMES,
     "frame 2000",
     "submit 0 5 100 0 0 900 chat - 4000000 - - s1",
     "eob",
@@ -47,7 +47,7 @@
     "resolved 0 5 1 12 S 1900 1 0 -",
     "eob",
 ]
-GOLDEN = [
+GOLDEN_OUTPUT = [
     "yield",
     "attempt 0 5 11 0",
     "claim_writer 0 5 12",
@@ -61,7 +61,7 @@
 ]
 
 
-def drill(lines: list[str], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
+def run_adapter(lines: list[str], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     env = {**os.environ, "PYTHONHASHSEED": hash_seed, "PYTHONDONTWRITEBYTECODE": "1"}
     return subprocess.run(
         [sys.executable, "-m", "yardspindle.drill"],
@@ -76,36 +76,36 @@
 
 @pytest.mark.parametrize("hash_seed", ["0", "1", "4242"])
 def test_golden_frames(hash_seed: str) -> None:
-    done = drill(DAY, hash_seed)
-    assert (done.returncode, done.stderr) == (0, "")
-    assert done.stdout.splitlines() == GOLDEN
+    result = run_adapter(SAMPLE_INPUT, hash_seed)
+    assert (result.returncode, result.stderr) == (0, "")
+    assert result.stdout.splitlines() == GOLDEN_OUTPUT
 
 
 @pytest.mark.parametrize(
     ("lines", "at", "fault"),
     [
-        ([*START, "frame 2", "dance 0 1", "eob"], 9, "unknown message 'dance'"),
-        ([*START, "frame 2", "hangup 0", "eob"], 9, "hangup has 1 fields, 2 expected"),
-        ([*START, "frame 2", "hangup 0 x", "eob"], 9, "invalid literal"),
-        ([*START, "frame 2", "hangup 3 1", "eob"], 9, "instance 3, which was not spawned"),
-        ([*START, "frame 2", "hangup 0 1"], 9, "the input ends inside a frame"),
+        ([*START_FRAMES, "frame 2", "dance 0 1", "eob"], 9, "unknown message 'dance'"),
+        ([*START_FRAMES, "frame 2", "hangup 0", "eob"], 9, "hangup has 1 fields, 2 expected"),
+        ([*START_FRAMES, "frame 2", "hangup 0 x", "eob"], 9, "invalid literal"),
+        ([*START_FRAMES, "frame 2", "hangup 3 1", "eob"], 9, "instance 3, which was not spawned"),
+        ([*START_FRAMES, "frame 2", "hangup 0 1"], 9, "the input ends inside a frame"),
         (["frame 1", "spawn 0 1 {}", "eob"], 2, "no such value: 'services'"),
         (["hello"], 1, "frame expected"),
     ],
 )
 def test_malformed_input_ends_with_one_plain_line(lines: list[str], at: int, fault: str) -> None:
-    done = drill(lines)
-    assert done.returncode == 2
-    assert done.stderr.startswith(f"line {at}: ") and fault in done.stderr
-    assert done.stderr.count("\n") == 1
+    result = run_adapter(lines)
+    assert result.returncode == 2
+    assert result.stderr.startswith(f"line {at}: ") and fault in result.stderr
+    assert result.stderr.count("\n") == 1
 
 
 def test_a_fault_in_the_policy_is_reported_as_fatal() -> None:
-    done = drill([*START, "frame 2000", "submit 0 5 100 0 0 900 nosuchclass - 4000000 - - s1", "eob"])
-    assert done.returncode == 0
-    assert "fatal 0 KeyError" in done.stdout
+    result = run_adapter([*START_FRAMES, "frame 2000", "submit 0 5 100 0 0 900 nosuchclass - 4000000 - - s1", "eob"])
+    assert result.returncode == 0
+    assert "fatal 0 KeyError" in result.stdout
 
 
 def test_a_stopped_instance_starts_anew() -> None:
-    done = drill([*DAY[:-3], "frame 5000", "crash_now 0", *START[1:4], *START[4:]])
-    assert done.returncode == 0
+    result = run_adapter([*SAMPLE_INPUT[:-3], "frame 5000", "crash_now 0", *START_FRAMES[1:4], *START_FRAMES[4:]])
+    assert result.returncode == 0
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line as a user meets it: ready line, signals, one-line faults with exit code 2."""
+"""The command line as users see it: ready line, signals, one-line errors with exit code 2."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
         body = json.dumps(
             {"model": "yardspindle-demo", "max_tokens": 2, "messages": [{"role": "user", "content": "Hello"}]}
         ).encode()
-        asked = urllib.request.Request(ready[1] + "/chat/completions", body, {"content-type": "application/json"})
-        with urllib.request.urlopen(asked, timeout=20) as answer:
+        request = urllib.request.Request(ready[1] + "/chat/completions", body, {"content-type": "application/json"})
+        with urllib.request.urlopen(request, timeout=20) as answer:
             assert json.load(answer)["choices"][0]["message"]["content"] == "w0 w1"
         process.send_signal(number)
         assert process.wait(30) == 0
@@ -51,22 +51,22 @@
 
 
 def test_a_port_in_use_is_one_line() -> None:
-    with socket.create_server(("127.0.0.1", 0)) as taken, tempfile.TemporaryDirectory() as folder:
-        port = taken.getsockname()[1]
+    with socket.create_server(("127.0.0.1", 0)) as occupied, tempfile.TemporaryDirectory() as folder:
+        port = occupied.getsockname()[1]
         file = Path(folder) / "c.toml"
         file.write_text(f'[edge]\nlisten = "127.0.0.1:{port}"\n')
-        done = run("edge", str(file))
-        assert done.returncode == 2
-        assert done.stderr.strip() == f"{file}: edge.listen: 127.0.0.1:{port}: Address already in use"
+        result = run("edge", str(file))
+        assert result.returncode == 2
+        assert result.stderr.strip() == f"{file}: edge.listen: 127.0.0.1:{port}: Address already in use"
         (Path(folder) / "s.toml").write_text("count = 0")
         file.write_text(f'[planner]\nlisten = "127.0.0.1:{port}"\nservers = "{folder}/s.toml"\n')
-        done = run("plan", str(file))
-        assert (done.returncode, done.stdout) == (2, "")
-        assert done.stderr.splitlines()[-1] == f"{file}: planner.listen: 127.0.0.1:{port}: Address already in use"
+        result = run("plan", str(file))
+        assert (result.returncode, result.stdout) == (2, "")
+        assert result.stderr.splitlines()[-1] == f"{file}: planner.listen: 127.0.0.1:{port}: Address already in use"
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("x = 1", "x: unknown key"),
         ("[edge]\nnumber = 'a'", "edge.number: expected `int`, got `str`"),
@@ -75,20 +75,22 @@
     ],
 )
 @pytest.mark.parametrize("sub", [("config", "check"), ("edge",), ("plan",)])
-def test_a_bad_configuration_is_one_line_and_exit_2(tmp_path: Path, sub: tuple[str, ...], text: str, says: str) -> None:
+def test_a_bad_configuration_is_one_line_and_exit_2(
+    tmp_path: Path, sub: tuple[str, ...], text: str, message: str
+) -> None:
     file = tmp_path / "c.toml"
     file.write_text(text)
-    done = run(*sub, str(file))
-    assert (done.returncode, done.stdout) == (2, "")
-    assert done.stderr.startswith(f"{file}: {says}") and done.stderr.count("\n") == 1
+    result = run(*sub, str(file))
+    assert (result.returncode, result.stdout) == (2, "")
+    assert result.stderr.startswith(f"{file}: {message}") and result.stderr.count("\n") == 1
 
 
 def test_config_check_reads_the_server_list_too(tmp_path: Path) -> None:
     config, servers = tmp_path / "c.toml", tmp_path / "s.toml"
     config.write_text("")
     servers.write_text("count = 1")
-    done = run("config", "check", str(config), "--servers", str(servers))
-    assert done.returncode == 2 and done.stderr == f"{servers}: count: says 1, the list holds 0\n"
+    result = run("config", "check", str(config), "--servers", str(servers))
+    assert result.returncode == 2 and result.stderr == f"{servers}: count: says 1, the list holds 0\n"
     servers.write_text("count = 0")
     assert run("config", "check", str(config), "--servers", str(servers)).returncode == 0
     assert run("config", "check", str(tmp_path / "none.toml")).stderr.endswith("No such file or directory\n")
@@ -97,9 +99,9 @@
 def test_a_planner_without_its_list_does_not_start(tmp_path: Path) -> None:
     file = tmp_path / "c.toml"
     file.write_text(f'[planner]\nlisten = "127.0.0.1:0"\nservers = "{tmp_path}/none.toml"\n')
-    done = run("plan", str(file))
-    assert done.returncode == 2
-    assert done.stderr.strip() == f"{tmp_path}/none.toml: No such file or directory"
+    result = run("plan", str(file))
+    assert result.returncode == 2
+    assert result.stderr.strip() == f"{tmp_path}/none.toml: No such file or directory"
 
 
 def test_logs_are_structured_and_hold_no_prompt() -> None:
@@ -115,18 +117,18 @@
             "    urllib.request.urlopen(urllib.request.Request(fleet.url + '/chat/completions', body, "
             "{'content-type': 'application/json'})).read()\n"
         )
-        done = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True, timeout=60, check=True
         )
-    lines = [json.loads(line) for line in done.stderr.splitlines()]
+    lines = [json.loads(line) for line in result.stderr.splitlines()]
     request = next(line for line in lines if line["event"] == "request")
     assert request["request_id"].startswith("req-") and request["final"] == "served"
-    assert secret not in done.stderr and "red barn" not in done.stderr
+    assert secret not in result.stderr and "red barn" not in result.stderr
 
 
 def test_the_adapter_starts_in_a_bare_interpreter() -> None:
-    """The bench runs it with the standard library only: no package of the product may be needed."""
-    done = subprocess.run(
+    """The bench runs the adapter with the standard library only, so it may import no third-party package."""
+    result = subprocess.run(
         [
             sys.executable,
             "-I",
@@ -142,7 +144,7 @@
         text=True,
         check=True,
     )
-    assert done.stdout.strip() == (
+    assert result.stdout.strip() == (
         "[] ['yardspindle', 'yardspindle.drill', 'yardspindle.interface', 'yardspindle.policy', "
         "'yardspindle.policy.decide', 'yardspindle.policy.readers', 'yardspindle.policy.request_lifecycle', "
         "'yardspindle.policy.servers', 'yardspindle.policy.slow_start', 'yardspindle.policy.state', "
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -1,4 +1,4 @@
-"""The scripted day with real processes, and that its audit finds each rule broken on purpose."""
+"""A scripted day with real processes, and its audit, which must find each rule broken on purpose."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from yardspindle.lab.day import load_day, read_journal
 
 ROOT = Path(__file__).parent.parent
-FIGURES = AuditLimits(unsafe=("order",))
+LIMITS = AuditLimits(unsafe=("order",))
 
 
 @pytest.fixture(scope="module")
 def journals(tmp_path_factory: pytest.TempPathFactory) -> tuple[list[JournalLine], list[JournalLine]]:
     folder = tmp_path_factory.mktemp("day")
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "yardspindle", "lab", "day", "examples/days/short.toml", "--keep", str(folder)],
         cwd=ROOT,
         capture_output=True,
@@ -30,8 +30,8 @@
         timeout=120,
         check=False,
     )
-    assert done.returncode == 0, done.stdout + done.stderr
-    assert done.stdout.endswith("rules broken: 0\n")
+    assert result.returncode == 0, result.stdout + result.stderr
+    assert result.stdout.endswith("rules broken: 0\n")
     return read_journal(str(folder / "clients.jsonl")), read_journal(str(folder / "boxes.jsonl"))
 
 
@@ -39,10 +39,10 @@
     journals: tuple[list[JournalLine], list[JournalLine]],
 ) -> None:
     clients, boxes = journals
-    report = audit_journals(clients, boxes, FIGURES)
+    report = audit_journals(clients, boxes, LIMITS)
     assert report.violations == []
-    tries = [line for line in clients if line["ev"] == "send"]
-    assert sum(sum(row.values()) for row in report.outcomes.values()) == len(tries) > 100
+    attempts = [line for line in clients if line["ev"] == "send"]
+    assert sum(sum(row.values()) for row in report.outcomes.values()) == len(attempts) > 100
     assert all(report.counts[f"attempts whose box died mid-{part}"] for part in ("read", "move", "stream"))
     assert report.outcomes["order"]["served"] and report.outcomes["enquiry"]["served"]
     assert {"killed", "control", "start", "hold state", "hold place", "release", "fetched"} <= {
@@ -105,8 +105,8 @@
 
 
 def sent_to_a_drained_box(clients: list[JournalLine], boxes: list[JournalLine]) -> None:
-    told = first(boxes, ev="control", do="listed_draining")
-    boxes.append({"t": told["t"] + 1_500_000, "box": told["box"], "ev": "arrive", "id": "x-1.0", "stage": "read"})
+    command = first(boxes, ev="control", do="listed_draining")
+    boxes.append({"t": command["t"] + 1_500_000, "box": command["box"], "ev": "arrive", "id": "x-1.0", "stage": "read"})
 
 
 def fell_over(clients: list[JournalLine], boxes: list[JournalLine]) -> None:
@@ -114,8 +114,9 @@
 
 
 def state_never_let_go(clients: list[JournalLine], boxes: list[JournalLine]) -> None:
-    troubled = {line["box"] for line in boxes if line["ev"] in ("killed", "control", "blind")}  # may be excused
-    boxes.remove(next(line for line in boxes if line["ev"] == "fetched" and line["box"] not in troubled))
+    # the audit may excuse the boxes with a fault
+    faulted = {line["box"] for line in boxes if line["ev"] in ("killed", "control", "blind")}
+    boxes.remove(next(line for line in boxes if line["ev"] == "fetched" and line["box"] not in faulted))
 
 
 def place_let_go_late(clients: list[JournalLine], boxes: list[JournalLine]) -> None:
@@ -156,11 +157,11 @@
 ) -> None:
     clients, boxes = copy.deepcopy(journals)
     fault(clients, boxes)
-    assert rule in {name for name, _ in audit_journals(clients, boxes, FIGURES).violations}
+    assert rule in {name for name, _ in audit_journals(clients, boxes, LIMITS).violations}
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("seed = 1\nseconds = 1\nrate_per_s = 1\nclasses = []", "classes: empty"),
         ("seed = 1\nseconds = 1\nrate_per_s = 0\nclasses = []", "rate_per_s: expected"),
@@ -168,10 +169,10 @@
         ("[[troubles]]\nat_s = 1\ndo = 'dance'\n", "troubles[0].do: invalid enum value 'dance'"),
     ],
 )
-def test_a_days_file_is_checked(tmp_path: Path, text: str, says: str) -> None:
+def test_a_days_file_is_checked(tmp_path: Path, text: str, message: str) -> None:
     base = 'seed = 1\nseconds = 1\nrate_per_s = 1\n[[classes]]\nname = "a"\neffect = "safe"\nshare = 1\n'
     file = tmp_path / "d.toml"
     file.write_text(text if "seed" in text else base + text)
     with pytest.raises(ConfigError) as caught:
         load_day(str(file))
-    assert says in str(caught.value) and str(file) in str(caught.value)
+    assert message in str(caught.value) and str(file) in str(caught.value)
--- a/tests/test_engine_client.py
+++ b/tests/test_engine_client.py
@@ -1,4 +1,4 @@
-"""The engines' client against scripted peers: what happens becomes the right status, and what proves what."""
+"""The engine client against scripted peers: the status of each outcome, and whether it proves that nothing ran."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 from yardspindle.runtime.scheduler import Closed, DeadlineExceeded
 from yardspindle.runtime.world import Stream, StreamError
 
-Script = Callable[[Stream, int], bool | None]  # a request came on this connection, the so-many-th; True: go on
+# Called with the stream and the number of the request; True keeps the connection open.
+Script = Callable[[Stream, int], bool | None]
 
 
 def read_request(stream: Stream) -> bool:
@@ -37,7 +38,7 @@
 
 
 class Peer:
-    """Plays a script on every connection."""
+    """A server that runs a script for every request."""
 
     def __init__(self, world: RealWorld, script: Script) -> None:
         self.world, self.script = world, script
@@ -72,10 +73,10 @@
     return http1.write_response(status, list(headers), json.dumps(body).encode())
 
 
-def answers(data: bytes, go_on: bool = True) -> Script:
+def answers(data: bytes, keep_open: bool = True) -> Script:
     def script(stream: Stream, number: int) -> bool:
         stream.write(data)
-        return go_on
+        return keep_open
 
     return script
 
@@ -171,7 +172,7 @@
 def test_a_time_out_before_the_last_byte_proves_that_nothing_ran(role: Role) -> None:
     def use(world: RealWorld, peer: Peer, engines: EngineClient) -> list[Status]:
         full = world.listen("127.0.0.1", 0, backlog=0)
-        world.connect("127.0.0.1", full.port, world.now_us() + 600_000_000)  # none comes up any more
+        world.connect("127.0.0.1", full.port, world.now_us() + 600_000_000)  # the backlog is full from now on
         task, ended = world.current(), []
         for port in (full.port, peer.listener.port):
             run: Any = RunningRequest.__new__(RunningRequest)
@@ -216,14 +217,14 @@
             world.sleep_until(world.now_us() + 1_000)
 
     with_peer(silent, use)
-    assert seen == ["reset"], "an engine ends work whose connection is gone"
+    assert seen == ["reset"], "an engine stops work whose connection is closed"
 
 
 def test_connections_are_kept_and_one_that_the_engine_closed_is_not_used() -> None:
-    far: list[Stream] = []
+    engine_streams: list[Stream] = []
 
     def script(stream: Stream, number: int) -> bool:
-        far.append(stream)
+        engine_streams.append(stream)
         stream.write(reply(200, STATE))
         return True
 
@@ -232,9 +233,9 @@
         for number in range(4):
             assert engines.read(server, number, 0, b"{}").status is Status.READ
             if number == 1:
-                kept = next(iter(engines.http._idle.values()))[0]
-                far[-1].send_eof()  # it closes the idle connection
-                kept.stream.wait_input()
+                idle = next(iter(engines.http._idle.values()))[0]
+                engine_streams[-1].send_eof()  # it closes the idle connection
+                idle.stream.wait_input()
         return peer.connections, engines.http.counts.reused, engines.http.counts.stale
 
     assert with_peer(script, use) == (2, 2, 1)
@@ -242,7 +243,7 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_a_connection_that_its_server_ends_before_the_first_byte_has_had_nothing_sent(reset: bool) -> None:
-    """What waits before a first byte may be overtaken by the server's end: that is no request that may have run."""
+    """The server may close while a request waits before its first byte: such a request cannot have run."""
     world = RealWorld(1)
 
     def main() -> None:
@@ -304,18 +305,18 @@
     def use(world: RealWorld, peer: Peer, engines: EngineClient) -> list[bytes]:
         stream = engines.write(peer.server(), 1, 1, b"{}", None)
         assert isinstance(stream, AnswerStream)
-        got: list[bytes] = []
+        events: list[bytes] = []
         try:
             for batch in stream.event_batches():
-                got += batch
+                events += batch
             assert whole
         except ExchangeBroken:
             assert not whole
         stream.close()
-        return got
+        return events
 
-    got = with_peer(answers(start + tail, go_on=False), use)
-    assert got == [b'{"a":1}', b"[DONE]"][: 1 + whole]
+    events = with_peer(answers(start + tail, keep_open=False), use)
+    assert events == [b'{"a":1}', b"[DONE]"][: 1 + whole]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -1,4 +1,4 @@
-"""Several real programs, relays between them, and faults: one owner at a time, and nothing of a living edge let go."""
+"""Several real programs, relays between them, and faults: one owner per duty, and a live edge's holds are kept."""
 
 from __future__ import annotations
 
--- a/tests/test_fleet_mistakes.py
+++ b/tests/test_fleet_mistakes.py
@@ -1,4 +1,4 @@
-"""Mistakes planted in the real programs: the journals must show each, in a scenario where it matters."""
+"""Faults planted in the real programs: the journals must show each, in a scenario where it takes effect."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.fleet_check import check
 from tests.processes import Processes, play
 
-MISTAKES = {
+PLANTED_FAULTS = {
     "a_duty_is_taken_without_looking": (s.all_but_the_owner_race, "taken over while"),
     "a_duty_is_handed_over_without_the_fence": (
         s.handing_over_on_purpose_takes_less_than_a_tenth_of_a_second,
@@ -29,19 +29,19 @@
 }
 
 
-@pytest.mark.parametrize("name", MISTAKES)
+@pytest.mark.parametrize("name", PLANTED_FAULTS)
 def test_a_planted_mistake_is_found_in_the_journals(tmp_path: Path, name: str) -> None:
-    scenario, says = MISTAKES[name]
+    scenario, expected = PLANTED_FAULTS[name]
     folders: list[Processes] = []
 
-    def mistaken(p: Processes) -> None:
+    def run_scenario(p: Processes) -> None:
         folders.append(p)
-        with contextlib.suppress(AssertionError):  # the scenario itself may see it too
+        with contextlib.suppress(AssertionError):  # the scenario itself may fail on the fault too
             scenario(p)
         p.send("edge0", signal.SIGCONT)
         p.call(p.ports["w0"], "POST", "/v1/lab/control", {"do": "wake"})
-        p.chat()  # an edge that lives shows it
+        p.chat()  # a live edge makes the fault visible
 
-    play(tmp_path, mistaken, plant=name)
+    play(tmp_path, run_scenario, plant=name)
     found = check(tmp_path, folders[0].boxes)
-    assert any(says in row for row in found), found
+    assert any(expected in row for row in found), found
--- a/tests/test_fleet_worlds.py
+++ b/tests/test_fleet_worlds.py
@@ -1,4 +1,4 @@
-"""Seeded worlds of the processes that act for a fleet: none breaks, and planted mistakes are found in them."""
+"""Seeded worlds of the processes that manage a fleet: none breaks a rule, and planted faults are found."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from yardspindle.steward.app import Steward
 
 
-def broken(first: int, count: int) -> list[str]:
+def first_violation(first: int, count: int) -> list[str]:
     for seed in range(first, first + count):
         breaks, _ = run_fleet_script(draw_fleet_script(seed))
         if breaks:
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("first", [0, 8])
 def test_worlds_break_nothing(first: int) -> None:
-    assert broken(first, 8) == []
+    assert first_violation(first, 8) == []
 
 
 def test_the_same_seed_plays_the_same_world() -> None:
@@ -31,20 +31,20 @@
 
 
 def _any_holder_is_me(patch: pytest.MonkeyPatch) -> None:
-    """Somebody else's key is taken for one's own."""
+    """A key that another member holds is taken for the caller's own."""
     real = ownership._apply_acquire_result
 
-    def looked(state: Any, now: int, duty: str, lease: int, holder: Any, revision: int, commands: Any) -> Any:
+    def apply_as_own(state: Any, now: int, duty: str, lease: int, holder: Any, revision: int, commands: Any) -> Any:
         mine = ownership.Holder(state.name, state.lease, holder.fence) if holder is not None else None
         return real(state, now, duty, lease, mine, revision, commands)
 
-    patch.setattr(ownership, "_apply_acquire_result", looked)
-    shares = duty_assignment.candidate_orders
+    patch.setattr(ownership, "_apply_acquire_result", apply_as_own)
+    real_orders = duty_assignment.candidate_orders
     patch.setattr(
         duty_assignment,
         "candidate_orders",
         lambda free, holders, names: {
-            duty: sorted(order, key=lambda name: 0) for duty, order in shares(free, holders, names).items()
+            duty: sorted(order, key=lambda name: 0) for duty, order in real_orders(free, holders, names).items()
         },
     )
 
@@ -55,20 +55,20 @@
 
 
 def _a_lost_answer_is_a_refusal(patch: pytest.MonkeyPatch) -> None:
-    """The key stays, and nobody works."""
+    """A lost answer is taken for a refusal: the key stays, and no member does the duty."""
     real = Steward._acquire
 
-    def take(self: Steward, duty: str, lease: int) -> None:
+    def acquire(self: Steward, duty: str, lease: int) -> None:
         txn = self.store.txn
 
-        def once(asked: Any) -> Any:
+        def lose_answer(asked: Any) -> Any:
             try:
                 return txn(asked)
             except StoreError:
                 self._handle_event(ownership.AcquireResult(duty, lease, None, 0))
                 raise SystemError from None
 
-        patch.setattr(self.store, "txn", once)
+        patch.setattr(self.store, "txn", lose_answer)
         try:
             real(self, duty, lease)
         except SystemError:
@@ -76,7 +76,7 @@
         finally:
             patch.setattr(self.store, "txn", txn)
 
-    patch.setattr(Steward, "_acquire", take)
+    patch.setattr(Steward, "_acquire", acquire)
 
 
 def _silence_is_death(patch: pytest.MonkeyPatch) -> None:
@@ -90,7 +90,7 @@
     )
 
 
-MISTAKES = {
+PLANTED_FAULTS = {
     "any holder is me": (_any_holder_is_me, 40),
     "acts without its lease": (_acts_without_its_lease, 40),
     "a lost answer is a refusal": (_a_lost_answer_is_a_refusal, 40),
@@ -98,14 +98,14 @@
 }
 
 
-@pytest.mark.parametrize("name", MISTAKES)
+@pytest.mark.parametrize("name", PLANTED_FAULTS)
 def test_a_mistake_is_found(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    plant, seeds = MISTAKES[name]
+    plant, seeds = PLANTED_FAULTS[name]
     plant(monkeypatch)
-    assert broken(0, seeds), "not found"
+    assert first_violation(0, seeds), "not found"
 
 
 def test_found_worlds_stay_clean() -> None:
-    """4306: all clocks step; members whose lease was gone asked again and again without a pause."""
+    """4306: all clocks step, and members whose lease had ended retried without a pause."""
     for seed in (1143, 2336, 4306):
         assert run_fleet_script(draw_fleet_script(seed))[0] == ()
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""The HTTP parser against h11 and httptools, on drawn, cut-up and mutated input, and against what smuggles."""
+"""The HTTP parser against h11 and httptools on drawn, split and mutated input, and against request smuggling."""
 
 from __future__ import annotations
 
@@ -61,8 +61,8 @@
             )
 
 
-class Httptools:
-    """Collects what httptools makes of a stream."""
+class HttptoolsCollector:
+    """Collects the requests that httptools parses from a stream."""
 
     def __init__(self) -> None:
         self.found: list[Message] = []
@@ -89,7 +89,7 @@
         return self.found
 
 
-def cut(data: bytes, at: list[int]) -> list[bytes]:
+def split_at(data: bytes, at: list[int]) -> list[bytes]:
     points = sorted({point % (len(data) + 1) for point in at})
     return [data[a:b] for a, b in zip([0, *points], [*points, len(data)], strict=True)]
 
@@ -122,7 +122,7 @@
     if kind == "length":
         return http1.write_head(first, [*headers, (b"Content-Length", str(len(body)).encode())]) + body
     if kind == "chunks":
-        pieces = cut(body, draw(st.lists(st.integers(0, 400), max_size=12)))
+        pieces = split_at(body, draw(st.lists(st.integers(0, 400), max_size=12)))
         return (
             http1.write_head(first, [*headers, (b"Transfer-Encoding", b"chunked")])
             + b"".join(map(http1.write_chunk, pieces))
@@ -135,10 +135,10 @@
 @given(st.lists(messages(), min_size=1, max_size=4), st.lists(st.integers(0, 4_000), max_size=8))
 def test_well_formed_requests_read_as_h11_and_httptools_read_them(drawn: list[bytes], cuts: list[int]) -> None:
     data = b"".join(drawn)
-    ours = requests_of(cut(data, cuts))
+    ours = requests_of(split_at(data, cuts))
     assert len(ours) == len(drawn)
     assert ours == h11_requests(data)
-    assert ours == Httptools().run(data)
+    assert ours == HttptoolsCollector().run(data)
 
 
 @settings(max_examples=600, deadline=None)
@@ -167,11 +167,11 @@
     except ProtocolError:
         return
     try:
-        theirs = h11_requests(data)
+        expected = h11_requests(data)
     except h11.RemoteProtocolError:
-        theirs = None  # a later message on the connection broke: h11 gives no part of the whole
-    if theirs is not None:
-        assert ours[: len(theirs)] == theirs[: len(ours)]
+        expected = None  # a later message is malformed: h11 then returns none of them
+    if expected is not None:
+        assert ours[: len(expected)] == expected[: len(ours)]
 
 
 @settings(max_examples=400, deadline=None)
@@ -183,14 +183,14 @@
         except ProtocolError as error:
             return error.status
 
-    whole, parts = outcome([data]), outcome(cut(data, cuts))
+    whole, parts = outcome([data]), outcome(split_at(data, cuts))
     if isinstance(whole, list) or isinstance(parts, list):
         assert whole == parts
 
 
 @pytest.mark.parametrize("size", [1, 2, 300])
 def test_small_chunks_that_came_together_are_one_piece(size: int) -> None:
-    """One by one each took 9 us: a client's close behind a body of them was seen 0.2 s late."""
+    """Parsed one by one, chunks took 9 us each: a client's close after a body of them was noticed 0.2 s late."""
     chunk = http1.write_chunk(b"x" * size)
     data = (
         b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -209,7 +209,7 @@
             pieces += [event.data] if isinstance(event, http1.Data) else []
     assert isinstance(event, http1.End)
     assert b"".join(pieces) == b"x" * (2_000 * size) + b"y" * size + b"x" * (2_000 * size)
-    assert len(pieces) <= 3 * (len(data) // 65_536 + 1)  # one for each read, and those cut by it
+    assert len(pieces) <= 3 * (len(data) // 65_536 + 1)  # one for each read, and the chunks split by it
     strict = http1.RequestParser(limits=http1.Limits(body=4_001 * size - 1))
     strict.feed(data)
     with pytest.raises(ProtocolError, match="too large"):
@@ -217,7 +217,7 @@
             pass
 
 
-SMUGGLES = {
+SMUGGLING_REQUESTS = {
     "both lengths": b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     "two lengths": b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
     "the same length twice": b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc",
@@ -252,10 +252,10 @@
 }
 
 
-@pytest.mark.parametrize("name", SMUGGLES)
+@pytest.mark.parametrize("name", SMUGGLING_REQUESTS)
 def test_what_smuggles_is_refused(name: str) -> None:
     with pytest.raises(ProtocolError):
-        requests_of([SMUGGLES[name]])
+        requests_of([SMUGGLING_REQUESTS[name]])
 
 
 @pytest.mark.parametrize("name", BAD_CHUNKS)
@@ -314,7 +314,7 @@
     parser = ResponseParser()
     parser.expect_response(method)
     got, head, ended = b"", None, False
-    for part in [*cut(data, cuts), None]:
+    for part in [*split_at(data, cuts), None]:
         if part is None:
             parser.feed_eof()
         else:
@@ -331,12 +331,12 @@
     connection.send(h11.EndOfMessage())
     connection.receive_data(data)
     connection.receive_data(b"")
-    theirs: Any = connection.next_event()
-    their_body = b""
+    expected: Any = connection.next_event()
+    expected_body = b""
     while isinstance(piece := connection.next_event(), h11.Data):
-        their_body += bytes(piece.data)
+        expected_body += bytes(piece.data)
     assert ended and head is not None
-    assert (head.status, got) == (theirs.status_code, their_body) == (status, b"" if bodiless else body)
+    assert (head.status, got) == (expected.status_code, expected_body) == (status, b"" if bodiless else body)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""The link between edge and planner, against scripted peers that are slow, wrong, old or gone."""
+"""The link between edge and planner, against scripted peers that are slow, malformed, outdated or disconnected."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class FakePlanner:
-    """Accepts edges and hands each link to a script."""
+    """Accepts connections of edges and runs a script on each."""
 
     def __init__(self, world: RealWorld, script: Callable[[Stream], None]) -> None:
         self.world, self.script = world, script
@@ -70,7 +70,7 @@
     return b"".join(frames.encode(frame) for frame in (frames.Welcome(frames.VERSION, epoch), *more))
 
 
-def edge_side(script: Callable[[Stream], None], use: Callable[[FakePlanner], Any]) -> Any:
+def run_edge_link(script: Callable[[Stream], None], use: Callable[[FakePlanner], Any]) -> Any:
     world = RealWorld(1)
     return world.run("main", lambda: use(FakePlanner(world, script)))
 
@@ -87,7 +87,7 @@
         planner.until("up 2", "2: [Fail(request=4)]")
         return planner.log
 
-    log = edge_side(script, use)
+    log = run_edge_link(script, use)
     assert log[:5] == ["up 1", "servers 0", "1: [Fail(request=4)]", "down", "up 2"]
 
 
@@ -102,21 +102,21 @@
     ],
 )
 def test_what_is_no_greeting_never_comes_up(sent: bytes) -> None:
-    tries: list[int] = []
+    connections: list[int] = []
 
     def script(stream: Stream) -> None:
         stream.read()
-        tries.append(1)
+        connections.append(1)
         if sent:
             stream.write(sent)
 
     def use(planner: FakePlanner) -> list[str]:
         with planner.world.deadline(planner.world.now_us() + 5_000_000):
-            while len(tries) < 2:
+            while len(connections) < 2:
                 planner.world.sleep_until(planner.world.now_us() + 1_000)
         return planner.log
 
-    assert edge_side(script, use) == []
+    assert run_edge_link(script, use) == []
 
 
 def test_a_planner_that_takes_no_events_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -125,7 +125,7 @@
     def script(stream: Stream) -> None:
         stream.read()
         stream.write(welcome(1))
-        planners[0].world.signal().wait()  # connected, and takes nothing more
+        planners[0].world.signal().wait()  # connected, but reads nothing more
 
     planners: list[FakePlanner] = []
 
@@ -140,10 +140,10 @@
                 assert len(planner.link._pending_events) <= 2_000
         return planner.log
 
-    assert edge_side(script, use)[:2] == ["up 1", "down"]
+    assert run_edge_link(script, use)[:2] == ["up 1", "down"]
 
 
-def planner_side(folder: Path, use: Callable[[RealWorld, Planner, Stream], Any]) -> Any:
+def run_planner(folder: Path, use: Callable[[RealWorld, Planner, Stream], Any]) -> Any:
     world = RealWorld(1)
     file = folder / "servers.toml"
     file.write_text(LIST)
@@ -158,49 +158,49 @@
 
 
 def frames_until(stream: Stream, reader: frames.FrameReader, kind: type[Any]) -> list[frames.Frame]:
-    got: list[frames.Frame] = []
-    while not any(isinstance(frame, kind) for frame in got):
+    received: list[frames.Frame] = []
+    while not any(isinstance(frame, kind) for frame in received):
         data = stream.read()
         if not data:
             raise EOFError
-        got += reader.feed(data)
-    return got
+        received += reader.feed(data)
+    return received
 
 
 def test_a_planner_welcomes_tells_its_list_decides_and_tells_of_changes(tmp_path: Path) -> None:
     def use(world: RealWorld, planner: Planner, stream: Stream) -> None:
         reader = frames.FrameReader()
         stream.write(frames.encode(HELLO))
-        got = frames_until(stream, reader, frames.Servers)
-        assert isinstance(got[0], frames.Welcome) and got[0].epoch == planner.epoch
-        ask = i.Request(1, "chat", 9_000_000, 100.0)
-        stream.write(frames.encode(frames.Events(1, 5_000_100, [frames.to_wire(ask)])))
+        received = frames_until(stream, reader, frames.Servers)
+        assert isinstance(received[0], frames.Welcome) and received[0].epoch == planner.epoch
+        request = i.Request(1, "chat", 9_000_000, 100.0)
+        stream.write(frames.encode(frames.Events(1, 5_000_100, [frames.to_wire(request)])))
         actions = frames_until(stream, reader, frames.Actions)[-1]
         assert isinstance(actions, frames.Actions) and actions.answers == 1
         assert [frames.from_wire(action) for action in actions.actions] == [i.Send(1, 1), i.Ahead(1, 2)]
         (tmp_path / "servers.toml").write_text(LIST.replace('name = "r"', 'name = "r"\nstate = "draining"'))
-        news = frames_until(stream, reader, frames.Servers)[-1]
-        assert isinstance(news, frames.Servers) and news.servers[0].state is i.State.DRAINING
+        update = frames_until(stream, reader, frames.Servers)[-1]
+        assert isinstance(update, frames.Servers) and update.servers[0].state is i.State.DRAINING
 
-    planner_side(tmp_path, use)
+    run_planner(tmp_path, use)
 
 
 @pytest.mark.parametrize(
-    ("sent", "says"),
+    ("sent", "reason"),
     [
         (frames.encode(frames.Hello(99, 0, 1, "z", 1, HELLO.settings_hash)), "version"),
         (frames.encode(frames.Hello(1, 0, 1, "z", 1, "other")), "differ"),
         (frames.encode(frames.Events(1, 1, [])), "version"),
     ],
 )
-def test_a_planner_says_why_it_does_not_serve_an_edge(tmp_path: Path, sent: bytes, says: str) -> None:
+def test_a_planner_says_why_it_does_not_serve_an_edge(tmp_path: Path, sent: bytes, reason: str) -> None:
     def use(world: RealWorld, planner: Planner, stream: Stream) -> None:
         stream.write(sent)
         bye = frames_until(stream, frames.FrameReader(), frames.Bye)[0]
-        assert isinstance(bye, frames.Bye) and says in bye.reason
+        assert isinstance(bye, frames.Bye) and reason in bye.reason
         assert stream.read() == b"" and not planner.sessions
 
-    planner_side(tmp_path, use)
+    run_planner(tmp_path, use)
 
 
 def test_an_edge_that_takes_no_actions_is_cut_off(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -215,4 +215,4 @@
                 planner.sessions[0].send(many)
                 world.sleep_until(world.now_us() + 1_000)
 
-    planner_side(tmp_path, use)
+    run_planner(tmp_path, use)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool: its drawn traffic, its histograms, and its pairing."""
+"""The load tool: drawn traffic, histograms, and the comparison of paired runs."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
         drawn == plan_traffic(traffic) != plan_traffic(Traffic(seed=4, seconds=200, rate_per_s=30, arrivals="bursts"))
     )
     assert len(drawn) == pytest.approx(6_000, rel=0.1)
-    in_bursts = sum(1 for one in drawn if one.at_us % 5_000_000 < 1_000_000)
+    in_bursts = sum(1 for planned in drawn if planned.at_us % 5_000_000 < 1_000_000)
     assert in_bursts / len(drawn) == pytest.approx(0.5, abs=0.05)
-    openings = [one.messages[0][1].split(":")[0] for one in drawn]
+    openings = [planned.messages[0][1].split(":")[0] for planned in drawn]
     assert openings.count("0") > 5 * openings.count("40")
-    assert any(len(one.messages) > 5 for one in drawn) and any(len(one.messages) == 2 for one in drawn)
+    assert any(len(planned.messages) > 5 for planned in drawn) and any(len(planned.messages) == 2 for planned in drawn)
 
 
 def test_pairs_are_compared_request_by_request() -> None:
@@ -50,7 +50,7 @@
     for name, mode in (("a", "off"), ("b", "events")):
         (tmp_path / f"{name}.toml").write_text(f'[index]\nmode = "{mode}"\nblock_size = 64\n')
     files = [str(traffic), str(tmp_path / "a.toml"), str(tmp_path / "b.toml")]
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "yardspindle", "lab", "compare", *files],
         cwd=ROOT,
         capture_output=True,
@@ -58,9 +58,9 @@
         timeout=90,
         check=False,
     )
-    assert done.returncode == 0, done.stderr
-    assert done.stdout.count("first token, ms: p50") == 2 and "pairs" in done.stdout.splitlines()[-1]
-    away = subprocess.run(
+    assert result.returncode == 0, result.stderr
+    assert result.stdout.count("first token, ms: p50") == 2 and "pairs" in result.stdout.splitlines()[-1]
+    rejected = subprocess.run(
         [sys.executable, "-m", "yardspindle", "lab", "load", str(traffic), "--at", "10.0.0.1:80"],
         cwd=ROOT,
         capture_output=True,
@@ -68,4 +68,4 @@
         timeout=60,
         check=False,
     )
-    assert away.returncode == 2 and "not an address of this machine's loopback" in away.stderr
+    assert rejected.returncode == 2 and "not an address of this machine's loopback" in rejected.stderr
--- a/tests/test_ownership_model.py
+++ b/tests/test_ownership_model.py
@@ -1,4 +1,4 @@
-"""The ownership protocol, every order of events in small worlds; and what the model finds once a guard is taken out."""
+"""The ownership protocol in small worlds with events in every order, and the violation once a guard is removed."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 @pytest.mark.parametrize("name", WORLDS)
 def test_no_order_of_events_breaks_the_protocol(name: str) -> None:
-    states, problem, way = Explorer(WORLDS[name]).explore()
-    assert not problem, " > ".join([*way, problem])
-    assert states > 1_000, "the model hardly moved"
+    states, problem, path = Explorer(WORLDS[name]).explore()
+    assert not problem, " > ".join([*path, problem])
+    assert states > 1_000, "too few states were explored"
 
 
 @pytest.mark.parametrize(
@@ -30,5 +30,5 @@
     ],
 )
 def test_without_a_guard_there_is_a_way_to_break_it(rules: Rules, found: str) -> None:
-    _, problem, way = Explorer(rules).explore()
-    assert found in problem and way
+    _, problem, path = Explorer(rules).explore()
+    assert found in problem and path
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages and the module's limits hold."""
+"""The README example, the policy files' limits and the documented log lines match the code."""
 
 import re
 import tomllib
@@ -18,7 +18,7 @@
 def test_policy_files_keep_their_limits() -> None:
     files = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
     texts = [(ROOT / file).read_text().splitlines() for file in files]
-    assert max(len(lines) for lines in texts) <= 400  # the limit on all lines together was lifted by the operators
+    assert max(len(lines) for lines in texts) <= 400  # the operators lifted the limit on the total
     assert max(len(line) for lines in texts for line in lines) <= 110
     assert {ROOT / file for file in files} == set((ROOT / "yardspindle/policy").glob("*.py"))
     assert "yardspindle/interface.py" in texts[0][0]
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -1,4 +1,4 @@
-"""Permits, plans, verdicts and the unit's program as decisions: small fleets whole, larger ones drawn."""
+"""Permits, release plans, canary verdicts and the unit program: small fleets exhaustively, larger ones drawn."""
 
 from __future__ import annotations
 
@@ -19,97 +19,112 @@
 S = 1_000_000
 
 
-def place(name: str, zone: str = "a", **groups: str) -> p.UnitPlacement:
+def placement(name: str, zone: str = "a", **groups: str) -> p.UnitPlacement:
     return p.UnitPlacement(name, "dispatcher", {"zone": zone, **groups})
 
 
-def well(name: str, version: str = "v1", epoch: str = "1", **more: float) -> p.UnitStatus:
+def well_status(name: str, version: str = "v1", epoch: str = "1", **more: float) -> p.UnitStatus:
     return p.UnitStatus(name, epoch, "well", version, load=more.get("load", 0.0), room=more.get("room", 0.0))
 
 
-def fleet(
+def fleet_snapshot(
     names: str = "abcd", limits: tuple[Limit, ...] = (Limit("all", most_out=1),), **more: object
 ) -> p.FleetSnapshot:
-    return p.FleetSnapshot({n: place(n) for n in names}, {n: well(n) for n in names}, {}, limits, **more)  # type: ignore
+    return p.FleetSnapshot({n: placement(n) for n in names}, {n: well_status(n) for n in names}, {}, limits, **more)  # type: ignore
 
 
 # --- permits
 
 
 def test_one_at_a_time_and_a_permit_asked_twice_is_the_same() -> None:
-    now = fleet()
-    assert p.check_departure(now, "a") is None
-    now = replace(now, permits={"a": p.Permit("a", "1", "ana")})
-    assert p.check_departure(now, "a") is None
-    no = p.check_departure(now, "b")
-    assert no is not None and "a (permit)" in no.reason and no.retry_after_us
+    snapshot = fleet_snapshot()
+    assert p.check_departure(snapshot, "a") is None
+    snapshot = replace(snapshot, permits={"a": p.Permit("a", "1", "ana")})
+    assert p.check_departure(snapshot, "a") is None
+    denial = p.check_departure(snapshot, "b")
+    assert denial is not None and "a (permit)" in denial.reason and denial.retry_after_us
 
 
 @pytest.mark.parametrize("standing", ["cold", "failing", "draining", "stopped", "starting"])
 def test_whoever_is_out_by_accident_counts(standing: p.Standing) -> None:
-    now = fleet()
-    ill = {**now.statuses, "b": p.UnitStatus("b", "1", standing)}
-    no = p.check_departure(replace(now, statuses=ill), "a")
-    assert no is not None and f"b ({standing})" in no.reason
-    assert p.check_departure(replace(now, statuses=ill), "b") is None, "the one that is out anyway may be mended"
+    snapshot = fleet_snapshot()
+    statuses = {**snapshot.statuses, "b": p.UnitStatus("b", "1", standing)}
+    denial = p.check_departure(replace(snapshot, statuses=statuses), "a")
+    assert denial is not None and f"b ({standing})" in denial.reason
+    assert p.check_departure(replace(snapshot, statuses=statuses), "b") is None, (
+        "a unit that is out anyway may be repaired"
+    )
 
 
 def test_two_that_are_out_by_accident_do_not_wait_for_each_other() -> None:
-    """Found by a seeded world: a way back stood still, as each needed the other's room."""
-    now = fleet()
-    ill = {**now.statuses, "a": p.UnitStatus("a", "1", "failing"), "b": p.UnitStatus("b", "1", "stopped")}
-    now = replace(now, statuses=ill)
+    """Found by a seeded world: a rollback stalled, as each of two failed units needed the other's room."""
+    snapshot = fleet_snapshot()
+    statuses = {**snapshot.statuses, "a": p.UnitStatus("a", "1", "failing"), "b": p.UnitStatus("b", "1", "stopped")}
+    snapshot = replace(snapshot, statuses=statuses)
     assert (
-        p.check_departure(now, "a") is None
-        and p.check_departure(now, "b") is None
-        and p.check_departure(now, "c") is not None
+        p.check_departure(snapshot, "a") is None
+        and p.check_departure(snapshot, "b") is None
+        and p.check_departure(snapshot, "c") is not None
     )
 
 
 def test_silence_and_old_views_count_against_leaving() -> None:
-    now = fleet()
-    silent = {name: row for name, row in now.statuses.items() if name != "b"}
-    assert "b (silent)" in str(p.check_departure(replace(now, statuses=silent), "a"))
-    assert "old" in str(p.check_departure(replace(now, age_us=p.MAX_VIEW_AGE_US + 1), "a"))
+    snapshot = fleet_snapshot()
+    silent = {name: row for name, row in snapshot.statuses.items() if name != "b"}
+    assert "b (silent)" in str(p.check_departure(replace(snapshot, statuses=silent), "a"))
+    assert "old" in str(p.check_departure(replace(snapshot, age_us=p.MAX_VIEW_AGE_US + 1), "a"))
 
 
 def test_a_unit_counts_in_every_group_it_lies_in() -> None:
-    places = {"a": place("a", "z1", cell="0"), "b": place("b", "z1", cell="1"), "c": place("c", "z2", cell="0")}
+    placements = {
+        "a": placement("a", "z1", cell="0"),
+        "b": placement("b", "z1", cell="1"),
+        "c": placement("c", "z2", cell="0"),
+    }
     limits = (Limit("zone", most_out=1), Limit("cell", only="0", least_serving=1))
-    now = p.FleetSnapshot(places, {n: well(n) for n in "abc"}, {"a": p.Permit("a", "1", "x")}, limits)
-    assert "zone z1" in str(p.check_departure(now, "b")) and "cell 0" in str(p.check_departure(now, "c"))
-    moved = replace(now, placements={**places, "a": place("a", "z9", cell="9")})
+    snapshot = p.FleetSnapshot(placements, {n: well_status(n) for n in "abc"}, {"a": p.Permit("a", "1", "x")}, limits)
+    assert "zone z1" in str(p.check_departure(snapshot, "b")) and "cell 0" in str(p.check_departure(snapshot, "c"))
+    moved = replace(snapshot, placements={**placements, "a": placement("a", "z9", cell="9")})
     assert p.check_departure(moved, "b") is None, "a unit that changed cell while out counts where it is now"
 
 
 def test_a_group_of_one_can_never_go_when_one_must_serve() -> None:
-    now = fleet("a", (Limit("zone", least_serving=1),))
-    no = p.check_departure(now, "a")
+    snapshot = fleet_snapshot("a", (Limit("zone", least_serving=1),))
+    denial = p.check_departure(snapshot, "a")
     assert (
-        no is not None
-        and not no.retry_after_us
-        and p.permanent_denials(now.placements.values(), now.limits, ["a", "x"])
-        == [f"a: {no.reason}", "x: there is no such unit"]
+        denial is not None
+        and not denial.retry_after_us
+        and p.permanent_denials(snapshot.placements.values(), snapshot.limits, ["a", "x"])
+        == [f"a: {denial.reason}", "x: there is no such unit"]
     )
 
 
 def test_limits_lowered_below_what_is_out_give_nothing_and_are_told() -> None:
-    now = replace(fleet(), limits=(Limit("all", most_out=2),), permits={n: p.Permit(n, "1", "x") for n in "ab"})
-    lowered = replace(now, limits=(Limit("all", most_out=1),))
-    assert p.check_departure(lowered, "c") is not None and p.violated_limits(lowered) and not p.violated_limits(now)
+    snapshot = replace(
+        fleet_snapshot(), limits=(Limit("all", most_out=2),), permits={n: p.Permit(n, "1", "x") for n in "ab"}
+    )
+    lowered = replace(snapshot, limits=(Limit("all", most_out=1),))
+    assert (
+        p.check_departure(lowered, "c") is not None and p.violated_limits(lowered) and not p.violated_limits(snapshot)
+    )
 
 
 def test_what_is_left_must_carry_the_load() -> None:
-    statuses = {n: well(n, load=5.0, room=8.0) for n in "abc"}
-    now = replace(fleet("abc"), statuses=statuses)
-    assert "load 15, room without it 14.4" in str(p.check_departure(now, "a"))
-    assert p.check_departure(replace(now, statuses={n: well(n, load=4.0, room=8.0) for n in "abc"}), "a") is None
+    statuses = {n: well_status(n, load=5.0, room=8.0) for n in "abc"}
+    snapshot = replace(fleet_snapshot("abc"), statuses=statuses)
+    assert "load 15, room without it 14.4" in str(p.check_departure(snapshot, "a"))
+    assert (
+        p.check_departure(replace(snapshot, statuses={n: well_status(n, load=4.0, room=8.0) for n in "abc"}), "a")
+        is None
+    )
 
 
 def test_a_permit_ends_when_another_start_is_well_and_not_before() -> None:
     permit = p.Permit("a", "1", "x", number=3)
-    assert not p.has_returned(permit, None) and not p.has_returned(permit, well("a", epoch="1"))
-    assert not p.has_returned(permit, p.UnitStatus("a", "2", "cold")) and p.has_returned(permit, well("a", epoch="2"))
+    assert not p.has_returned(permit, None) and not p.has_returned(permit, well_status("a", epoch="1"))
+    assert not p.has_returned(permit, p.UnitStatus("a", "2", "cold")) and p.has_returned(
+        permit, well_status("a", epoch="2")
+    )
     assert p.has_returned(permit, p.UnitStatus("a", "1", "well", done=3)), "undrained, not restarted"
 
 
@@ -125,80 +140,82 @@
 def test_drawn_grants_never_go_past_a_limit(
     limits: list[Limit], rows: list[tuple[str, str, p.Standing | None]], seed: int
 ) -> None:
-    """A second reckoning, group by group: each grant leaves every group of the unit within its limit."""
+    """Recounts group by group: each grant leaves every group of the unit within its limit."""
     names = [f"u{n}" for n in range(len(rows))]
-    places = {n: place(n, zone, cell=cell) for n, (zone, cell, _) in zip(names, rows, strict=True)}
+    placements = {n: placement(n, zone, cell=cell) for n, (zone, cell, _) in zip(names, rows, strict=True)}
     statuses = {n: p.UnitStatus(n, "1", s) for n, (_, _, s) in zip(names, rows, strict=True) if s is not None}
-    now, rng = p.FleetSnapshot(places, statuses, {}, tuple(limits)), random.Random(seed)
+    snapshot, rng = p.FleetSnapshot(placements, statuses, {}, tuple(limits)), random.Random(seed)
     for name in rng.sample(names, len(names)):
-        if p.check_departure(now, name) is not None:
+        if p.check_departure(snapshot, name) is not None:
             continue
-        mended = name not in statuses or statuses[name].standing != "well"
-        now = replace(now, permits={**now.permits, name: p.Permit(name, "1", "x")})
+        was_out = name not in statuses or statuses[name].standing != "well"
+        snapshot = replace(snapshot, permits={**snapshot.permits, name: p.Permit(name, "1", "x")})
         for limit in limits:
-            key = places[name].groups.get(limit.group, "")
-            same = [n for n in names if limit.group == "all" or places[n].groups.get(limit.group) == key]
-            missing = [n for n in same if n in now.permits or n not in statuses or statuses[n].standing != "well"]
-            assert mended or len(missing) <= (limit.most_out or 0) or limit.most_out is None
+            key = placements[name].groups.get(limit.group, "")
+            same = [n for n in names if limit.group == "all" or placements[n].groups.get(limit.group) == key]
+            missing = [n for n in same if n in snapshot.permits or n not in statuses or statuses[n].standing != "well"]
+            assert was_out or len(missing) <= (limit.most_out or 0) or limit.most_out is None
 
 
-# --- the permits' protocol, every order of events
+# --- permits, with events in every order
 
 
 def explore(counts_accidents: bool) -> str:
-    """Three units, two askers' turns, accidents and recoveries in every order; what breaks, or nothing."""
+    """Explores grants, accidents and recoveries of three units in every order; returns the violation, or ''."""
     names, limit = "abc", (Limit("all", most_out=1),)
     first: tuple[tuple[str, ...], tuple[str, ...]] = ((), ())  # permits, accidents
-    seen, front = {first}, [first]
-    while front:
-        permits, ill = front.pop()
-        told = () if not counts_accidents else ill
-        now = p.FleetSnapshot(
-            {n: place(n) for n in names},
-            {n: well(n) for n in names if n not in told},
+    seen, frontier = {first}, [first]
+    while frontier:
+        permits, accidents = frontier.pop()
+        counted = () if not counts_accidents else accidents
+        snapshot = p.FleetSnapshot(
+            {n: placement(n) for n in names},
+            {n: well_status(n) for n in names if n not in counted},
             {n: p.Permit(n, "1", "x") for n in permits},
             limit,
         )
-        following = []
+        successors = []
         for name in names:
-            if name not in permits and p.check_departure(now, name) is None:
-                if len({*permits, *ill, name}) > 1 and name not in ill:
-                    return f"{name} let go while {permits} have permits and {ill} are out by accident"
-                following.append(((*permits, name), ill))
-            if name in permits and name not in ill:
-                following.append((tuple(n for n in permits if n != name), ill))
-            following.append((permits, tuple(n for n in ill if n != name) if name in ill else (*ill, name)))
-        for state in ((tuple(sorted(a)), tuple(sorted(b))) for a, b in following):
+            if name not in permits and p.check_departure(snapshot, name) is None:
+                if len({*permits, *accidents, name}) > 1 and name not in accidents:
+                    return f"{name} may leave while {permits} have permits and {accidents} are out by accident"
+                successors.append(((*permits, name), accidents))
+            if name in permits and name not in accidents:
+                successors.append((tuple(n for n in permits if n != name), accidents))
+            successors.append(
+                (permits, tuple(n for n in accidents if n != name) if name in accidents else (*accidents, name))
+            )
+        for state in ((tuple(sorted(a)), tuple(sorted(b))) for a, b in successors):
             if state not in seen:
                 seen.add(state)
-                front.append(state)
+                frontier.append(state)
     assert len(seen) > 20
     return ""
 
 
 def test_no_order_of_grants_and_accidents_lets_too_many_go() -> None:
     assert explore(True) == ""
-    assert "out by accident" in explore(False), "without counting accidents there is a way"
+    assert "out by accident" in explore(False), "without counting accidents the limit can be exceeded"
 
 
-# --- plans
+# --- release plans
 
 
-class Played:
-    """A fleet whose units obey orders in drawn time, and whose owner may be another at each step."""
+class SimulatedRelease:
+    """A release in a fleet whose units carry out orders in drawn time; the owner may change at each step."""
 
     def __init__(self, seed: int, size: int, limits: tuple[Limit, ...], release: r.Release | None = None) -> None:
         self.rng = random.Random(seed)
         self.names = [f"u{n:03}" for n in range(size)]
-        places = {n: place(n, "xyz"[at % 3], cell=str(at % 5)) for at, n in enumerate(self.names)}
-        self.fleet = p.FleetSnapshot(places, {n: well(n, epoch=f"{n}.0") for n in self.names}, {}, limits)
+        placements = {n: placement(n, "xyz"[at % 3], cell=str(at % 5)) for at, n in enumerate(self.names)}
+        self.fleet = p.FleetSnapshot(placements, {n: well_status(n, epoch=f"{n}.0") for n in self.names}, {}, limits)
         self.orders: dict[str, r.Order] = {}
         self.due: dict[str, int] = {}
         self.now = S
         plan = r.PlanFile("v2", "v1", tuple(self.names), settle_s=5, start_s=60)
-        self.release = release or r.create_release("r", plan, places)
-        self.most = 0
-        self.never: set[str] = set()  # versions that do not start
+        self.release = release or r.create_release("r", plan, placements)
+        self.max_permits = 0
+        self.failing_versions: set[str] = set()  # versions that do not start
 
     def status(self, name: str, row: p.UnitStatus | None) -> None:
         rows = dict(self.fleet.statuses)
@@ -212,7 +229,7 @@
         for name, due in list(self.due.items()):
             if self.now >= due:
                 order = self.orders[name]
-                if order.version in self.never:
+                if order.version in self.failing_versions:
                     self.status(
                         name,
                         p.UnitStatus(
@@ -220,7 +237,7 @@
                         ),
                     )
                 else:
-                    self.status(name, well(name, order.version, f"{name}.{order.number}"))
+                    self.status(name, well_status(name, order.version, f"{name}.{order.number}"))
                 del self.due[name]
         for step in r.next_steps(self.release, self.fleet, self.orders, self.now, 7, "s"):
             match step:
@@ -237,7 +254,7 @@
                     self.due[name] = self.now + self.rng.randint(1, 8) * S
                     self.status(name, p.UnitStatus(name, permit.epoch, "draining"))
                     assert not p.violated_limits(self.fleet), p.violated_limits(self.fleet)
-        self.most = max(self.most, len(self.fleet.permits))
+        self.max_permits = max(self.max_permits, len(self.fleet.permits))
 
     def until(self, phase: str, ticks: int = 5_000) -> None:
         for _ in range(ticks):
@@ -252,48 +269,48 @@
 
 @pytest.mark.parametrize("size", [1, 3, 20, 60])
 def test_a_release_ends_and_keeps_the_limits(size: int) -> None:
-    played = Played(size, size, (Limit("all", most_out=6), Limit("zone", most_out=2)))
-    played.until("done")
-    assert played.versions() == {"v2"} and played.most <= 6
+    simulation = SimulatedRelease(size, size, (Limit("all", most_out=6), Limit("zone", most_out=2)))
+    simulation.until("done")
+    assert simulation.versions() == {"v2"} and simulation.max_permits <= 6
 
 
 def test_a_release_can_be_taken_back_from_the_middle_of_a_step() -> None:
     for at in range(1, 90, 7):
-        played = Played(at, 20, (Limit("all", most_out=3),))
+        simulation = SimulatedRelease(at, 20, (Limit("all", most_out=3),))
         for _ in range(at):
-            played.tick()
-        told = r.apply_operator_command(played.release, "back", "no")
-        assert isinstance(told, r.Release)
-        played.release = told
-        played.until("back")
-        assert played.versions() == {"v1"}
+            simulation.tick()
+        reverted = r.apply_operator_command(simulation.release, "back", "no")
+        assert isinstance(reverted, r.Release)
+        simulation.release = reverted
+        simulation.until("back")
+        assert simulation.versions() == {"v1"}
 
 
 def test_a_version_that_never_starts_halts_and_goes_back() -> None:
-    played = Played(1, 12, (Limit("all", most_out=1),))
-    played.never = {"v2"}
-    played.until("halted")
+    simulation = SimulatedRelease(1, 12, (Limit("all", most_out=1),))
+    simulation.failing_versions = {"v2"}
+    simulation.until("halted")
     assert (
-        "did not start" in played.release.why
-        and sum(row.version == "v2" for row in played.fleet.statuses.values()) == 1
+        "did not start" in simulation.release.why
+        and sum(row.version == "v2" for row in simulation.fleet.statuses.values()) == 1
     )
-    played.release = r.apply_operator_command(played.release, "back", "")  # type: ignore[assignment]
-    played.until("back")
-    assert played.versions() == {"v1"}
+    simulation.release = r.apply_operator_command(simulation.release, "back", "")  # type: ignore[assignment]
+    simulation.until("back")
+    assert simulation.versions() == {"v1"}
 
 
 def test_a_release_waits_while_accidents_use_the_limit_up() -> None:
-    played = Played(2, 9, (Limit("all", most_out=1),))
-    played.status("u008", None)
+    simulation = SimulatedRelease(2, 9, (Limit("all", most_out=1),))
+    simulation.status("u008", None)
     for _ in range(30):
-        played.tick()
-    assert not played.fleet.permits and played.release.phase == "running"
-    played.status("u008", well("u008", epoch="later"))
-    played.until("done")
+        simulation.tick()
+    assert not simulation.fleet.permits and simulation.release.phase == "running"
+    simulation.status("u008", well_status("u008", epoch="later"))
+    simulation.until("done")
 
 
 def test_waves_grow_and_spread() -> None:
-    waves = Played(1, 60, ()).release.waves
+    waves = SimulatedRelease(1, 60, ()).release.waves
     assert [len(wave) for wave in waves[:2]] == [1, 3] and sum(map(len, waves)) == 60
     zones = ["xyz"[int(name[1:]) % 3] for name in waves[2]]
     assert max(zones.count(zone) for zone in "xyz") <= len(zones) // 2
@@ -301,21 +318,23 @@
 
 @pytest.mark.parametrize(("phase", "word"), [("done", "halt"), ("running", "resume"), ("abandoned", "back")])
 def test_words_that_make_no_sense_are_refused(phase: r.Phase, word: str) -> None:
-    release = msgspec.structs.replace(Played(1, 3, ()).release, phase=phase)
+    release = msgspec.structs.replace(SimulatedRelease(1, 3, ()).release, phase=phase)
     assert isinstance(r.apply_operator_command(release, word, ""), str)
 
 
-# --- verdicts
+# --- canary verdicts
 
 
 def play_windows(seed: int, base: float, factor: float, windows: int, released: int = 100, others: int = 400) -> int:
-    """Requests of the released until the halt; 0 when there was none. Every fifth window is a bad hour for both."""
+    """Returns the released units' requests until the halt, or 0. Every fifth window is bad for both groups."""
     rng, trial = random.Random(seed), SequentialTest()
     for number in range(windows):
         rate = base * (5 if number % 5 == 4 else 1)
-        bad = sum(rng.random() < min(rate * factor, 1) for _ in range(released))
+        bad_count = sum(rng.random() < min(rate * factor, 1) for _ in range(released))
         trial = add_window(
-            trial, OutcomeCounts(released, bad), OutcomeCounts(others, sum(rng.random() < rate for _ in range(others)))
+            trial,
+            OutcomeCounts(released, bad_count),
+            OutcomeCounts(others, sum(rng.random() < rate for _ in range(others))),
         )
         if trial.shows_harm:
             return trial.seen
@@ -335,33 +354,33 @@
     assert trial.evidence < 1
 
 
-# --- the unit's program
+# --- the unit program
 
 FILE = u.UnitFile("a", "dispatcher", "f", ("v1", "v2"), ("run",), "state")
 
 
 def carry_out(
-    state: u.UnitState, now: int, commands: tuple[u.Command, ...], deaths: list[int], log: list[str], kill_at: int
+    state: u.UnitState, now: int, commands: tuple[u.Command, ...], kills: list[int], log: list[str], kill_at: int
 ) -> u.UnitState:
-    """Run commands to their end; the program is killed before the one numbered `kill_at` and starts anew."""
-    todo = list(commands)
-    while todo:
-        command = todo.pop(0)
-        if len(log) == kill_at and not deaths:
-            deaths.append(now)
+    """Runs the commands; the program is killed before the command numbered `kill_at` and restarted."""
+    pending = list(commands)
+    while pending:
+        command = pending.pop(0)
+        if len(log) == kill_at and not kills:
+            kills.append(now)
             state, again = u.resume(
                 u.UnitState(FILE, state.saved),
                 now,
                 bool(log) and log[-1] != "stop" and any(row in ("start", "up") for row in log),
             )
-            todo = list(again)
+            pending = list(again)
             continue
         if isinstance(command, u.SaveState):
             state = u.with_changes(state, saved=command.saved)
             continue
         log.append(command.what)
         state, more = u.step(state, now, u.CommandEnded(command.what, 0))
-        todo += more
+        pending += more
     return state
 
 
@@ -371,16 +390,16 @@
         state, commands = u.resume(u.UnitState(FILE, u.SavedState("v1")), 0, False)
         state = carry_out(state, 0, commands, [0], log, -1)
         order = r.Order(1, "go", "v2", "release", 5)
-        deaths: list[int] = []
+        kills: list[int] = []
         state, commands = u.step(state, S, u.OrderReceived(order))
-        state = carry_out(state, S, commands, deaths, log, kill_at)
-        state, _ = u.step(state, S, u.CommandEnded("check", 0))  # as the program looks every so often
+        state = carry_out(state, S, commands, kills, log, kill_at)
+        state, _ = u.step(state, S, u.CommandEnded("check", 0))  # the program's periodic check
         assert state.saved.done == 1 and state.saved.version == "v2" and state.standing == "well"
         assert log.count("stop") <= 2 and log[-1] == "check"
         again, none = u.step(state, 2 * S, u.OrderReceived(order))
-        assert again == state and not none, "the same order once more"
+        assert again == state and not none, "a repeated order does nothing"
         _, none = u.step(state, 2 * S, u.OrderReceived(r.Order(2, "go", "v1", "release", 4)))
-        assert not none, "a lower fence"
+        assert not none, "a lower fence is rejected"
 
 
 def test_a_version_that_is_not_here_is_refused_and_nothing_stopped() -> None:
--- a/tests/test_prefix_more.py
+++ b/tests/test_prefix_more.py
@@ -1,4 +1,4 @@
-"""More of the prefix index: what follows events, guesses and claims."""
+"""More of the prefix index: cache feeds, estimates, and engines whose claims turn out wrong."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.test_prefix import SIZE, Publisher, boxes
+from tests.test_prefix import BLOCK_SIZE, Publisher, engines
 from yardspindle.core.prefix.blocks import block_hashes, pack_tokens
 from yardspindle.core.prefix.cache_feed import (
     MAX_EARLY_BATCHES,
@@ -29,7 +29,7 @@
 
 def test_coming_late_the_whole_story_is_asked_for() -> None:
     publisher, index = Publisher(), PrefixIndex(10_000)
-    feed = CacheFeed("a", index, SIZE)
+    feed = CacheFeed("a", index, BLOCK_SIZE)
     publisher.read([1] * 8)
     publisher.read([2] * 8)
     assert feed.receive(0, *publisher.sent[1]) == 0 and feed.trust(1) < 1.0
@@ -39,17 +39,17 @@
 
 def test_what_does_not_fit_is_left_out_and_counted() -> None:
     index = PrefixIndex(100)
-    feed = CacheFeed("a", index, SIZE)
+    feed = CacheFeed("a", index, BLOCK_SIZE)
     feed.receive(
         0,
         0,
         Batch(
             1.0,
             [
-                BlockStored([9], 8, [1] * SIZE, SIZE),
+                BlockStored([9], 8, [1] * BLOCK_SIZE, BLOCK_SIZE),
                 BlockStored([1], None, [1] * 8, 8),
-                BlockStored([1], None, [1], SIZE),
-                BlockStored([1], None, [-1] * SIZE, SIZE),
+                BlockStored([1], None, [1], BLOCK_SIZE),
+                BlockStored([1], None, [-1] * BLOCK_SIZE, BLOCK_SIZE),
                 BlockRemoved([3]),
             ],
         ),
@@ -60,8 +60,8 @@
 def test_early_batches_are_bounded() -> None:
     publisher = Publisher()
     for number in range(MAX_EARLY_BATCHES + 50):
-        publisher.read([number] * SIZE)
-    feed = CacheFeed("a", PrefixIndex(10_000), SIZE)
+        publisher.read([number] * BLOCK_SIZE)
+    feed = CacheFeed("a", PrefixIndex(10_000), BLOCK_SIZE)
     feed.receive(0, *publisher.sent[0])
     for item in publisher.sent[2:]:
         feed.receive(0, *item)
@@ -72,8 +72,8 @@
 def test_a_replay_that_brings_what_waited_does_not_go_back_to_it() -> None:
     publisher, index = Publisher(), PrefixIndex(10_000)
     for number in range(10):
-        publisher.read([number] * SIZE)
-    feed = CacheFeed("a", index, SIZE)
+        publisher.read([number] * BLOCK_SIZE)
+    feed = CacheFeed("a", index, BLOCK_SIZE)
     feed.receive(0, *publisher.sent[0])
     assert feed.receive(0, *publisher.sent[4]) == 1 and feed.receive(0, *publisher.sent[5]) is None
     feed.receive_replay(
@@ -88,7 +88,7 @@
 
 
 def test_batches_are_vllms_bytes() -> None:
-    """Laid out by hand as vLLM's encoder does: arrays, the tag first; later fields are passed over."""
+    """Laid out by hand as vLLM's encoder does: arrays with the tag first; further fields are ignored."""
     data = msgspec.msgpack.encode(
         [
             1.5,
@@ -104,11 +104,11 @@
     assert batch == Batch(1.5, [BlockStored([11, b"x"], None, [1] * 8, 4), BlockRemoved([11]), AllBlocksCleared()])
 
 
-# --- guesses
+# --- estimates
 
 
-class Cache:
-    """An engine with room for so many blocks, least recently used out first."""
+class LruCache:
+    """An engine's cache of a fixed number of blocks, which evicts the least recently used first."""
 
     def __init__(self, room: int) -> None:
         self.room = room
@@ -128,106 +128,106 @@
 
 def test_guesses_learn_how_much_pushes_a_text_out() -> None:
     rng = random.Random(1)
-    cache, guess = Cache(room=600), PrefixEstimate(SIZE, 100_000)
-    prompts = [block_hashes(pack_tokens([n, n + 1, n + 2, n + 3] * 40), SIZE) for n in range(60)]
-    off = []
+    cache, estimate = LruCache(room=600), PrefixEstimate(BLOCK_SIZE, 100_000)
+    prompts = [block_hashes(pack_tokens([n, n + 1, n + 2, n + 3] * 40), BLOCK_SIZE) for n in range(60)]
+    errors = []
     for step in range(4_000):
         hashes = prompts[min(int(rng.paretovariate(0.7)) - 1, 59)]
-        guessed = guess.longest_match("a", hashes)
+        estimated = estimate.longest_match("a", hashes)
         found = cache.read(hashes)
         if step > 2_000:
-            off.append(abs(guessed - found) / len(hashes))
-        guess.record_read("a", hashes, len(hashes) * SIZE, found * SIZE)
-    assert sum(off) / len(off) < 0.2
-    never = PrefixEstimate(SIZE, 100_000)
-    never.record_read("a", prompts[0], 160, 0)
-    assert never.longest_match("a", prompts[0]) == len(prompts[0]) and never.longest_match("b", prompts[0]) == 0
+            errors.append(abs(estimated - found) / len(hashes))
+        estimate.record_read("a", hashes, len(hashes) * BLOCK_SIZE, found * BLOCK_SIZE)
+    assert sum(errors) / len(errors) < 0.2
+    untrained = PrefixEstimate(BLOCK_SIZE, 100_000)
+    untrained.record_read("a", prompts[0], 160, 0)
+    assert untrained.longest_match("a", prompts[0]) == len(prompts[0]) and untrained.longest_match("b", prompts[0]) == 0
 
 
 def test_a_box_that_forgot_everything_is_believed_at_once() -> None:
-    guess = PrefixEstimate(SIZE, 100_000)
-    prompts = [block_hashes(pack_tokens([n] * 40), SIZE) for n in range(10)]
+    estimate = PrefixEstimate(BLOCK_SIZE, 100_000)
+    prompts = [block_hashes(pack_tokens([n] * 40), BLOCK_SIZE) for n in range(10)]
     for hashes in prompts:
-        guess.record_read("a", hashes, 40, 0)
-    guess.record_read("a", prompts[0], 40, 40)
-    guess.record_read("a", prompts[1], 40, 0)
-    assert guess.cache_losses == 1
-    assert [guess.longest_match("a", hashes) for hashes in prompts[:3]] == [0, 10, 0]
+        estimate.record_read("a", hashes, 40, 0)
+    estimate.record_read("a", prompts[0], 40, 40)
+    estimate.record_read("a", prompts[1], 40, 0)
+    assert estimate.cache_losses == 1
+    assert [estimate.longest_match("a", hashes) for hashes in prompts[:3]] == [0, 10, 0]
 
 
 @settings(max_examples=60, deadline=None)
 @given(
-    st.lists(st.tuples(boxes, st.lists(st.integers(1, 10**6), min_size=1, max_size=30)), max_size=60),
+    st.lists(st.tuples(engines, st.lists(st.integers(1, 10**6), min_size=1, max_size=30)), max_size=60),
     st.integers(1, 50),
 )
-def test_guesses_are_bounded_in_all(reads: list[tuple[str, list[int]]], most: int) -> None:
-    guess = PrefixEstimate(SIZE, most)
-    for box, hashes in reads:
-        guess.record_read(box, hashes, len(hashes) * SIZE, None)
-        assert sum(len(known.stamps) for known in guess._engines.values()) <= most
+def test_guesses_are_bounded_in_all(reads: list[tuple[str, list[int]]], max_blocks: int) -> None:
+    estimate = PrefixEstimate(BLOCK_SIZE, max_blocks)
+    for engine, hashes in reads:
+        estimate.record_read(engine, hashes, len(hashes) * BLOCK_SIZE, None)
+        assert sum(len(known.stamps) for known in estimate._engines.values()) <= max_blocks
 
 
-# --- knowledge
+# --- the tracker
 
 
 def test_events_count_while_they_are_trusted_and_guesses_after() -> None:
-    knowledge = PrefixTracker(ByteTokenizer(), SIZE, 1_000)
-    blocks = knowledge.blocks([("user", b"0123456789")], b"")
+    tracker = PrefixTracker(ByteTokenizer(), BLOCK_SIZE, 1_000)
+    blocks = tracker.blocks([("user", b"0123456789")], b"")
     tokens = list(b"<|user|>0123456789")
     assert (len(blocks.hashes), blocks.tokens) == (4, 18)
-    knowledge.set_publishers(["a"])
-    assert knowledge.predict_from_index(0, blocks, ["a", "b"], 18.0) == {"a": 0.0, "b": 0.0}
-    stored = BlockStored([1, 2, 3, 4], None, tokens[:16], SIZE)
-    assert knowledge.receive_batch(0, "a", 0, Batch(1.0, [stored])) is None
-    assert knowledge.predict_from_index(0, blocks, ["a", "b"], 18.0) == {"a": 16.0, "b": 0.0}
-    assert knowledge.predict_from_index(0, blocks, ["a"], 9.0) == {"a": 8.0}, (
-        "an engine's tokens may be others than ours"
+    tracker.set_publishers(["a"])
+    assert tracker.predict_from_index(0, blocks, ["a", "b"], 18.0) == {"a": 0.0, "b": 0.0}
+    stored = BlockStored([1, 2, 3, 4], None, tokens[:16], BLOCK_SIZE)
+    assert tracker.receive_batch(0, "a", 0, Batch(1.0, [stored])) is None
+    assert tracker.predict_from_index(0, blocks, ["a", "b"], 18.0) == {"a": 16.0, "b": 0.0}
+    assert tracker.predict_from_index(0, blocks, ["a"], 9.0) == {"a": 8.0}, (
+        "an engine may count a prompt's tokens differently"
     )
-    assert knowledge.receive_batch(0, "nobody", 0, Batch(1.0, [])) is None and knowledge.ignored_batches == 1
-    knowledge.subscription_lost(0, "a")
-    assert knowledge.predict_from_index(TRUST_HALF_LIFE_US // 2, blocks, ["a"], 18.0)["a"] == pytest.approx(
-        16 * 0.5**0.5
+    assert tracker.receive_batch(0, "nobody", 0, Batch(1.0, [])) is None and tracker.ignored_batches == 1
+    tracker.subscription_lost(0, "a")
+    assert tracker.predict_from_index(TRUST_HALF_LIFE_US // 2, blocks, ["a"], 18.0)["a"] == pytest.approx(16 * 0.5**0.5)
+    tracker.record_read("a", blocks, 18, 8, predicted=16.0)
+    assert tracker.predict_from_index(2 * TRUST_HALF_LIFE_US, blocks, ["a"], 18.0) == {"a": 16.0}, (
+        "estimated from our own read"
     )
-    knowledge.record_read("a", blocks, 18, 8, predicted=16.0)
-    assert knowledge.predict_from_index(2 * TRUST_HALF_LIFE_US, blocks, ["a"], 18.0) == {"a": 16.0}, "our own read"
-    assert (knowledge.score.predicted, knowledge.score.found) == (16, 8)
-    knowledge.engine_restarted("a")
-    assert knowledge.predict_from_index(2 * TRUST_HALF_LIFE_US, blocks, ["a"], 18.0) == {"a": 0.0}
-    knowledge.set_publishers([])
-    assert not knowledge.feeds and knowledge.index.block_count("a") == 0
+    assert (tracker.score.predicted, tracker.score.found) == (16, 8)
+    tracker.engine_restarted("a")
+    assert tracker.predict_from_index(2 * TRUST_HALF_LIFE_US, blocks, ["a"], 18.0) == {"a": 0.0}
+    tracker.set_publishers([])
+    assert not tracker.feeds and tracker.index.block_count("a") == 0
 
 
 def test_a_box_whose_claims_its_reads_belie_is_not_believed_until_they_agree() -> None:
-    knowledge = PrefixTracker(ByteTokenizer(), SIZE, 10_000, use_estimates=False)
-    blocks = knowledge.blocks([("user", b"x" * 400)], b"")
-    knowledge.set_publishers(["liar", "hider", "honest"])
-    stored = [BlockStored(list(range(1, 103)), None, list(b"<|user|>" + b"x" * 400), SIZE)]
-    for box, told in (("liar", stored), ("hider", []), ("honest", stored)):
-        knowledge.receive_batch(0, box, 0, Batch(1.0, list(told)))
+    tracker = PrefixTracker(ByteTokenizer(), BLOCK_SIZE, 10_000, use_estimates=False)
+    blocks = tracker.blocks([("user", b"x" * 400)], b"")
+    tracker.set_publishers(["liar", "hider", "honest"])
+    stored = [BlockStored(list(range(1, 103)), None, list(b"<|user|>" + b"x" * 400), BLOCK_SIZE)]
+    for engine, events in (("liar", stored), ("hider", []), ("honest", stored)):
+        tracker.receive_batch(0, engine, 0, Batch(1.0, list(events)))
     found = {"liar": 0, "hider": 408, "honest": 400}
     for _ in range(10):
-        claims = knowledge.claimed_tokens(0, blocks, 408.0)
-        for box, cached in found.items():
-            knowledge.record_read(box, blocks, 408, cached, None, claims[box])
-    assert set(knowledge.predict_from_index(0, blocks, found, 408.0)) == {"honest"}
+        claims = tracker.claimed_tokens(0, blocks, 408.0)
+        for engine, cached in found.items():
+            tracker.record_read(engine, blocks, 408, cached, None, claims[engine])
+    assert set(tracker.predict_from_index(0, blocks, found, 408.0)) == {"honest"}
     for _ in range(20):
-        knowledge.record_read("liar", blocks, 408, 400, None, knowledge.claimed_tokens(0, blocks, 408.0)["liar"])
-    assert set(knowledge.predict_from_index(0, blocks, found, 408.0)) == {"honest", "liar"}
-    knowledge.engine_restarted("hider")
-    assert knowledge.claims.trusted("hider")
-    knowledge.record_read("liar", blocks, 40, 0, None, 40.0)
-    assert knowledge.claims.agreement("liar") > 0.9, "too little to judge by"
+        tracker.record_read("liar", blocks, 408, 400, None, tracker.claimed_tokens(0, blocks, 408.0)["liar"])
+    assert set(tracker.predict_from_index(0, blocks, found, 408.0)) == {"honest", "liar"}
+    tracker.engine_restarted("hider")
+    assert tracker.claims.trusted("hider")
+    tracker.record_read("liar", blocks, 40, 0, None, 40.0)
+    assert tracker.claims.agreement("liar") > 0.9, "too few tokens to judge by"
 
 
 def test_a_models_own_tokenizer_and_template() -> None:
     import tokenizers
 
-    made = tokenizers.Tokenizer(tokenizers.models.WordLevel({"hi": 1, "you": 2, "user": 3, "?": 0}, unk_token="?"))
-    made.pre_tokenizer = tokenizers.pre_tokenizers.Whitespace()
+    model = tokenizers.Tokenizer(tokenizers.models.WordLevel({"hi": 1, "you": 2, "user": 3, "?": 0}, unk_token="?"))
+    model.pre_tokenizer = tokenizers.pre_tokenizers.Whitespace()
     template = "{% for m in messages %}{{ m.role }} {{ m.content }} {% endfor %}"
-    tokenizer = ModelTokenizer(made.to_str().encode(), template)
+    tokenizer = ModelTokenizer(model.to_str().encode(), template)
     assert tokenizer.encode_prompt([("user", b"hi you")], b"") == pack_tokens([3, 1, 2])
     with pytest.raises(ValueError):
         ModelTokenizer(b"{}", "x")
     with pytest.raises(ValueError):
-        ModelTokenizer(made.to_str().encode(), "{% for")
+        ModelTokenizer(model.to_str().encode(), "{% for")
--- a/tests/test_prefix_path.py
+++ b/tests/test_prefix_path.py
@@ -1,4 +1,4 @@
-"""The prefix index on sockets: it helps when events are right, and harms nothing when they are wrong on purpose."""
+"""The prefix index over sockets: it helps with correct events, and does no harm with deliberately wrong ones."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 
 class Hides(StandInEngine):
-    """Tells of nothing that it keeps."""
+    """Publishes none of the blocks that it holds."""
 
     def _publish(self, number: int, data: bytes) -> None:
         super()._publish(number, msgspec.msgpack.encode(Batch(self.world.now_us() / 1e6, [])))
 
 
 class Claims(StandInEngine):
-    """Tells of texts that it has not: those of every opening, again and again."""
+    """Publishes blocks that it does not hold: those of every opening, again and again."""
 
     def _publish(self, number: int, data: bytes) -> None:
         batch = msgspec.msgpack.decode(data, type=Batch)
@@ -54,7 +54,7 @@
 
 
 class Late(StandInEngine):
-    """Tells seconds late."""
+    """Publishes each batch two seconds late."""
 
     def _publish(self, number: int, data: bytes) -> None:
         publish = super()._publish
@@ -62,7 +62,7 @@
 
 
 class Shuffles(StandInEngine):
-    """Loses, doubles and shuffles, and has no replay for what is lost."""
+    """Loses, duplicates and reorders batches, and cannot replay the lost ones."""
 
     def _publish(self, number: int, data: bytes) -> None:
         rng = self.world.random(f"{self.settings.name} {number}")
@@ -73,7 +73,7 @@
 
 
 class OtherModel(StandInEngine):
-    """Tells of another model's tokens, in blocks of another size, and now and then of nonsense."""
+    """Publishes another model's tokens, some in blocks of another size, and every fifth batch malformed."""
 
     def _publish(self, number: int, data: bytes) -> None:
         batch = msgspec.msgpack.decode(data, type=Batch)
@@ -84,8 +84,8 @@
         super()._publish(number, b"\xc1" if number % 5 == 0 else msgspec.msgpack.encode(batch))
 
 
-def play(fleet: FleetThread, requests: int, seed: int = 1) -> AuditReport:
-    """Drawn traffic at once and in pieces, then the audit of the sockets."""
+def run_traffic(fleet: FleetThread, requests: int, seed: int = 1) -> AuditReport:
+    """Sends drawn traffic through the fleet, then audits the journals of clients and engines."""
     lines: list[dict[str, Any]] = []
 
     def run() -> bool:
@@ -117,38 +117,38 @@
     return report
 
 
-def served(report: AuditReport) -> float:
+def served_share(report: AuditReport) -> float:
     asked = sum(sum(row.values()) - row["left"] for row in report.outcomes.values())
     return sum(row["served"] for row in report.outcomes.values()) / asked
 
 
-BOXES = tuple(
+ENGINES = tuple(
     EngineSettings(name=f"r{n}", role="read", events=True, cache_tokens=12_000, read_tokens_per_s=100_000.0)
     for n in range(3)
 ) + (EngineSettings(name="w0", role="write", slots=64, step_ms=1.0),)
 
 
 def test_what_readers_tell_becomes_what_the_policy_hears(tmp_path: Path) -> None:
-    with FleetThread(tmp_path, boxes=BOXES) as fleet:
-        play(fleet, 120)
-        knowledge = fleet.edge.prefix_tracker
-        assert knowledge is not None
+    with FleetThread(tmp_path, boxes=ENGINES) as fleet:
+        run_traffic(fleet, 120)
+        tracker = fleet.edge.prefix_tracker
+        assert tracker is not None
         fleet.until(
             lambda: all(
                 feed.last_number is not None and feed.trust(fleet.world.now_us()) == 1.0
-                for feed in knowledge.feeds.values()
+                for feed in tracker.feeds.values()
             )
         )
         for engine in fleet.engines[:3]:
             blocks = list(engine.cache.blocks)
-            assert knowledge.index.block_count(engine.settings.name) == len(blocks)
-            assert all(knowledge.index.longest_match(engine.settings.name, [block]) == 1 for block in blocks)
-        assert knowledge.score.found > 0.9 * knowledge.score.predicted > 0
+            assert tracker.index.block_count(engine.settings.name) == len(blocks)
+            assert all(tracker.index.longest_match(engine.settings.name, [block]) == 1 for block in blocks)
+        assert tracker.score.found > 0.9 * tracker.score.predicted > 0
         page = urllib.request.urlopen(fleet.url.replace("/v1", "/metrics")).read().decode()
-        assert f"yardspindle_index_blocks {float(len(knowledge.index))}" in page
+        assert f"yardspindle_index_blocks {float(len(tracker.index))}" in page
         assert 'yardspindle_index_trust{server="r0"} ' in page
         fleet.call(lambda: fleet.engines[0].cache.clear())
-        fleet.until(lambda: knowledge.index.block_count("r0") == 0)
+        fleet.until(lambda: tracker.index.block_count("r0") == 0)
 
 
 @pytest.mark.parametrize("kind", [Hides, Claims, Late, Shuffles, OtherModel])
@@ -156,30 +156,30 @@
     tmp_path: Path, kind: type[StandInEngine]
 ) -> None:
     (tmp_path / "off").mkdir()
-    with FleetThread(tmp_path / "off", {"index": {"mode": "off"}}, BOXES) as fleet:
-        without = served(play(fleet, 150))
+    with FleetThread(tmp_path / "off", {"index": {"mode": "off"}}, ENGINES) as fleet:
+        without = served_share(run_traffic(fleet, 150))
     (tmp_path / "wrong").mkdir()
-    with FleetThread(tmp_path / "wrong", boxes=BOXES, engine_type=kind) as fleet:
-        wrong = served(play(fleet, 150))
-        knowledge = fleet.edge.prefix_tracker
-        assert knowledge is not None and knowledge.feeds
+    with FleetThread(tmp_path / "wrong", boxes=ENGINES, engine_type=kind) as fleet:
+        wrong = served_share(run_traffic(fleet, 150))
+        tracker = fleet.edge.prefix_tracker
+        assert tracker is not None and tracker.feeds
     assert wrong >= without - 0.02
 
 
 def test_a_box_that_publishes_is_left_when_it_leaves_the_list(tmp_path: Path) -> None:
-    with FleetThread(tmp_path, boxes=BOXES) as fleet:
-        play(fleet, 30)
-        knowledge = fleet.edge.prefix_tracker
-        assert knowledge is not None
+    with FleetThread(tmp_path, boxes=ENGINES) as fleet:
+        run_traffic(fleet, 30)
+        tracker = fleet.edge.prefix_tracker
+        assert tracker is not None
         engines = fleet.engines
         fleet.engines = [engine for engine in engines if engine.settings.name != "r1"]
         fleet.call(fleet.write_list)
-        fleet.until(lambda: "r1" not in knowledge.feeds)
-        assert knowledge.index.block_count("r1") == 0
+        fleet.until(lambda: "r1" not in tracker.feeds)
+        assert tracker.index.block_count("r1") == 0
         fleet.engines = engines
 
 
-# --- the policy's departure
+# --- the policy's use of cached tokens
 
 
 def router() -> Policy:
@@ -216,11 +216,11 @@
     plain, waiting = start(None)
     home = next(action.server for action in plain if isinstance(action, i.Send))
     assert waiting == {home: 1_000.0}
-    assert start({}) == (plain, waiting), "told nothing, it decides as ever"
+    assert start({}) == (plain, waiting), "without cached tokens it decides as before"
     assert start({home: 900.0}) == (plain, {home: 100.0})
-    elsewhere = {n: start({n: 900.0})[1] for n in range(1, 7)}  # a new router has no bound yet: its home is past it
+    elsewhere = {n: start({n: 900.0})[1] for n in range(1, 7)}  # a new router has no bound yet: its home is over it
     taken = {n for n, tokens in elsewhere.items() if tokens == {n: 100.0}}
-    assert home in taken and len(taken) == 2, "its home, the spill, and no other"
+    assert home in taken and len(taken) == 2, "only the home and the reader that it spills to"
 
 
 def test_blocks_of_tokens_and_of_bytes_name_the_same_text() -> None:
@@ -239,17 +239,17 @@
         monkeypatch.setattr(zeromq, "HIGH_WATER_MARK", 2 if kind in ("pub", "sub") else 10_000)
         made: Any = real(self, kind, *more)
         if kind == "pub":
-            made._socket.setsockopt(zmq.SNDBUF, 4_096)  # else the kernel alone holds megabytes
+            made._socket.setsockopt(zmq.SNDBUF, 4_096)  # otherwise the kernel alone holds megabytes
         return made
 
     monkeypatch.setattr(RealWorld, "message_socket", messages)
-    with FleetThread(tmp_path, boxes=BOXES[2:]) as fleet:
-        reader, knowledge = fleet.engines[0], fleet.edge.prefix_tracker
-        assert knowledge is not None
-        play(fleet, 5)  # the subscription stands
+    with FleetThread(tmp_path, boxes=ENGINES[2:]) as fleet:
+        reader, tracker = fleet.engines[0], fleet.edge.prefix_tracker
+        assert tracker is not None
+        run_traffic(fleet, 5)  # the subscription is established
 
         def burst(batches: int) -> bool:
-            """The edge's task cannot run meanwhile: the library's queues and the kernel's buffers fill."""
+            """Keeps the edge's task from running, so that the library's queues and the kernel's buffers fill."""
             rng = random.Random(batches)
             for _ in range(batches):
                 packed = rng.randbytes(4 * 64 * 20)
@@ -257,17 +257,17 @@
             return True
 
         assert fleet.call(lambda: burst(300))
-        feed, looks = knowledge.feeds["r2"], 0
+        feed, polls = tracker.feeds["r2"], 0
 
         def caught_up() -> bool:
-            """Engines go on telling, and what comes next shows the gap."""
-            nonlocal looks
-            looks += 1
-            if looks % 100 == 0:
+            """Publishes another batch every 100 polls, as engines do: the next batch shows the gap."""
+            nonlocal polls
+            polls += 1
+            if polls % 100 == 0:
                 burst(1)
             return feed.last_number == reader.cache.replay_buffer[-1][0] and feed.trust(fleet.world.now_us()) == 1.0
 
         fleet.until(caught_up)
         assert feed.counts.gaps > 0, "nothing was dropped: the burst is too small"
-        assert knowledge.index.block_count("r2") == len(reader.cache.blocks)
+        assert tracker.index.block_count("r2") == len(reader.cache.blocks)
         assert feed.counts.unfilled_gaps == 0
--- a/tests/test_pulse.py
+++ b/tests/test_pulse.py
@@ -1,4 +1,4 @@
-"""A planner that hangs without closing its link: the pulse by itself, in the router, and on the virtual World."""
+"""A planner that hangs without closing its link: its detection alone, in the router, and on the virtual World."""
 
 from __future__ import annotations
 
@@ -22,36 +22,36 @@
 
 @given(st.lists(STEP, max_size=80))
 def test_silence_is_the_oldest_batch_waiting_while_the_edge_ran(steps: list[tuple[int, str]]) -> None:
-    """Against a plain account: every batch with the time that passed over it in steps that were no stall."""
-    pulse, now, number = PlannerLiveness(SILENT_US), 0, 0
-    pulse.reset(now)
-    waited: dict[int, int] = {}
+    """Reference: an unanswered batch ages by every step that is short enough not to be the edge's own stall."""
+    liveness, now, number = PlannerLiveness(SILENT_US), 0, 0
+    liveness.reset(now)
+    waited_us: dict[int, int] = {}
     for passed, what in steps:
         now += passed
-        for known in waited:
-            waited[known] += passed if passed <= MAX_COUNTED_GAP_US else 0
+        for batch in waited_us:
+            waited_us[batch] += passed if passed <= MAX_COUNTED_GAP_US else 0
         if what == "send":
             number += 1
-            pulse.record_sent(now, number)
-            waited[number] = 0
-        elif what == "answer one" and waited:
-            pulse.record_answered(now, min(waited))
-            del waited[min(waited)]
+            liveness.record_sent(now, number)
+            waited_us[number] = 0
+        elif what == "answer one" and waited_us:
+            liveness.record_answered(now, min(waited_us))
+            del waited_us[min(waited_us)]
         elif what == "answer":
-            pulse.record_answered(now, number)
-            waited.clear()
-        assert pulse.timed_out(now) == any(us > SILENT_US for us in waited.values())
+            liveness.record_answered(now, number)
+            waited_us.clear()
+        assert liveness.timed_out(now) == any(us > SILENT_US for us in waited_us.values())
 
 
 def test_a_new_link_starts_with_nothing_out() -> None:
-    pulse = PlannerLiveness(SILENT_US)
-    pulse.reset(0)
-    pulse.record_sent(0, 1)
+    liveness = PlannerLiveness(SILENT_US)
+    liveness.reset(0)
+    liveness.record_sent(0, 1)
     for now in range(0, 2 * SILENT_US, 20_000):
-        pulse.timed_out(now)
-    assert pulse.timed_out(2 * SILENT_US)
-    pulse.reset(2 * SILENT_US)
-    assert not pulse.timed_out(2 * SILENT_US)
+        liveness.timed_out(now)
+    assert liveness.timed_out(2 * SILENT_US)
+    liveness.reset(2 * SILENT_US)
+    assert not liveness.timed_out(2 * SILENT_US)
 
 
 def test_a_planner_that_takes_events_and_decides_nothing_is_lost_at_once(tmp_path: Path) -> None:
@@ -71,7 +71,7 @@
             client.chat.completions.create(**ask)
         assert (caught.value.status_code, caught.value.code) == (503, "planner_lost")
         assert caught.value.response.headers["retry-after-ms"]
-        assert time.monotonic() - began < 2.0, "not at its deadline of three seconds"
+        assert time.monotonic() - began < 2.0, "refused well before its deadline of three seconds"
         fleet.until(lambda: fleet.edge.core.epoch != 0)
         assert client.chat.completions.create(**ask).choices
         assert fleet.edge.core.epoch == epoch, "the same planner, on another link"
@@ -102,16 +102,16 @@
         tuple(Fault("edge stalls", at_ms, 1_200, "edge0") for at_ms in range(300, 6_000, 1_300)),
     )
     fleet = TrafficSimulation(script)
-    lost: list[int] = []
+    down_times: list[int] = []
     start = fleet.start_edge
 
-    def watched(name: str) -> None:
+    def start_watched(name: str) -> None:
         start(name)
         edge = fleet._edges[name].edge
         assert edge is not None
         down = edge.planner_link._on_down
-        edge.planner_link._on_down = lambda: (lost.append(fleet.sim.now_us()), down())[1]  # type: ignore[func-returns-value]
+        edge.planner_link._on_down = lambda: (down_times.append(fleet.sim.now_us()), down())[1]  # type: ignore[func-returns-value]
 
-    fleet.start_edge = watched  # type: ignore[method-assign]
+    fleet.start_edge = start_watched  # type: ignore[method-assign]
     assert fleet.run().breaks == ()
-    assert all(at == fleet.sim.now_us() for at in lost), "only when the run ended"
+    assert all(at == fleet.sim.now_us() for at in down_times), "links went down only when the run ended"
--- a/tests/test_run_alone.py
+++ b/tests/test_run_alone.py
@@ -1,4 +1,4 @@
-"""`run` imports and opens none of what several processes share."""
+"""`run` imports none of the modules that several processes share."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-SHARED = (
+SHARED_MODULES = (
     "yardspindle.fleet",
     "yardspindle.steward",
     "yardspindle.unit",
@@ -24,7 +24,7 @@
 def test_run_imports_nothing_that_processes_share() -> None:
     code = (
         "import sys, yardspindle.node.__main__, yardspindle.node.app, yardspindle.drill; "
-        f"print([m for m in sys.modules if any(m == s or m.startswith(s + '.') for s in {SHARED!r})])"
+        f"print([m for m in sys.modules if any(m == s or m.startswith(s + '.') for s in {SHARED_MODULES!r})])"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True)
-    assert done.stdout.strip() == "[]"
+    result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True)
+    assert result.stdout.strip() == "[]"
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -195,7 +195,7 @@
         third = w.spawn("third", lambda: got.append(("third", channel.get())))
         w.scheduler.yield_now()
         channel.put(2)
-        third.cancel()  # too late: the item was on its way
+        third.cancel()  # too late: the item was already handed over
         third.join()
         assert got[1:] == [("third", 2)]
 
@@ -214,9 +214,9 @@
     assert names == ["main"] and isinstance(w.spawn("later", int), Task)
 
 
-@pytest.mark.parametrize("limit,most", [(40, 40), (resource.RLIM_INFINITY, 1 << 20)])
+@pytest.mark.parametrize("limit,max_descriptors", [(40, 40), (resource.RLIM_INFINITY, 1 << 20)])
 def test_no_bound_on_descriptors_is_not_taken_for_a_small_one(
-    monkeypatch: pytest.MonkeyPatch, limit: int, most: int
+    monkeypatch: pytest.MonkeyPatch, limit: int, max_descriptors: int
 ) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda _: (limit, limit))
-    assert RealWorld(1).max_descriptors() == most
+    assert RealWorld(1).max_descriptors() == max_descriptors
--- a/tests/test_runtime_sockets.py
+++ b/tests/test_runtime_sockets.py
@@ -30,7 +30,7 @@
 
 
 def test_a_writer_that_is_called_off_in_the_turn_in_which_it_could_go_on_writes_nothing_more() -> None:
-    """Whoever called it off takes what was not written by then for never sent, and may say so to a client."""
+    """The canceller treats data unwritten by then as never sent, and may tell a client so."""
     w = world()
 
     def main() -> None:
@@ -40,7 +40,7 @@
             w.scheduler.yield_now()
         raw, sent = far._sock, near._sock.fileno()  # type: ignore[attr-defined]
         got, queued = 0, 1
-        while writer.parked or queued:  # without a turn of the loop: the writer is woken, and what was sent is read
+        while writer.parked or queued:  # without a scheduler turn: wakes the writer and reads what was sent
             queued = struct.unpack("i", fcntl.ioctl(sent, termios.TIOCOUTQ, b"\0\0\0\0"))[0]
             with contextlib.suppress(BlockingIOError):
                 while True:
@@ -67,7 +67,7 @@
 
         writer = w.spawn("writer", write)
         w.sleep_until(w.now_us() + 2_000)
-        assert not writer.done, "the peer takes nothing: the writer waits"
+        assert not writer.done, "the writer waits while the peer reads nothing"
         got = bytearray()
         while piece := far.read(10_000):
             got += piece
@@ -97,7 +97,7 @@
     ("own_us", "callers_us", "raised"), [(20_000, 600_000_000, ConnectError), (600_000_000, 20_000, DeadlineExceeded)]
 )
 def test_a_connection_that_does_not_come_up(own_us: int, callers_us: int, raised: type[Exception]) -> None:
-    """Past its own time it failed; past its caller's nothing is known of the peer."""
+    """Past its own timeout the connect failed; past its caller's deadline nothing is known about the peer."""
     w = world()
 
     def main() -> None:
@@ -148,7 +148,7 @@
 
 
 def test_a_signal_sets_stop_where_there_are_no_unix_sockets(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Every dispatcher of a fleet exited at its start: the far end of a Unix socket had no address."""
+    """Every dispatcher of a fleet exited at its start, as the far end of a Unix socket had no address."""
 
     def no_unix(*_: object) -> None:
         raise OSError(errno.EAFNOSUPPORT, "no Unix sockets")
@@ -172,14 +172,14 @@
 
 
 class FailingSocket:
-    """A listening socket whose accept fails once with each of some errors."""
+    """A listening socket whose accept fails once with each of the given errors."""
 
     def __init__(self, sock: socket.socket, errors: list[int]) -> None:
         self._sock, self.errors = sock, errors
 
     def accept(self) -> tuple[socket.socket, object]:
         if self.errors:
-            raise OSError(self.errors.pop(0), "as told")
+            raise OSError(self.errors.pop(0), "injected")
         return self._sock.accept()
 
     def __getattr__(self, name: str) -> object:
@@ -187,7 +187,7 @@
 
 
 def test_errors_of_a_connection_that_is_accepted_do_not_end_the_listener() -> None:
-    """With ENETUNREACH from one accept in eight the task that accepts ended without a word, and nobody was served."""
+    """With ENETUNREACH from one accept in eight the accepting task ended silently, and no client was served."""
     w = world()
 
     def main() -> None:
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -1,4 +1,4 @@
-"""One deployment's settings never show in another's decisions: no name is known, nothing is kept between them."""
+"""Decisions depend only on the deployment's own settings: no deployment's name is built in, no state is shared."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 ROOT = Path(__file__).parent.parent
 EFFECTS = ("free", "guarded", "single_shot")
-KINDS = (
+STATUSES = (
     i.Status.READ,
     i.Status.SERVED,
     i.Status.FULL,
@@ -56,40 +56,40 @@
     "writes": "m",
     "a": "b",
     "b": "zone c",
-}  # some old names come again with another meaning
+}  # some names are reused for another class, tenant, kind or zone
 
 
-def raw(effects: tuple[str, ...] = EFFECTS, more: Mapping[str, Any] | None = None) -> dict[str, Any]:
-    found = copy.deepcopy(SETTINGS)
-    found["services"].append({"name": "third", "goal-time-us": 800_000, "give-up-us": 3_000_000, "worth": 4.0})
-    for row, effect in zip(found["services"], effects, strict=True):
+def settings_document(effects: tuple[str, ...] = EFFECTS, changes: Mapping[str, Any] | None = None) -> dict[str, Any]:
+    document = copy.deepcopy(SETTINGS)
+    document["services"].append({"name": "third", "goal-time-us": 800_000, "give-up-us": 3_000_000, "worth": 4.0})
+    for row, effect in zip(document["services"], effects, strict=True):
         row["idempotency"] = effect
-    found["realms"] = [{"name": "t1", "fraction": 0.7}, {"name": "t2", "fraction": 0.3, "quota-per-s": 5}]
-    found["prices"] = {"cross-zone": 0.1}
-    found["obligations"] |= {"cold-us": 3_000_000, "start-capacity": 0.3}
-    return {**found, **(more or {})}
+    document["realms"] = [{"name": "t1", "fraction": 0.7}, {"name": "t2", "fraction": 0.3, "quota-per-s": 5}]
+    document["prices"] = {"cross-zone": 0.1}
+    document["obligations"] |= {"cold-us": 3_000_000, "start-capacity": 0.3}
+    return {**document, **(changes or {})}
 
 
-def renamed(found: dict[str, Any], names: Mapping[str, str]) -> dict[str, Any]:
-    found = copy.deepcopy(found)
-    for row in found["services"] + found["realms"]:
+def renamed(document: dict[str, Any], names: Mapping[str, str]) -> dict[str, Any]:
+    document = copy.deepcopy(document)
+    for row in document["services"] + document["realms"]:
         row["name"] = names[row["name"]]
-    return found | {"shapes": [names[kind] for kind in found["shapes"]], "zone": names[found["zone"]]}
+    return document | {"shapes": [names[kind] for kind in document["shapes"]], "zone": names[document["zone"]]}
 
 
-def configured(found: dict[str, Any]) -> NodeConfig:
+def parse_document(found: dict[str, Any]) -> NodeConfig:
     return parse_config(TOLD, json.dumps({"settings": found}).encode())
 
 
-class Play:
-    """Events drawn by a seed, in answer to what a policy decides."""
+class EventGenerator:
+    """Draws a policy's events from a seed, in response to its actions."""
 
-    def __init__(self, found: i.Settings, seed: int) -> None:
+    def __init__(self, settings: i.Settings, seed: int) -> None:
         self.random, self.now, self.seed = random.Random(seed), 1_000_000, seed
-        self.classes = [row.name for row in found.classes]
-        self.tenants = [*(row.name for row in found.tenants), None]
-        self.kinds = [kind.name for kind in found.kinds]
-        self.out: list[tuple[int, int, int]] = []
+        self.classes = [row.name for row in settings.classes]
+        self.tenants = [*(row.name for row in settings.tenants), None]
+        self.kinds = [kind.name for kind in settings.kinds]
+        self.in_flight: list[tuple[int, int, int]] = []
         self.places: list[tuple[int, int]] = []
         self.counts: dict[int, int] = {}
         self.open: dict[int, None] = {}
@@ -100,25 +100,25 @@
         ]
 
     def event(self) -> i.Event:
-        draw = self.random
-        self.now += draw.randrange(1, 8_000)
+        rng = self.random
+        self.now += rng.randrange(1, 8_000)
         if self.timer_us is not None and self.now >= self.timer_us:
             self.timer_us = None
             return i.Timer(SWEEP_TOKEN)
-        which = draw.random()
-        if which < 0.01 or self.now < 1_009_000:
-            at = draw.randrange(len(self.entries))
-            state = draw.choice([i.State.SERVING, i.State.SERVING, i.State.DRAINING])
+        roll = rng.random()
+        if roll < 0.01 or self.now < 1_009_000:
+            at = rng.randrange(len(self.entries))
+            state = rng.choice([i.State.SERVING, i.State.SERVING, i.State.DRAINING])
             entry = self.entries[at]
             self.entries[at] = replace(entry, state=state, up_since_us=self.now)
             return i.Members(i.ListKind.COMPLETE, self.now, tuple(self.entries))
-        if which < 0.5 and self.out:
-            request, attempt, server = self.out.pop(draw.randrange(len(self.out)))
-            if draw.random() < 0.2:
-                self.out.append((request, attempt, server))
-                return i.First(request, attempt, server, draw.randrange(1, 200_000))
+        if roll < 0.5 and self.in_flight:
+            request, attempt, server = self.in_flight.pop(rng.randrange(len(self.in_flight)))
+            if rng.random() < 0.2:
+                self.in_flight.append((request, attempt, server))
+                return i.First(request, attempt, server, rng.randrange(1, 200_000))
             reads = self.entries[server - 100].kind == self.kinds[0]
-            status = KINDS[0 if reads else 1] if draw.random() < 0.7 else draw.choice(KINDS[2:])
+            status = STATUSES[0 if reads else 1] if rng.random() < 0.7 else rng.choice(STATUSES[2:])
             closed = status is i.Status.SERVED
             if closed:
                 self.open.pop(request, None)
@@ -127,49 +127,49 @@
                 attempt,
                 server,
                 status,
-                draw.randrange(1, 300_000),
+                rng.randrange(1, 300_000),
                 closed,
-                draw.choice([0, 0, 1]),
-                stale=draw.random() < 0.1,
+                rng.choice([0, 0, 1]),
+                stale=rng.random() < 0.1,
             )
-        if which < 0.6 and self.places:
-            request, server = self.places.pop(draw.randrange(len(self.places)))
-            return i.Note(request, 0, server, draw.random() < 0.7)
-        if which < 0.65 and self.open:
-            return i.Hangup(draw.choice(list(self.open)))
+        if roll < 0.6 and self.places:
+            request, server = self.places.pop(rng.randrange(len(self.places)))
+            return i.Note(request, 0, server, rng.random() < 0.7)
+        if roll < 0.65 and self.open:
+            return i.Hangup(rng.choice(list(self.open)))
         number = len(self.counts) + 1
         self.counts[number], self.open[number] = 0, None
         return i.Request(
             number,
-            draw.choice(self.classes),
-            self.now + draw.randrange(300_000, 4_000_000),
-            draw.randrange(10, 8_000),
-            draw.choice([0, 500]),
-            draw.randrange(1, 400),
-            draw.choice(self.tenants),
-            draw.choice([None, "p", "q"]),
-            f"s{draw.randrange(40)}",
-            repeat=draw.random() < 0.1,
-            resumed=draw.random() < 0.05,
+            rng.choice(self.classes),
+            self.now + rng.randrange(300_000, 4_000_000),
+            rng.randrange(10, 8_000),
+            rng.choice([0, 500]),
+            rng.randrange(1, 400),
+            rng.choice(self.tenants),
+            rng.choice([None, "p", "q"]),
+            f"s{rng.randrange(40)}",
+            repeat=rng.random() < 0.1,
+            resumed=rng.random() < 0.05,
         )
 
-    def hear(self, actions: list[i.Action]) -> None:
+    def apply_actions(self, actions: list[i.Action]) -> None:
         for action in actions:
             match action:
                 case i.Send():
-                    self.out.append((action.request, self.counts[action.request], action.server))
+                    self.in_flight.append((action.request, self.counts[action.request], action.server))
                     self.counts[action.request] += 1
                 case i.Ahead():
                     self.places.append((action.request, action.server))
                 case i.Cancel():
-                    self.out = [row for row in self.out if row[:2] != (action.request, action.attempt)]
+                    self.in_flight = [row for row in self.in_flight if row[:2] != (action.request, action.attempt)]
                 case i.Refuse() | i.Fail():
                     self.open.pop(action.request, None)
                 case i.SetTimer():
                     self.timer_us = action.due_us
 
 
-def as_named(event: i.Event, names: Mapping[str, str]) -> i.Event:
+def rename_event(event: i.Event, names: Mapping[str, str]) -> i.Event:
     if isinstance(event, i.Request):
         return replace(event, cls=names[event.cls], tenant=names[event.tenant] if event.tenant else None)
     if isinstance(event, i.Members):
@@ -182,9 +182,11 @@
 
 @pytest.mark.parametrize("encoding", ["utf-8", "latin-1"])
 def test_a_class_and_a_tenant_are_known_by_the_settings_names_whatever_letters_they_have(encoding: str) -> None:
-    """Read as Latin-1 alone, a class of another language was no class: all its requests were answered 400."""
+    """Guards against decoding headers as Latin-1 only: all requests of a class with a UTF-8 name were answered 400."""
     for name in ("ask", "Ü1", "niño 2", *(["čas", "任务"] if encoding == "utf-8" else [])):
-        rules = configured(LEAST | {"services": [LEAST["services"][0] | {"name": name}]}).rules
+        rules = parse_document(
+            MINIMAL_SETTINGS | {"services": [MINIMAL_SETTINGS["services"][0] | {"name": name}]}
+        ).rules
         parser = http1.RequestParser()
         parser.feed(
             b"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nreq-id: 1\r\nreq-deadline-ms: 9\r\nreq-kind: %s"
@@ -192,108 +194,113 @@
         )
         head = parser.next_event()
         assert isinstance(head, http1.RequestHead)
-        asked = read_head(head, rules.effects)
-        assert (asked.cls, asked.tenant) == (name, name)
+        request = read_head(head, rules.effects)
+        assert (request.cls, request.tenant) == (name, name)
 
 
-def decisions(found: i.Settings, seed: int, steps: int = 700) -> Iterator[str]:
-    """What a policy decides at each step."""
-    policy, play = Policy(found, seed), Play(found, seed)
+def decisions(settings: i.Settings, seed: int, steps: int = 700) -> Iterator[str]:
+    """Yields the policy's actions at each step, as text."""
+    policy, generator = Policy(settings, seed), EventGenerator(settings, seed)
     for _ in range(steps):
-        event = play.event()
-        actions = policy.handle(play.now, event)
-        play.hear(actions)
+        event = generator.event()
+        actions = policy.handle(generator.now, event)
+        generator.apply_actions(actions)
         yield repr(actions)
 
 
 @pytest.mark.parametrize("effects", list(itertools.permutations(EFFECTS)))
 @pytest.mark.parametrize("seed", [1, 2])
 def test_renamed_classes_tenants_kinds_and_zones_are_decided_on_alike(effects: tuple[str, ...], seed: int) -> None:
-    found, other = parse_settings(raw(effects)), parse_settings(renamed(raw(effects), NAMES))
-    one, two, play = Policy(found, seed), Policy(other, seed), Play(found, seed)
+    settings, renamed_settings = (
+        parse_settings(settings_document(effects)),
+        parse_settings(renamed(settings_document(effects), NAMES)),
+    )
+    one, two, generator = Policy(settings, seed), Policy(renamed_settings, seed), EventGenerator(settings, seed)
     sent = 0
     for _ in range(1_200):
-        event = play.event()
-        actions = one.handle(play.now, event)
-        assert actions == two.handle(play.now, as_named(event, NAMES))
-        play.hear(actions)
+        event = generator.event()
+        actions = one.handle(generator.now, event)
+        assert actions == two.handle(generator.now, rename_event(event, NAMES))
+        generator.apply_actions(actions)
         sent += sum(isinstance(action, i.Send) for action in actions)
-    assert sent > 300 and len(play.counts) > 200
+    assert sent > 300 and len(generator.counts) > 200
 
 
 def test_effects_do_change_decisions() -> None:
-    """Else the test above would hold for a play that never comes to them."""
+    """The test above would prove nothing if no drawn event made the policy depend on the effects."""
     every = list(itertools.permutations(EFFECTS))
-    assert len({tuple(decisions(parse_settings(raw(effects)), 1)) for effects in every}) > 1
-    assert len({repr(served(raw(effects), {})) for effects in every}) > 1
+    assert len({tuple(decisions(parse_settings(settings_document(effects)), 1)) for effects in every}) > 1
+    assert len({repr(run_dispatcher(settings_document(effects), {})) for effects in every}) > 1
 
 
 def test_configurations_that_take_turns_in_one_process_decide_as_each_alone() -> None:
     documents = [
-        raw(),
-        renamed(raw(EFFECTS[::-1], {"instances": 50}), NAMES),
-        raw(
-            more={
+        settings_document(),
+        renamed(settings_document(EFFECTS[::-1], {"instances": 50}), NAMES),
+        settings_document(
+            changes={
                 "family-info": {"duty-by-kind": ["read", "write"], "holds-allowed": False},
                 "prices": {},
                 "allowed": {"most-tries": 3},
             }
         ),
     ]
-    alone = [list(decisions(configured(document).settings, 7)) for document in documents]
-    configs = [configured(document) for document in documents]  # all there before any decides
+    alone = [list(decisions(parse_document(document).settings, 7)) for document in documents]
+    configs = [parse_document(document) for document in documents]  # all parsed before any policy decides
     by_turns = list(zip(*(decisions(config.settings, 7) for config in configs), strict=True))
     assert [list(column) for column in zip(*by_turns, strict=True)] == alone
-    assert configs == [configured(document) for document in documents]
+    assert configs == [parse_document(document) for document in documents]
     assert alone[0] != alone[1] != alone[2]
 
 
 @cache
 def modules() -> tuple[str, ...]:
-    """All modules of ours that `run` imports, and all of the packages that decide."""
+    """Returns the yardspindle modules that `run` imports, and all modules of the packages that decide."""
     code = "import sys, yardspindle.node.__main__; print(*(m for m in sys.modules if m.split('.')[0] == 'yardspindle'))"
-    said = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True).stdout
+    printed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True).stdout
     assert {"yardspindle.node.app", "yardspindle.policy.request_lifecycle", "yardspindle.settings_map"} < set(
-        said.split()
+        printed.split()
     )
-    walked = (
-        found.name
+    package_modules = (
+        package_module.name
         for package in ("policy", "core", "node")
-        for found in pkgutil.walk_packages(
+        for package_module in pkgutil.walk_packages(
             importlib.import_module(f"yardspindle.{package}").__path__, f"yardspindle.{package}."
         )
     )
-    return tuple(dict.fromkeys([*said.split(), *walked]))
+    return tuple(dict.fromkeys([*printed.split(), *package_modules]))
 
 
-def held(value: object) -> str:
-    """What a module or class keeps, where it could keep anything of a configuration."""
+def describe_state(value: object) -> str:
+    """Describes an attribute of a module or class if it could hold a part of a configuration; otherwise ''."""
     if isinstance(value, type):
-        return repr({key: held(found) for key, found in vars(value).items() if not key.startswith("__")})
-    kept = isinstance(value, dict | list | set | tuple | int | float | str | bytes | frozenset | deque)
-    return repr(value) if kept else ""
+        return repr(
+            {key: describe_state(attribute) for key, attribute in vars(value).items() if not key.startswith("__")}
+        )
+    is_data = isinstance(value, dict | list | set | tuple | int | float | str | bytes | frozenset | deque)
+    return repr(value) if is_data else ""
 
 
 def test_nothing_is_left_in_a_module_or_class_by_a_configuration_and_its_decisions() -> None:
     def globals_now() -> dict[str, str]:
         return {
-            f"{name}.{key}": held(value)
+            f"{name}.{key}": describe_state(value)
             for name in modules()
             if not name.endswith("__main__")
             for key, value in vars(importlib.import_module(name)).items()
             if not key.startswith("__")
         }
 
-    globals_now()  # a module is an attribute of its package once it is imported
+    globals_now()  # imports the modules, each of which then becomes an attribute of its package
     before = globals_now()
-    for document, names in ((raw(), {}), (renamed(raw(), NAMES), NAMES)):
-        list(decisions(configured(document).settings, 3))
-        served(document, names)
+    for document, names in ((settings_document(), {}), (renamed(settings_document(), NAMES), NAMES)):
+        list(decisions(parse_document(document).settings, 3))
+        run_dispatcher(document, names)
     assert globals_now() == before and sum(map(bool, before.values())) > 200
 
 
-class Renamed(Platform):
-    """Hosts whose kinds and zone have other names."""
+class RenamedPlatform(Platform):
+    """A platform whose kinds and zones are listed under other names."""
 
     names: Mapping[str, str] = {}
 
@@ -304,12 +311,12 @@
         ]
 
 
-def served(document: dict[str, Any], names: Mapping[str, str]) -> list[tuple[int, int, list[tuple[str, str]]]]:
-    """What clients of a whole dispatcher see, and which calls came to which hosts."""
+def run_dispatcher(document: dict[str, Any], names: Mapping[str, str]) -> list[tuple[int, int, list[tuple[str, str]]]]:
+    """Runs a whole dispatcher; returns each answer's status and time, and the calls that each host received."""
     sim = Simulation(7)
 
     def main() -> list[tuple[int, int, list[tuple[str, str]]]]:
-        platform = Renamed(sim)
+        platform = RenamedPlatform(sim)
         platform.names = names
         world = sim.program("node")
         node = Node(world, parse_config(TOLD, json.dumps({"settings": document}).encode()))
@@ -333,18 +340,20 @@
 
 
 def reset_in_its_middle(host: Host, to: Stream, number: bytes) -> bool:
-    """What a class's effect decides on: it may have run."""
+    """Fails ambiguously: the request may have run, so the effect of its class decides about a retry."""
     to.abort()
     return False
 
 
 @pytest.mark.parametrize("effects", list(itertools.permutations(EFFECTS)))
 def test_a_whole_dispatcher_treats_renamed_classes_kinds_and_zones_alike(effects: tuple[str, ...]) -> None:
-    assert served(raw(effects), {}) == served(renamed(raw(effects), NAMES), NAMES)
+    assert run_dispatcher(settings_document(effects), {}) == run_dispatcher(
+        renamed(settings_document(effects), NAMES), NAMES
+    )
 
 
 def sources(*packages: str) -> Iterator[tuple[Path, ast.Module]]:
-    """All of these modules, or those of some packages."""
+    """Parses the sources of all modules, or of those in the given packages."""
     for name in modules():
         if not packages or name.startswith(tuple(f"yardspindle.{package}" for package in packages)):
             file = (
@@ -363,28 +372,31 @@
 
 
 def test_no_function_or_class_keeps_anything_in_a_cache_a_default_or_a_global() -> None:
-    kept = ast.List | ast.Dict | ast.Set | ast.ListComp | ast.DictComp | ast.SetComp
+    mutable = ast.List | ast.Dict | ast.Set | ast.ListComp | ast.DictComp | ast.SetComp
     for file, tree in sources():
         for node in ast.walk(tree):
             assert not isinstance(node, ast.Global), f"{file}: global"
             if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef | ast.Lambda):
                 for default in [*node.args.defaults, *node.args.kw_defaults]:
-                    assert not isinstance(default, kept | ast.Call), f"{file}:{node.lineno}: a default that can change"
+                    assert not isinstance(default, mutable | ast.Call), f"{file}:{node.lineno}: a mutable default"
             if isinstance(node, ast.FunctionDef | ast.ClassDef):
                 for decorator in node.decorator_list:
                     assert "cache" not in ast.unparse(decorator), f"{file}:{node.lineno}: a cache"
-            if isinstance(node, ast.ClassDef) and "Struct" not in map(ast.unparse, node.bases):  # it copies defaults
+            # a Struct copies its defaults
+            if isinstance(node, ast.ClassDef) and "Struct" not in map(ast.unparse, node.bases):
                 for row in node.body:
-                    assert not isinstance(getattr(row, "value", None), kept), f"{file}:{row.lineno}: kept by a class"
+                    assert not isinstance(getattr(row, "value", None), mutable), (
+                        f"{file}:{row.lineno}: a mutable class attribute"
+                    )
 
 
 def test_every_figure_of_the_policys_and_the_edges_settings_is_given_none_left_to_a_default() -> None:
-    """A default of the interface is a figure of some deployment."""
-    given = {}
+    """A field left to its default in the interface would get a value chosen for another deployment."""
+    argument_counts = {}
     for _, tree in sources("settings_map", "node.config"):
         for node in ast.walk(tree):
             if isinstance(node, ast.Call):
-                given[ast.unparse(node.func)] = len(node.args) + len(node.keywords)
+                argument_counts[ast.unparse(node.func)] = len(node.args) + len(node.keywords)
     for name, wanted in (
         ("i.Settings", i.Settings),
         ("i.RequestClass", i.RequestClass),
@@ -392,11 +404,11 @@
         ("i.Tenant", i.Tenant),
         ("EdgeRules", EdgeRules),
     ):
-        assert given[name] == len(fields(wanted)), name
+        assert argument_counts[name] == len(fields(wanted)), name
 
 
 def names_of(found: Mapping[str, Any]) -> set[str]:
-    """Classes, tenants, kinds and zones that a deployment's settings or site file name, at any depth."""
+    """Collects the names of classes, tenants, kinds and zones in settings or a site file, at any depth."""
     names: set[str] = set()
     for key, value in found.items():
         rows = value if isinstance(value, list) else [value]
@@ -409,18 +421,18 @@
 
 
 def known_names() -> set[str]:
-    names = names_of(raw()) | names_of(test_adapter.SETUP)
+    names = names_of(settings_document()) | names_of(test_adapter.SETUP)
     for site in sorted((ROOT / "deploy" / "sites").glob("*.toml")):
         names |= names_of(tomllib.loads(site.read_text()))
     return names
 
 
 def literals(tree: ast.Module) -> set[str]:
-    documented = {id(node.value) for node in ast.walk(tree) if isinstance(node, ast.Expr)}
+    docstrings = {id(node.value) for node in ast.walk(tree) if isinstance(node, ast.Expr)}
     return {
         node.value
         for node in ast.walk(tree)
-        if isinstance(node, ast.Constant) and isinstance(node.value, str) and id(node) not in documented
+        if isinstance(node, ast.Constant) and isinstance(node.value, str) and id(node) not in docstrings
     }
 
 
@@ -433,7 +445,7 @@
     assert literals(ast.parse("'''ask'''\nx = {'t1': 'p'}['t1']")) & names == {"t1"}
 
 
-LEAST: dict[str, Any] = {
+MINIMAL_SETTINGS: dict[str, Any] = {
     "me": 0,
     "instances": 1,
     "shapes": ["reads", "writes"],
@@ -443,41 +455,45 @@
 
 
 def test_what_is_absent_is_not_allowed_not_granted_not_bounded_and_costs_nothing() -> None:
-    config = configured(LEAST)
-    found = config.settings
-    assert found.classes[0] == i.RequestClass("ask", 100_000, 800_000, i.Effect.UNSAFE)
+    config = parse_document(MINIMAL_SETTINGS)
+    settings = config.settings
+    assert settings.classes[0] == i.RequestClass("ask", 100_000, 800_000, i.Effect.UNSAFE)
     assert not any(
         (
-            found.ahead,
-            found.writers_read,
-            found.resume,
-            found.second_copies,
-            found.cancel,
-            found.probes,
-            found.peers,
-            found.retry_after,
-            found.max_retry_after_us,
+            settings.ahead,
+            settings.writers_read,
+            settings.resume,
+            settings.second_copies,
+            settings.cancel,
+            settings.probes,
+            settings.peers,
+            settings.retry_after,
+            settings.max_retry_after_us,
         )
     )
-    assert not any((found.drain_grace_us, found.answer_slack_us, found.ask_within_us, found.cold_us, found.fall_us))
-    assert not any((found.late_fail_price, found.waste_price, found.cross_zone_price, found.far_price))
-    assert found.start_capacity == found.fall_multiple == found.over_share_worth == 1 and found.list_pushed
-    assert min(found.release_us, config.rules.release_us) > 3_600_000_000 and found.max_attempts > 1_000
+    assert not any(
+        (settings.drain_grace_us, settings.answer_slack_us, settings.ask_within_us, settings.cold_us, settings.fall_us)
+    )
+    assert not any((settings.late_fail_price, settings.waste_price, settings.cross_zone_price, settings.far_price))
+    assert settings.start_capacity == settings.fall_multiple == settings.over_share_worth == 1 and settings.list_pushed
+    assert min(settings.release_us, config.rules.release_us) > 3_600_000_000 and settings.max_attempts > 1_000
     assert config.rules.max_open_requests > 100_000 and config.rules.retry_after_us == 0
 
 
 @pytest.mark.parametrize("times", [1, 10, 100])
 def test_unstated_times_of_connections_follow_the_classes(times: int) -> None:
-    row = LEAST["services"][0]
-    config = configured(LEAST | {"services": [row | {"give-up-us": row["give-up-us"] * times}]})
+    row = MINIMAL_SETTINGS["services"][0]
+    config = parse_document(MINIMAL_SETTINGS | {"services": [row | {"give-up-us": row["give-up-us"] * times}]})
     assert (config.connect_us, config.idle_us) == (40_000 * times, 800_000 * times)
-    stated = configured(LEAST | {"allowed": {"connect-timeout-us": 70_000, "conn-idle-us": 0, "max-open": 3}})
+    stated = parse_document(
+        MINIMAL_SETTINGS | {"allowed": {"connect-timeout-us": 70_000, "conn-idle-us": 0, "max-open": 3}}
+    )
     assert (stated.connect_us, stated.idle_us, stated.rules.max_open_requests) == (70_000, 0, 3)
 
 
 def test_the_least_settings_serve_a_request() -> None:
-    """With 1 us to let go and one try in place of what is absent, every request was refused at once."""
-    policy = Policy(configured(LEAST).settings, 1)
+    """Guards against strict defaults: with a release time of 1 us and one attempt every request was refused at once."""
+    policy = Policy(parse_document(MINIMAL_SETTINGS).settings, 1)
     policy.handle(
         1,
         i.Members(
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,6 +1,6 @@
-"""Slow start over the whole fleet: no cold host is sent more than it bears, and the cold hosts are kept busy.
+"""Slow start over the whole fleet: no cold host is sent more than it can take, and cold hosts are kept busy.
 
-`python benchmarks/slow_start_fleet.py` plays all cases; those that do not hold are in KNOWN-RED.txt, and in
+`python benchmarks/slow_start_fleet.py` runs all cases; those that fail are in KNOWN-RED.txt, and in
 docs/design.md with their figures.
 """
 
@@ -8,12 +8,12 @@
 
 import pytest
 
-from tests.test_stages import script
+from tests.test_stages import load_benchmark
 from yardspindle import Policy
 from yardspindle import interface as i
 
 COLD_US = 5_000_000
-HOLDS = (
+PASSING_CASES = (
     ("listed at once", 20),
     ("back before the list says so", 200),
     ("started before the processes did", 200),
@@ -31,62 +31,62 @@
     ("warm by work", 200),
     ("no start at all", 6),
 )
-IDLE = (
+IDLE_CASES = (
     ("all writers, placed ahead", 20),
     ("all writers, placed ahead", 30),
     ("few carry most", 200),
     ("survivors of a role", 6),
-)  # the sum holds; at work for less than 0.8 of the cold time
-UNTOLD = (
+)  # the limit on the sum of sends holds; hosts are busy for less than 0.8 of the cold time
+UNNOTIFIED_CASES = (
     ("back before the list says so", 30),
     ("repeats: all others die", 20),
     ("repeats: a zone dies", 30),
     ("repeats: all others full", 200),
     ("survivors of a role", 200),
 )
-LARGE = (("a hot text", 200), ("repeats: all others die", 200))
+LARGE_FLEET_CASES = (("a hot text", 200), ("repeats: all others die", 200))
 
 
-def failing(name: str, dispatchers: int) -> set[str]:
-    fleet = script("slow_start_fleet").played(name, dispatchers)
+def failed_checks(name: str, dispatchers: int) -> set[str]:
+    fleet = load_benchmark("slow_start_fleet").played(name, dispatchers)
     return fleet.failing()  # type: ignore[no-any-return]
 
 
-@pytest.mark.parametrize("name,dispatchers", HOLDS)
+@pytest.mark.parametrize("name,dispatchers", PASSING_CASES)
 def test_no_cold_host_is_pushed_over_and_all_are_kept_busy(name: str, dispatchers: int) -> None:
-    assert not failing(name, dispatchers)
+    assert not failed_checks(name, dispatchers)
 
 
-@pytest.mark.parametrize("name,dispatchers", IDLE)
+@pytest.mark.parametrize("name,dispatchers", IDLE_CASES)
 def test_no_cold_host_is_pushed_over(name: str, dispatchers: int) -> None:
-    assert not failing(name, dispatchers) - {"busy"}
+    assert not failed_checks(name, dispatchers) - {"busy"}
 
 
-@pytest.mark.parametrize("name,dispatchers", IDLE)
+@pytest.mark.parametrize("name,dispatchers", IDLE_CASES)
 def test_cold_hosts_are_kept_busy(name: str, dispatchers: int) -> None:
-    assert "busy" not in failing(name, dispatchers)
+    assert "busy" not in failed_checks(name, dispatchers)
 
 
-@pytest.mark.parametrize("name,dispatchers", UNTOLD)
+@pytest.mark.parametrize("name,dispatchers", UNNOTIFIED_CASES)
 def test_no_cold_host_is_pushed_over_by_those_that_were_told(name: str, dispatchers: int) -> None:
-    """The rule as the pages break it, and the sum of those that had been told of the start."""
-    assert not failing(name, dispatchers) - {"all"}
+    """Checks the documented rule, and the sum over the dispatchers that had been notified of the start."""
+    assert not failed_checks(name, dispatchers) - {"all"}
 
 
-@pytest.mark.parametrize("name,dispatchers", UNTOLD)
+@pytest.mark.parametrize("name,dispatchers", UNNOTIFIED_CASES)
 def test_the_sum_holds_with_those_that_were_not_told(name: str, dispatchers: int) -> None:
-    assert "all" not in failing(name, dispatchers)
+    assert "all" not in failed_checks(name, dispatchers)
 
 
-@pytest.mark.parametrize("name,dispatchers", LARGE)
+@pytest.mark.parametrize("name,dispatchers", LARGE_FLEET_CASES)
 def test_the_sum_holds_in_a_fleet_that_knows_little(name: str, dispatchers: int) -> None:
-    """One text whose home is a cold reader; all others die. Each dispatcher sees a request in 1.5 s."""
-    assert "rule" not in failing(name, dispatchers)
+    """One prefix whose home is a cold reader; all others die. Each dispatcher sees one request in 1.5 s."""
+    assert "rule" not in failed_checks(name, dispatchers)
 
 
 @pytest.mark.parametrize("step_us", [-3_600_000_000, 3_600_000_000])
 def test_a_start_told_by_a_clock_that_was_stepped_counts_from_when_it_can_have_been(step_us: int) -> None:
-    """Told as an hour ago it would be sent all at once; told as in an hour it would be cold for as long."""
+    """Listed as an hour ago, a start would get full load at once; as in an hour, it would stay cold for that long."""
     settings = i.Settings(
         me=0,
         instances=1,
@@ -98,7 +98,7 @@
         fall_multiple=2.5,
         fall_us=2_000_000,
     )
-    policy, began, told = Policy(settings, seed=1), 10 * COLD_US, 12 * COLD_US
+    policy, listed_us, relisted_us = Policy(settings, seed=1), 10 * COLD_US, 12 * COLD_US
 
     def listed(at: int, start: int) -> None:
         entries = tuple(
@@ -110,8 +110,8 @@
         policy.now_us = at
         return policy._warmth(policy.servers[2])
 
-    listed(began, 3 * COLD_US)
-    assert warmth(began) == 1
-    listed(told, told + step_us)
-    assert warmth(told) == 0.25
-    assert warmth(told + COLD_US) == 1
+    listed(listed_us, 3 * COLD_US)
+    assert warmth(listed_us) == 1
+    listed(relisted_us, relisted_us + step_us)
+    assert warmth(relisted_us) == 0.25
+    assert warmth(relisted_us + COLD_US) == 1
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,11 +9,11 @@
 from tests.soak import play
 from tests.soak_parties import Plan
 
-SMALL = Plan(dispatchers=2, readers=3, writers=4, clients=3, seconds=5.0, faults=8)
+SMALL_PLAN = Plan(dispatchers=2, readers=3, writers=4, clients=3, seconds=5.0, faults=8)
 
 
 @pytest.mark.parametrize("seed", [2, 6])
 def test_no_rule_is_broken_while_faults_overlap(seed: int, tmp_path: Path) -> None:
-    found, soak = play(seed, SMALL, tmp_path)
-    assert found == [], "\n".join(soak.story)
+    violations, soak = play(seed, SMALL_PLAN, tmp_path)
+    assert violations == [], "\n".join(soak.story)
     assert soak.counts().get("200", 0) > 0
--- a/tests/test_sse.py
+++ b/tests/test_sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events, against a plain reading of the standard that takes the whole stream at once."""
+"""Server-sent events against a reference parser by the standard, which takes the whole stream at once."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from yardspindle.protocol.sse import EventTooLarge, ServerEvent, SseParser, write_event
 
 
-def plainly(stream: bytes) -> list[tuple[bytes, bytes, bytes]]:
+def parse_whole(stream: bytes) -> list[tuple[bytes, bytes, bytes]]:
     """The standard's algorithm, line by line over the whole stream."""
     events: list[tuple[bytes, bytes, bytes]] = []
     data: list[bytes] = []
@@ -36,7 +36,7 @@
     return events
 
 
-pieces = st.sampled_from(
+fragments = st.sampled_from(
     [
         b"data: {}",
         b"data:x",
@@ -60,7 +60,7 @@
 
 
 @settings(max_examples=500, deadline=None)
-@given(st.lists(pieces, max_size=20), st.lists(st.integers(0, 200), max_size=6))
+@given(st.lists(fragments, max_size=20), st.lists(st.integers(0, 200), max_size=6))
 def test_events_are_those_of_the_standard_however_cut(drawn: list[bytes], cuts: list[int]) -> None:
     stream = b"".join(drawn)
     points = sorted({point % (len(stream) + 1) for point in cuts})
@@ -68,7 +68,7 @@
     events: list[ServerEvent] = []
     for start, end in zip([0, *points], [*points, len(stream)], strict=True):
         events += parser.feed(stream[start:end])
-    expected = plainly(stream[:-1] if stream.endswith(b"\r") else stream)
+    expected = parse_whole(stream[:-1] if stream.endswith(b"\r") else stream)
     assert [(event.data, event.kind, event.last_id) for event in events] == expected
 
 
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -1,4 +1,4 @@
-"""The table of a day, on a small log written by hand; and the line that a dispatcher writes."""
+"""The stages benchmark's table for a small hand-written log, and for a line that a dispatcher writes."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from yardspindle.node.app import Node
 
 
-def script(name: str = "stages") -> ModuleType:
+def load_benchmark(name: str = "stages") -> ModuleType:
     path = Path(__file__).parent.parent / "benchmarks" / f"{name}.py"
     spec = importlib.util.spec_from_file_location(name, path)
     assert spec is not None and spec.loader is not None
     module = importlib.util.module_from_spec(spec)
-    sys.modules[name] = module  # dataclasses look their module up
+    sys.modules[name] = module  # dataclasses look up their module there
     spec.loader.exec_module(module)
     return module
 
@@ -38,7 +38,7 @@
 
 
 def test_the_table_of_a_small_log() -> None:
-    stages = script()
+    stages = load_benchmark()
     lines = stages.table(stages.rows(LOG.splitlines()))
     assert lines == [
         "requests 4",
@@ -54,7 +54,7 @@
     assert stages.table([])[0] == "requests 0"
 
 
-COLD = (
+COLD_LOG = (
     LOG
     + """\
 0.100 host started id=r1 kind=reads up=90
@@ -67,8 +67,8 @@
 
 
 def test_what_cold_hosts_were_sent_by_all() -> None:
-    stages = script()
-    lines = COLD.splitlines()
+    stages = load_benchmark()
+    lines = COLD_LOG.splitlines()
     # a and b were read at 110 and 220, a failed read ended at about 495; c never, d at another reader.
     assert stages.cold(lines, 1_000, 2_000) == [
         "cold reads: 1 started, sent in 2 s at most 3, median 3",
@@ -83,7 +83,7 @@
         platform.sleep(1_000)
 
     play(main)
-    (row,) = script().rows(capfd.readouterr().err.splitlines())
+    (row,) = load_benchmark().rows(capfd.readouterr().err.splitlines())
     assert (row["id"], row["end"], row["kept"], row["tries"]) == ("one", "served", "7", "1,1,1,0")
     names = {part.partition(":")[0] for part in row["ms"].split(",")}
     assert names == {"wait", "prefill", "hold", "transfer", "decode"}
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""One contract for every store: the model by itself, the gateway's client against the stand-in, and the file."""
+"""One contract for every store: the model, the etcd gateway's client against the stand-in, and the file."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class ModelStore:
-    """The model as a store, for the contract alone."""
+    """The model behind the store interface, for these tests only."""
 
     def __init__(self, world: World) -> None:
         self.world, self.model = world, StoreModel()
@@ -101,7 +101,7 @@
     yield request.param
 
 
-def make(world: RealWorld, kind: str, path: Path) -> Store:
+def create_store(world: RealWorld, kind: str, path: Path) -> Store:
     if kind == "model":
         return ModelStore(world)
     if kind == "file":
@@ -112,7 +112,7 @@
 
 def run(kind: str, path: Path, test: Callable[[RealWorld, Store], None]) -> None:
     world = RealWorld(seed=1)
-    world.run("test", lambda: test(world, make(world, kind, path)))
+    world.run("test", lambda: test(world, create_store(world, kind, path)))
 
 
 def put(key: bytes, value: bytes, lease: int = 0) -> Txn:
@@ -124,13 +124,13 @@
         first = store.txn(put(b"a", b"1")).revision
         second = store.txn(put(b"a", b"2")).revision
         assert second == first + 1
-        assert store.txn(Txn(then=(Get(b"a"),))).revision == second, "a transaction that only reads makes no revision"
+        assert store.txn(Txn(then=(Get(b"a"),))).revision == second, "a transaction that only reads creates no revision"
         row = store.range(b"a").rows[0]
         assert (row.value, row.create, row.mod, row.version) == (b"2", first, second, 2)
         store.txn(Txn(then=(Delete(b"a"),)))
         again = store.txn(put(b"a", b"3")).revision
         row = store.range(b"a").rows[0]
-        assert (row.create, row.version) == (again, 1), "made anew: its fence is a new one"
+        assert (row.create, row.version) == (again, 1), "a re-created key has a new fence"
         assert [r.value for r in store.range(b"a", revision=first).rows] == [b"1"]
         assert store.range(b"a", revision=second + 1).rows == ()
         with pytest.raises((NotApplied, Exception), match="future"):
@@ -156,32 +156,32 @@
         assert [row.key for row in store.range(b"d/", prefix_end(b"d/")).rows] == [b"d/1", b"d/2"]
         with pytest.raises(NotApplied, match="duplicate key"):
             store.txn(Txn(then=(Put(b"d/2", b"y"), Put(b"d/2", b"z"))))
-        assert store.range(b"d/2").rows[0].value == b"x", "nothing of a refused transaction is done"
+        assert store.range(b"d/2").rows[0].value == b"x", "a refused transaction has no effect"
 
     run(kind, tmp_path, test)
 
 
 def test_a_lease_ends_with_its_keys_unless_kept_alive(kind: str, tmp_path: Path) -> None:
     def test(world: RealWorld, store: Store) -> None:
-        one, other = store.grant(S), store.grant(3 * S)
-        assert one.lease != other.lease and one.ttl_us == S
+        one, longer = store.grant(S), store.grant(3 * S)
+        assert one.lease != longer.lease and one.ttl_us == S
         store.txn(put(b"m/one", b"", one.lease))
-        since = store.txn(put(b"m/other", b"", other.lease)).revision
+        since = store.txn(put(b"m/other", b"", longer.lease)).revision
         assert store.keep_alive(one.lease).ttl_us == S
         watch = store.watch(b"m/", prefix_end(b"m/"), since + 1)
-        gone: list[bytes] = []
+        removed: list[bytes] = []
         with world.deadline(world.now_us() + 5 * S):
-            while not gone:
-                gone += [c.row.key for c in watch.next().changes if c.removed]
+            while not removed:
+                removed += [c.row.key for c in watch.next().changes if c.removed]
         watch.close()
-        assert gone == [b"m/one"]
+        assert removed == [b"m/one"]
         assert store.keep_alive(one.lease).ttl_us == 0 and store.remaining_ttl_us(one.lease) == -1
-        assert 0 < store.remaining_ttl_us(other.lease) <= 3 * S
-        store.revoke(other.lease)
-        store.revoke(other.lease)
+        assert 0 < store.remaining_ttl_us(longer.lease) <= 3 * S
+        store.revoke(longer.lease)
+        store.revoke(longer.lease)
         assert store.range(b"m/", prefix_end(b"m/")).rows == ()
         with pytest.raises(NotApplied, match="lease not found"):
-            store.txn(put(b"m/x", b"", other.lease))
+            store.txn(put(b"m/x", b"", longer.lease))
 
     run(kind, tmp_path, test)
 
@@ -207,7 +207,7 @@
             store.compact(last)  # type: ignore[attr-defined]
         with pytest.raises(Compacted), world.deadline(world.now_us() + 5 * S):
             old = store.watch(b"w/", prefix_end(b"w/"), first)
-            while not old.next().changes:  # a first empty answer says that the watch stands
+            while not old.next().changes:  # a first empty answer confirms the watch
                 pass
         with pytest.raises(Compacted):
             store.range(b"w/1", revision=first)
@@ -252,7 +252,7 @@
                 return str(error)
 
         def test() -> None:
-            stores = [make(world, kind, Path(folder)) for kind in KINDS]
+            stores = [create_store(world, kind, Path(folder)) for kind in KINDS]
             for txn in drawn:
                 answers = [outcome(store, txn) for store in stores]
                 assert answers[0] == answers[1] == answers[2]
@@ -265,7 +265,7 @@
         world.run("test", test)
 
 
-# --- the gateway's client when things fail
+# --- failures of the gateway's client
 
 
 def with_stand_in(test: Callable[[RealWorld, EtcdStandIn, EtcdStore], None], endpoints: int = 1) -> None:
@@ -273,10 +273,10 @@
 
     def program() -> None:
         stand_in = EtcdStandIn(world)
-        at = stand_in.start("127.0.0.1", 0)
+        endpoint = stand_in.start("127.0.0.1", 0)
         dead = world.listen("127.0.0.1", 0)
         dead.close()
-        test(world, stand_in, EtcdStore(world, [("127.0.0.1", dead.port), at][-endpoints:], 200_000))
+        test(world, stand_in, EtcdStore(world, [("127.0.0.1", dead.port), endpoint][-endpoints:], 200_000))
 
     world.run("test", program)
 
--- a/tests/test_store_failures.py
+++ b/tests/test_store_failures.py
@@ -1,4 +1,4 @@
-"""The stores when things fail: answers lost and late, a store that went back, files of others, locks and kills."""
+"""Failures of the stores: lost and late answers, a store set back to an older state, foreign files, locks, kills."""
 
 from __future__ import annotations
 
@@ -39,26 +39,26 @@
             store.range(b"a")
         stand_in.late_us = 0
         with world.deadline(world.now_us() + 5 * S):
-            while not store.range(b"a").rows:  # it was on its way all along
+            while not store.range(b"a").rows:  # the write was only late
                 world.sleep_until(world.now_us() + 10_000)
 
     with_stand_in(test)
 
 
 def test_a_write_whose_connection_does_not_come_up_is_not_done_and_the_next_endpoint_is_asked() -> None:
-    """Where a call's time is no longer than a connection's, its end said "unknown" of what was never sent."""
+    """When a call's timeout was no longer than a connect's, a write that was never sent ended as unknown."""
     world = RealWorld(seed=1)
 
     def program() -> None:
         stand_in, full = EtcdStandIn(world), world.listen("127.0.0.1", 0, backlog=0)
-        world.connect("127.0.0.1", full.port, world.now_us() + 600 * S)  # none comes up any more
-        at = stand_in.start("127.0.0.1", 0)
+        world.connect("127.0.0.1", full.port, world.now_us() + 600 * S)  # the backlog is full from now on
+        endpoint = stand_in.start("127.0.0.1", 0)
         with pytest.raises(NotApplied):
             EtcdStore(world, [("127.0.0.1", full.port)], 50_000).txn(put(b"a", b""))
-        store = EtcdStore(world, [("127.0.0.1", full.port), at], 50_000)
+        store = EtcdStore(world, [("127.0.0.1", full.port), endpoint], 50_000)
         rows: tuple[object, ...] = ()
         with world.deadline(world.now_us() + 20 * S):
-            while not rows:  # on a busy machine the other may be late, too
+            while not rows:  # on a busy machine the other endpoint may be late too
                 with contextlib.suppress(StoreError):
                     store.txn(put(b"a", b"b"))
                     rows = store.range(b"a").rows
@@ -82,7 +82,7 @@
         assert store.txn(put(b"a", b"")).succeeded
         before = store.call_count
         store.range(b"a")
-        assert store.call_count == before + 1, "the endpoint that answered is asked first from then on"
+        assert store.call_count == before + 1, "the endpoint that answered is tried first from then on"
 
     with_stand_in(test, endpoints=2)
 
@@ -112,7 +112,7 @@
 
 
 def test_that_a_watch_stands_does_not_say_that_nothing_was_missed() -> None:
-    """Found by a seeded world: a view that took it so passed over what had changed since it was read."""
+    """Found by a seeded world: a view that assumed so skipped the changes made since it was read."""
 
     def test(world: RealWorld, stand_in: EtcdStandIn, store: EtcdStore) -> None:
         keys = FleetKeys("f")
@@ -129,7 +129,7 @@
     with_stand_in(test)
 
 
-# --- the file
+# --- the file store
 
 
 def test_a_file_that_is_not_ours_is_left_as_it_is(tmp_path: Path) -> None:
@@ -164,7 +164,7 @@
         ticking = world.spawn("tick", tick)
         with pytest.raises(NotApplied, match="holds the lock"):
             store.txn(put(b"a", b""))
-        assert ticks > 20, "what else runs in the program went on"
+        assert ticks > 20, "other tasks of the program kept running"
         ticking.cancel()
         other.execute("ROLLBACK")
         assert store.txn(put(b"a", b"")).succeeded
@@ -174,7 +174,7 @@
 
 
 def test_writers_that_are_killed_at_any_moment_leave_a_whole_store(tmp_path: Path) -> None:
-    """Four processes count two keys up in one transaction each; whoever is killed, they agree and nothing is lost."""
+    """Four processes increment two keys in one transaction; whichever is killed, the keys agree and nothing is lost."""
     code = (
         "import sys; from yardspindle.core.fleet.kv import *; from yardspindle.runtime.real import RealWorld\n"
         "from yardspindle.fleet.store.embedded import EmbeddedStore\n"
@@ -227,7 +227,7 @@
 
 
 def test_the_bound_of_a_caller_is_its_own(tmp_path: Path) -> None:
-    """A deadline around a call that passes first is not taken for the store's."""
+    """A caller's deadline that passes first is not taken for the store's timeout."""
 
     def test(world: RealWorld, stand_in: EtcdStandIn, store: EtcdStore) -> None:
         stand_in.late_us = 150_000
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -90,7 +90,7 @@
         one.write(b"first")
         one.write(b"second")
         other.write(b"back")
-        assert one.read() == b"back", "the other direction is whole"
+        assert one.read() == b"back", "the other direction still works"
         with pytest.raises(DeadlineExceeded), far.deadline(far.now_us() + 5_000_000):
             other.read()
         with pytest.raises(ConnectError, match="in time"):
@@ -135,7 +135,7 @@
 
 
 def test_a_killed_program_has_no_effect_any_more() -> None:
-    did: list[str] = []
+    effects: list[str] = []
 
     def main(sim: Simulation, near: VirtualWorld, far: VirtualWorld) -> None:
         one, other = pair(near, far)
@@ -145,14 +145,14 @@
                 sleep(far, 10_000_000)
             finally:
                 far.append_file("after", b"x")
-                far.call_at(far.now_us() + 1_000, lambda: did.append("called"))
+                far.call_at(far.now_us() + 1_000, lambda: effects.append("called"))
                 with pytest.raises(StreamError):
                     other.write(b"last words")
                 with pytest.raises(Cancelled):
-                    far.spawn("more", did.append, "spawned")
+                    far.spawn("more", effects.append, "spawned")
 
         far.spawn("stubborn", stubborn)
-        far.call_at(far.now_us() + 2_000_000, lambda: did.append("timer"))
+        far.call_at(far.now_us() + 2_000_000, lambda: effects.append("timer"))
         sleep(near, 1_000_000)
         far.kill()
         with pytest.raises(StreamError):
@@ -161,10 +161,10 @@
         sleep(near, 5_000_000)
         assert far.tasks == [] and "after" not in sim.files
         again = sim.program("far")
-        assert again.random("x").random() != far.random("x").random(), "a new start draws anew"
+        assert again.random("x").random() != far.random("x").random(), "a restarted program draws other numbers"
 
     run(main)
-    assert did == []
+    assert effects == []
 
 
 def test_a_stalled_program_takes_bytes_and_does_nothing_until_it_goes_on() -> None:
@@ -196,7 +196,7 @@
         assert far.now_us() == near.now_us() + 2_000_000
         before = sim.now_us()
         sleep(far, 500_000)
-        assert 500_000 <= sim.now_us() - before < 510_000, "a span is a span on any clock"
+        assert 500_000 <= sim.now_us() - before < 510_000, "a duration is the same on any clock"
         now = far.now_us()
         far.step(-300_000)
         assert far.now_us() == now
@@ -242,18 +242,19 @@
 def test_refused_and_hanging_connects() -> None:
     def main(sim: Simulation, near: VirtualWorld, far: VirtualWorld) -> None:
         listener = far.listen("127.0.0.1", 0)
-        way = sim.network.path("near", "far")
-        way.refused = 1
+        path = sim.network.path("near", "far")
+        path.refused = 1
         with pytest.raises(ConnectError, match="refused"):
             near.connect("127.0.0.1", listener.port, near.now_us() + 1_000_000)
-        way.refused, way.hanging = 0, 1
+        path.refused, path.hanging = 0, 1
         before = sim.now_us()
         with pytest.raises(ConnectError, match="in time"):
             near.connect("127.0.0.1", listener.port, near.now_us() + 1_000_000)
         assert sim.now_us() - before >= 1_000_000
-        with pytest.raises(DeadlineExceeded), near.deadline(sim.now_us() + 20_000):  # nothing is known of the peer
+        # past the caller's deadline nothing is known about the peer
+        with pytest.raises(DeadlineExceeded), near.deadline(sim.now_us() + 20_000):
             near.connect("127.0.0.1", listener.port, near.now_us() + 1_000_000)
-        sim.scheduler.timers.set(sim.now_us() + 200_000, lambda: setattr(way, "hanging", 0))
+        sim.scheduler.timers.set(sim.now_us() + 200_000, lambda: setattr(path, "hanging", 0))
         assert near.connect("127.0.0.1", listener.port, near.now_us() + 1_000_000)
 
     run(main)
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path on loopback sockets, with the official client, unmodified, and with bytes by hand."""
+"""The whole path over loopback sockets, with the unmodified official client and with hand-written bytes."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
         yield running
 
 
-def client(fleet: FleetThread, **more: Any) -> openai.OpenAI:
-    return openai.OpenAI(base_url=fleet.url, api_key="none-needed", **{"max_retries": 0, **more})
+def client(fleet: FleetThread, **options: Any) -> openai.OpenAI:
+    return openai.OpenAI(base_url=fleet.url, api_key="none-needed", **{"max_retries": 0, **options})
 
 
-def settled(fleet: FleetThread) -> None:
-    """Nothing is open, held or owed anywhere."""
+def wait_until_idle(fleet: FleetThread) -> None:
+    """Waits until nothing is open, held or still to be released, then checks that no rule was broken."""
     fleet.until(
         lambda: (
             not fleet.edge.core.lifecycle.requests
@@ -44,7 +44,7 @@
     assert fleet.edge.core.rule_checker.new_violations == [] and not fleet.edge.core.rule_checker.requests
 
 
-def raw(fleet: FleetThread, data: bytes, until: bytes = b"", close: bool = False) -> bytes:
+def send_raw(fleet: FleetThread, data: bytes, until: bytes = b"", close: bool = False) -> bytes:
     with socket.create_connection(("127.0.0.1", fleet.port), timeout=10) as sock:
         sock.sendall(data)
         got = b""
@@ -56,7 +56,7 @@
         return got
 
 
-def post(body: bytes, *headers: bytes, path: bytes = b"/v1/chat/completions") -> bytes:
+def post_request(body: bytes, *headers: bytes, path: bytes = b"/v1/chat/completions") -> bytes:
     return b"\r\n".join(
         [
             b"POST " + path + b" HTTP/1.1",
@@ -70,8 +70,8 @@
     )
 
 
-def body_of(**more: Any) -> bytes:
-    return json.dumps({"model": MODEL, "messages": HELLO, "max_tokens": 3, **more}).encode()
+def body_of(**options: Any) -> bytes:
+    return json.dumps({"model": MODEL, "messages": HELLO, "max_tokens": 3, **options}).encode()
 
 
 # --- the official client
@@ -89,7 +89,7 @@
     assert chunks[-1].usage is not None and chunks[-1].usage.completion_tokens == 5
     plain = list(client(fleet).chat.completions.create(model=MODEL, messages=HELLO, max_tokens=2, stream=True))
     assert all(chunk.usage is None and chunk.choices for chunk in plain), "usage only where it was asked for"
-    settled(fleet)
+    wait_until_idle(fleet)
     held = {event["id"] for event in fleet.events("hold place")}
     assert {event["id"] for event in fleet.events("take place")} == held and len(held) == 2
 
@@ -99,11 +99,11 @@
     engine = next(engine for engine in fleet.engines if engine.settings.role == "write")
     handle = engine.handle
 
-    def noted(exchange: Exchange) -> None:
+    def record_body(exchange: Exchange) -> None:
         seen.append(exchange.body)
         handle(exchange)
 
-    engine.handle = noted  # type: ignore[method-assign]
+    engine.handle = record_body  # type: ignore[method-assign]
     tools: Any = [{"type": "function", "function": {"name": "f", "parameters": {"type": "object"}}}]
     answer = client(fleet).chat.completions.create(
         model=MODEL,
@@ -118,7 +118,7 @@
     sent = json.loads(next(body for body in seen if b"do_remote_prefill" in body))
     assert sent["novel_field"] == {"deep": [1, None, "é"]} and sent["tools"] == tools
     assert sent["temperature"] == 0.123456789012345678 and sent["stream"] is True
-    settled(fleet)
+    wait_until_idle(fleet)
 
 
 def test_models(fleet: FleetThread) -> None:
@@ -136,7 +136,7 @@
     stream = client(fleet).chat.completions.create(model=MODEL, messages=HELLO, max_tokens=5_000, stream=True)
     next(iter(stream))
     stream.close()
-    settled(fleet)
+    wait_until_idle(fleet)
     sent = fleet.events("sent")
     assert len(sent) == 1 and sent[0]["tokens"] < 5_000
 
@@ -144,17 +144,17 @@
 def test_a_client_that_hangs_up_while_its_request_waits_for_its_state(fleet: FleetThread) -> None:
     fleet.control("w0", "hang")
     with socket.create_connection(("127.0.0.1", fleet.port), timeout=10) as sock:
-        sock.sendall(post(body_of()))
+        sock.sendall(post_request(body_of()))
         fleet.until(
             lambda: any(
-                r.attempt is not None and r.attempt.server.name == "w0"
-                for r in fleet.edge.core.lifecycle.requests.values()
+                request.attempt is not None and request.attempt.server.name == "w0"
+                for request in fleet.edge.core.lifecycle.requests.values()
             )
         )
         assert any(engine.states for engine in fleet.engines)
     fleet.until(lambda: not fleet.edge.core.lifecycle.requests)
     fleet.control("w0", "wake")
-    settled(fleet)
+    wait_until_idle(fleet)
     assert fleet.events("release") and not fleet.events("run") and not fleet.events("expire")
 
 
@@ -164,7 +164,7 @@
         client(fleet, timeout=0.6).chat.completions.create(model=MODEL, messages=HELLO)
     assert caught.value.status_code in (503, 504)
     fleet.control("r0", "wake")
-    settled(fleet)
+    wait_until_idle(fleet)
 
 
 def test_a_refusal_says_when_to_come_back_and_the_clients_own_retry_succeeds(fleet: FleetThread) -> None:
@@ -187,13 +187,13 @@
         fleet.control(engine.settings.name, "normal")
     call.join(20)
     assert done[0].choices[0].message.content == "w0 w1"
-    settled(fleet)
+    wait_until_idle(fleet)
 
 
 @pytest.mark.parametrize("stream", [True, False])
 def test_a_client_whose_own_timeout_fires_leaves_nothing_behind(fleet: FleetThread, stream: bool) -> None:
     fleet.control("w0", "slow", 5.0)
-    # The package tells us its limit in this header, and we would answer before it: so here it tells another.
+    # The package sends its timeout in this header and the edge would answer before it, so a longer one is sent.
     hurried = client(fleet, timeout=0.4)
     with pytest.raises((openai.APITimeoutError, httpx.ReadTimeout)) as caught:
         answer: Any = hurried.chat.completions.create(
@@ -205,7 +205,7 @@
     assert stream or isinstance(caught.value, openai.APITimeoutError)
     hurried.close()
     fleet.control("w0", "wake")
-    settled(fleet)
+    wait_until_idle(fleet)
     tally = fleet.edge.core.lifecycle.counts
     assert (tally.taken, tally.left, tally.served) == (1, 1, 0)
 
@@ -230,7 +230,7 @@
     fleet.until(
         lambda: (
             fleet.edge.core.lifecycle.requests != {}
-            and all(r.streaming for r in fleet.edge.core.lifecycle.requests.values())
+            and all(request.streaming for request in fleet.edge.core.lifecycle.requests.values())
         )
     )
     fleet.control("w0", "reset_streams")
@@ -240,30 +240,30 @@
     else:
         assert isinstance(got[0], openai.InternalServerError) and got[0].status_code == 502
         assert got[0].response.headers["x-should-retry"] == "false"
-    settled(fleet)
-    assert len(fleet.events("run")) == 1, "the client's own retry was told off too"
+    wait_until_idle(fleet)
+    assert len(fleet.events("run")) == 1, "the client's own retry was refused too"
     assert fleet.edge.core.lifecycle.counts.failed == 1
 
 
-# --- bytes by hand
+# --- hand-written bytes
 
 
 @pytest.mark.parametrize(
     ("data", "status", "code"),
     [
-        (post(b"{"), 400, "invalid_json"),
-        (post(b"[]"), 400, "invalid_value"),
-        (post(body_of(messages=[])), 400, "invalid_value"),
-        (post(body_of(max_tokens=0)), 400, "invalid_value"),
-        (post(body_of(messages=[{"role": "boss", "content": "x"}])), 400, "invalid_value"),
-        (post(body_of(metadata={"class": "none such"})), 400, "invalid_value"),
-        (post(body_of(stream_options={"include_usage": True})), 400, "invalid_value"),
-        (post(body_of(kv_transfer_params={})), 400, "invalid_value"),
-        (post(body_of(), b"X-Request-Timeout-Ms: soon"), 400, "invalid_value"),
-        (post(body_of(), path=b"/v1/else"), 404, "not_found"),
+        (post_request(b"{"), 400, "invalid_json"),
+        (post_request(b"[]"), 400, "invalid_value"),
+        (post_request(body_of(messages=[])), 400, "invalid_value"),
+        (post_request(body_of(max_tokens=0)), 400, "invalid_value"),
+        (post_request(body_of(messages=[{"role": "boss", "content": "x"}])), 400, "invalid_value"),
+        (post_request(body_of(metadata={"class": "none such"})), 400, "invalid_value"),
+        (post_request(body_of(stream_options={"include_usage": True})), 400, "invalid_value"),
+        (post_request(body_of(kv_transfer_params={})), 400, "invalid_value"),
+        (post_request(body_of(), b"X-Request-Timeout-Ms: soon"), 400, "invalid_value"),
+        (post_request(body_of(), path=b"/v1/else"), 404, "not_found"),
         (b"GET /v1/chat/completions HTTP/1.1\r\nHost: x\r\n\r\n", 405, "method_not_allowed"),
-        (post(body_of()).replace(b"application/json", b"text/plain"), 415, "unsupported_media_type"),
-        (post(body_of(), b"Content-Encoding: gzip"), 415, "unsupported_media_type"),
+        (post_request(body_of()).replace(b"application/json", b"text/plain"), 415, "unsupported_media_type"),
+        (post_request(body_of(), b"Content-Encoding: gzip"), 415, "unsupported_media_type"),
         (
             b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n",
             413,
@@ -273,7 +273,7 @@
     ],
 )
 def test_what_is_not_taken_gets_an_error_object(fleet: FleetThread, data: bytes, status: int, code: str) -> None:
-    head, _, body = raw(fleet, data, until=b"}}").partition(b"\r\n\r\n")
+    head, _, body = send_raw(fleet, data, until=b"}}").partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 %d " % status), head
     error = json.loads(body)["error"]
     assert error["code"] == code and set(error) == {"message", "type", "param", "code"}
@@ -282,19 +282,19 @@
 
 def test_pipelined_requests_are_answered_in_order(fleet: FleetThread) -> None:
     data = (
-        post(body_of(max_tokens=6))
+        post_request(body_of(max_tokens=6))
         + b"GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n"
-        + post(body_of(max_tokens=1), b"Connection: close")
+        + post_request(body_of(max_tokens=1), b"Connection: close")
     )
-    got = raw(fleet, data)
+    got = send_raw(fleet, data)
     assert got.count(b"HTTP/1.1 200 OK") == 3
     assert got.index(b"w5") < got.index(b'"object":"list"') < got.index(b'"content":"w0"}')
-    settled(fleet)
+    wait_until_idle(fleet)
 
 
 def test_a_client_that_asks_may_send_its_body(fleet: FleetThread) -> None:
     body = body_of()
-    head, _, _ = post(body, b"Expect: 100-continue", b"Connection: close").partition(body)
+    head, _, _ = post_request(body, b"Expect: 100-continue", b"Connection: close").partition(body)
     with socket.create_connection(("127.0.0.1", fleet.port), timeout=10) as sock:
         sock.sendall(head)
         assert sock.recv(100) == b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -303,13 +303,13 @@
         while piece := sock.recv(4_096):
             got += piece
     assert got.startswith(b"HTTP/1.1 200 OK")
-    refused = raw(fleet, head.replace(b"/v1/chat", b"/v2/chat"), until=b"}}")
-    assert refused.startswith(b"HTTP/1.1 404"), "a body that is not wanted is not asked for"
+    refused = send_raw(fleet, head.replace(b"/v1/chat", b"/v2/chat"), until=b"}}")
+    assert refused.startswith(b"HTTP/1.1 404"), "no body is requested for a refused request"
 
 
 def test_a_client_that_closes_halfway_through_its_request_takes_nothing(fleet: FleetThread) -> None:
     with socket.create_connection(("127.0.0.1", fleet.port), timeout=10) as sock:
-        sock.sendall(post(body_of())[:-5])
+        sock.sendall(post_request(body_of())[:-5])
     assert client(fleet).models.list()
     assert fleet.edge.core.lifecycle.counts.taken == 0
 
@@ -331,7 +331,7 @@
         assert 'yardspindle_final_answers_total{cls="chat",code="served",final="served"} 2.0' in page
 
 
-# --- the halves and the list
+# --- edge, planner and server list
 
 
 def test_without_a_planner_new_requests_are_refused_at_once_and_streams_go_on(fleet: FleetThread) -> None:
@@ -348,7 +348,7 @@
     fleet.until(lambda: fleet.edge.core.epoch != 0)
     fleet.control("w0", "normal")
     assert client(fleet).chat.completions.create(model=MODEL, messages=HELLO, max_tokens=1).choices
-    settled(fleet)
+    wait_until_idle(fleet)
 
 
 def test_planner_and_edge_with_different_rules_do_not_work_together(fleet: FleetThread) -> None:
@@ -378,7 +378,7 @@
             )
         assert {event["box"] for event in fleet.events("end") if event["stage"] == "read"} == {"r1"}
         assert fleet.planner.server_list.version == 2
-        settled(fleet)
+        wait_until_idle(fleet)
 
 
 def test_engines_without_the_extension_serve_without_it(tmp_path: Path) -> None:
@@ -389,7 +389,7 @@
     with FleetThread(tmp_path, boxes=boxes) as fleet:
         assert client(fleet).chat.completions.create(model=MODEL, messages=HELLO, max_tokens=2).choices
         assert not fleet.events("hold place")
-        settled(fleet)
+        wait_until_idle(fleet)
 
 
 def test_the_prompt_estimate_learns_from_usage(fleet: FleetThread) -> None:
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -1,4 +1,4 @@
-"""Seeded worlds: a fixed set breaks no rule, the same seed is the same run, and found failures stay mended."""
+"""Seeded worlds: a fixed set breaks no rule, the same seed gives the same run, and found failures stay fixed."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from yardspindle.lab.traffic_simulation import run_script
 
 ROOT = Path(__file__).parent.parent
-FOUND = ROOT / "tests" / "found_worlds.json"
+FOUND_WORLDS = ROOT / "tests" / "found_worlds.json"
 SEEDS = range(24)
 
 
@@ -85,16 +85,18 @@
 
 
 @pytest.mark.parametrize(
-    "script", msgspec.json.decode(FOUND.read_bytes(), type=list[Script]), ids=lambda script: f"seed {script.seed}"
+    "script",
+    msgspec.json.decode(FOUND_WORLDS.read_bytes(), type=list[Script]),
+    ids=lambda script: f"seed {script.seed}",
 )
 def test_what_was_found_stays_mended(script: Script) -> None:
     assert run_script(script).breaks == ()
 
 
 def test_nothing_of_ours_reads_real_time_or_chance(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Libraries may (a metric notes when it was made); whatever of ours did would not be the same run again."""
+    """Libraries may (a metric records when it was created); in our own code it would make runs unreproducible."""
 
-    def watched(owner: Any, name: str) -> None:
+    def forbid(owner: Any, name: str) -> None:
         real = getattr(owner, name)
 
         def call(*more: Any, **named: Any) -> Any:
@@ -112,7 +114,7 @@
         (socket, ("socket", "create_connection")),
     ):
         for name in names:
-            watched(owner, name)
+            forbid(owner, name)
     assert run_script(draw_script(5)).breaks == ()
     with pytest.raises(AssertionError, match="yardspindle.planted called time.time"):
         exec("import time; time.time()", {"__name__": "yardspindle.planted"})
@@ -131,16 +133,16 @@
         long = any(fault.kind == other.kind and fault.for_ms > 100 for fault in candidate.faults)
         return "rule" if {one.kind, other.kind} <= kinds and needed in candidate.requests and long else ""
 
-    said: list[str] = []
-    small = shrink(script, said.append, fails)
+    messages: list[str] = []
+    small = shrink(script, messages.append, fails)
     assert small.requests == (needed,) and {fault.kind for fault in small.faults} == {one.kind, other.kind}
-    assert all(fault.for_ms <= 200 for fault in small.faults if fault.kind == other.kind) and said
+    assert all(fault.for_ms <= 200 for fault in small.faults if fault.kind == other.kind) and messages
     with pytest.raises(ValueError, match="breaks nothing"):
-        shrink(script, said.append, lambda _: "")
+        shrink(script, messages.append, lambda _: "")
 
 
 def test_a_planted_fault_is_found_and_shrunk(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Lifecycle, "_release_state", lambda self, r: setattr(r, "state_server", None))
+    monkeypatch.setattr(Lifecycle, "_release_state", lambda self, request: setattr(request, "state_server", None))
     script = next(script for seed in range(2, 20) if first_violated_rule(script := draw_script(seed)))
     rule = first_violated_rule(script)
     small = shrink(script, lambda _: None)
@@ -176,9 +178,9 @@
 # --- the commands
 
 
-def command(*words: str) -> subprocess.CompletedProcess[str]:
+def command(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "yardspindle", "lab", *words],
+        [sys.executable, "-m", "yardspindle", "lab", *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
