--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -204,7 +204,10 @@
         tempfile.TemporaryDirectory() as folder,
         FleetThread(
             Path(folder),
-            boxes=(EngineSettings(name="r0", role="read"), EngineSettings(name="w0", role="write", step_ms=2.0)),
+            engine_settings=(
+                EngineSettings(name="r0", role="read"),
+                EngineSettings(name="w0", role="write", step_ms=2.0),
+            ),
         ) as fleet,
     ):
         started = real.RealStream.__init__
--- a/tests/agent_standin.py
+++ b/tests/agent_standin.py
@@ -25,22 +25,22 @@
         self.phases = {f"h{number}": "Ready" for number in range(hosts)}
         self.world = sim.program(f"agent {address}")
         self.fault: Fault | None = None
-        self.faulty = 0
-        self.reached_us = 0  # unreachable until then
-        self.met: Signal = self.world.signal()  # set when a call meets the fault
-        self.asked: list[tuple[int, bytes]] = []
+        self.faulty_answers = 0
+        self.unreachable_until_us = 0  # unreachable until then
+        self.fault_met: Signal = self.world.signal()  # set when a call meets the fault
+        self.requests: list[tuple[int, bytes]] = []
         self.streams: list[Stream] = []
-        self.again: list[bytes] = []  # additional answers, sent shortly after the next one
-        self.waits = True
+        self.extra_answers: list[bytes] = []  # additional answers, sent shortly after the next one
+        self.long_polls = True
         self.complete = True
-        self.says: bytes | None = None  # body in place of the list
+        self.fixed_body: bytes | None = None  # body in place of the list
         host, _, port = address.rpartition(":")
         self.listener = self.world.listen(host, int(port))
         self.world.spawn("accept", self.accept)
 
     def body(self) -> bytes:
-        if self.says is not None:
-            return self.says
+        if self.fixed_body is not None:
+            return self.fixed_body
         members = [
             {"id": name, "host_port": f"10.3.{n >> 8}.{n & 255}:9000", "flavor": "reads", "phase": phase}
             for n, (name, phase) in enumerate(self.phases.items())
@@ -62,28 +62,28 @@
         parser = http1.RequestParser()
         try:
             while (head := read_request(stream, parser)) is not None:
-                self.asked.append((self.world.now_us(), head.target))
+                self.requests.append((self.world.now_us(), head.target))
                 query: dict[bytes, Any] = dict(
                     part.split(b"=") for part in head.target.partition(b"?")[2].split(b"&") if part
                 )
                 until = self.world.now_us() + int(query.get(b"wait", 0)) * 1_000
                 while (
-                    self.waits
+                    self.long_polls
                     and int(query.get(b"index", -1)) >= self.revision
                     and self.world.now_us() < until
-                    and not self.faulty
+                    and not self.faulty_answers
                 ):
                     self.sleep(1_000)
                 answer = plain(200, self.body())
-                if self.faulty and self.fault is not None:
-                    self.faulty -= 1
-                    self.met.set()
+                if self.faulty_answers and self.fault is not None:
+                    self.faulty_answers -= 1
+                    self.fault_met.set()
                     self.fault(self, stream, answer)
                     continue
                 stream.write(answer)
-                while self.again:
+                while self.extra_answers:
                     self.sleep(3_000)
-                    stream.write(self.again.pop(0))
+                    stream.write(self.extra_answers.pop(0))
         except StreamError:
             pass
         stream.close()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import settings
 
-from tests.crossings import Shared, Stage
+from tests.crossings import SharedStage, Stage
 from tests.known_failures import KnownFailure, read_known_failures
 
 settings.register_profile("same", derandomize=True, deadline=None)
@@ -35,12 +35,12 @@
 
 
 @pytest.fixture(scope="module")
-def shared(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Shared]:
-    shared = Shared(tmp_path_factory.mktemp("node"))
+def shared(tmp_path_factory: pytest.TempPathFactory) -> Iterator[SharedStage]:
+    shared = SharedStage(tmp_path_factory.mktemp("node"))
     yield shared
     shared.close()
 
 
 @pytest.fixture
-def stage(shared: Shared) -> Stage:
+def stage(shared: SharedStage) -> Stage:
     return shared.fresh()
--- a/tests/crossing_agent.py
+++ b/tests/crossing_agent.py
@@ -7,7 +7,7 @@
 from time import monotonic
 
 from tests.crossing_messages import plain, read_message
-from tests.crossing_parties import HERE, Host, Party, SocketLoop
+from tests.crossing_parties import LOOPBACK_ADDRESS, Host, Party, SocketLoop
 
 
 class AgentCall(Party):
@@ -50,8 +50,8 @@
 
     def __init__(self, stage: SocketLoop, hosts: list[Host]) -> None:
         self.stage, self.hosts, self.revision, self.silent, self.call_count = stage, hosts, 1, False, 0
-        self.listener = socket.create_server((HERE, 0), backlog=256)
-        self.address = f"{HERE}:{self.listener.getsockname()[1]}"
+        self.listener = socket.create_server((LOOPBACK_ADDRESS, 0), backlog=256)
+        self.address = f"{LOOPBACK_ADDRESS}:{self.listener.getsockname()[1]}"
         self.calls: list[AgentCall] = []
         stage.watch(self.listener, lambda: self.calls.append(AgentCall(self, self.listener.accept()[0])))
 
@@ -76,7 +76,7 @@
             self.hosts, self.revision = list(hosts), self.revision + 1
             for host in hosts:
                 if host.phase != "Ready":
-                    self.stage.ledger.drains.setdefault(host.name, monotonic())
+                    self.stage.ledger.draining_since.setdefault(host.name, monotonic())
             for call in self.calls:
                 call.answer_if_due()
 
--- a/tests/crossing_clients.py
+++ b/tests/crossing_clients.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from tests.crossing_draw import IDLE_UNUSED, PlannedRequest
-from tests.world_ledger import Asked
+from tests.world_ledger import ClientRequest
 from yardspindle.core.request import timeouts
 from yardspindle.protocol import http1
 from yardspindle.runtime.scheduler import DeadlineExceeded, Signal
@@ -115,7 +115,7 @@
         try:
             return Connection(self.platform.connect(), self.now_us())
         except ConnectError as error:
-            self.ledger.unserved.append(f"a client's connection was not made: {error}")
+            self.ledger.refused_connections.append(f"a client's connection was not made: {error}")
             return None
 
     def ask(self, ask: PlannedRequest, connection: Connection | None) -> Connection | None:
@@ -131,12 +131,12 @@
             connection.stream.write(data[:-1])
             self.platform.sleep(self.world.before("client_sent", ask.number, None) or 0)
             connection.stream.write(data[-1:])
-            record = Asked(ask.number, ask.effect, ask.deadline_ms * 1_000, self.now_us(), fresh)
-            self.ledger.asked[ask.number] = record
+            record = ClientRequest(ask.number, ask.effect, ask.deadline_ms * 1_000, self.now_us(), fresh)
+            self.ledger.requests[ask.number] = record
             self.world.after("client_sent", ask.number, None)
             keep = self.read_response(record, connection)
         except StreamError:
-            entry = self.ledger.asked.get(ask.number)
+            entry = self.ledger.requests.get(ask.number)
             if entry is not None and not connection.left and entry.whole_us is None:
                 entry.closed_us = self.now_us()
             keep = False
@@ -147,7 +147,7 @@
             self.close(ask.number, connection)
         return connection if keep else None
 
-    def read_response(self, record: Asked, connection: Connection) -> bool:
+    def read_response(self, record: ClientRequest, connection: Connection) -> bool:
         """Reads the answer piece by piece; returns whether the connection can be used again. Raises StreamError."""
         parser = connection.parser
         parser.expect_response(b"POST")
@@ -164,7 +164,7 @@
             record.stray = bytes(parser.buffer)
         return keep and record.whole_us is not None
 
-    def read_head(self, record: Asked, connection: Connection) -> bool:
+    def read_head(self, record: ClientRequest, connection: Connection) -> bool:
         while (event := connection.parser.next_event()) is None:
             data = connection.stream.read()
             if not data:
@@ -174,7 +174,7 @@
         record.status = event.status
         return http1.keeps_alive(event)
 
-    def read_body(self, record: Asked, connection: Connection, keep: bool) -> bool:
+    def read_body(self, record: ClientRequest, connection: Connection, keep: bool) -> bool:
         parser = connection.parser
         while True:
             event = parser.next_event()
@@ -195,7 +195,7 @@
     def close(self, number: bytes, connection: Connection, reset: bool = False) -> None:
         """The client closes its connection and records that it left."""
         connection.left = True
-        row = self.ledger.asked.get(number)
+        row = self.ledger.requests.get(number)
         if row is not None and row.whole_us is None and row.closed_us is None:
             row.left_us = self.now_us()
         (connection.stream.abort if reset else connection.stream.close)()
@@ -211,7 +211,7 @@
     def flood(self, number: bytes, size: int) -> None:
         """The client of an unanswered request sends many more requests, up to `size` bytes, and closes."""
         entry = self.open.get(number)
-        if entry is None or number not in self.ledger.asked:
+        if entry is None or number not in self.ledger.requests:
             return
         ask, connection = entry
         if connection.flooding:
@@ -231,7 +231,9 @@
                         b'{"stream":true,"x":"%s"}' % (b"x" * min(size, 20_000)),
                     )
                     connection.stream.write(data)
-                    self.ledger.asked[more] = Asked(more, ask.effect, ask.deadline_ms * 1_000, self.now_us(), False)
+                    self.ledger.requests[more] = ClientRequest(
+                        more, ask.effect, ask.deadline_ms * 1_000, self.now_us(), False
+                    )
                     sent, at = sent + len(data), at + 1
 
         def send_and_close() -> None:
@@ -240,7 +242,7 @@
                 task.join()
             self.open.pop(number, None)
             self.close(number, connection)
-            for more, row in self.ledger.asked.items():
+            for more, row in self.ledger.requests.items():
                 if more.startswith(number + b".p"):
                     row.left_us = self.now_us()
 
--- a/tests/crossing_hosts.py
+++ b/tests/crossing_hosts.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Any, Protocol
 
-from tests.platform_standin import HEAD, TOLD, Host, Platform, plain, read_request
+from tests.platform_standin import ENVIRONMENT, HEAD, Host, Platform, plain, read_request
 from tests.world_ledger import Attempt, Hold, Ledger
 from yardspindle.protocol import http1
 from yardspindle.runtime.scheduler import DeadlineExceeded, Signal
@@ -93,7 +93,7 @@
             if attempt is None:
                 return self.answer_place(to, head.method, head.target.rpartition(b"/")[2])
             attempt.last_us = self.world.now_us()
-            attempt.told_ms = int(head.get(b"req-deadline-ms") or 0)
+            attempt.stated_deadline_ms = int(head.get(b"req-deadline-ms") or 0)
             self.on_dispatcher_step("read_last" if self.reads else "write_last", attempt.id)
             return self.respond(to, attempt)
         finally:
@@ -293,7 +293,7 @@
             self.add(f"{flavor}-{at}", flavor, f"10.3.0.{at}:9000")
         self.revision = FIRST_REVISION
         self.clients = self.sim.program("clients")
-        self.discovery(TOLD["ROUTER_DISCOVERY"])
+        self.discovery(ENVIRONMENT["ROUTER_DISCOVERY"])
 
     def add(self, name: str, flavor: str, address: str) -> None:
         self.hosts[name] = CrossingHost(self, name, flavor, address)
@@ -318,7 +318,7 @@
             known_us = max(known_us, self.silent_since_us + SILENT_WATCH_LIMIT_US)
         if self.moved_us:
             known_us = max(known_us, self.moved_us + MOVED_AGENT_LIMIT_US)
-        self.ledger.told[host.name] = known_us
+        self.ledger.drains_known[host.name] = known_us
         self.undelivered[host.name] = self.sim.now_us()
         self.wake_watches()
 
@@ -329,7 +329,7 @@
 
     def silence_watches(self) -> None:
         """The open watches become silent."""
-        self.watches += 1
+        self.silenced_watches += 1
         self.silent_since_us = self.sim.now_us()
         self.postpone_undelivered(self.silent_since_us + SILENT_WATCH_LIMIT_US)
 
@@ -342,7 +342,7 @@
         """Changes of this very moment were not delivered: the dispatcher must know them at `known_us` only."""
         for name, at in self.undelivered.items():
             if at > self.sim.now_us() - PROPAGATION_US:
-                self.ledger.told[name] = max(self.ledger.told[name], known_us)
+                self.ledger.drains_known[name] = max(self.ledger.drains_known[name], known_us)
 
     def members(self) -> list[dict[str, Any]]:
         return [row for row in super().members() if row["phase"] != "Gone"]
@@ -360,7 +360,7 @@
                 {"revision": 0, "complete": True, "members": [{**row, "phase": "Ready"} for row in super().members()]}
             ).encode()
         for name in self.undelivered:
-            self.ledger.delivered(name, self.sim.now_us())
+            self.ledger.drain_delivered(name, self.sim.now_us())
         self.undelivered.clear()
         return json.dumps({"revision": self.revision - below, "complete": complete, "members": rows}).encode()
 
@@ -371,15 +371,15 @@
         listener = world.listen(host, int(port))
 
         def serve(stream: Stream) -> None:
-            parser, generation = http1.RequestParser(), self.watches
+            parser, generation = http1.RequestParser(), self.silenced_watches
             self.open_watches.append(stream)
 
             def is_silent() -> bool:
-                return generation != self.watches or world.now_us() < self.down_until_us
+                return generation != self.silenced_watches or world.now_us() < self.down_until_us
 
             with contextlib.suppress(StreamError):
                 while (head := read_request(stream, parser)) is not None:
-                    if generation == self.watches:
+                    if generation == self.silenced_watches:
                         self.silent_since_us = 0
                     query = dict(p.split(b"=") for p in head.target.partition(b"?")[2].split(b"&") if p)
                     index = int(query.get(b"index", -1 - below)) + below
--- a/tests/crossing_ledger.py
+++ b/tests/crossing_ledger.py
@@ -30,14 +30,14 @@
     deadline_ms: int
     data: bytes
     written: int = 0  # bytes sent so far
-    asked: float | None = None  # when its last byte was sent
-    late: bool = False  # the program had already ended the connection
+    sent_at: float | None = None  # when its last byte was sent
+    sent_after_close: bool = False  # the program had already ended the connection
     stalled_s: float = 0.0  # `Ledger.stalled_s()` at that time
-    left: float | None = None  # when its client closed
+    left_at: float | None = None  # when its client closed
     answers: list[tuple[float, Message]] = field(default_factory=list)
 
 
-def request(
+def make_request(
     number: str,
     cls: str = "ask",
     deadline_ms: int = 5_000,
@@ -68,19 +68,19 @@
     role: str
     deadline_ms: float
     first_byte_at: float  # when its first byte was read
-    at: float  # when its last byte was read
+    received_at: float  # when its last byte was read
     stalled_s: float
     arrived_at: float  # when the kernel received that byte
-    over: float | None = None
-    how: int = 0  # the status of its answer; 0: the connection ended without one
+    ended_at: float | None = None
+    status: int = 0  # the status of its answer; 0: the connection ended without one
     events: bytes = b""  # the events of its stream
-    finished: float | None = None  # when the stream's last byte was written
+    finished_at: float | None = None  # when the stream's last byte was written
 
 
 class Ledger:
     """All that passed in one test, in order, and the checks of the rules.
 
-    A test judges at its end; violations that are certain at once are collected in `seen`.
+    A test judges at its end; violations that are certain at once are collected in `violations`.
     """
 
     def __init__(self, release_s: float, grace_s: float, stalled_s: Callable[[], float]) -> None:
@@ -89,11 +89,11 @@
         self.lock = threading.RLock()
         self.requests: list[Request] = []
         self.attempts: list[Attempt] = []
-        self.moves: list[tuple[float, str, bytes]] = []  # changes of what is held: time, kind, request id
-        self.drains: dict[str, float] = {}  # when discovery reported a host's drain
-        self.away: list[tuple[float, float]] = []  # from when to when the program was stopped
-        self.seen: list[str] = []  # violations found before the end
-        self.term: float | None = None
+        self.hold_changes: list[tuple[float, str, bytes]] = []  # changes of what is held: time, kind, request id
+        self.draining_since: dict[str, float] = {}  # when discovery reported a host's drain
+        self.pauses: list[tuple[float, float]] = []  # from when to when the program was stopped
+        self.violations: list[str] = []  # violations found before the end
+        self.sigterm_at: float | None = None
         self.transcript: list[tuple[float, str]] = []
 
     def log(self, text: str) -> None:
@@ -102,11 +102,11 @@
 
     def observable_at(self, at: float) -> float:
         """When the program could first observe what happened at a time: after the pause, if it was stopped."""
-        return next((to for begun, to in self.away if begun <= at < to), at)
+        return next((to for begun, to in self.pauses if begun <= at < to), at)
 
     def paused_s(self, begin: float, end: float) -> float:
         """For how many seconds of an interval the program was stopped."""
-        return sum(max(min(to, end) - max(begun, begin), 0.0) for begun, to in self.away)
+        return sum(max(min(to, end) - max(begun, begin), 0.0) for begun, to in self.pauses)
 
     # --- clients
 
@@ -116,7 +116,7 @@
             self.log(f"answer {message.status} {'whole' if message.whole else 'cut'}")
             open_one = next((request for request in requests if request.written and not request.answers), None)
             if open_one is None:
-                self.seen.append(f"an answer {message.status} with no request before it")
+                self.violations.append(f"an answer {message.status} with no request before it")
             else:
                 open_one.answers.append((monotonic(), message))
 
@@ -127,14 +127,14 @@
             waiting = [
                 request
                 for request in requests
-                if request.left is None
+                if request.left_at is None
                 and request.written
-                and (not request.answers or request.asked is None or request.asked > request.answers[0][0])
+                and (not request.answers or request.sent_at is None or request.sent_at > request.answers[0][0])
             ]
             if how == "rst" and waiting:
-                self.seen.append(f"{waiting[0].id.decode()}: reset under a request or its answer")
+                self.violations.append(f"{waiting[0].id.decode()}: reset under a request or its answer")
             if stray:
-                self.seen.append(f"bytes that are no answer: {stray[:40]!r}")
+                self.violations.append(f"bytes that are no answer: {stray[:40]!r}")
 
     # --- hosts
 
@@ -142,49 +142,49 @@
         with self.lock:
             self.log(f"{attempt.role} of {attempt.id.decode()} at {attempt.host}")
             self.attempts.append(attempt)
-            self.moves.append((attempt.at, attempt.role, attempt.id))
+            self.hold_changes.append((attempt.received_at, attempt.role, attempt.id))
 
     def on_attempt_end(self, attempt: Attempt, how: int) -> None:
         """An attempt is about to be answered with this status, or its connection ended (0)."""
         with self.lock:
-            if attempt.over is not None:
+            if attempt.ended_at is not None:
                 return
-            attempt.over, attempt.how = monotonic(), how
+            attempt.ended_at, attempt.status = monotonic(), how
             self.log(f"{attempt.role} of {attempt.id.decode()} over: {how}")
             kind = {202: "left", 200: "served", 410: "lost", 503: "declined", 504: "declined"}.get(how, "ended")
             if attempt.role == "read":  # a read may have succeeded just as its connection ended
                 kind = "left" if how in (0, 202) else "ended"
-            self.moves.append((attempt.over, kind, attempt.id))
+            self.hold_changes.append((attempt.ended_at, kind, attempt.id))
 
     def on_hold_change(self, kind: str, number: bytes) -> None:
         """A place was requested ("placed"), or all that a request holds was released ("freed")."""
         with self.lock:
             self.log(f"{kind} {number.decode()}")
-            self.moves.append((monotonic(), kind, number))
+            self.hold_changes.append((monotonic(), kind, number))
 
-    def no_place(self, number: bytes) -> None:
+    def on_place_refused(self, number: bytes) -> None:
         """The place requested last was not reserved."""
         with self.lock:
             self.log(f"no place for {number.decode()}")
-            asked = [move for move in self.moves if move[1:] == ("placed", number)]
-            self.moves.remove(asked[-1])
+            asked = [move for move in self.hold_changes if move[1:] == ("placed", number)]
+            self.hold_changes.remove(asked[-1])
 
     def read_in_flight(self, number: bytes) -> bool:
         """Whether a read of this request is in flight."""
-        return any(a.id == number and a.role == "read" and a.over is None for a in self.attempts)
+        return any(a.id == number and a.role == "read" and a.ended_at is None for a in self.attempts)
 
     def place_requested(self, number: bytes) -> bool:
         """Whether a place was requested since the latest read of this request."""
         with self.lock:
-            last = max((a.at for a in self.attempts if a.id == number and a.role == "read"), default=0.0)
-            return any(kind == "placed" and known == number and at >= last for at, kind, known in self.moves)
+            last = max((a.received_at for a in self.attempts if a.id == number and a.role == "read"), default=0.0)
+            return any(kind == "placed" and known == number and at >= last for at, kind, known in self.hold_changes)
 
     # --- judging
 
     def longest_hold(self, number: bytes, now: float) -> tuple[float, bool]:
         """The longest time that something was held for a request with no attempt in flight; whether it still is."""
         held, out, since, longest = False, 0, now, 0.0
-        for at, kind, known in sorted(self.moves, key=lambda move: move[0]):
+        for at, kind, known in sorted(self.hold_changes, key=lambda move: move[0]):
             if known != number:
                 continue
             if held and not out:
@@ -211,13 +211,15 @@
         """The requests for which something is still held."""
         with self.lock:
             return [
-                number for number in {known for _, _, known in self.moves} if self.longest_hold(number, monotonic())[1]
+                number
+                for number in {known for _, _, known in self.hold_changes}
+                if self.longest_hold(number, monotonic())[1]
             ]
 
     def judge(self) -> list[str]:
         """All violations of the rules, one line each."""
         with self.lock:
-            found = list(self.seen)
+            found = list(self.violations)
             for request in self.requests:
                 own = self._attempts_of(request)
                 found += [
@@ -229,12 +231,12 @@
                         *self._check_effect(request, own),
                     )
                 ]
-            for number in {known for _, _, known in self.moves}:
+            for number in {known for _, _, known in self.hold_changes}:
                 longest, _ = self.longest_hold(number, monotonic())
                 if longest > self.release_s + HELD_SLACK_S:
                     found.append(f"{number.decode()}: held for {longest:.2f} s with no attempt out")
             for attempt in self.attempts:
-                told = self.drains.get(attempt.host)
+                told = self.draining_since.get(attempt.host)
                 if told is not None and attempt.first_byte_at > self.observable_at(told) + self.grace_s + DRAIN_SLACK_S:
                     found.append(
                         f"{attempt.id.decode()}: sent to {attempt.host} {attempt.first_byte_at - told:.2f} s"
@@ -248,34 +250,39 @@
         """A request's attempts; where another request used its id again later, those before that."""
         again = min(
             (
-                other.asked
+                other.sent_at
                 for other in self.requests
-                if other.id == request.id and other.asked and other.asked > (request.asked or 0.0)
+                if other.id == request.id and other.sent_at and other.sent_at > (request.sent_at or 0.0)
             ),
             default=float("inf"),
         )
         return sorted(
-            (a for a in self.attempts if a.id == request.id and (request.asked or 0.0) <= a.at < again),
-            key=lambda attempt: attempt.at,
+            (a for a in self.attempts if a.id == request.id and (request.sent_at or 0.0) <= a.received_at < again),
+            key=lambda attempt: attempt.received_at,
         )
 
     def _check_answers(self, request: Request, own: list[Attempt]) -> list[str]:
         """Each request gets one final answer, and a stream is the one that a host made."""
         if len(request.answers) > 1:
             return ["more than one answer"]
-        if request.asked is not None and not request.answers and request.left is None and not request.late:
+        if (
+            request.sent_at is not None
+            and not request.answers
+            and request.left_at is None
+            and not request.sent_after_close
+        ):
             return ["no answer"]
-        if request.late and own:
+        if request.sent_after_close and own:
             return ["sent on though it came after the program had ended the connection"]
-        if not request.answers or request.left is not None or request.asked is None:
+        if not request.answers or request.left_at is not None or request.sent_at is None:
             return []
         at, message = request.answers[0]
         if message.status != 200:
             due = (
-                request.asked
+                request.sent_at
                 + request.deadline_ms / 1_000
                 + ANSWER_SLACK_S
-                + self.paused_s(request.asked, at)
+                + self.paused_s(request.sent_at, at)
                 + self.stalled_s()
                 - request.stalled_s
             )
@@ -284,14 +291,14 @@
         if made is None or not made.events.startswith(message.body):
             return ["a stream that no host made"]
         if message.whole:
-            return [] if made.finished is not None and message.body == made.events else ["a part passed on as whole"]
+            return [] if made.finished_at is not None and message.body == made.events else ["a part passed on as whole"]
         if (
-            made.finished is not None
-            and at - self.observable_at(made.finished) > STREAM_END_SLACK_S
-            or (made.finished is not None and self.term is None)
+            made.finished_at is not None
+            and at - self.observable_at(made.finished_at) > STREAM_END_SLACK_S
+            or (made.finished_at is not None and self.sigterm_at is None)
         ):
             return ["a stream cut though its host had ended it"]
-        if made.over is None and self.term is None:
+        if made.ended_at is None and self.sigterm_at is None:
             return ["a stream cut while its host writes"]
         return []
 
@@ -300,29 +307,32 @@
         found = [
             f"two attempts at once, at {attempt.host} and {other.host}"
             for attempt, other in zip(own, own[1:], strict=False)
-            if attempt.over is None or attempt.over > other.at
+            if attempt.ended_at is None or attempt.ended_at > other.received_at
         ]
         found += [
             "written before it was read"
             for attempt in own
             if attempt.role == "write"
-            and not any(read.how == 202 and read.over is not None and read.over <= attempt.at for read in own)
+            and not any(
+                read.status == 202 and read.ended_at is not None and read.ended_at <= attempt.received_at
+                for read in own
+            )
         ]
-        freed = [at for at, kind, known in self.moves if kind == "freed" and known == request.id]
+        freed = [at for at, kind, known in self.hold_changes if kind == "freed" and known == request.id]
         return found + [
             f"released during its {attempt.role}"
             for attempt in own
-            if any(attempt.at < at and (attempt.over is None or at < attempt.over) for at in freed)
+            if any(attempt.received_at < at and (attempt.ended_at is None or at < attempt.ended_at) for at in freed)
         ]
 
     def _check_times(self, request: Request, own: list[Attempt]) -> list[str]:
         """No attempt starts after its client left, and none gets a deadline later than its client's."""
         found = []
         for attempt in own:
-            if request.left is not None and attempt.arrived_at > self.observable_at(request.left) + LEAVE_SLACK_S:
-                found.append(f"{attempt.role} begun {attempt.arrived_at - request.left:.2f} s after its client left")
-            if request.asked is not None:
-                left_ms = request.deadline_ms - (attempt.arrived_at - self.observable_at(request.asked)) * 1_000
+            if request.left_at is not None and attempt.arrived_at > self.observable_at(request.left_at) + LEAVE_SLACK_S:
+                found.append(f"{attempt.role} begun {attempt.arrived_at - request.left_at:.2f} s after its client left")
+            if request.sent_at is not None:
+                left_ms = request.deadline_ms - (attempt.arrived_at - self.observable_at(request.sent_at)) * 1_000
                 # The program cannot know for how long the machine kept it from running.
                 more_ms = DEADLINE_SLACK_MS + (attempt.stalled_s - request.stalled_s) * 1_000
                 if attempt.deadline_ms > left_ms + more_ms:
@@ -336,10 +346,10 @@
         """A request that must run at most once is neither resent nor refused once a write may have run."""
         if request.cls != "order":
             return []
-        ran = next((a for a in own if a.role == "write" and a.how not in (*DECLINED, 410)), None)
+        ran = next((a for a in own if a.role == "write" and a.status not in (*DECLINED, 410)), None)
         if ran is None:
             return []
-        found = ["sent again though it may have run" for attempt in own if attempt.at > ran.at]
+        found = ["sent again though it may have run" for attempt in own if attempt.received_at > ran.received_at]
         return found + [
             f"refused ({message.status}) though it may have run"
             for _, message in request.answers
--- a/tests/crossing_messages.py
+++ b/tests/crossing_messages.py
@@ -59,7 +59,7 @@
 EVENT = b'data: {"choices":[{"index":0,"delta":{"content":"a"}}]}\n\n'
 HEAD = b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
 DONE = b"data: [DONE]\n\n"
-LAST = b"0\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
 
 
 def plain(status: int, body: bytes = b"", *headers: bytes) -> bytes:
--- a/tests/crossing_parties.py
+++ b/tests/crossing_parties.py
@@ -12,15 +12,15 @@
 from time import monotonic, time
 from typing import Any, TypeVar
 
-from tests.crossing_ledger import Attempt, Ledger, Request, request
-from tests.crossing_messages import DONE, EVENT, HEAD, LAST, Message, chunk, plain, read_message
+from tests.crossing_ledger import Attempt, Ledger, Request, make_request
+from tests.crossing_messages import DONE, EVENT, HEAD, LAST_CHUNK, Message, chunk, plain, read_message
 
 T = TypeVar("T")
 MAX_WAIT_S = 10.0  # of any step of a test
 # A loopback address used by this process only: parallel tests still connect to ports of 127.0.0.1 that they have freed.
-HERE = f"127.{64 + (os.getpid() >> 16) % 64}.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"
+LOOPBACK_ADDRESS = f"127.{64 + (os.getpid() >> 16) % 64}.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"
 SO_TIMESTAMPNS = 35  # Linux's value
-UNKNOWN_S = 0.3  # after this a writer asked for a place answers that it knows of no such read
+UNKNOWN_READ_S = 0.3  # after this a writer asked for a place answers that it knows of no such read
 POLL_INTERVAL_S = 0.02  # interval at which due answers are sent
 
 
@@ -171,7 +171,7 @@
         self.requests: list[Request] = []
         self.answers: list[Message] = []
         self.current: Message | None = None  # the answer being received
-        super().__init__(stage, socket.create_connection((HERE, stage.port), MAX_WAIT_S))
+        super().__init__(stage, socket.create_connection((LOOPBACK_ADDRESS, stage.port), MAX_WAIT_S))
 
     def ask(
         self, number: str, cls: str = "ask", deadline_ms: int = 5_000, upto: int | None = None, **more: Any
@@ -183,7 +183,7 @@
 
     def prepare(self, number: str, cls: str = "ask", deadline_ms: int = 5_000, **more: Any) -> Request:
         """Creates a request without sending it."""
-        record = request(self.stage.full_id(number), cls, deadline_ms, **more)
+        record = make_request(self.stage.full_id(number), cls, deadline_ms, **more)
         self.stage.ledger.requests.append(record)
         self.requests.append(record)
         return record
@@ -194,16 +194,16 @@
         data = record.data[record.written : upto]
         record.written += len(data)
         if record.written == len(record.data):
-            record.stalled_s, record.asked = self.stage.stalled_s(), monotonic()
+            record.stalled_s, record.sent_at = self.stage.stalled_s(), monotonic()
         self.send(data)
-        record.late = bool(self.end) or self.end_is_pending()
+        record.sent_after_close = bool(self.end) or self.end_is_pending()
 
     def disconnect(self, how: str) -> None:
         """Leaves: "close" closes the socket, "rst" resets it, "fin" shuts down the sending side only."""
         with self.stage.ledger.lock:
             self.stage.ledger.log(f"the client leaves: {how}")
             for record in self.requests:
-                record.left = record.left or monotonic()
+                record.left_at = record.left_at or monotonic()
         if how == "fin":
             self.shutdown_write()
         else:
@@ -289,7 +289,7 @@
                 ledger.on_hold_change({"free": "freed", "place": "placed"}[self.kind], self.id)
             self.first_byte_at, self.count = 0.0, self.count + 1
             if self.kind == "place" and self.kind in self.host.auto_answers and not ledger.read_in_flight(self.id):
-                self.stage.scheduled_answers.append((monotonic() + UNKNOWN_S, self, 204))
+                self.stage.scheduled_answers.append((monotonic() + UNKNOWN_READ_S, self, 204))
             elif self.kind in self.host.auto_answers:
                 self.answer(self.host.auto_answers[self.kind])
             else:
@@ -302,7 +302,7 @@
         if self.attempt is not None:
             self.stage.ledger.on_attempt_end(self.attempt, status)
         elif self.kind == "place" and status not in (200, 204):
-            self.stage.ledger.no_place(self.id)
+            self.stage.ledger.on_place_refused(self.id)
         self.send(plain(status, body, *headers))
 
     def decline(self, status: int = 503) -> None:
@@ -324,11 +324,11 @@
         """Sends the last event and chunk; with `fin` also the connection's end, in the same segment."""
         assert self.attempt is not None
         self.attempt.events += DONE
-        self.attempt.finished = monotonic()
+        self.attempt.finished_at = monotonic()
         self.stage.ledger.on_attempt_end(self.attempt, 200)
         if fin:
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 1)
-        self.send(chunk(DONE) + LAST)
+        self.send(chunk(DONE) + LAST_CHUNK)
         if fin:
             self.shutdown_write()
 
@@ -352,7 +352,7 @@
         self.auto_answers: dict[str, int] = {"free": 204}
         if places is not None:
             self.auto_answers["place"] = places
-        self.listener = socket.create_server((HERE, 0), backlog=64)
+        self.listener = socket.create_server((LOOPBACK_ADDRESS, 0), backlog=64)
         self.listener.setsockopt(
             socket.SOL_SOCKET, SO_TIMESTAMPNS, 1
         )  # inherited by accepted connections, from their first byte on
@@ -390,7 +390,7 @@
     def entry(self) -> dict[str, Any]:
         return {
             "id": self.name,
-            "host_port": f"{HERE}:{self.listener.getsockname()[1]}",
+            "host_port": f"{LOOPBACK_ADDRESS}:{self.listener.getsockname()[1]}",
             "locality": "a",
             "flavor": "reads" if self.role == "read" else "writes",
             "cell": 1,
--- a/tests/crossing_worlds.py
+++ b/tests/crossing_worlds.py
@@ -18,7 +18,7 @@
 from tests.crossing_draw import DISPATCHER_STEPS, RIGHT_AFTER_US, Crossing, Plan, draw
 from tests.crossing_events import Events
 from tests.crossing_hosts import CrossingHost, CrossingPlatform
-from tests.platform_standin import TOLD
+from tests.platform_standin import ENVIRONMENT
 from tests.world_ledger import Ledger
 from yardspindle.core.request.graceful_shutdown import shutdown_times
 from yardspindle.node.app import Node
@@ -106,7 +106,7 @@
     def start(self) -> None:
         world = self.sim.program("node")
         data = json.dumps({"limits": {"sockets": 256}, "settings": self.plan.settings, "seed": f"{self.plan.seed:x}"})
-        self.node = Node(world, parse_config(TOLD, data.encode()))
+        self.node = Node(world, parse_config(ENVIRONMENT, data.encode()))
         world.spawn("start", self.node.start).join()
 
     def reload(self) -> None:
@@ -117,7 +117,7 @@
             self.platform.discovery("10.2.0.9:8500", below)
             self.platform.moved_us = self.sim.now_us()
         data = {"discovery": "10.2.0.9:8500", "settings": self.plan.settings}
-        self.node.reload(parse_config(TOLD, json.dumps(data).encode()))
+        self.node.reload(parse_config(ENVIRONMENT, json.dumps(data).encode()))
 
     def terminate(self) -> None:
         """Sends SIGTERM; SIGKILL follows if the graceful shutdown takes too long."""
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -21,7 +21,7 @@
 
 from tests.crossing_agent import Agent
 from tests.crossing_ledger import HELD_SLACK_S, Ledger
-from tests.crossing_parties import HERE, MAX_WAIT_S, Call, Client, Host, SocketLoop
+from tests.crossing_parties import LOOPBACK_ADDRESS, MAX_WAIT_S, Call, Client, Host, SocketLoop
 
 RELEASE_S = 0.3
 GRACE_S = 0.25
@@ -52,7 +52,7 @@
     "conn-idle-us": 15_000_000,
     "connect-timeout-us": 250_000,
 }
-TROUBLE = (
+FAILURE_LOG_LINES = (
     "rule broken",
     "a task failed",
     "a request's handler failed",
@@ -61,7 +61,7 @@
     "Traceback",
 )
 # Reported falsely after a pause, during which the program's clock runs on; the ledger checks this rule instead.
-LATE = "rule broken rule=one final answer"
+LATE_ANSWER_LOG_LINE = "rule broken rule=one final answer"
 
 
 class Stage(SocketLoop):
@@ -116,7 +116,7 @@
 
     def _start(self) -> bool:
         """Starts the program; returns whether it is ready. A connection may have taken its port in the meantime."""
-        spare = socket.create_server((HERE, 0))
+        spare = socket.create_server((LOOPBACK_ADDRESS, 0))
         self.port = spare.getsockname()[1]
         spare.close()
         self.config = self.folder / "config.json"
@@ -124,7 +124,7 @@
         env = {
             **os.environ,
             "ROUTER_NAME": "n",
-            "ROUTER_LISTEN": f"{HERE}:{self.port}",
+            "ROUTER_LISTEN": f"{LOOPBACK_ADDRESS}:{self.port}",
             "ROUTER_DISCOVERY": self.agent.address,
             "ROUTER_CONFIG": str(self.config),
             "PYTHONPATH": str(self.package),
@@ -278,7 +278,7 @@
         with self.changed:
             self.ledger.log(number.name)
             if number is signal.SIGTERM:
-                self.ledger.term = monotonic()
+                self.ledger.sigterm_at = monotonic()
         self.node.send_signal(number)
 
     @contextlib.contextmanager
@@ -291,7 +291,7 @@
             yield
         finally:
             with self.changed:
-                self.ledger.away.append((begun, monotonic()))
+                self.ledger.pauses.append((begun, monotonic()))
                 self.ledger.log(f"stopped for {monotonic() - begun:.3f} s")
             self.node.send_signal(signal.SIGCONT)
 
@@ -362,7 +362,7 @@
             rows = self.log[self._judged_lines :]
             self._judged_lines = len(self.log)
             found = self.ledger.judge() + [
-                row for _, row in rows if row.startswith(TROUBLE) and not row.startswith(LATE)
+                row for _, row in rows if row.startswith(FAILURE_LOG_LINES) and not row.startswith(LATE_ANSWER_LOG_LINE)
             ]
             if self.node.poll() not in (None, 0):
                 found.append(f"the program ended with {self.node.returncode}")
@@ -379,7 +379,7 @@
         self.passed = True
 
 
-class Shared:
+class SharedStage:
     """A stage shared by the tests of a module; after a failed test the next one gets a new program."""
 
     def __init__(self, folder: Path, **settings: Any) -> None:
--- a/tests/fleet_scenarios.py
+++ b/tests/fleet_scenarios.py
@@ -65,7 +65,7 @@
 
 
 def assert_rules_hold(p: Processes) -> None:
-    assert check(p.folder, p.boxes) == []
+    assert check(p.folder, p.engines) == []
 
 
 def engine_received_order(p: Processes, fence: int) -> bool:
--- a/tests/fleet_thread.py
+++ b/tests/fleet_thread.py
@@ -35,14 +35,17 @@
         self,
         folder: Path,
         config: dict[str, Any] | None = None,
-        boxes: tuple[EngineSettings, ...] | None = None,
+        engine_settings: tuple[EngineSettings, ...] | None = None,
         engine_type: type[StandInEngine] = StandInEngine,
     ) -> None:
         self.folder = folder
         self.engine_type = engine_type
         self.journal = folder / "journal.jsonl"
         base = {**CONFIG, **(config or {})}
-        self.boxes = boxes or (EngineSettings(name="r0", role="read"), EngineSettings(name="w0", role="write"))
+        self.engine_settings = engine_settings or (
+            EngineSettings(name="r0", role="read"),
+            EngineSettings(name="w0", role="write"),
+        )
         self.document = {
             **base,
             "planner": {**base.get("planner", {}), "servers": str(folder / "servers.toml"), "listen": "127.0.0.1:0"},
@@ -81,12 +84,12 @@
             self._ready.set()
 
     def _program(self) -> None:
-        for box in self.boxes:
+        for box in self.engine_settings:
             named = {name: getattr(box, name) for name in box.__struct_fields__}
             engine = self.engine_type(self.world, EngineSettings(**{**named, "journal": str(self.journal)}))
             engine.start("127.0.0.1", 0)
             self.engines.append(engine)
-        self.write_list()
+        self.write_server_list()
         self.start_planner("127.0.0.1:0")
         edge = {"planner": f"127.0.0.1:{self.planner_port}", **self.document.get("edge", {})}
         self.config = self._parse({**self.document, "edge": edge})
@@ -117,7 +120,7 @@
     def _parse(self, document: dict[str, Any]) -> Config:
         return parse("test", to_toml(document))
 
-    def write_list(self, **states: str) -> None:
+    def write_server_list(self, **states: str) -> None:
         self.states |= states
         rows = [f"count = {len(self.engines)}"]
         for engine in self.engines:
--- a/tests/ledger.py
+++ b/tests/ledger.py
@@ -23,7 +23,7 @@
     def handle(self, now_us: int, event: i.Event) -> list[i.Action]: ...
 
 
-class Broken(AssertionError):
+class RuleViolation(AssertionError):
     """A policy violated a rule."""
 
 
@@ -240,7 +240,7 @@
                     self.resolve(number, record.streaming, i.Status.SERVED)
         for number, record in self.requests.items():
             if not record.finished:
-                raise Broken(f"answered: request {number} has no final answer")
+                raise RuleViolation(f"answered: request {number} has no final answer")
 
     # --- checks
 
@@ -250,24 +250,24 @@
 
     def check_drain(self, server: int) -> None:
         if self.now > self.leaving_since.get(server, self.now) + self.settings.drain_grace_us:
-            raise Broken(f"drains: server {server} was sent work after its drain grace")
+            raise RuleViolation(f"drains: server {server} was sent work after its drain grace")
 
     def apply(self, action: i.Action) -> None:
         match action:
             case i.Send(number, server, timeout):
                 record = self.requests[number]
                 if record.finished:
-                    raise Broken(f"answered: send for {number}, which has ended")
+                    raise RuleViolation(f"answered: send for {number}, which has ended")
                 self.check_drain(server)
                 if record.in_flight and not self.settings.second_copies:
-                    raise Broken(f"effects: two attempts out for {number}")
+                    raise RuleViolation(f"effects: two attempts out for {number}")
                 if not self.is_reader(server):
                     for server_before, sent in record.may_have_run:
                         cells = self.entries[server_before].cell, self.entries[server].cell
                         same = record.cls.group == "all" or cells[0] == cells[1]
                         keyed = record.cls.effect is i.Effect.KEYED and same and self.now - sent <= record.cls.window_us
                         if record.cls.effect is not i.Effect.SAFE and not keyed:
-                            raise Broken(f"effects: {number} is sent again")
+                            raise RuleViolation(f"effects: {number} is sent again")
                 expires = (
                     record.request.expires_us if timeout == 0 else min(self.now + timeout, record.request.expires_us)
                 )
@@ -275,7 +275,7 @@
                 record.attempts += 1
                 record.held_since = None
                 if record.attempts > self.settings.max_attempts:
-                    raise Broken(f"attempts: {number} has too many")
+                    raise RuleViolation(f"attempts: {number} has too many")
                 self.check_slow_start(server)
             case i.Ahead(number, server):
                 self.check_drain(server)
@@ -286,7 +286,7 @@
             case i.Refuse(number) | i.Fail(number):
                 record = self.requests[number]
                 if record.finished:
-                    raise Broken(f"answered: {number} is answered twice")
+                    raise RuleViolation(f"answered: {number} is answered twice")
                 record.finished = True
                 may_have_run = record.may_have_run or any(
                     not self.is_reader(row[0]) for row in record.in_flight.values()
@@ -295,9 +295,9 @@
                     record.cls.effect is i.Effect.KEYED and record.cls.group == "all"
                 )
                 if isinstance(action, i.Refuse) and may_have_run and not harmless:
-                    raise Broken(f"effects: {number} is refused though it may have run")
+                    raise RuleViolation(f"effects: {number} is refused though it may have run")
                 if self.now > record.request.expires_us + self.settings.answer_slack_us:
-                    raise Broken(f"answered: {number} is answered late")
+                    raise RuleViolation(f"answered: {number} is answered late")
             case i.Cancel(number, attempt) if attempt in self.requests[number].in_flight:
                 record = self.requests[number]
                 server, sent, _ = record.in_flight.pop(attempt)
@@ -324,13 +324,13 @@
             ] + [self.now]
             busiest = max(1, self.number)
             if len(times) > max(1.0, self.settings.fall_multiple * busiest):
-                raise Broken(f"cold: server {server} got {len(times)} in a span")
+                raise RuleViolation(f"cold: server {server} got {len(times)} in a span")
 
     def check(self) -> None:
         for number, record in self.requests.items():
             idle = self.now - record.held_since if record.held_since is not None and not record.in_flight else 0
             if idle > self.settings.release_us:
-                raise Broken(f"pinned: something is held for {number}")
+                raise RuleViolation(f"pinned: something is held for {number}")
             late = self.now > record.request.expires_us + self.settings.answer_slack_us
             if late and not record.finished and record.streaming is None:
-                raise Broken(f"answered: {number} is overdue")
+                raise RuleViolation(f"answered: {number} is overdue")
--- a/tests/ownership_model.py
+++ b/tests/ownership_model.py
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True)
-class Rules:
+class ModelOptions:
     """Options of a search: guards that can be removed, events that may occur, and bounds.
 
     With a guard removed the search must find the violation that the guard prevents.
@@ -87,7 +87,7 @@
 
     receiver_compares: bool = True
     store_compares: bool = True
-    counts_from_before: bool = True
+    lease_counts_from_send: bool = True
     late: bool = False  # events that may occur
     lost: bool = False
     stops: bool = False
@@ -102,7 +102,7 @@
 class Explorer:
     """Searches all reachable states breadth first for a violation."""
 
-    def __init__(self, rules: Rules) -> None:
+    def __init__(self, rules: ModelOptions) -> None:
         self.rules = rules
 
     def initial(self) -> World:
@@ -220,7 +220,7 @@
 
     def _deliver_answer(self, world: World, rest: tuple[Call, ...], call: Call) -> World:
         world = replace(world, calls=rest)
-        sent = call.sent_us if self.rules.counts_from_before else world.now
+        sent = call.sent_us if self.rules.lease_counts_from_send else world.now
         row = next(iter(world.store.rows(KEYS.duty(DUTY), b"")), None)
         match call.kind:
             case "grant":
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -43,7 +43,7 @@
         "unheard-of": 1,
     },
 }
-TOLD = {
+ENVIRONMENT = {
     "ROUTER_NAME": "n",
     "ROUTER_LISTEN": "10.1.0.1:9000",
     "ROUTER_DISCOVERY": "10.2.0.1:8500",
@@ -78,7 +78,7 @@
     def __init__(self, platform: Platform, name: str, flavor: str, address: str) -> None:
         self.platform, self.name, self.flavor, self.address = platform, name, flavor, address
         self.world: VirtualWorld = platform.sim.program(name)
-        self.phase, self.keeps, self.up_since_ms = "Ready", True, 0
+        self.phase, self.keep_alive, self.up_since_ms = "Ready", True, 0
         self.script: Script | None = None
         self.place_status = 200
         host, _, port = address.rpartition(":")
@@ -98,7 +98,7 @@
     def serve(self, stream: Stream) -> None:
         parser = http1.RequestParser()
         try:
-            while (head := read_request(stream, parser)) is not None and self.answer(stream, head) and self.keeps:
+            while (head := read_request(stream, parser)) is not None and self.answer(stream, head) and self.keep_alive:
                 pass
         except StreamError:
             pass
@@ -109,7 +109,7 @@
         platform.heads.append((self.world.now_us(), head))
         if head.target.startswith(b"/bootstrap/rooms/"):
             number = head.target.rpartition(b"/")[2]
-            platform.note("free" if head.method == b"DELETE" else "place", self, number)
+            platform.record_call("free" if head.method == b"DELETE" else "place", self, number)
             if head.method == b"DELETE":
                 platform.states.discard(number)
                 to.write(plain(204))
@@ -117,7 +117,7 @@
                 to.write(plain(self.place_status))
             return True
         number = head.get(b"req-id") or b"?"
-        platform.note("read" if self.flavor == "reads" else "write", self, number)
+        platform.record_call("read" if self.flavor == "reads" else "write", self, number)
         if self.script is not None:
             return self.script(self, to, number)
         return read(self, to, number) if self.flavor == "reads" else write(self, to, number)
@@ -155,13 +155,13 @@
 
     sim: Simulation
     hosts: dict[str, Host] = field(default_factory=dict)
-    seen: list[tuple[str, str, bytes]] = field(default_factory=list)
+    calls: list[tuple[str, str, bytes]] = field(default_factory=list)
     heads: list[tuple[int, http1.RequestHead]] = field(default_factory=list)  # time and head of every call to a host
     states: set[bytes] = field(default_factory=set)
     revision: int = 1
-    asked: list[bytes] = field(default_factory=list)
-    spoil: bytes | None = None  # body that discovery sends instead of the list
-    watches: int = 0  # incrementing it makes all open connections to discovery silent
+    discovery_requests: list[bytes] = field(default_factory=list)
+    discovery_body: bytes | None = None  # body that discovery sends instead of the list
+    silenced_watches: int = 0  # incrementing it makes all open connections to discovery silent
     down_until_us: int = 0  # until then the agent is silent; calls that arrive before are never answered
     open_watches: list[Stream] = field(default_factory=list)
 
@@ -169,16 +169,16 @@
         for at, flavor in enumerate(["reads", "reads", "writes", "writes", "writes"]):
             self.add(f"{flavor}-{at}", flavor, f"10.3.0.{at}:9000")
         self.clients = self.sim.program("clients")
-        self.discovery(TOLD["ROUTER_DISCOVERY"])
+        self.discovery(ENVIRONMENT["ROUTER_DISCOVERY"])
 
     def add(self, name: str, flavor: str, address: str) -> None:
         self.hosts[name] = Host(self, name, flavor, address)
 
-    def note(self, what: str, host: Host, number: bytes) -> None:
-        self.seen.append((what, host.name, number))
+    def record_call(self, what: str, host: Host, number: bytes) -> None:
+        self.calls.append((what, host.name, number))
 
-    def kinds(self, number: bytes) -> list[str]:
-        return [what for what, _, known in self.seen if known == number]
+    def calls_of(self, number: bytes) -> list[str]:
+        return [what for what, _, known in self.calls if known == number]
 
     def members(self) -> list[dict[str, Any]]:
         return [
@@ -203,14 +203,14 @@
         listener = world.listen(host, int(port))
 
         def serve(stream: Stream) -> None:
-            parser, era = http1.RequestParser(), self.watches
+            parser, era = http1.RequestParser(), self.silenced_watches
             self.open_watches.append(stream)
 
             def silent() -> bool:
-                return era != self.watches or world.now_us() < self.down_until_us
+                return era != self.silenced_watches or world.now_us() < self.down_until_us
 
             while (head := read_request(stream, parser)) is not None:
-                self.asked.append(head.target)
+                self.discovery_requests.append(head.target)
                 query = dict(p.split(b"=") for p in head.target.partition(b"?")[2].split(b"&") if p)
                 until = world.now_us() + int(query.get(b"wait", 0)) * 1_000
                 while not silent() and int(query.get(b"index", -1)) >= self.revision and world.now_us() < until:
@@ -218,7 +218,7 @@
                 if silent():
                     world.sleep_until(world.now_us() + 3_600_000_000)
                 body = json.dumps({"revision": self.revision, "complete": True, "members": self.members()}).encode()
-                stream.write(plain(200, self.spoil or body))
+                stream.write(plain(200, self.discovery_body or body))
 
         def answer_it(stream: Stream) -> None:
             with contextlib.suppress(StreamError):  # the connection was reset
@@ -235,7 +235,7 @@
 
     def node(self, sockets: int = 256) -> tuple[VirtualWorld, Node]:
         world = self.sim.program("node")
-        config = parse_config(TOLD, json.dumps({"limits": {"sockets": sockets}, "settings": SETTINGS}).encode())
+        config = parse_config(ENVIRONMENT, json.dumps({"limits": {"sockets": sockets}, "settings": SETTINGS}).encode())
         node = Node(world, config)
         world.spawn("start", node.start).join()
         return world, node
@@ -250,7 +250,7 @@
         stream = to or self.connect()
         began = self.clients.now_us()
         stream.write(request(number, cls, deadline_ms))
-        return answer(self.clients, stream, began)
+        return read_answer(self.clients, stream, began)
 
 
 def request(number: bytes, cls: bytes = b"ask", deadline_ms: int = 5_000) -> bytes:
@@ -265,7 +265,7 @@
     return http1.write_request(b"POST", b"/v1/chat/completions", headers, b'{"stream":true}')
 
 
-def answer(world: VirtualWorld, stream: Stream, began: int) -> Answer:
+def read_answer(world: VirtualWorld, stream: Stream, began: int) -> Answer:
     """Read one answer until it or the connection ends."""
     parser = http1.ResponseParser()
     parser.expect_response(b"POST")
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -39,7 +39,7 @@
         self.children: dict[str, Child] = {}
         self.relays: dict[str, Relay] = {}
         self.ports: dict[str, int] = {}
-        self.boxes: dict[str, tuple[str, int]] = {}  # engine: role, cell
+        self.engines: dict[str, tuple[str, int]] = {}  # engine: role, cell
         self.fault = ""  # name of the planted fault that every program runs with
 
     # --- starting
@@ -72,12 +72,12 @@
         file.write_text(json.dumps(settings))
         ready = self.child(name, "engine", "--settings", str(file), "--port", str(port))
         self.ports[name] = int(ready.split()[1].split("//")[1].split("/")[0].rpartition(":")[2])
-        self.boxes[name] = (role, cell)
+        self.engines[name] = (role, cell)
 
     def write_server_list(self, steward: str = "") -> None:
         """Write the list of engines: direct addresses for dispatchers, one relay per engine for a steward."""
-        rows = [f"count = {len(self.boxes)}"]
-        for name, (role, cell) in self.boxes.items():
+        rows = [f"count = {len(self.engines)}"]
+        for name, (role, cell) in self.engines.items():
             port = self.relay(f"{name} {steward}", self.ports[name]).port if steward else self.ports[name]
             rows += [
                 "[[servers]]",
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -19,8 +19,8 @@
 from time import monotonic
 from typing import Any
 
-from tests.crossing_parties import HERE
-from tests.crossings import LATE, TROUBLE
+from tests.crossing_parties import LOOPBACK_ADDRESS
+from tests.crossings import FAILURE_LOG_LINES, LATE_ANSWER_LOG_LINE
 from tests.soak_judge import judge_run
 from tests.soak_parties import MAX_LISTING_DELAY_S, DispatcherRun, Plan, SoakCluster, SoakHost
 from tests.soak_slow_start import COLD_S, WindowLoad, fullest_windows, overloaded_hosts
@@ -149,7 +149,7 @@
 
     async def _dispatcher_fault(self, kind: str, name: str) -> None:
         run = self.current[name]
-        if run.killed is not None or run.process.poll() is not None or run.ledger.term is not None:
+        if run.killed is not None or run.process.poll() is not None or run.ledger.sigterm_at is not None:
             return
         if b"ready" not in run.log.read_bytes():
             return  # before its signal handlers are installed SIGTERM ends it at once; it has accepted nothing
@@ -170,12 +170,12 @@
             for each in self.random.choices(SIGNALS, k=self.random.randint(2, 5)):
                 await self._signal(run, each)
                 await asyncio.sleep(self.random.choice((0.0, self.random.uniform(0.0, 0.2))))
-            if run.ledger.term is None:
+            if run.ledger.sigterm_at is None:
                 return
         if kind == "dispatcher ends":
             await self._signal(run, signal.SIGTERM)
-        if run.ledger.term is not None:
-            until = run.ledger.term + min(self.deadline_ms / 1_000, MAX_KILL_DELAY_S) + KILL_MARGIN_S
+        if run.ledger.sigterm_at is not None:
+            until = run.ledger.sigterm_at + min(self.deadline_ms / 1_000, MAX_KILL_DELAY_S) + KILL_MARGIN_S
             while run.process.poll() is None and monotonic() < until:
                 await asyncio.sleep(0.01)
         if run.process.poll() is None:
@@ -191,7 +191,7 @@
         begun = monotonic()
         await asyncio.sleep(self.random.uniform(0.02, 0.14))
         run.process.send_signal(signal.SIGCONT)
-        run.ledger.away.append((begun, monotonic()))
+        run.ledger.pauses.append((begun, monotonic()))
 
     async def _signal(self, run: DispatcherRun, number: signal.Signals) -> None:
         self.injected[number.name] += 1
@@ -200,8 +200,8 @@
         if number is signal.SIGSTOP:
             await self._suspend(run)
             return
-        if number is signal.SIGTERM and run.ledger.term is None:
-            run.ledger.term = monotonic()
+        if number is signal.SIGTERM and run.ledger.sigterm_at is None:
+            run.ledger.sigterm_at = monotonic()
         run.process.send_signal(number)
 
     # --- the run
@@ -214,7 +214,7 @@
             self.start_host(f"writer-{at}", "write")
         for name in names:
             await self.start_agent(name)
-            spare = await asyncio.start_server(lambda reader, writer: None, HERE, 0)
+            spare = await asyncio.start_server(lambda reader, writer: None, LOOPBACK_ADDRESS, 0)
             self.ports[name] = spare.sockets[0].getsockname()[1]
             spare.close()
             await spare.wait_closed()
@@ -280,7 +280,8 @@
             found += [
                 f"{run.log.name}: {line}"
                 for line in run.log.read_text().splitlines()
-                if line.startswith(TROUBLE) and not (line.startswith(LATE) and run.ledger.away)
+                if line.startswith(FAILURE_LOG_LINES)
+                and not (line.startswith(LATE_ANSWER_LOG_LINE) and run.ledger.pauses)
             ]
             if run.killed is None and run.process.poll() not in (None, 0):
                 found.append(f"{run.log.name}: ended with {run.process.returncode}")
@@ -307,7 +308,7 @@
         counts: dict[str, int] = {}
         for run in self.runs:
             for request in run.ledger.requests:
-                key = str(request.answers[0][1].status) if request.answers else "left" if request.left else "none"
+                key = str(request.answers[0][1].status) if request.answers else "left" if request.left_at else "none"
                 counts[key] = counts.get(key, 0) + 1
         return counts
 
@@ -343,8 +344,8 @@
             flush=True,
         )
         if found:
-            (folder / "breaks").write_text("\n".join([*found, "", f"second 0 is {soak.began:.3f}", *soak.story]))
-            print("\n".join(f"  {text}" for text in found[:20]), *(f"  {row}" for row in soak.story), sep="\n")
+            (folder / "breaks").write_text("\n".join([*found, "", f"second 0 is {soak.began:.3f}", *soak.event_log]))
+            print("\n".join(f"  {text}" for text in found[:20]), *(f"  {row}" for row in soak.event_log), sep="\n")
     print(f"{broken} of {arguments['count']} runs with breaks; injected {dict(injected)}; covered {dict(coverage)}")
     return int(broken > 0)
 
--- a/tests/soak_host.py
+++ b/tests/soak_host.py
@@ -21,8 +21,8 @@
 from time import monotonic, sleep, time
 from typing import Any
 
-from tests.crossing_messages import DONE, EVENT, HEAD, LAST, Message, chunk, plain, read_message
-from tests.crossing_parties import SO_TIMESTAMPNS, UNKNOWN_S
+from tests.crossing_messages import DONE, EVENT, HEAD, LAST_CHUNK, Message, chunk, plain, read_message
+from tests.crossing_parties import SO_TIMESTAMPNS, UNKNOWN_READ_S
 from tests.soak_slow_start import COLD_S, WARM_RATE_PER_S, warmth
 
 BACKLOG = 2  # connections that are established while the process is stopped; further ones hang
@@ -154,7 +154,7 @@
             events = self._stream(sock, request_id, attempt)
             finished, status = monotonic(), 200
             self.record("over", request_id, attempt=attempt, how=status, events=events.decode(), finished=finished)
-            sock.sendall(chunk(DONE) + LAST)
+            sock.sendall(chunk(DONE) + LAST_CHUNK)
         finally:
             read.unlink(missing_ok=True)
             if not status:
@@ -197,7 +197,7 @@
     def _reserve_place(self, sock: socket.socket, request_id: bytes) -> None:
         self.record("placed", request_id)  # from here on the place may be held, whether or not the answer arrives
         read = self.folder / "reads" / request_id.decode()
-        until = monotonic() + UNKNOWN_S
+        until = monotonic() + UNKNOWN_READ_S
         while not read.exists():
             if monotonic() > until:
                 sock.sendall(plain(204))
--- a/tests/soak_judge.py
+++ b/tests/soak_judge.py
@@ -27,32 +27,36 @@
     if run.killed is not None:  # clients retry what it had not answered by then
         excluded = {request.id for request in ledger.requests if not _answered_before(request, run.killed - SETTLED_S)}
         for request in ledger.requests:
-            if not _answered_before(request, run.killed) and request.left is None:
-                crossed = request.late  # with the close of an idle connection
-                if ledger.term is not None and not crossed and (request.asked or 0.0) > ledger.term + EARLY_SHUTDOWN_S:
-                    ledger.seen.append(
+            if not _answered_before(request, run.killed) and request.left_at is None:
+                crossed = request.sent_after_close  # with the close of an idle connection
+                if (
+                    ledger.sigterm_at is not None
+                    and not crossed
+                    and (request.sent_at or 0.0) > ledger.sigterm_at + EARLY_SHUTDOWN_S
+                ):
+                    ledger.violations.append(
                         f"{request.id.decode()}: taken late after SIGTERM, and SIGKILL found it unanswered"
                     )
-                request.left, request.answers = run.killed, []
+                request.left_at, request.answers = run.killed, []
     asked = {request.id for request in ledger.requests}
-    ledger.drains = run.drains_reported
+    ledger.draining_since = run.drains_reported
     attempts: dict[str, Attempt] = {}
     for row in sorted((row for row in rows if row["id"].encode() in asked), key=lambda row: float(row["at"])):
         _apply_row(run, row, attempts, frozen)
     for death in died:  # a dead host loses its holds and running attempts
         for attempt in attempts.values():
-            if attempt.host == death["host"] and attempt.at < death["at"] and (attempt.over is None):
-                attempt.over = _last_run_time(death["host"], death["at"], frozen)
-                ledger.moves.append((death["at"], "ended", attempt.id))  # until then it may be in flight
-        ledger.moves += [
+            if attempt.host == death["host"] and attempt.received_at < death["at"] and (attempt.ended_at is None):
+                attempt.ended_at = _last_run_time(death["host"], death["at"], frozen)
+                ledger.hold_changes.append((death["at"], "ended", attempt.id))  # until then it may be in flight
+        ledger.hold_changes += [
             (death["at"], "died", number)
-            for number in {a.id for a in attempts.values() if a.host == death["host"] and a.at < death["at"]}
+            for number in {a.id for a in attempts.values() if a.host == death["host"] and a.received_at < death["at"]}
         ]
     ledger.attempts = list(attempts.values())
     ended = run.ended if run.ended is not None else math.inf  # the platform frees places read after that
-    ledger.moves = [
+    ledger.hold_changes = [
         (at, kind, number)
-        for at, kind, number in ledger.moves
+        for at, kind, number in ledger.hold_changes
         if number not in excluded and not (kind == "placed" and at > ended)
     ]
     return ledger.judge()
@@ -75,26 +79,26 @@
                 number, row["host"], row["role"], row["told"], row["first"], at, DEADLINE_SLACK_S, row["arrived"]
             )
             attempts[row["attempt"]] = attempt
-            ledger.moves.append((at, row["role"], number))
+            ledger.hold_changes.append((at, row["role"], number))
         case "stream":
             for other in (a for a in attempts.values() if a.id == number):
                 other.events = b""  # a stream cancelled as it began reached no client
             attempts[row["attempt"]].events = row["events"].encode()
         case "over":
             attempt = attempts[row["attempt"]]
-            attempt.over, attempt.how, attempt.finished = (
+            attempt.ended_at, attempt.status, attempt.finished_at = (
                 _earliest_end(row, frozen),
                 row["how"],
                 _latest_finish(row, frozen),
             )
-            kind = STEP_BY_STATUS.get(attempt.how, "ended")
+            kind = STEP_BY_STATUS.get(attempt.status, "ended")
             if attempt.role == "read":
                 kind = "left" if row.get("left") else "ended"
-            ledger.moves.append((at, kind, number))
+            ledger.hold_changes.append((at, kind, number))
         case "placed" | "freed" as kind:
-            ledger.moves.append((at, kind, number))
+            ledger.hold_changes.append((at, kind, number))
         case "no place":
-            ledger.no_place(number)
+            ledger.on_place_refused(number)
 
 
 def _earliest_end(row: dict[str, Any], frozen: Frozen) -> float:
--- a/tests/soak_parties.py
+++ b/tests/soak_parties.py
@@ -16,9 +16,9 @@
 from time import monotonic, time
 from typing import Any
 
-from tests.crossing_ledger import Ledger, Request, request
+from tests.crossing_ledger import Ledger, Request, make_request
 from tests.crossing_messages import plain, read_message
-from tests.crossing_parties import HERE
+from tests.crossing_parties import LOOPBACK_ADDRESS
 from tests.crossings import ALLOWED, SETTINGS
 from tests.soak_slow_start import OBLIGATIONS, ColdStart
 
@@ -80,7 +80,7 @@
     def list_entry(self) -> dict[str, Any]:
         return {
             "id": self.name,
-            "host_port": f"{HERE}:{self.port}",
+            "host_port": f"{LOOPBACK_ADDRESS}:{self.port}",
             "locality": "a",
             "cell": 1,
             "phase": self.phase,
@@ -128,7 +128,7 @@
         self.silent: dict[str, float] = {}  # stopped hosts and hosts with silent connections: end of the silence
         self.frozen: list[tuple[str, float, float]] = []  # host, begin and end of each stop
         self.stopped: list[tuple[float, float]] = []  # begin and end of each stop of a dispatcher
-        self.story: list[str] = []
+        self.event_log: list[str] = []
         self.began = monotonic()
         self.ended = False
         self._requests = 0
@@ -136,12 +136,12 @@
             (folder / kind).mkdir()
 
     def log_event(self, text: str) -> None:
-        self.story.append(f"{monotonic() - self.began:8.3f} {text}")
+        self.event_log.append(f"{monotonic() - self.began:8.3f} {text}")
 
     # --- processes
 
     def start_host(self, name: str, role: str, port: int = 0, cold: bool = False) -> None:
-        argv = [sys.executable, "-m", "tests.soak_host", name, role, str(self.folder), HERE, str(port)]
+        argv = [sys.executable, "-m", "tests.soak_host", name, role, str(self.folder), LOOPBACK_ADDRESS, str(port)]
         ramp = "work" if self.warm_by_work else "time"
         process = subprocess.Popen(argv + [ramp] * cold, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
         assert process.stdout is not None
@@ -182,7 +182,7 @@
         env = {
             **os.environ,
             "ROUTER_NAME": name,
-            "ROUTER_LISTEN": f"{HERE}:{self.ports[name]}",
+            "ROUTER_LISTEN": f"{LOOPBACK_ADDRESS}:{self.ports[name]}",
             "ROUTER_DISCOVERY": self.agents[name],
             "ROUTER_CONFIG": str(config),
             "PYTHONPATH": str(ROOT),
@@ -235,9 +235,9 @@
             finally:
                 writer.close()
 
-        server = await asyncio.start_server(serve, HERE, 0)
+        server = await asyncio.start_server(serve, LOOPBACK_ADDRESS, 0)
         self.servers.append(server)
-        self.agents[name] = f"{HERE}:{server.sockets[0].getsockname()[1]}"
+        self.agents[name] = f"{LOOPBACK_ADDRESS}:{server.sockets[0].getsockname()[1]}"
 
     # --- clients
 
@@ -245,7 +245,7 @@
         rng = Random(f"{self.random.random()} {number}")
         while not self.ended:
             try:
-                reader, writer = await asyncio.open_connection(HERE, self.ports[name])
+                reader, writer = await asyncio.open_connection(LOOPBACK_ADDRESS, self.ports[name])
             except OSError:
                 await asyncio.sleep(0.05)
                 continue
@@ -258,7 +258,7 @@
         """Open connections that send nothing and stay open as long as the dispatcher keeps them."""
         for _ in range(IDLE_CLIENTS):
             with contextlib.suppress(OSError):
-                self.idle_connections.append((await asyncio.open_connection(HERE, self.ports[name]))[1])
+                self.idle_connections.append((await asyncio.open_connection(LOOPBACK_ADDRESS, self.ports[name]))[1])
 
     async def _use_connection(
         self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, rng: Random
@@ -277,7 +277,7 @@
                 async with asyncio.timeout(rng.uniform(0.0, 0.4) if disconnects else self.deadline_ms / 1_000 + 20.0):
                     reusable = await self._read_answer(run, record, reader, reused)
             except TimeoutError:
-                record.left = monotonic()  # the connection is closed now
+                record.left_at = monotonic()  # the connection is closed now
                 return
             except OSError:
                 self._record_lost_connection(run, record, reused, "rst")
@@ -291,14 +291,14 @@
     def _next_request(self, name: str, run: DispatcherRun, rng: Random, is_retry: bool) -> Request:
         """Draw a client's next request and record it in the dispatcher's ledger."""
         self._requests += 1
-        record = request(
+        record = make_request(
             f"{name}.{self._requests}",
             "order" if rng.random() < ORDER_PROBABILITY else "ask",
             self.deadline_ms,
             headers=(b"Req-Retry: 1",) if is_retry else (),
             key=f"k{rng.randrange(40)}",
         )
-        record.asked, record.written = monotonic(), len(record.data)
+        record.sent_at, record.written = monotonic(), len(record.data)
         run.ledger.requests.append(record)
         return record
 
@@ -325,14 +325,14 @@
         connection was closed unread near the socket limit.
         """
         if run.killed is not None:
-            record.left = monotonic()
+            record.left_at = monotonic()
         elif reused:
-            record.late = True
+            record.sent_after_close = True
         elif self.has_idle_clients:  # a new connection may be closed unread then
-            record.late = True
+            record.sent_after_close = True
             self.closed_unread += 1
         else:
-            run.ledger.seen.append(f"{record.id.decode()}: {how} on a new connection, without an answer")
+            run.ledger.violations.append(f"{record.id.decode()}: {how} on a new connection, without an answer")
 
     # --- the end
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -10,8 +10,8 @@
 
 from tests import agent_standin as a
 from tests.agent_standin import Agent
-from tests.platform_standin import SETTINGS, TOLD, Platform, plain
-from tests.test_node_discovery import Follower, play
+from tests.platform_standin import ENVIRONMENT, SETTINGS, Platform, plain
+from tests.test_node_discovery import Follower, run_with_watch
 from yardspindle.core.config import ConfigError
 from yardspindle.core.hosts.host_list import parse_answer
 from yardspindle.node.app import Node
@@ -145,13 +145,13 @@
     assert time.perf_counter() - began < 0.5
 
     def main(follower: Follower, agent: Agent) -> None:
-        agent.says, agent.revision = BAD_LISTS[name], 9
+        agent.fixed_body, agent.revision = BAD_LISTS[name], 9
         follower.world.sleep_until(follower.world.now_us() + 500_000)
-        assert follower.lists == [(5, ["h0", "h1"])]
-        agent.says = None
-        follower.until(lambda: follower.hosts.revision == 9, 250_000)
+        assert follower.applied_lists == [(5, ["h0", "h1"])]
+        agent.fixed_body = None
+        follower.wait_until(lambda: follower.hosts.revision == 9, 250_000)
 
-    play(main)
+    run_with_watch(main)
     lines = capsys.readouterr().err.splitlines()
     assert len(lines) == 1 and lines[0].startswith("discovery is not heard fault=") and len(lines[0]) <= 400
 
@@ -171,12 +171,12 @@
         stream.close()
 
     def main(follower: Follower, agent: Agent) -> None:
-        agent.fault, agent.faulty = oversized, 1
+        agent.fault, agent.faulty_answers = oversized, 1
         agent.drain()
-        follower.until(lambda: follower.hosts.revision == 6, 6_000_000)
-        assert follower.lists == [(5, ["h0", "h1"]), (6, ["h1"])]
+        follower.wait_until(lambda: follower.hosts.revision == 6, 6_000_000)
+        assert follower.applied_lists == [(5, ["h0", "h1"]), (6, ["h1"])]
 
-    play(main)
+    run_with_watch(main)
     lines = capsys.readouterr().err.splitlines()
     assert len(lines) == 1 and "too large" in lines[0]
 
@@ -292,7 +292,7 @@
 def test_a_bad_configuration_is_one_line_in_bounded_time(name: str) -> None:
     began = time.perf_counter()
     with pytest.raises(ConfigError) as caught:
-        parse_config(TOLD, BAD_CONFIGURATIONS[name])
+        parse_config(ENVIRONMENT, BAD_CONFIGURATIONS[name])
     assert time.perf_counter() - began < 0.5
     text = str(caught.value)
     assert text.startswith("/config.json: ") and len(text.splitlines()) == 1 and 16 < len(text) < 700
@@ -305,7 +305,7 @@
         with_settings(),
         config_document(listen="10.1.0.1:9000", known=KNOWN_LIST | {"members": [GOOD]}),
     ):
-        parse_config(TOLD, good)
+        parse_config(ENVIRONMENT, good)
 
 
 SLOW_START = {"cold-us": 3_000_000, "fall-us": 500_000, "fall-multiple": 1.2}
@@ -337,7 +337,7 @@
         if hosts == "one of each":
             platform.hosts = {name: platform.hosts[name] for name in ("reads-0", "writes-2")}
         world = sim.program("node")
-        node = Node(world, parse_config(TOLD, config_document(settings=SETTINGS | UNUSUAL_SETTINGS[name])))
+        node = Node(world, parse_config(ENVIRONMENT, config_document(settings=SETTINGS | UNUSUAL_SETTINGS[name])))
         world.spawn("start", node.start).join()
         assert [platform.ask(b"id%d" % at).status for at in range(9)] == [200] * 9
 
--- a/tests/test_crossing_ledger.py
+++ b/tests/test_crossing_ledger.py
@@ -7,15 +7,15 @@
 
 import pytest
 
-from tests.crossing_ledger import Attempt, Ledger, request
+from tests.crossing_ledger import Attempt, Ledger, make_request
 from tests.crossing_messages import Message
 
 
 def make_ledger(cls: str = "ask", ago_s: float = 0.0) -> Ledger:
     """A ledger with one request, sent this many seconds ago."""
     ledger = Ledger(0.3, 0.25, lambda: 0.0)
-    record = request("a", cls, 400)
-    record.written, record.asked = len(record.data), monotonic() - ago_s
+    record = make_request("a", cls, 400)
+    record.written, record.sent_at = len(record.data), monotonic() - ago_s
     ledger.requests.append(record)
     return ledger
 
@@ -36,7 +36,7 @@
 def serve_request(ledger: Ledger) -> None:
     add_attempt(ledger, "read", 202)
     write = add_attempt(ledger, "write", None)
-    write.events, write.finished = b"event", monotonic()
+    write.events, write.finished_at = b"event", monotonic()
     ledger.on_attempt_end(write, 200)
     add_answer(ledger, 200, b"event")
 
@@ -52,7 +52,7 @@
 
 
 def send_to_draining(ledger: Ledger) -> None:
-    ledger.drains["reader"] = monotonic() - 0.4
+    ledger.draining_since["reader"] = monotonic() - 0.4
     add_attempt(ledger, "read", 503)
 
 
@@ -72,7 +72,7 @@
 
 
 def send_after_leave(ledger: Ledger) -> None:
-    ledger.requests[0].left = monotonic() - 0.2
+    ledger.requests[0].left_at = monotonic() - 0.2
     add_attempt(ledger, "read", 202)
 
 
@@ -116,7 +116,7 @@
 def test_what_is_held_too_long_is_seen() -> None:
     ledger = make_ledger()
     add_attempt(ledger, "read", 202)
-    ledger.moves = [(at - 0.8, kind, number) for at, kind, number in ledger.moves]
+    ledger.hold_changes = [(at - 0.8, kind, number) for at, kind, number in ledger.hold_changes]
     assert any("with no attempt out" in row for row in ledger.judge())
     ledger.on_hold_change("freed", b"a")
     assert any("with no attempt out" in row for row in ledger.judge())  # a late release does not hide it
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -66,7 +66,7 @@
                 client.wait_first_data()
             more()
             write.wait_end()
-    stage.wait_until(client.requests[-1].left + 2 * LEAVE_SLACK_S)  # type: ignore[operator]
+    stage.wait_until(client.requests[-1].left_at + 2 * LEAVE_SLACK_S)  # type: ignore[operator]
     if phase == "read out":
         read.answer(202)  # in case it was not cancelled
     assert stage.peak_memory() - before < MAX_FLOOD_GROWTH
@@ -217,7 +217,7 @@
     request = client.ask("a", cls, deadline_ms=400)
     stage.wait_call("read").answer(202)
     write = stage.wait_call("write")
-    due = (request.asked or 0.0) + 0.4
+    due = (request.sent_at or 0.0) + 0.4
     match order:
         case "first":
             write.begin_stream()
@@ -265,7 +265,7 @@
                 client.send_more(request, len(request.data) - 1)
             client.send_more(request)
     assert client.wait_answer().status == (413 if bad == "large" else 400)
-    stage.wait_until((request.asked or 0.0) + 0.05)
+    stage.wait_until((request.sent_at or 0.0) + 0.05)
     stage.check()
 
 
--- a/tests/test_crossings_bounds.py
+++ b/tests/test_crossings_bounds.py
@@ -94,7 +94,7 @@
         free.answer(500)
     elif how != "none answers":
         free.disconnect(reset=how == "rst")
-    stage.wait_for("another release", lambda: sum(kind == "freed" for _, kind, _ in stage.ledger.moves) > 1)
+    stage.wait_for("another release", lambda: sum(kind == "freed" for _, kind, _ in stage.ledger.hold_changes) > 1)
     stage.check()
 
 
--- a/tests/test_crossings_descriptors.py
+++ b/tests/test_crossings_descriptors.py
@@ -11,7 +11,7 @@
 from tests.crossing_parties import Call
 from tests.crossings import Stage
 from tests.platform_standin import Platform
-from tests.test_node import play
+from tests.test_node import run_node
 from yardspindle.core.hosts.resource_budget import MIN_SOCKETS
 from yardspindle.node.app import Node
 from yardspindle.runtime.world import DescriptorsExhausted
@@ -109,4 +109,4 @@
             assert not any(server.failures for server in node.policy.servers.values())
         return platform.ask(b"9b1f03aa5c7e2d42").status
 
-    assert play(main) == 200
+    assert run_node(main) == 200
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -106,7 +106,7 @@
         "another call for the whole list", lambda: new.call_count > 2 and all(c.index < 0 for c in new.calls)
     )
     with stage.changed:
-        stage.ledger.drains[drained.name] = monotonic()
+        stage.ledger.draining_since[drained.name] = monotonic()
         stage.agent = new
     stage.wait_until(monotonic() + GRACE_S + 0.1)
     serve_requests(stage, 4)
--- a/tests/test_crossings_hosts.py
+++ b/tests/test_crossings_hosts.py
@@ -9,9 +9,9 @@
 import pytest
 
 from tests.crossing_agent import Agent
-from tests.crossing_messages import EVENT, HEAD, LAST, chunk, plain
+from tests.crossing_messages import EVENT, HEAD, LAST_CHUNK, chunk, plain
 from tests.crossing_parties import Call, Client
-from tests.crossings import GRACE_S, Shared, Stage
+from tests.crossings import GRACE_S, SharedStage, Stage
 
 ORDERS = ("first", "second", "one turn", "one turn, second")
 REUSE_DELAY_S = 0.03  # this long after its last answer a connection is reused
@@ -37,7 +37,7 @@
     client = stage.client()
     read, write = serve_request(stage, client, "a")
     stage.wait_until(monotonic() + (REUSE_DELAY_S if rested else 0.0))
-    call, stray = (read, plain(202)) if role == "read" else (write, HEAD + chunk(STRAY) + LAST)
+    call, stray = (read, plain(202)) if role == "read" else (write, HEAD + chunk(STRAY) + LAST_CHUNK)
     if order == "first":
         call.send(stray)
         client.ask("b")
@@ -86,7 +86,7 @@
     with stage.paused():
         write.serve_stream()
         if role == "write":
-            write.send(HEAD + chunk(STRAY) + LAST)
+            write.send(HEAD + chunk(STRAY) + LAST_CHUNK)
     assert client.wait_answer().status == 200
     stage.wait_until(monotonic() + REUSE_DELAY_S)
     client.ask("b")
@@ -254,8 +254,8 @@
 
 
 @pytest.fixture(scope="module")
-def moved(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Shared]:
-    shared = Shared(tmp_path_factory.mktemp("moved"))
+def moved(tmp_path_factory: pytest.TempPathFactory) -> Iterator[SharedStage]:
+    shared = SharedStage(tmp_path_factory.mktemp("moved"))
     yield shared
     shared.close()
 
@@ -309,14 +309,14 @@
 
 
 @pytest.mark.parametrize("order", [*ORDERS, "half"])
-def test_discovery_moves_as_the_old_agent_answers(moved: Shared, order: str) -> None:
+def test_discovery_moves_as_the_old_agent_answers(moved: SharedStage, order: str) -> None:
     discovery_moves(moved.fresh(), order)
 
 
 @pytest.fixture(scope="module")
-def patient(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Shared]:
+def patient(tmp_path_factory: pytest.TempPathFactory) -> Iterator[SharedStage]:
     """Allows connections time to be established: the kernel repeats a SYN after a second."""
-    shared = Shared(tmp_path_factory.mktemp("patient"), connect_timeout_us=1_500_000)
+    shared = SharedStage(tmp_path_factory.mktemp("patient"), connect_timeout_us=1_500_000)
     yield shared
     shared.close()
 
@@ -346,7 +346,7 @@
         if order == "second":
             client.ask("a")
     if order != "second":
-        stage.wait_until(stage.ledger.drains[first.name] + GRACE_S)
+        stage.wait_until(stage.ledger.draining_since[first.name] + GRACE_S)
         first.resume_accepting()
     stage.serve_until_answered(client)
     assert client.wait_answer().status == 200
@@ -356,5 +356,5 @@
 
 @pytest.mark.parametrize("role", ["read", "write"])
 @pytest.mark.parametrize("order", ["first", "second", "one turn"])
-def test_a_host_is_told_to_drain_as_a_connection_to_it_is_made(patient: Shared, order: str, role: str) -> None:
+def test_a_host_is_told_to_drain_as_a_connection_to_it_is_made(patient: SharedStage, order: str, role: str) -> None:
     drain_and_connection(patient.fresh(), order, role)
--- a/tests/test_fleet_mistakes.py
+++ b/tests/test_fleet_mistakes.py
@@ -43,5 +43,5 @@
         p.chat()  # a live edge makes the fault visible
 
     play(tmp_path, run_scenario, plant=name)
-    found = check(tmp_path, folders[0].boxes)
+    found = check(tmp_path, folders[0].engines)
     assert any(expected in row for row in found), found
--- a/tests/test_held_silent_hosts.py
+++ b/tests/test_held_silent_hosts.py
@@ -50,7 +50,7 @@
     held = stage.full_id("held").encode()
     stage.wait_for(
         "the release",
-        lambda: any(kind == "freed" and number == held for _, kind, number in stage.ledger.moves),
+        lambda: any(kind == "freed" and number == held for _, kind, number in stage.ledger.hold_changes),
     )
     if cls == "order":  # it may have run: it fails at once, without a retry
         assert client.wait_answer().status in (502, 504)
@@ -73,7 +73,7 @@
     held = stage.full_id("a").encode()
     stage.wait_for(
         "two releases, as the call may have been read after the first",
-        lambda: sum(kind == "freed" and number == held for _, kind, number in stage.ledger.moves) > 1,
+        lambda: sum(kind == "freed" and number == held for _, kind, number in stage.ledger.hold_changes) > 1,
     )
     assert monotonic() - served < RELEASE_S + HELD_SLACK_S
     stage.check()
@@ -132,13 +132,15 @@
     held = stage.full_id("a").encode()
 
     def freed() -> int:
-        return sum(kind == "freed" and number == held for _, kind, number in stage.ledger.moves)
+        return sum(kind == "freed" and number == held for _, kind, number in stage.ledger.hold_changes)
 
     client.disconnect("close")
     stage.wait_for("repeated releases", lambda: freed() > 1)
     stage.wait_until(monotonic() + THAW_DELAY_S)
     stage.host("write").thaw()
-    stage.wait_for("the call that lay unread", lambda: ("placed", held) in [row[1:] for row in stage.ledger.moves])
+    stage.wait_for(
+        "the call that lay unread", lambda: ("placed", held) in [row[1:] for row in stage.ledger.hold_changes]
+    )
     released = freed()
     stage.wait_for("a release of it", lambda: freed() > released)
     stage.check()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -17,7 +17,7 @@
 ID = b"9b1f03aa5c7e2d41"
 
 
-def play(main: Callable[[Platform, Node], Any], sockets: int = 256, seed: int = 3) -> Any:
+def run_node(main: Callable[[Platform, Node], Any], sockets: int = 256, seed: int = 3) -> Any:
     sim = Simulation(seed)
 
     def run() -> Any:
@@ -69,10 +69,10 @@
     def main(platform: Platform, node: Node) -> None:
         answer = platform.ask(ID)
         assert (answer.status, answer.whole, answer.body) == (200, True, b"".join(EVENTS))
-        assert platform.kinds(ID) == ["read", "place", "write"]
+        assert platform.calls_of(ID) == ["read", "place", "write"]
         assert node.core.lifecycle.counts.served == 1 and not node.core.busy and not node.executor.request_ids
 
-    play(main)
+    run_node(main)
 
 
 def test_the_policys_timers_do_not_multiply() -> None:
@@ -86,7 +86,7 @@
             executor.perform([])
         assert len(timers) == before + 1
 
-    play(main)
+    run_node(main)
 
 
 def test_two_dispatchers_rank_readers_alike() -> None:
@@ -122,16 +122,16 @@
         for host in writers(platform):
             host.script = sends(opening)
         order = platform.ask(b"order1", b"order")
-        assert order.status in (502, 504) and platform.kinds(b"order1").count("write") == 1
+        assert order.status in (502, 504) and platform.calls_of(b"order1").count("write") == 1
         script = first_only(sends(opening))
         for host in writers(platform):
             host.script = script
         served = platform.ask(b"ask1")
         assert (served.status, served.whole) == (200, True)
-        assert platform.kinds(b"ask1").count("write") == 2
+        assert platform.calls_of(b"ask1").count("write") == 2
         assert all(server.failures == 0 for server in node.policy.servers.values())
 
-    play(main)
+    run_node(main)
 
 
 @pytest.mark.parametrize("later", [b"zz\r\n", b"3\r\nabcdef\r\n", b"c0000000\r\n" + b"x" * 1000])
@@ -144,7 +144,7 @@
         assert answer.took_us < 1_000_000
         assert all(server.failures == 0 for server in node.policy.servers.values())
 
-    play(main)
+    run_node(main)
 
 
 def test_a_silent_stream_is_ended_in_time() -> None:
@@ -154,7 +154,7 @@
         answer = platform.ask(ID)
         assert not answer.whole and 4_000_000 < answer.took_us < 5_000_000
 
-    play(main)
+    run_node(main)
 
 
 def test_good_streams_that_bring_more_than_belongs_to_them() -> None:
@@ -172,7 +172,7 @@
             answer = platform.ask(number)
             assert (answer.whole, answer.body) == (True, b"".join(EVENTS))
 
-    play(main)
+    run_node(main)
 
 
 def test_a_writer_without_the_state_sends_the_request_back_to_a_reader() -> None:
@@ -185,9 +185,9 @@
         for host in writers(platform):
             host.script = script
         assert platform.ask(ID, b"order").whole
-        assert platform.kinds(ID).count("read") == 2
+        assert platform.calls_of(ID).count("read") == 2
 
-    play(main)
+    run_node(main)
 
 
 def test_what_could_not_connect_has_not_run_and_what_broke_later_may_have() -> None:
@@ -199,9 +199,9 @@
         for host in writers(platform):
             host.script = sends(b"", then_wait=False)
         broken = platform.ask(b"last", b"order")
-        assert broken.status in (502, 504) and platform.kinds(b"last").count("write") == 1
+        assert broken.status in (502, 504) and platform.calls_of(b"last").count("write") == 1
 
-    play(main)
+    run_node(main)
 
 
 @pytest.mark.parametrize("status", [204, 404, 409])
@@ -210,23 +210,23 @@
         for host in writers(platform):
             host.place_status = status
         assert platform.ask(ID).whole
-        place_and_write_hosts = [host for what, host, _ in platform.seen if what in ("place", "write")]
+        place_and_write_hosts = [host for what, host, _ in platform.calls if what in ("place", "write")]
         if status != 409:  # the place may be held there nevertheless
             assert place_and_write_hosts[0] == place_and_write_hosts[1]
         else:
-            assert platform.kinds(ID).count("place") == 3
+            assert platform.calls_of(ID).count("place") == 3
 
-    play(main)
+    run_node(main)
 
 
 def test_a_kept_connection_that_its_host_closed_is_not_used_again() -> None:
     def main(platform: Platform, node: Node) -> None:
         for host in platform.hosts.values():
-            host.keeps = False
+            host.keep_alive = False
         for number in range(5):
             assert platform.ask(b"order%d" % number, b"order").whole
 
-    play(main)
+    run_node(main)
 
 
 # --- release
@@ -240,19 +240,19 @@
         client = platform.connect()
         client.write(request(ID))
         platform.sleep(50_000)
-        reader = next(name for what, name, number in platform.seen if (what, number) == ("read", ID))
+        reader = next(name for what, name, number in platform.calls if (what, number) == ("read", ID))
         for name in (reader, *(host.name for host in writers(platform)[:2])):
             platform.sim.network.cut("node", name)
         platform.states.add(ID)
         client.close()
         platform.sleep(290_000)
-        assert "free" in platform.kinds(ID) and ID not in platform.states
+        assert "free" in platform.calls_of(ID) and ID not in platform.states
         platform.sleep(3_000_000)
         assert not node.core.busy
         platform.sleep(EXPIRY_US)  # until then, calls that may lie unread at an unresponsive host are tracked
         assert not node.core.needs_tick and not node.executor.request_ids
 
-    play(main)
+    run_node(main)
 
 
 # --- clients
--- a/tests/test_node_bounds.py
+++ b/tests/test_node_bounds.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.platform_standin import EVENTS, HEAD, Host, Platform, request, stream, write
-from tests.test_node import play, readers, writers
+from tests.test_node import readers, run_node, writers
 from tests.test_node_handover import assert_idle
 from yardspindle.core.request.request_releases import MAX_LATE_CALLS
 from yardspindle.core.request.unread_calls import EXPIRY_US
@@ -119,7 +119,7 @@
         assert_idle(platform, node)
         assert not [task for task in platform.sim.scheduler.tasks if task.name in ("attempt", "free", "place")]
 
-    play(main)
+    run_node(main)
 
 
 def test_as_many_interim_answers_as_are_bounded_are_passed_over() -> None:
@@ -133,7 +133,7 @@
             host.script = send_hints
         assert platform.ask(b"order", b"order").body == FULL_BODY
 
-    play(main)
+    run_node(main)
 
 
 @pytest.mark.parametrize(
@@ -151,7 +151,7 @@
             def answer(to: Stream, head: http1.RequestHead) -> bool:
                 if not head.target.startswith(b"/bootstrap"):
                     return Host.answer(host, to, head)
-                platform.note("free" if head.method == b"DELETE" else "place", host, b"?")
+                platform.record_call("free" if head.method == b"DELETE" else "place", host, b"?")
                 return endless(source, 20_000, lambda sent_bytes: None)(host, to, b"")
 
             return answer
@@ -181,7 +181,7 @@
         platform.sleep(EXPIRY_US + 12_000_000)  # repeated for that long; each call gets an endless response
         assert not node.core.needs_tick and not node.executor.request_ids and not node.executor.releases.running
 
-    play(main)
+    run_node(main)
 
 
 def test_a_body_is_bounded_by_the_platforms_own() -> None:
@@ -213,4 +213,4 @@
         client.close()
         assert_idle(platform, node)
 
-    play(main)
+    run_node(main)
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -61,17 +61,17 @@
         self.sim = sim
         self.world: VirtualWorld = sim.program("node")
         self.hosts = HostList({"reads": i.Role.READ})
-        self.lists: list[tuple[int, list[str]]] = []  # the applied lists, in order: revision and serving hosts
+        self.applied_lists: list[tuple[int, list[str]]] = []  # the applied lists, in order: revision and serving hosts
         self.discovery = DiscoveryClient(
             self.world, address(FIRST), self.hosts, self.on_list_change, self.world.signal()
         )
 
     def on_list_change(self) -> None:
-        self.lists.append(
+        self.applied_lists.append(
             (self.hosts.revision, sorted(s.name for s in self.hosts.servers() if s.state is i.State.SERVING))
         )
 
-    def until(self, condition: Callable[[], bool], within_us: int) -> int:
+    def wait_until(self, condition: Callable[[], bool], within_us: int) -> int:
         """Wait until the condition holds; the time it took, at most a millisecond too long."""
         started_us = self.sim.now_us()
         while not condition():
@@ -85,7 +85,7 @@
     return host, int(port)
 
 
-def play(main: Callable[[Follower, Agent], Any], seed: int = 4) -> Any:
+def run_with_watch(main: Callable[[Follower, Agent], Any], seed: int = 4) -> Any:
     """Run the test once a watch is open."""
     sim = Simulation(seed)
 
@@ -93,7 +93,7 @@
         agent = Agent(sim, FIRST)
         follower = Follower(sim)
         follower.discovery.start()
-        follower.until(lambda: len(agent.asked) == 2, 100_000)
+        follower.wait_until(lambda: len(agent.requests) == 2, 100_000)
         return main(follower, agent)
 
     result = sim.run("main", run)
@@ -108,7 +108,7 @@
         agents, follower = [Agent(sim, FIRST), Agent(sim, SECOND)], Follower(sim)
         follower.discovery.change_address(address(SECOND))
         follower.discovery.start()
-        follower.until(lambda: len(agents[1].asked) == 2, 100_000)
+        follower.wait_until(lambda: len(agents[1].requests) == 2, 100_000)
         assert [len(agent.streams) for agent in agents] == [0, 1]
 
     sim.run("main", run)
@@ -118,62 +118,62 @@
 @pytest.mark.parametrize("name", FAULTS)
 def test_a_change_is_in_force_in_time_whatever_its_call_meets(name: str, times: int) -> None:
     def main(follower: Follower, agent: Agent) -> None:
-        agent.fault, agent.faulty = FAULTS[name], times
+        agent.fault, agent.faulty_answers = FAULTS[name], times
         agent.drain()
-        follower.until(lambda: follower.hosts.revision == agent.revision, CHANGE_LIMIT_US)
-        assert follower.lists == [(5, ["h0", "h1"]), (6, ["h1"])]
-        follower.until(lambda: agent.faulty == 0, CHANGE_LIMIT_US)
+        follower.wait_until(lambda: follower.hosts.revision == agent.revision, CHANGE_LIMIT_US)
+        assert follower.applied_lists == [(5, ["h0", "h1"]), (6, ["h1"])]
+        follower.wait_until(lambda: agent.faulty_answers == 0, CHANGE_LIMIT_US)
         follower.world.sleep_until(follower.world.now_us() + 3_000_000)
         agent.drain("h1")
-        follower.until(lambda: follower.hosts.revision == agent.revision, 50_000)  # and updates continue as before
+        follower.wait_until(lambda: follower.hosts.revision == agent.revision, 50_000)  # and updates continue as before
 
-    play(main)
+    run_with_watch(main)
 
 
 def test_an_agent_whose_every_answer_comes_in_single_bytes_is_heard_in_time() -> None:
     """With half a second for reading a whole answer, none of its answers was ever accepted."""
 
     def main(follower: Follower, agent: Agent) -> None:
-        agent.fault, agent.faulty = a.bytewise(3_000), 1 << 30
+        agent.fault, agent.faulty_answers = a.bytewise(3_000), 1 << 30
         for host in ("h0", "h1"):
             agent.drain(host)
-            follower.until(lambda: follower.hosts.revision == agent.revision, CHANGE_LIMIT_US)
+            follower.wait_until(lambda: follower.hosts.revision == agent.revision, CHANGE_LIMIT_US)
 
-    play(main)
+    run_with_watch(main)
 
 
 def test_a_watch_that_falls_silent_then_an_endless_answer_then_a_slow_one_stay_inside_the_clock() -> None:
     def main(follower: Follower, agent: Agent) -> None:
-        follower.until(lambda: len(agent.asked) == 3, 1_100_000)  # a watch has just begun
+        follower.wait_until(lambda: len(agent.requests) == 3, 1_100_000)  # a watch has just begun
         faults = [a.silent, a.endless_body, a.bytewise(4_000)]
-        agent.fault, agent.faulty = lambda *call: faults.pop(0)(*call), 3
-        agent.met.wait()
+        agent.fault, agent.faulty_answers = lambda *call: faults.pop(0)(*call), 3
+        agent.fault_met.wait()
         agent.drain()
-        took_us = follower.until(lambda: follower.hosts.revision == agent.revision, CHANGE_LIMIT_US)
+        took_us = follower.wait_until(lambda: follower.hosts.revision == agent.revision, CHANGE_LIMIT_US)
         assert took_us > 4_000_000 and not faults  # the worst case
 
-    play(main)
+    run_with_watch(main)
 
 
 @pytest.mark.parametrize("name", FAULTS)
 def test_a_move_while_a_call_meets_its_fault_is_followed_at_once(name: str) -> None:
     def main(follower: Follower, agent: Agent) -> None:
         second = Agent(follower.sim, SECOND, revision=8, hosts=3)
-        agent.fault, agent.faulty = FAULTS[name], 1 << 30
+        agent.fault, agent.faulty_answers = FAULTS[name], 1 << 30
         agent.drain()
-        agent.met.wait()
+        agent.fault_met.wait()
         follower.discovery.change_address(address(SECOND))
-        follower.until(lambda: follower.hosts.revision == 8, 100_000)
-        asked = len(agent.asked)
-        agent.faulty = 0
+        follower.wait_until(lambda: follower.hosts.revision == 8, 100_000)
+        asked = len(agent.requests)
+        agent.faulty_answers = 0
         agent.drain("h1")
         second.drain("h2")
-        follower.until(lambda: follower.hosts.revision == 9, 50_000)
+        follower.wait_until(lambda: follower.hosts.revision == 9, 50_000)
         follower.world.sleep_until(follower.world.now_us() + CHANGE_LIMIT_US)
-        assert len(agent.asked) == asked  # the old address is not asked again, and its late answers are ignored
-        assert follower.hosts.revision == 9 and follower.lists[-1] == (9, ["h0", "h1"])
+        assert len(agent.requests) == asked  # the old address is not asked again, and its late answers are ignored
+        assert follower.hosts.revision == 9 and follower.applied_lists[-1] == (9, ["h0", "h1"])
 
-    play(main)
+    run_with_watch(main)
 
 
 @pytest.mark.parametrize("name", FAULTS)
@@ -181,15 +181,15 @@
 def test_a_new_address_that_meets_its_faults_is_heard_in_time_and_so_is_the_way_back(name: str, back: bool) -> None:
     def main(follower: Follower, agent: Agent) -> None:
         second = Agent(follower.sim, SECOND, revision=8)
-        second.fault, second.faulty = FAULTS[name], 1 << 30 if back else 1
+        second.fault, second.faulty_answers = FAULTS[name], 1 << 30 if back else 1
         follower.discovery.change_address(address(SECOND))
-        second.met.wait()
+        second.fault_met.wait()
         if back:
             agent.revision = 8
             follower.discovery.change_address(address(FIRST))
-        follower.until(lambda: follower.hosts.revision == 8, MOVE_LIMIT_US)
+        follower.wait_until(lambda: follower.hosts.revision == 8, MOVE_LIMIT_US)
 
-    play(main)
+    run_with_watch(main)
 
 
 @pytest.mark.parametrize("path_fault", ["refused", "hanging", "cuts"])
@@ -208,9 +208,9 @@
             follower.sim.network.restore("node", agent.world.name)
         else:
             setattr(path, path_fault, 0)
-        assert follower.until(lambda: follower.hosts.revision == 6, 1_000_000) < 250_000
+        assert follower.wait_until(lambda: follower.hosts.revision == 6, 1_000_000) < 250_000
 
-    play(main)
+    run_with_watch(main)
 
 
 @pytest.mark.parametrize("answered", [True, False])
@@ -227,30 +227,30 @@
 
         monkeypatch.setattr(follower.world, "connect", fail_to_connect)
         if answered:  # with garbage: the connection is closed before another is opened
-            agent.fault, agent.faulty = a.with_body(b"{"), 1
+            agent.fault, agent.faulty_answers = a.with_body(b"{"), 1
         for stream in [] if answered else agent.streams:
             stream.abort()
         follower.world.sleep_until(follower.world.now_us() + 2_000_000)
         assert 2 <= len(connect_times) <= 102 and follower.hosts.revision == 5 and len(follower.hosts) == 2
         agent.drain()
         monkeypatch.setattr(follower.world, "connect", connect)
-        assert follower.until(lambda: follower.hosts.revision == 6, CHANGE_LIMIT_US) < 50_000
+        assert follower.wait_until(lambda: follower.hosts.revision == 6, CHANGE_LIMIT_US) < 50_000
 
-    play(main)
+    run_with_watch(main)
 
 
 def test_an_answer_that_comes_once_more_and_late_changes_nothing_and_hides_nothing() -> None:
     def main(follower: Follower, agent: Agent) -> None:
         old_answer = plain(200, agent.body())
-        agent.again = [old_answer, old_answer]
+        agent.extra_answers = [old_answer, old_answer]
         agent.drain()
-        follower.until(lambda: follower.hosts.revision == 6 and not agent.again, 100_000)
+        follower.wait_until(lambda: follower.hosts.revision == 6 and not agent.extra_answers, 100_000)
         follower.world.sleep_until(follower.world.now_us() + 20_000)
         agent.drain("h1")
-        assert follower.until(lambda: follower.hosts.revision == 7, CHANGE_LIMIT_US) < 250_000
-        assert [revision for revision, _ in follower.lists] == [5, 6, 7]  # never an older revision again
+        assert follower.wait_until(lambda: follower.hosts.revision == 7, CHANGE_LIMIT_US) < 250_000
+        assert [revision for revision, _ in follower.applied_lists] == [5, 6, 7]  # never an older revision again
 
-    play(main)
+    run_with_watch(main)
 
 
 @pytest.mark.parametrize("lost", [True, False])
@@ -262,12 +262,14 @@
         if lost:
             for stream in agent.streams:
                 stream.abort()
-        assert follower.until(lambda: follower.hosts.revision == 2, CHANGE_LIMIT_US) < (100_000 if lost else 1_200_000)
-        assert follower.lists[-1] == (2, ["h0"])
+        assert follower.wait_until(lambda: follower.hosts.revision == 2, CHANGE_LIMIT_US) < (
+            100_000 if lost else 1_200_000
+        )
+        assert follower.applied_lists[-1] == (2, ["h0"])
         agent.drain()
-        follower.until(lambda: follower.lists[-1] == (3, []), 50_000)
+        follower.wait_until(lambda: follower.applied_lists[-1] == (3, []), 50_000)
 
-    play(main)
+    run_with_watch(main)
 
 
 def test_a_list_without_hosts_holds_only_if_it_is_newer_and_told_for_seconds() -> None:
@@ -277,7 +279,7 @@
         follower.world.sleep_until(follower.world.now_us() + timeouts.EMPTY_LIST_US - 500_000)
         assert len(follower.hosts) == 2  # possibly an answer that lost its entries
         agent.phases, agent.revision = hosts, 7
-        follower.until(lambda: follower.hosts.revision == 7, 250_000)
+        follower.wait_until(lambda: follower.hosts.revision == 7, 250_000)
         agent.phases = {}
         follower.world.sleep_until(follower.world.now_us() + 2 * CHANGE_LIMIT_US)
         assert len(follower.hosts) == 2  # the same revision had hosts
@@ -285,11 +287,11 @@
         follower.world.sleep_until(follower.world.now_us() + 2 * CHANGE_LIMIT_US)
         assert len(follower.hosts) == 2  # discovery may have restarted and know no hosts yet
         agent.revision = 8
-        follower.until(lambda: not len(follower.hosts), CHANGE_LIMIT_US)
+        follower.wait_until(lambda: not len(follower.hosts), CHANGE_LIMIT_US)
         agent.phases, agent.revision = hosts, 9
-        follower.until(lambda: len(follower.hosts) == 2, 250_000)
+        follower.wait_until(lambda: len(follower.hosts) == 2, 250_000)
 
-    play(main)
+    run_with_watch(main)
 
 
 def test_changes_in_place_of_the_whole_list_are_not_taken_for_it() -> None:
@@ -300,9 +302,9 @@
         follower.world.sleep_until(follower.world.now_us() + 500_000)
         assert follower.hosts.revision == 5 and len(follower.hosts) == 2
         agent.complete = True
-        follower.until(lambda: follower.lists[-1] == (6, ["h9"]), 250_000)
+        follower.wait_until(lambda: follower.applied_lists[-1] == (6, ["h9"]), 250_000)
 
-    play(main)
+    run_with_watch(main)
 
 
 @pytest.mark.parametrize(
@@ -311,9 +313,9 @@
 def test_an_agent_that_answers_at_once_and_brings_nothing_is_not_asked_without_pause(agent_fault: str) -> None:
     def main(follower: Follower, agent: Agent) -> None:
         if agent_fault == "no wait":
-            agent.waits = False
+            agent.long_polls = False
         elif agent_fault == "no host":
-            agent.says = b'{"revision":9,"complete":true,"members":[]}'
+            agent.fixed_body = b'{"revision":9,"complete":true,"members":[]}'
         elif agent_fault == "refused":
             follower.sim.network.path("node", agent.world.name).refused = 1
         else:
@@ -324,21 +326,21 @@
             }[agent_fault]
 
             def alternate(agent: Agent, stream: Stream, answer: bytes) -> None:
-                if b"index" in agent.asked[-1][1] or agent_fault == "reset":
+                if b"index" in agent.requests[-1][1] or agent_fault == "reset":
                     fault(agent, stream, answer)
                 else:
                     stream.write(answer)
 
-            agent.fault, agent.faulty = alternate, 1 << 30
+            agent.fault, agent.faulty_answers = alternate, 1 << 30
         for stream in agent.streams:
             stream.abort()
         follower.world.sleep_until(follower.world.now_us() + 100_000)
-        asked, switches = len(agent.asked), follower.sim.scheduler.switches
+        asked, switches = len(agent.requests), follower.sim.scheduler.switches
         follower.world.sleep_until(follower.world.now_us() + 1_000_000)
-        assert len(agent.asked) - asked <= 102
+        assert len(agent.requests) - asked <= 102
         assert follower.sim.scheduler.switches - switches < 4_000
 
-    play(main)
+    run_with_watch(main)
 
 
 @pytest.mark.parametrize("hosts", [1_024, 4_096, 10_000])
@@ -354,11 +356,11 @@
                 stream.write(http1.write_chunk(body[at : at + 1_000]))
             stream.write(http1.LAST_CHUNK)
 
-        agent.fault, agent.faulty = in_chunks, 1
-        follower.until(lambda: b"index=6&" in agent.asked[-1][1], CHANGE_LIMIT_US)
-        assert len(follower.hosts) == hosts and all(b"index" in target for _, target in agent.asked[1:])
+        agent.fault, agent.faulty_answers = in_chunks, 1
+        follower.wait_until(lambda: b"index=6&" in agent.requests[-1][1], CHANGE_LIMIT_US)
+        assert len(follower.hosts) == hosts and all(b"index" in target for _, target in agent.requests[1:])
 
-    play(main)
+    run_with_watch(main)
 
 
 def test_an_old_list_is_taken_only_as_the_answer_to_a_call_of_its_own() -> None:
--- a/tests/test_node_effects.py
+++ b/tests/test_node_effects.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.platform_standin import SETTINGS, TOLD, Host, Platform, plain, write
+from tests.platform_standin import ENVIRONMENT, SETTINGS, Host, Platform, plain, write
 from tests.test_node import writers
 from yardspindle.node.app import Node
 from yardspindle.node.config import parse_config
@@ -33,7 +33,9 @@
 
     def main() -> Platform:
         platform = Platform(sim)
-        node = Node(sim.program("node"), parse_config(TOLD, json.dumps({"settings": with_effect(effect)}).encode()))
+        node = Node(
+            sim.program("node"), parse_config(ENVIRONMENT, json.dumps({"settings": with_effect(effect)}).encode())
+        )
         node.world.spawn("start", node.start).join()
         for number in range(6):
             calls: list[int] = []
@@ -74,7 +76,7 @@
 def test_what_may_have_run_is_tried_again_only_where_its_effect_allows(effect: str) -> None:
     platform, statuses, _ = run_requests(effect, respond_500)
     for number, status in enumerate(statuses):
-        written = platform.kinds(b"id%d" % number).count("write")
+        written = platform.calls_of(b"id%d" % number).count("write")
         if effect == "free":
             assert (status, written) == (200, 2)
         else:
@@ -86,7 +88,7 @@
     platform, statuses, durations_us = run_requests(effect, hang)
     assert max(durations_us) < SHORT_MS * 1_000 + 50_000
     for number, status in enumerate(statuses):
-        written = platform.kinds(b"id%d" % number).count("write")
+        written = platform.calls_of(b"id%d" % number).count("write")
         if effect == "free":  # an unanswered write is aborted and retried while there is time
             assert 1 <= written <= 3 and status == (200 if written > 1 else 503)
         else:
@@ -112,7 +114,9 @@
 
     def main() -> None:
         platform = Platform(sim)
-        node = Node(sim.program("node"), parse_config(TOLD, json.dumps({"settings": with_effect(effect)}).encode()))
+        node = Node(
+            sim.program("node"), parse_config(ENVIRONMENT, json.dumps({"settings": with_effect(effect)}).encode())
+        )
         node.world.spawn("start", node.start).join()
 
         def hang(host: Host, to: Stream, number: bytes) -> bool:
--- a/tests/test_node_fleet.py
+++ b/tests/test_node_fleet.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from tests.platform_standin import SETTINGS, TOLD, Host, Platform, answer, request
+from tests.platform_standin import ENVIRONMENT, SETTINGS, Host, Platform, read_answer, request
 from yardspindle.core.hosts.host_list import ListAnswer
 from yardspindle.node.app import Node
 from yardspindle.node.config import parse_config
@@ -30,7 +30,7 @@
         platform.add(f"{flavor}-{at}", flavor, f"10.4.0.{at}:9000")
     settings = {**SETTINGS, "instances": NODES}
     for at in range(NODES):
-        variables = {**TOLD, "ROUTER_LISTEN": f"10.1.1.{at}:9000"}
+        variables = {**ENVIRONMENT, "ROUTER_LISTEN": f"10.1.1.{at}:9000"}
         world = sim.program(f"node {at}")
         node = Node(world, parse_config(variables, json.dumps({"seed": f"{at:x}", "settings": settings}).encode()))
         world.spawn("start", node.start).join()
@@ -70,7 +70,7 @@
         known = {"revision": 1, "complete": True, "members": [member(at) for at in range(1_000)]}
         config = json.dumps({"known": known, "settings": {**SETTINGS, "instances": 1_024}}).encode()
         tracemalloc.start()
-        node = Node(sim.program("node"), parse_config(TOLD, config))
+        node = Node(sim.program("node"), parse_config(ENVIRONMENT, config))
         node.world.spawn("start", node.start).join()  # nothing listens on the address of discovery
         invalid = [member(at, size=0.0) for at in range(300)] + [{"id": f"odd {at}"} for at in range(200)]
         changes = [*invalid, *(member(at, phase="Gone") for at in range(300, 600))]
@@ -93,11 +93,11 @@
             fields = b"prefix=shared,prefix_len=900,prompt_len=1000,max_out=10"
             data = request(b"r%d" % at).replace(b"prompt_len=1000,max_out=10", fields)
             to.write(data.replace(b"req-key: k", b"req-key: k%d" % at))
-            assert answer(platform.clients, to, platform.clients.now_us()).whole
+            assert read_answer(platform.clients, to, platform.clients.now_us()).whole
 
         for task in ask_each(platform, ask):
             task.join()
-        read_at = Counter(name for what, name, _ in platform.seen if what == "read")
+        read_at = Counter(name for what, name, _ in platform.calls if what == "read")
         assert read_at.total() == NODES and len(read_at) == 1
 
     play(main)
@@ -114,7 +114,7 @@
             if what == "free":
                 released_us.setdefault(number, sim.now_us())
 
-        platform.note = note  # type: ignore[method-assign]
+        platform.record_call = note  # type: ignore[method-assign]
 
         def hang(host: Host, to: Stream, number: bytes) -> bool:
             host.sleep(60_000_000)
@@ -122,7 +122,7 @@
 
         def ask(at: int, to: Stream) -> None:
             to.write(request(b"r%d" % at, b"ask", 1_000))
-            answer(platform.clients, to, sim.now_us())
+            read_answer(platform.clients, to, sim.now_us())
 
         for host in platform.hosts.values():
             host.script = hang
--- a/tests/test_node_handover.py
+++ b/tests/test_node_handover.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.platform_standin import EVENTS, HEAD, SETTINGS, Answer, Host, Platform, plain, read, request, stream, write
-from tests.test_node import play, readers, writers
+from tests.test_node import readers, run_node, writers
 from tests.test_node_cores import READER, WRITER, WRITER2, commands_of, kinds, mark_written, start_reading, started_core
 from tests.test_node_sending import slow
 from yardspindle import interface as i
@@ -98,11 +98,11 @@
             task.join()
         for number, answer in answers.items():
             assert (answer.status, answer.body) == (200, b"".join(named_events(number)))
-            assert platform.kinds(number).count("read") == platform.kinds(number).count("write") == 1
+            assert platform.calls_of(number).count("read") == platform.calls_of(number).count("write") == 1
         assert node.http.counts.reused > 30
         assert_idle(platform, node)
 
-    play(main)
+    run_node(main)
 
 
 def respond_twice(first: Callable[[Host, Stream, bytes], bool], second: bytes, after_us: int) -> Any:
@@ -139,7 +139,7 @@
         assert b"999" not in answer.body
         assert_idle(platform, node)
 
-    play(main)
+    run_node(main)
 
 
 def test_a_connection_that_spoke_casts_no_doubt_on_the_others() -> None:
@@ -155,7 +155,7 @@
             platform.sleep(200_000)
         assert node.http.counts.stale and idle_limit.limit_us(node.world.now_us()) == node.http.idle_us
 
-    play(main)
+    run_node(main)
 
 
 # --- the end of a response
@@ -179,7 +179,7 @@
             assert (answer.whole, answer.body) == (True, FULL_BODY)
         assert_idle(platform, node)
 
-    play(main)
+    run_node(main)
 
 
 def test_a_host_that_closes_with_its_last_byte_casts_no_doubt_on_other_connections() -> None:
@@ -205,7 +205,7 @@
         assert idle_limit is not None and idle_limit.limit_us(node.world.now_us()) == node.http.idle_us
         assert_idle(platform, node)
 
-    play(main)
+    run_node(main)
 
 
 TRUNCATED_RESPONSES = [
@@ -242,10 +242,10 @@
         if flavor == "reads":
             assert order.body == FULL_BODY  # a read has no effect
         else:
-            assert order.status in (502, 504) and platform.kinds(b"order1").count("write") == 1
+            assert order.status in (502, 504) and platform.calls_of(b"order1").count("write") == 1
         assert_idle(platform, node)
 
-    play(main)
+    run_node(main)
 
 
 @pytest.mark.parametrize("flavor", ["reads", "writes"])
@@ -266,13 +266,13 @@
                 host.script = respond_wrongly
         answer = platform.ask(b"id", cls)
         if flavor == "writes" and cls == b"order":  # it may have run
-            assert answer.status in (502, 504) and platform.kinds(b"id").count("write") == 1
+            assert answer.status in (502, 504) and platform.calls_of(b"id").count("write") == 1
         else:
             assert (answer.status, answer.body) == (200, FULL_BODY) and len(calls) == 2
         assert_idle(platform, node)
 
     calls: list[bytes] = []
-    play(main)
+    run_node(main)
 
 
 # --- the deadline, and the end of the process
@@ -312,7 +312,7 @@
         )
         assert_idle(platform, node)
 
-    play(main)
+    run_node(main)
 
 
 # --- held state and places
@@ -374,10 +374,10 @@
         for at in range(40):
             number = b"id%d" % at
             assert platform.ask(number).body == FULL_BODY
-            assert platform.kinds(number).count("write") == 1  # no release took the second read's state
+            assert platform.calls_of(number).count("write") == 1  # no release took the second read's state
         assert_idle(platform, node)
 
-    play(main)
+    run_node(main)
 
 
 def test_a_release_that_is_under_way_as_a_repeat_starts_takes_nothing_from_it() -> None:
@@ -401,11 +401,11 @@
             node.http.close_all()
             slow(platform, list(platform.hosts.values()), hop_us)
             assert platform.ask(number).body == FULL_BODY
-            assert platform.kinds(number).count("write") == 1
+            assert platform.calls_of(number).count("write") == 1
             platform.sleep(2_500_000)  # until its readers are used again
         assert_idle(platform, node)
 
-    play(main)
+    run_node(main)
 
 
 # --- a request id that is used again
@@ -428,4 +428,4 @@
             assert (answer.status, answer.body) == (200, FULL_BODY)
         assert_idle(platform, node)
 
-    play(main)
+    run_node(main)
--- a/tests/test_node_held.py
+++ b/tests/test_node_held.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.platform_standin import SETTINGS, Host, Platform, read, request
-from tests.test_node import play, readers, writers
+from tests.test_node import readers, run_node, writers
 from tests.test_node_cores import (
     READER,
     RULES,
@@ -35,14 +35,14 @@
 def release_times(platform: Platform) -> list[int]:
     """The times at which releases arrive at a host, from now on."""
     times: list[int] = []
-    note = platform.note
+    note = platform.record_call
 
     def noting(what: str, host: Host, number: bytes) -> None:
         note(what, host, number)
         if what == "free":
             times.append(platform.sim.now_us())
 
-    platform.note = noting  # type: ignore[method-assign]
+    platform.record_call = noting  # type: ignore[method-assign]
     return times
 
 
@@ -68,7 +68,7 @@
         for end in read_ends:
             assert any(end < at < end + RELEASE_US for at in times)
 
-    play(main)
+    run_node(main)
 
 
 def test_what_a_broken_read_left_is_let_go_of_though_no_other_reader_can_be_connected_to() -> None:
@@ -97,7 +97,7 @@
         assert len(break_times) == 1 and not platform.states
         assert times[0] - break_times[0] < RELEASE_US
 
-    play(main)
+    run_node(main)
 
 
 def test_an_attempt_that_was_never_written_restarts_no_clock_and_has_not_run() -> None:
@@ -209,7 +209,7 @@
         platform.sleep(EXPIRY_US)  # until then, a read that may continue at a stopped host is tracked
         assert not node.executor.releases.running and not node.executor.request_ids
 
-    play(main)
+    run_node(main)
 
 
 def test_a_host_that_is_slow_to_accept_may_still_take_the_word() -> None:
--- a/tests/test_node_left.py
+++ b/tests/test_node_left.py
@@ -8,9 +8,20 @@
 
 import pytest
 
-from tests.platform_standin import EVENTS, HEAD, SETTINGS, TOLD, Host, Platform, answer, plain, read, request
+from tests.platform_standin import (
+    ENVIRONMENT,
+    EVENTS,
+    HEAD,
+    SETTINGS,
+    Host,
+    Platform,
+    plain,
+    read,
+    read_answer,
+    request,
+)
 from tests.platform_standin import read_request as next_request
-from tests.test_node import play, readers, writers
+from tests.test_node import readers, run_node, writers
 from tests.test_node_sending import HOP_US, slow, wait_for_request
 from yardspindle import interface as i
 from yardspindle.core.request.records import RequestRecord
@@ -72,7 +83,7 @@
 def assert_released(platform: Platform, node: Node, seen: list[str], number: bytes = ID) -> None:
     """Assert that only releases are sent for a request from now on, and that all it holds is released in time."""
     platform.sleep(RELEASE_US + 300_000)
-    assert [what for what in platform.kinds(number) if what != "free"] == [what for what in seen if what != "free"]
+    assert [what for what in platform.calls_of(number) if what != "free"] == [what for what in seen if what != "free"]
     assert number not in platform.states
     platform.sleep(EXPIRY_US + 3_000_000)  # until then, calls that may lie unread at an unresponsive host are tracked
     assert not node.core.needs_tick and not node.executor.request_ids
@@ -97,7 +108,7 @@
         leave(client)
         assert_released(platform, node, [] if role is i.Role.READ else ["read"])
 
-    play(main)
+    run_node(main)
 
 
 @CLOSE_KINDS
@@ -109,7 +120,7 @@
         leave(client)
         assert_released(platform, node, [])
 
-    play(main)
+    run_node(main)
 
 
 @CLOSE_KINDS
@@ -129,7 +140,7 @@
         leave(client)
         assert_released(platform, node, ["read"])
 
-    play(main)
+    run_node(main)
 
 
 @CLOSE_KINDS
@@ -141,13 +152,13 @@
         for host in readers(platform):
             host.script = hang
         client = start_request(platform)
-        while "place" not in platform.kinds(ID):
+        while "place" not in platform.calls_of(ID):
             platform.sleep(1_000)
         leave(client)
         assert_released(platform, node, ["read", "place"])
-        assert platform.kinds(ID)[-1] == "free"
+        assert platform.calls_of(ID)[-1] == "free"
 
-    play(main)
+    run_node(main)
 
 
 @CLOSE_KINDS
@@ -177,9 +188,9 @@
         platform.sleep(10_000)
         assert node.executor.releases.running and is_connecting(i.Role.READ)(record)
         leave(client)
-        assert_released(platform, node, ["read"] + ["place"] * platform.kinds(ID).count("place"))
+        assert_released(platform, node, ["read"] + ["place"] * platform.calls_of(ID).count("place"))
 
-    play(main)
+    run_node(main)
 
 
 @CLOSE_KINDS
@@ -199,9 +210,9 @@
         )
         leave(client)
         platform.sleep(5_000)
-        assert_released(platform, node, platform.kinds(ID))
+        assert_released(platform, node, platform.calls_of(ID))
 
-    play(main)
+    run_node(main)
 
 
 @CLOSE_KINDS
@@ -226,7 +237,7 @@
         assert 5 < unwritten < 55  # some connections were established first, some clients left first
         assert not node.core.busy and node.core.rule_checker.last_violation is None
 
-    play(main)
+    run_node(main)
 
 
 @CLOSE_KINDS
@@ -264,10 +275,10 @@
         assert_released(
             platform,
             node,
-            [what for what in platform.kinds(ID) if what == "place" or (what == "read" and role is i.Role.WRITE)],
+            [what for what in platform.calls_of(ID) if what == "place" or (what == "read" and role is i.Role.WRITE)],
         )
 
-    play(main)
+    run_node(main)
 
 
 @CLOSE_KINDS
@@ -284,7 +295,7 @@
         assert_released(platform, node, [])
         assert not ids
 
-    play(main)
+    run_node(main)
 
 
 @CLOSE_KINDS
@@ -308,7 +319,7 @@
         platform.sleep(1_000_000)
         assert not node.core.busy and node.core.rule_checker.last_violation is None
 
-    play(main)
+    run_node(main)
 
 
 # --- on sockets
@@ -358,7 +369,7 @@
 
         free = world.listen("127.0.0.1", 0)
         free.close()
-        variables = {**TOLD, "ROUTER_LISTEN": f"127.0.0.1:{free.port}", "ROUTER_DISCOVERY": serve(lists)}
+        variables = {**ENVIRONMENT, "ROUTER_LISTEN": f"127.0.0.1:{free.port}", "ROUTER_DISCOVERY": serve(lists)}
         node = Node(
             world, parse_config(variables, json.dumps({"limits": {"sockets": 256}, "settings": SETTINGS}).encode())
         )
@@ -378,7 +389,7 @@
     def main(world: RealWorld, connect: Callable[[], Any], seen: list[bytes]) -> None:
         first = connect()
         first.write(request(b"warm"))
-        warm = answer(world, first, world.now_us())  # type: ignore[arg-type]
+        warm = read_answer(world, first, world.now_us())  # type: ignore[arg-type]
         assert warm.whole and seen == [b"warm"]
         for at in range(10):
             client = connect()
@@ -388,6 +399,6 @@
         assert seen == [b"warm"]
         last = connect()
         last.write(request(b"pipelines") + ahead)  # a connected client is served
-        assert answer(world, last, world.now_us()).whole  # type: ignore[arg-type]
+        assert read_answer(world, last, world.now_us()).whole  # type: ignore[arg-type]
 
     play_on_sockets(main)
--- a/tests/test_node_lists.py
+++ b/tests/test_node_lists.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tests.platform_standin import SETTINGS, TOLD, Platform, answer
-from tests.test_node import play, writers
+from tests.platform_standin import ENVIRONMENT, SETTINGS, Platform, read_answer
+from tests.test_node import run_node, writers
 from yardspindle.core.hosts.host_list import HostList, ListAnswer, Member
 from yardspindle.core.request import timeouts
 from yardspindle.node.app import Node
@@ -35,15 +35,15 @@
 def test_a_watch_that_falls_silent_is_found_out_in_any_phase_of_it(phase: float) -> None:
     def main(platform: Platform, node: Node) -> None:
         platform.sleep(10_000)
-        asked = len(platform.asked)
-        while len(platform.asked) == asked:
+        asked = len(platform.discovery_requests)
+        while len(platform.discovery_requests) == asked:
             platform.sleep(1_000)
         platform.sleep(round(phase * timeouts.WATCH_WAIT_US))
-        platform.watches += 1
+        platform.silenced_watches += 1
         drain_one(platform)
         wait_for_newest_list(platform, node, max(6_000_000, round((1 - phase) * timeouts.WATCH_WAIT_US) + 2_000_000))
 
-    play(main)
+    run_node(main)
 
 
 def test_a_watch_that_is_reset_is_asked_again_at_once() -> None:
@@ -56,7 +56,7 @@
             stream.abort()
         assert wait_for_newest_list(platform, node, 100_000) < 20_000
 
-    play(main)
+    run_node(main)
 
 
 @pytest.mark.parametrize("down_us", [1_300_000, 3_000_000, 8_123_000])
@@ -68,7 +68,7 @@
         drain_one(platform)
         assert wait_for_newest_list(platform, node, 1_000_000) < MIN_GRACE_US
 
-    play(main)
+    run_node(main)
 
 
 def test_a_dispatcher_that_starts_is_up_only_with_the_agents_list() -> None:
@@ -79,7 +79,7 @@
         platform.down_until_us = sim.now_us() + 4_000_000
         known = {"revision": 1, "complete": True, "members": platform.members()}
         world = sim.program("node")
-        node = Node(world, parse_config(TOLD, json.dumps({"known": known, "settings": SETTINGS}).encode()))
+        node = Node(world, parse_config(ENVIRONMENT, json.dumps({"known": known, "settings": SETTINGS}).encode()))
         world.spawn("start", node.start)
         drained = writers(platform)[0]
         drain_one(platform)
@@ -89,12 +89,12 @@
             platform.sleep(100_000)
             stream = platform.connect()
             stream.write(up)
-            statuses.append(answer(platform.clients, stream, sim.now_us()).status)
+            statuses.append(read_answer(platform.clients, stream, sim.now_us()).status)
             stream.close()
         assert node.host_list.revision == platform.revision and 503 in statuses
         for number in range(9):
             assert platform.ask(b"id%d" % number).whole
-        assert drained.name not in {name for what, name, _ in platform.seen if what in ("write", "place")}
+        assert drained.name not in {name for what, name, _ in platform.calls if what in ("write", "place")}
 
     sim = Simulation(5)
     sim.run("main", main)
@@ -111,7 +111,7 @@
         platform.down_until_us = started_us + down_us
         known = {"revision": 1, "complete": True, "members": platform.members()}
         world = sim.program("node")
-        node = Node(world, parse_config(TOLD, json.dumps({"known": known, "settings": SETTINGS}).encode()))
+        node = Node(world, parse_config(ENVIRONMENT, json.dumps({"known": known, "settings": SETTINGS}).encode()))
         world.spawn("start", node.start).join()
         reply = node.early_reply(http1.RequestHead(b"GET", b"/up", 1, []))
         assert reply is not None and reply.status == 200
@@ -137,7 +137,7 @@
         known = {"revision": 9 if below else 1, "complete": True, "members": platform.members()}
         data = {"known": known, "settings": SETTINGS}
         world = sim.program("node")
-        node = Node(world, parse_config(TOLD, json.dumps(data).encode()))
+        node = Node(world, parse_config(ENVIRONMENT, json.dumps(data).encode()))
         start = world.spawn("start", node.start)
         platform.sleep(1_000_000)
         platform.down_until_us = 0  # the calls in flight stay unanswered
@@ -145,7 +145,7 @@
         drained, removed = writers(platform)[:2]
         drained.phase, platform.revision = "Terminating", 3
         del platform.hosts[removed.name]
-        node.reload(parse_config(TOLD, json.dumps(data | {"discovery": "10.2.0.9:8500"}).encode()))
+        node.reload(parse_config(ENVIRONMENT, json.dumps(data | {"discovery": "10.2.0.9:8500"}).encode()))
         started_us = sim.now_us()
         start.join()
         assert sim.now_us() - started_us < 50_000 and node.host_list.revision == 3 and not node.host_list.stale
--- a/tests/test_node_more.py
+++ b/tests/test_node_more.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from tests.platform_standin import EVENTS, SETTINGS, TOLD, Host, Platform, request, stream, write
-from tests.test_node import BAD_REQUESTS, ID, play, readers, sends, writers
+from tests.platform_standin import ENVIRONMENT, EVENTS, SETTINGS, Host, Platform, request, stream, write
+from tests.test_node import BAD_REQUESTS, ID, readers, run_node, sends, writers
 from yardspindle.core.config import ConfigError
 from yardspindle.node.app import Node
 from yardspindle.node.config import parse_config, required_variables
@@ -33,10 +33,10 @@
             except DeadlineExceeded:
                 assert received  # an error response, and the connection stays open
         assert not received or received.startswith(b"HTTP/1.1 4") or received.startswith(b"HTTP/1.1 5")
-        assert node.core.lifecycle.counts.taken == 0 and platform.seen == []
+        assert node.core.lifecycle.counts.taken == 0 and platform.calls == []
         assert platform.ask(b"good").whole
 
-    play(main)
+    run_node(main)
 
 
 def test_an_id_that_is_open_is_refused_and_the_open_one_served() -> None:
@@ -46,9 +46,9 @@
         platform.sleep(10_000)
         assert platform.ask(ID).status == 409
         first.join()
-        assert answers == [200] and platform.kinds(ID).count("read") == 1
+        assert answers == [200] and platform.calls_of(ID).count("read") == 1
 
-    play(main)
+    run_node(main)
 
 
 def test_silent_connections_leave_room_for_clients() -> None:
@@ -60,7 +60,7 @@
         assert node._server.connections <= 1
         assert all(not stream.is_idle() for stream in idle_clients)
 
-    play(main, sockets=64)
+    run_node(main, sockets=64)
 
 
 # --- discovery
@@ -72,31 +72,31 @@
         drained.phase, platform.revision = "Terminating", 2
         platform.sleep(100_000)
         for malformed in (b"{", b'{"revision":9,"complete":true,"members":[]}', b'{"revision":1,"complete":true}'):
-            platform.spoil, platform.revision = malformed, platform.revision + 1
+            platform.discovery_body, platform.revision = malformed, platform.revision + 1
             platform.sleep(1_000_000)
         assert len(node.host_list) == 5
         for number in range(6):
             assert platform.ask(b"id%d" % number).whole
-        assert drained.name not in [name for what, name, _ in platform.seen if what == "write"]
+        assert drained.name not in [name for what, name, _ in platform.calls if what == "write"]
 
-    play(main)
+    run_node(main)
 
 
 def test_an_agent_that_falls_silent_is_asked_anew_and_another_address_is_followed() -> None:
     def main(platform: Platform, node: Node) -> None:
         platform.sleep(100_000)
-        platform.sim.network.cut("node", f"discovery {TOLD['ROUTER_DISCOVERY']}")
+        platform.sim.network.cut("node", f"discovery {ENVIRONMENT['ROUTER_DISCOVERY']}")
         platform.sleep(7_000_000)
         assert len(node.host_list) == 5 and platform.ask(b"meanwhile").whole
         platform.discovery("10.2.0.9:8500")
         platform.hosts.pop(writers(platform)[0].name)
         platform.revision = 7
         config = json.dumps({"discovery": "10.2.0.9:8500", "settings": SETTINGS}).encode()
-        node.reload(parse_config(TOLD, config))
+        node.reload(parse_config(ENVIRONMENT, config))
         platform.sleep(200_000)
         assert (len(node.host_list), node.host_list.revision) == (4, 7)
 
-    play(main)
+    run_node(main)
 
 
 def test_tables_stay_flat_while_hosts_and_clients_keep_changing() -> None:
@@ -126,7 +126,7 @@
             counts.append(sum(len(table) for table in tables))
         return counts
 
-    counts = play(main)
+    counts = run_node(main)
     assert max(counts[180:]) <= max(counts[120:180])
 
 
@@ -170,7 +170,7 @@
         assert max(answer.took_us for answer in answers.values()) < 3_900_000
         assert not node.core.lifecycle.requests
 
-    play(main)
+    run_node(main)
 
 
 @pytest.mark.parametrize("cut", [0, 2, 4])
@@ -194,7 +194,7 @@
         client = platform.connect()
         client.write(request(b"id"))
         platform.sleep(300_000)
-        assert sorted(platform.kinds(b"id")) == ["place", "read"]  # on two connections: either may arrive first
+        assert sorted(platform.calls_of(b"id")) == ["place", "read"]  # on two connections: either may arrive first
         for name in list(platform.hosts)[:cut]:
             platform.sim.network.cut("node", name)
             if platform.hosts[name].flavor == "reads":
@@ -202,7 +202,7 @@
         drain.join()
         assert not platform.states and not node.core.request_releases.pending
 
-    play(main)
+    run_node(main)
 
 
 def answer_place_late(host: Host, status: int) -> Callable[[Stream, http1.RequestHead], bool]:
@@ -230,10 +230,10 @@
         client = platform.connect()
         client.write(request(b"id"))
         drain.join()
-        kinds = platform.kinds(b"id")  # with no answer to the place, or a 204, its read is aborted and retried
+        kinds = platform.calls_of(b"id")  # with no answer to the place, or a 204, its read is aborted and retried
         assert kinds.count("place") <= kinds.count("read") <= 2 and "place" in kinds and not platform.states
 
-    play(main)
+    run_node(main)
 
 
 # --- configuration
@@ -277,11 +277,11 @@
 )
 def test_a_bad_configuration_is_one_clear_line(data: bytes, named: str) -> None:
     with pytest.raises(ConfigError) as caught:
-        parse_config(TOLD, data)
+        parse_config(ENVIRONMENT, data)
     text = str(caught.value)
     assert text.startswith("/config.json: ") and named in text and "\n" not in text
 
 
 def test_a_missing_variable_is_named() -> None:
     with pytest.raises(ConfigError, match="ROUTER_LISTEN"):
-        required_variables({name: value for name, value in TOLD.items() if name != "ROUTER_LISTEN"})
+        required_variables({name: value for name, value in ENVIRONMENT.items() if name != "ROUTER_LISTEN"})
--- a/tests/test_node_moves.py
+++ b/tests/test_node_moves.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 
 from tests.agent_standin import Agent
-from tests.test_node_discovery import FAULTS, MOVE_LIMIT_US, SECOND, Follower, address, play
+from tests.test_node_discovery import FAULTS, MOVE_LIMIT_US, SECOND, Follower, address, run_with_watch
 from yardspindle.core.hosts.host_list import HostList, ListAnswer, Member
 from yardspindle.core.request import timeouts
 
@@ -18,15 +18,15 @@
 
     def main(follower: Follower, agent: Agent) -> None:
         agent.drain()
-        follower.until(lambda: follower.hosts.revision == 6, 50_000)
+        follower.wait_until(lambda: follower.hosts.revision == 6, 50_000)
         second = Agent(follower.sim, SECOND, revision=5)
         follower.discovery.change_address(address(SECOND))
-        took_us = follower.until(lambda: follower.hosts.revision == 5, MOVE_LIMIT_US)
-        assert took_us > timeouts.AGENT_MOVE_WAIT_US and follower.lists[-1][1] == ["h1"]
+        took_us = follower.wait_until(lambda: follower.hosts.revision == 5, MOVE_LIMIT_US)
+        assert took_us > timeouts.AGENT_MOVE_WAIT_US and follower.applied_lists[-1][1] == ["h1"]
         second.drain("h1")
-        follower.until(lambda: follower.lists[-1] == (6, ["h0"]), 50_000)  # its next list counts again
+        follower.wait_until(lambda: follower.applied_lists[-1] == (6, ["h0"]), 50_000)  # its next list counts again
 
-    play(main)
+    run_with_watch(main)
 
 
 @pytest.mark.parametrize(
@@ -38,14 +38,16 @@
 ) -> None:
     def main(follower: Follower, agent: Agent) -> None:
         second = Agent(follower.sim, SECOND, revision=2, hosts=3)
-        second.fault, second.faulty = FAULTS[name], times
+        second.fault, second.faulty_answers = FAULTS[name], times
         follower.discovery.change_address(address(SECOND))
-        follower.until(lambda: follower.hosts.revision == 2, MOVE_LIMIT_US)
-        assert follower.lists == [(5, ["h0", "h1"]), (2, ["h0", "h1", "h2"])]
+        follower.wait_until(lambda: follower.hosts.revision == 2, MOVE_LIMIT_US)
+        assert follower.applied_lists == [(5, ["h0", "h1"]), (2, ["h0", "h1", "h2"])]
         second.drain("h2")
-        follower.until(lambda: follower.hosts.revision == 3, 50_000 if not second.faulty else MOVE_LIMIT_US)
+        follower.wait_until(
+            lambda: follower.hosts.revision == 3, 50_000 if not second.faulty_answers else MOVE_LIMIT_US
+        )
 
-    play(main)
+    run_with_watch(main)
 
 
 @pytest.mark.parametrize("name", FAULTS)
@@ -59,10 +61,10 @@
         second = Agent(follower.sim, SECOND, revision=2)
         follower.discovery.change_address(address(SECOND))
         follower.world.sleep_until(follower.world.now_us() + at_us)
-        second.fault, second.faulty = FAULTS[name], 1
-        follower.until(lambda: follower.hosts.revision == 2, MOVE_LIMIT_US - at_us)
+        second.fault, second.faulty_answers = FAULTS[name], 1
+        follower.wait_until(lambda: follower.hosts.revision == 2, MOVE_LIMIT_US - at_us)
 
-    play(main)
+    run_with_watch(main)
 
 
 @pytest.mark.parametrize("gone", [False, True])
@@ -77,11 +79,11 @@
         second.drain()
         if gone:
             del second.phases["h0"]
-        assert follower.until(lambda: follower.lists[-1][1] == ["h1"], MOVE_LIMIT_US) < MIN_GRACE_US
-        follower.until(lambda: follower.hosts.revision == second.revision, MOVE_LIMIT_US)
-        assert follower.lists[-1][1] == ["h1"]
+        assert follower.wait_until(lambda: follower.applied_lists[-1][1] == ["h1"], MOVE_LIMIT_US) < MIN_GRACE_US
+        follower.wait_until(lambda: follower.hosts.revision == second.revision, MOVE_LIMIT_US)
+        assert follower.applied_lists[-1][1] == ["h1"]
 
-    play(main)
+    run_with_watch(main)
 
 
 def test_a_list_without_hosts_at_a_new_address_is_not_believed_for_what_the_old_one_said() -> None:
--- a/tests/test_node_sending.py
+++ b/tests/test_node_sending.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.platform_standin import SETTINGS, Answer, Host, Platform, read, write
-from tests.test_node import play, readers, writers
+from tests.test_node import readers, run_node, writers
 from tests.test_node_cores import (
     READER,
     WRITER,
@@ -74,7 +74,7 @@
             left_us = started_us + 1_000_000 - (received_us - HOP_US)  # at the time its bytes were written
             assert left_us - 10_000 < deadline_ms * 1_000 <= left_us + 8_000  # the client connects and sends
 
-    play(main)
+    run_node(main)
 
 
 @pytest.mark.parametrize("flavor", ["reads", "writes"])
@@ -110,7 +110,7 @@
             assert deadline_ms * 1_000 <= started_us + 2_500_000 - (received_us - HOP_US) + 8_000
 
     calls: list[bytes] = []
-    play(main)
+    run_node(main)
 
 
 def test_the_time_told_is_rounded_down_and_an_attempt_with_none_left_is_not_sent() -> None:
@@ -158,7 +158,7 @@
         assert patient.status in (429, 503)
         assert any(server.failures for server in node.policy.servers.values())  # the connect time-out itself had passed
 
-    play(main)
+    run_node(main)
 
 
 # --- a list that changes while a connection is established
@@ -242,13 +242,13 @@
         drain(platform, name, gone)
         assert answer().whole
         what = "read" if role is i.Role.READ else "write"
-        at = [host for seen, host, _ in platform.seen if seen == what]
+        at = [host for seen, host, _ in platform.calls if seen == what]
         assert len(at) == 1 and name not in at
         assert node.core.rule_checker.last_violation is None and node.core.lifecycle.counts.interlocks == {
             "drain while connecting": 1
         }
 
-    play(main)
+    run_node(main)
 
 
 @pytest.mark.parametrize("gone", [False, True])
@@ -267,7 +267,7 @@
         name = record.place.server.name
         drain(platform, name, gone)
         assert answer().whole
-        at = [host for seen, host, _ in platform.seen if seen in ("place", "write")]
+        at = [host for seen, host, _ in platform.calls if seen in ("place", "write")]
         assert len(at) == 2 and name not in at and at[0] == at[1]
 
-    play(main)
+    run_node(main)
--- a/tests/test_node_stalled.py
+++ b/tests/test_node_stalled.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tests.platform_standin import EVENTS, HEAD, Answer, Host, Platform, answer, request
-from tests.test_node import ID, play, writers
+from tests.platform_standin import EVENTS, HEAD, Answer, Host, Platform, read_answer, request
+from tests.test_node import ID, run_node, writers
 from tests.test_node_handover import assert_idle
 from yardspindle.core.request import timeouts
 from yardspindle.node.app import Node
@@ -53,7 +53,7 @@
     started_us = platform.clients.now_us()
     to.write(request(ID))
     platform.sleep(stall_us)
-    return answer(platform.clients, to, started_us)
+    return read_answer(platform.clients, to, started_us)
 
 
 @pytest.mark.parametrize("large_events", [20, 6])
@@ -66,7 +66,7 @@
         assert not any(server.failures for server in node.policy.servers.values())
         assert_idle(platform, node)
 
-    play(main)
+    run_node(main)
 
 
 def test_a_host_resets_its_stream_while_its_client_stalls() -> None:
@@ -76,7 +76,7 @@
         assert not got.whole and got.status == 200 and FULL_BODY.startswith(got.body)
         assert_idle(platform, node)
 
-    play(main)
+    run_node(main)
 
 
 def test_a_client_that_stalls_for_good_is_cut_off_and_its_host_let_go() -> None:
@@ -86,7 +86,7 @@
         assert not got.whole and len(ends) == 1 and isinstance(ends[0], StreamError)
         assert_idle(platform, node)
 
-    play(main)
+    run_node(main)
 
 
 @pytest.mark.parametrize("large_events", [20, 6, 1])
--- a/tests/test_node_streams.py
+++ b/tests/test_node_streams.py
@@ -11,8 +11,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.platform_standin import EVENTS, HEAD, Answer, Host, Platform, answer, request
-from tests.test_node import ID, first_only, play, readers, sends, writers
+from tests.platform_standin import EVENTS, HEAD, Answer, Host, Platform, read_answer, request
+from tests.test_node import ID, first_only, readers, run_node, sends, writers
 from tests.test_node_cores import READER, RULES, WRITER, commands_of, kinds, mark_written, start_reading, started_core
 from tests.test_node_handover import assert_idle, set_fixed_latency
 from yardspindle import interface as i
@@ -75,7 +75,7 @@
         received += body_data(parsers[1], data)
         while len(EVENT_END.findall(received)) > len(received_us):
             received_us.append(platform.sim.now_us())
-    assert len(received_us) == len(written_us) and platform.kinds(b"id").count("write") == 1
+    assert len(received_us) == len(written_us) and platform.calls_of(b"id").count("write") == 1
     return [received_at - written_at for received_at, written_at in zip(received_us, written_us, strict=True)]
 
 
@@ -112,7 +112,7 @@
         assert max(event_delays(platform, *pieces)) < MAX_DELAY_US
         assert_idle(platform, node)
 
-    play(main)
+    run_node(main)
 
 
 @pytest.mark.parametrize(
@@ -135,7 +135,7 @@
         assert max(event_delays(platform, rest, pause_us=pause_us, opening=opening)) < MAX_DELAY_US
         assert_idle(platform, node)
 
-    play(main)
+    run_node(main)
 
 
 @pytest.mark.parametrize("whole_us", [90_000, 190_000, 210_000, 390_000, 410_000, 490_000])
@@ -145,7 +145,7 @@
         delays = event_delays(platform, CHUNK[cut:-2], CHUNK[-2:], pause_us=whole_us, opening=CHUNK[:cut])
         assert max(delays) < MAX_DELAY_US
 
-    play(main)
+    run_node(main)
 
 
 def test_events_go_out_in_time_while_their_chunk_trickles_in() -> None:
@@ -153,7 +153,7 @@
         pieces = [CHUNK[at : at + 4] for at in range(0, len(CHUNK), 4)]
         assert max(event_delays(platform, *pieces, pause_us=40_000)) < MAX_DELAY_US
 
-    play(main)
+    run_node(main)
 
 
 def test_a_part_of_a_chunk_that_comes_to_its_end_soon_is_not_passed_on_before() -> None:
@@ -170,7 +170,7 @@
         answer = platform.ask(b"id")
         assert not answer.whole and answer.body == EVENTS[0]
 
-    play(main)
+    run_node(main)
 
 
 @pytest.mark.parametrize(
@@ -190,9 +190,9 @@
         for host in writers(platform):
             host.script = script
         answer = platform.ask(b"id")
-        assert (answer.whole, answer.body) == (True, FULL_BODY) and platform.kinds(b"id").count("write") == 2
+        assert (answer.whole, answer.body) == (True, FULL_BODY) and platform.calls_of(b"id").count("write") == 2
 
-    play(main)
+    run_node(main)
 
 
 def test_whole_events_of_a_first_chunk_that_never_gets_whole_go_out_and_nothing_more() -> None:
@@ -203,9 +203,9 @@
             host.script = sends(HEAD + CHUNK[:-2])
         answer = platform.ask(b"id")
         assert (answer.status, answer.whole, answer.body) == (200, False, ONE + TWO + THREE)
-        assert answer.took_us < 5_000_000 and platform.kinds(b"id").count("write") == 1
+        assert answer.took_us < 5_000_000 and platform.calls_of(b"id").count("write") == 1
 
-    play(main)
+    run_node(main)
 
 
 @given(
@@ -251,14 +251,14 @@
         client: Any = platform.connect()
         client.write(request(b"id"))
         platform.sleep(timeouts.STREAM_IDLE_US + 2_000_000)
-        got = answer(platform.clients, client, 0)
+        got = read_answer(platform.clients, client, 0)
         assert (got.whole, got.body) == (True, b"".join(events))
         assert (
             node.http.idle_limit is not None and node.http.idle_limit.limit_us(node.world.now_us()) == node.http.idle_us
         )
         assert_idle(platform, node)
 
-    play(main)
+    run_node(main)
 
 
 @pytest.mark.parametrize("whole", [True, False])
@@ -288,7 +288,7 @@
         assert_idle(platform, node)
 
     node_world: list[Any] = []
-    play(main)
+    run_node(main)
 
 
 # --- the end of the process
@@ -372,7 +372,7 @@
             assert answers[number].body == FULL_BODY
         assert not node.core.lifecycle.requests and readers(platform)
 
-    play(main)
+    run_node(main)
 
 
 def test_last_words_of_a_request_that_is_over_are_none() -> None:
@@ -381,7 +381,7 @@
         platform.sleep(50_000)
         assert platform.ask(b"id").body == FULL_BODY
 
-    play(main)
+    run_node(main)
 
 
 # --- hosts that reset a stream
@@ -407,11 +407,11 @@
         for host in writers(platform):
             host.script = script
         answer = platform.ask(b"one", cls)
-        assert answer.took_us < 1_000_000 and platform.kinds(b"one").count("write") == (2 if cls == b"ask" else 1)
+        assert answer.took_us < 1_000_000 and platform.calls_of(b"one").count("write") == (2 if cls == b"ask" else 1)
         assert answer.whole and answer.status in ((200,) if cls == b"ask" else (502, 504))
         assert node.core.lifecycle.counts.interlocks == {}
 
-    play(main)
+    run_node(main)
 
 
 def test_a_stream_that_its_host_resets_later_is_broken_and_not_taken_for_a_client_that_left() -> None:
@@ -422,4 +422,4 @@
         assert (answer.status, answer.whole, answer.body) == (200, False, EVENTS[0]) and answer.took_us < 1_000_000
         assert (node.core.lifecycle.counts.failed, node.core.lifecycle.counts.left) == (1, 0)
 
-    play(main)
+    run_node(main)
--- a/tests/test_node_sweep.py
+++ b/tests/test_node_sweep.py
@@ -6,7 +6,7 @@
 
 from tests import agent_standin as a
 from tests.agent_standin import Agent, Fault
-from tests.test_node_discovery import CHANGE_LIMIT_US, Follower, play
+from tests.test_node_discovery import CHANGE_LIMIT_US, Follower, run_with_watch
 from yardspindle.core.request import timeouts
 from yardspindle.runtime.world import Stream
 
@@ -35,7 +35,7 @@
     stream.abort()
     agent.sleep(REFUSED_US)
     path.refused -= 1
-    agent.reached_us = agent.world.now_us()
+    agent.unreachable_until_us = agent.world.now_us()
 
 
 FAULTS: dict[str, tuple[Fault, ...]] = {  # the faults of the open watch and of the calls after it
@@ -65,7 +65,7 @@
         remaining = list(faults)
 
         def start_faults() -> None:
-            agent.fault, agent.faulty = lambda *call: remaining.pop(0)(*call), len(remaining)
+            agent.fault, agent.faulty_answers = lambda *call: remaining.pop(0)(*call), len(remaining)
 
         def wait_until(when_us: int) -> None:
             follower.world.sleep_until(max(when_us, follower.world.now_us()))
@@ -77,12 +77,12 @@
             wait_until(event_us)
             event()
         wait_until(drain_us)
-        follower.until(lambda: follower.lists[-1][1] == ["h1"], CHANGE_LIMIT_US)
-        took_us = follower.sim.now_us() - max(drain_us, agent.reached_us)
-        follower.until(lambda: b"index=6&" in agent.asked[-1][1], CHANGE_LIMIT_US)  # and updates continue
+        follower.wait_until(lambda: follower.applied_lists[-1][1] == ["h1"], CHANGE_LIMIT_US)
+        took_us = follower.sim.now_us() - max(drain_us, agent.unreachable_until_us)
+        follower.wait_until(lambda: b"index=6&" in agent.requests[-1][1], CHANGE_LIMIT_US)  # and updates continue
         return took_us
 
-    took: int = play(main)
+    took: int = run_with_watch(main)
     return took
 
 
--- a/tests/test_prefix_path.py
+++ b/tests/test_prefix_path.py
@@ -129,7 +129,7 @@
 
 
 def test_what_readers_tell_becomes_what_the_policy_hears(tmp_path: Path) -> None:
-    with FleetThread(tmp_path, boxes=ENGINES) as fleet:
+    with FleetThread(tmp_path, engine_settings=ENGINES) as fleet:
         run_traffic(fleet, 120)
         tracker = fleet.edge.prefix_tracker
         assert tracker is not None
@@ -159,7 +159,7 @@
     with FleetThread(tmp_path / "off", {"index": {"mode": "off"}}, ENGINES) as fleet:
         without = served_share(run_traffic(fleet, 150))
     (tmp_path / "wrong").mkdir()
-    with FleetThread(tmp_path / "wrong", boxes=ENGINES, engine_type=kind) as fleet:
+    with FleetThread(tmp_path / "wrong", engine_settings=ENGINES, engine_type=kind) as fleet:
         wrong = served_share(run_traffic(fleet, 150))
         tracker = fleet.edge.prefix_tracker
         assert tracker is not None and tracker.feeds
@@ -167,13 +167,13 @@
 
 
 def test_a_box_that_publishes_is_left_when_it_leaves_the_list(tmp_path: Path) -> None:
-    with FleetThread(tmp_path, boxes=ENGINES) as fleet:
+    with FleetThread(tmp_path, engine_settings=ENGINES) as fleet:
         run_traffic(fleet, 30)
         tracker = fleet.edge.prefix_tracker
         assert tracker is not None
         engines = fleet.engines
         fleet.engines = [engine for engine in engines if engine.settings.name != "r1"]
-        fleet.call(fleet.write_list)
+        fleet.call(fleet.write_server_list)
         fleet.until(lambda: "r1" not in tracker.feeds)
         assert tracker.index.block_count("r1") == 0
         fleet.engines = engines
@@ -243,7 +243,7 @@
         return made
 
     monkeypatch.setattr(RealWorld, "message_socket", messages)
-    with FleetThread(tmp_path, boxes=ENGINES[2:]) as fleet:
+    with FleetThread(tmp_path, engine_settings=ENGINES[2:]) as fleet:
         reader, tracker = fleet.engines[0], fleet.edge.prefix_tracker
         assert tracker is not None
         run_traffic(fleet, 5)  # the subscription is established
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 from hypothesis import settings as run
 from hypothesis import strategies as st
 
-from tests.ledger import Broken, Ledger, settings
+from tests.ledger import Ledger, RuleViolation, settings
 from yardspindle import Policy
 from yardspindle import interface as i
 
@@ -77,6 +77,6 @@
     ("broken", "rule"), [(Forgets, "answered"), (Repeats, "effects"), (Deaf, "drains"), (Keeps, "pinned")]
 )
 def test_ledger_sees_a_broken_policy(broken: type[Policy], rule: str) -> None:
-    with pytest.raises(Broken, match=rule):
+    with pytest.raises(RuleViolation, match=rule):
         for seed in range(60):
             run_policy(broken, seed, "rrwwrwww")
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -23,7 +23,7 @@
 import pytest
 
 from tests import test_adapter
-from tests.platform_standin import SETTINGS, TOLD, Host, Platform
+from tests.platform_standin import ENVIRONMENT, SETTINGS, Host, Platform
 from yardspindle import interface as i
 from yardspindle.core.request.records import EdgeRules
 from yardspindle.node.app import Node
@@ -78,7 +78,7 @@
 
 
 def parse_document(found: dict[str, Any]) -> NodeConfig:
-    return parse_config(TOLD, json.dumps({"settings": found}).encode())
+    return parse_config(ENVIRONMENT, json.dumps({"settings": found}).encode())
 
 
 class EventGenerator:
@@ -317,7 +317,7 @@
         platform = RenamedPlatform(sim)
         platform.names = names
         world = sim.program("node")
-        node = Node(world, parse_config(TOLD, json.dumps({"settings": document}).encode()))
+        node = Node(world, parse_config(ENVIRONMENT, json.dumps({"settings": document}).encode()))
         world.spawn("start", node.start).join()
         platform.hosts["writes-2"].script = reset_in_its_middle
         rows = []
@@ -327,7 +327,7 @@
                 (
                     answer.status,
                     answer.took_us,
-                    [(what, host) for what, host, number in platform.seen if number == b"id%d" % at],
+                    [(what, host) for what, host, number in platform.calls if number == b"id%d" % at],
                 )
             )
         return rows
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.platform_standin import Platform
-from tests.test_node import play
+from tests.test_node import run_node
 from yardspindle.node.app import Node
 
 
@@ -82,7 +82,7 @@
         assert platform.ask(b"one").whole
         platform.sleep(1_000)
 
-    play(main)
+    run_node(main)
     (row,) = load_benchmark().rows(capfd.readouterr().err.splitlines())
     assert (row["id"], row["end"], row["kept"], row["tries"]) == ("one", "served", "7", "1,1,1,0")
     names = {part.partition(":")[0] for part in row["ms"].split(",")}
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -366,8 +366,8 @@
         EngineSettings(name="r1", role="read"),
         EngineSettings(name="w0", role="write"),
     )
-    with FleetThread(tmp_path, boxes=boxes) as fleet:
-        fleet.call(lambda: fleet.write_list(r0="draining"))
+    with FleetThread(tmp_path, engine_settings=boxes) as fleet:
+        fleet.call(lambda: fleet.write_server_list(r0="draining"))
         fleet.until(lambda: fleet.planner.server_list.version == 2)
         good = (tmp_path / "servers.toml").read_text()
         (tmp_path / "servers.toml").write_text(good[: len(good) // 2])
@@ -386,7 +386,7 @@
         EngineSettings(name="r0", role="read", places=False),
         EngineSettings(name="w0", role="write", places=False),
     )
-    with FleetThread(tmp_path, boxes=boxes) as fleet:
+    with FleetThread(tmp_path, engine_settings=boxes) as fleet:
         assert client(fleet).chat.completions.create(model=MODEL, messages=HELLO, max_tokens=2).choices
         assert not fleet.events("hold place")
         wait_until_idle(fleet)
--- a/tests/world_ledger.py
+++ b/tests/world_ledger.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class ClientRequest:
     """A client's request and its answer."""
 
     id: bytes
@@ -49,7 +49,7 @@
     write: bool
     first_us: int
     last_us: int | None = None
-    told_ms: int = 0
+    stated_deadline_ms: int = 0
     over_us: int | None = None  # when it was answered or one side closed
     never_ran: bool = False  # refused by the host
     no_state: bool = False
@@ -72,25 +72,25 @@
 class Ledger:
     """Records all traffic of one simulated world and checks it against the rules."""
 
-    def __init__(self, grace_us: int, release_us: int, most_tries: int, resume: bool) -> None:
+    def __init__(self, grace_us: int, release_us: int, max_attempts: int, resume: bool) -> None:
         """The limits are those of the settings; `resume`: clients ask for the rest of a broken stream."""
-        self.grace_us, self.release_us, self.most_tries, self.resume = grace_us, release_us, most_tries, resume
-        self.asked: dict[bytes, Asked] = {}
+        self.grace_us, self.release_us, self.max_attempts, self.resume = grace_us, release_us, max_attempts, resume
+        self.requests: dict[bytes, ClientRequest] = {}
         self.attempts: list[Attempt] = []
         self.places: list[tuple[bytes, str, int]] = []  # calls that reserve places, with the time of their first byte
         self.holds: list[Hold] = []
         self.freed: list[tuple[bytes, int]] = []
-        self.told: dict[str, int] = {}  # since when the dispatcher knows that a host accepts nothing new
+        self.drains_known: dict[str, int] = {}  # since when the dispatcher knows that a host accepts nothing new
         self.died: dict[str, int] = {}  # when hosts died, losing all that they held
         self.cuts: dict[str, list[tuple[int, int]]] = {}  # when the network to or from a host was cut
-        self.unserved: list[str] = []  # refused client connections
+        self.refused_connections: list[str] = []  # refused client connections
         self.term_us: int | None = None
         self.ended_us: int | None = None
         self.killed_us: int | None = None  # time of SIGKILL, if the dispatcher had not exited by then
 
-    def delivered(self, host: str, now_us: int) -> None:
+    def drain_delivered(self, host: str, now_us: int) -> None:
         """Record that a drain reached the dispatcher, possibly before the time assumed so far."""
-        self.told[host] = min(now_us, self.told.get(host, now_us))
+        self.drains_known[host] = min(now_us, self.drains_known.get(host, now_us))
 
     def attempts_of(self, number: bytes) -> list[Attempt]:
         """Return a request's attempts that arrived completely, in the order of their last bytes."""
@@ -100,13 +100,13 @@
     def rows(self) -> list[str]:
         """Return all records as text, to compare two runs."""
         return [
-            *(repr(row) for row in self.asked.values()),
+            *(repr(row) for row in self.requests.values()),
             *map(repr, self.attempts),
             *map(repr, self.places),
             *map(repr, self.holds),
             *map(repr, self.freed),
-            repr(self.told),
-            repr(self.unserved),
+            repr(self.drains_known),
+            repr(self.refused_connections),
         ]
 
     def _delayed_by_cut(self, host: str, from_us: int, to_us: int) -> bool:
@@ -118,8 +118,8 @@
 
     def judge(self, now_us: int) -> list[str]:
         """Return the rule violations, one line each."""
-        breaks = list(self.unserved)
-        for request in self.asked.values():
+        breaks = list(self.refused_connections)
+        for request in self.requests.values():
             name = request.id.decode()
             for text in (
                 *self._answer_violations(request),
@@ -134,7 +134,7 @@
 
     # --- answers
 
-    def _answer_violations(self, request: Asked) -> Iterator[str]:
+    def _answer_violations(self, request: ClientRequest) -> Iterator[str]:
         limit_us = request.sent_us + request.deadline_us + MAX_ANSWER_DELAY_US
         if request.stray:
             yield f"bytes after the end of its answer: {request.stray[:40]!r}"
@@ -155,7 +155,7 @@
         elif request.closed_us > request.sent_us + NETWORK_US:  # otherwise the request crossed with the close
             yield f"its connection closed without an answer {request.closed_us - request.sent_us} us after it was sent"
 
-    def _lost_by_kill(self, request: Asked) -> bool:
+    def _lost_by_kill(self, request: ClientRequest) -> bool:
         """Whether SIGKILL may have left it unanswered: it arrived before SIGTERM or shortly after.
 
         EARLY_SHUTDOWN_US bounds that time.
@@ -169,7 +169,7 @@
             and request.sent_us <= term_us + EARLY_SHUTDOWN_US
         )
 
-    def _answered_us(self, request: Asked) -> int:
+    def _answered_us(self, request: ClientRequest) -> int:
         """When its answer counts as given; 0 without an answer."""
         if request.status == 200:
             return request.pieces[0][0] if request.pieces else 0
@@ -177,11 +177,11 @@
 
     # --- attempts
 
-    def _attempt_violations(self, request: Asked) -> Iterator[str]:
+    def _attempt_violations(self, request: ClientRequest) -> Iterator[str]:
         attempts = self.attempts_of(request.id)
         final_us = self._answered_us(request)
-        if len(attempts) > self.most_tries:
-            yield f"{len(attempts)} attempts, {self.most_tries} are allowed"
+        if len(attempts) > self.max_attempts:
+            yield f"{len(attempts)} attempts, {self.max_attempts} are allowed"
         for earlier, later in zip(attempts, attempts[1:], strict=False):
             assert later.last_us is not None
             if self._delayed_by_cut(earlier.host, earlier.first_us, later.last_us):
@@ -203,10 +203,10 @@
                 continue
             left_us = request.sent_us + request.deadline_us - attempt.first_us
             gone = request.left_us is not None and request.left_us < attempt.first_us
-            if attempt.told_ms * 1_000 > left_us + DEADLINE_SLACK_US and not gone:
+            if attempt.stated_deadline_ms * 1_000 > left_us + DEADLINE_SLACK_US and not gone:
                 yield (
-                    f"told {attempt.host} {attempt.told_ms} ms, {attempt.told_ms * 1_000 - left_us} us more than "
-                    "is left"
+                    f"told {attempt.host} {attempt.stated_deadline_ms} ms, "
+                    f"{attempt.stated_deadline_ms * 1_000 - left_us} us more than is left"
                 )
             if final_us and attempt.first_us > final_us + NETWORK_US:
                 yield f"sent to {attempt.host} {attempt.first_us - final_us} us after its answer"
@@ -217,7 +217,7 @@
         for number, host, first_us, what in calls:
             if self._delayed_by_cut(host, first_us, first_us):
                 continue
-            request = self.asked.get(number)
+            request = self.requests.get(number)
             if request is None:
                 yield f"{number.decode()}: {what} at {host} for a request that was never written whole"
             elif request.left_us is not None and first_us > request.left_us + AFTER_DISCONNECT_US + NETWORK_US:
@@ -227,7 +227,7 @@
         calls = [(a.id, a.host, a.first_us, "an attempt") for a in self.attempts]
         calls += [(number, host, at, "a call for a place") for number, host, at in self.places]
         for number, host, first_us, what in calls:
-            told_us = self.told.get(host)
+            told_us = self.drains_known.get(host)
             if self._delayed_by_cut(host, first_us, first_us):
                 continue
             if told_us is not None and first_us > told_us + self.grace_us + SLACK_US + NETWORK_US:
@@ -235,7 +235,7 @@
 
     # --- streams
 
-    def _stream_violations(self, request: Asked, now_us: int) -> Iterator[str]:
+    def _stream_violations(self, request: ClientRequest, now_us: int) -> Iterator[str]:
         if request.status != 200 or not request.body:
             return
         body = bytes(request.body)
@@ -264,7 +264,7 @@
                 yield f"an event of {source.host} was passed on {(came_us or over_us) - written_us} us late"
                 return
 
-    def _broken_stream_violations(self, request: Asked, source: Attempt, now_us: int) -> Iterator[str]:
+    def _broken_stream_violations(self, request: ClientRequest, source: Attempt, now_us: int) -> Iterator[str]:
         broken_us, finished_us, closed_us = source.broken_us, source.finished_us, request.closed_us
         if self._delayed_by_cut(source.host, source.pieces[0][0], closed_us or now_us):
             return
