--- a/tests/ledger.py
+++ b/tests/ledger.py
@@ -316,7 +316,7 @@
                 pass
 
     def check_slow_start(self, server: int) -> None:
-        """Check that this instance alone sends a cold server no more than its certain share of the budget."""
+        """Check that one instance alone sends a cold server no more than its share of the budget can allow."""
         since = self.entries[server].up_since_us
         if since and self.now - since < self.settings.cold_us:
             times = self.sent_cold[server] = [
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -115,7 +115,7 @@
     def _mark_silent(self, group: list[SoakHost], seconds: float) -> list[SoakHost]:
         """Mark hosts of a group as silent and return them; at least a third of all hosts stays responsive.
 
-        With fewer responsive hosts, dispatchers could not send releases anywhere.
+        Otherwise dispatchers could not reach any host.
         """
         now = monotonic()
         silent = {name for name, until in self.silent.items() if until > now}
