--- a/tests/test_crossings_descriptors.py
+++ b/tests/test_crossings_descriptors.py
@@ -93,6 +93,7 @@
         client.disconnect("rst")
         for streaming_write in writes:
             streaming_write.end_stream()
+        assert [client.wait_answer().whole for client in stage.clients[:3]] == [True] * 3
         stage.check()
 
 
