--- a/yardspindle/api/request_queue.py
+++ b/yardspindle/api/request_queue.py
@@ -13,10 +13,10 @@
 
 from yardspindle.protocol import http1
 
-MAX_QUEUED_BODY_BYTES = 524_288  # bodies of one connection: two of the largest that the node program accepts
-MAX_TOTAL_QUEUED_BODY_BYTES = 8_388_608  # of all connections
-MAX_QUEUED_HEAD_BYTES = 262_144  # heads of one connection: sixteen of the largest that the node program accepts
-MAX_TOTAL_QUEUED_HEAD_BYTES = 4_194_304  # of all connections
+MAX_QUEUED_BODY_BYTES = 524_288  # of one connection: two bodies of the dispatcher's limit (node/app.py: CLIENT_LIMITS)
+MAX_TOTAL_QUEUED_BODY_BYTES = 8_388_608  # of all connections of a server
+MAX_QUEUED_HEAD_BYTES = 262_144  # of one connection: sixteen heads of the same CLIENT_LIMITS
+MAX_TOTAL_QUEUED_HEAD_BYTES = 4_194_304  # of all connections of a server
 MAX_QUEUED_REQUESTS = 64  # of one connection; all that follows them gets a single error reply
 HEADER_OVERHEAD_BYTES = 160  # memory of a header's objects, in addition to its bytes
 
@@ -148,6 +148,7 @@
             self._add_head_bytes(_head_size(self._head))
             self._head = None
             self._body.clear()
+            # "May wait" in the error: stay queued. The client has pipelined more than the bounds allow.
             if (
                 len(self.queued) >= MAX_QUEUED_REQUESTS
                 or self._head_bytes > MAX_QUEUED_HEAD_BYTES
--- a/yardspindle/api/serving.py
+++ b/yardspindle/api/serving.py
@@ -22,8 +22,8 @@
 from yardspindle.runtime.world import Listener, Stream, StreamError, World
 
 LINGER_US = 1_000_000  # how long a client is read after our FIN, so that it receives the response
-LINGER_BYTES = 4_194_304
-MAX_ACCEPTS_PER_TURN = 16  # each takes 0.1 ms of processor time, and a dispatcher may have a tenth of a core
+LINGER_BYTES = 4_194_304  # how much of what it still sends is discarded meanwhile
+MAX_ACCEPTS_PER_TURN = 16  # each takes 0.1 ms of processor time, and a router process may have a tenth of a core
 LINGERING_FRACTION = 1 / 8  # share of the connections that may only wait for the client's FIN
 NEW_CONNECTION_GRACE_US = 300_000  # a new connection is not closed sooner: its first request is in transit
 
@@ -42,6 +42,7 @@
     max_body_bytes: int = 0  # received or queued; 0: no bound. A body beyond it is refused at its end
 
 
+# Sent for a body beyond the bounds on bytes held in memory; "may wait" means: be received or queued.
 OVERLOADED_REPLY = Reply(503, [(b"content-type", b"text/plain")], b"more at once than may wait\n")
 
 
--- a/yardspindle/node/app.py
+++ b/yardspindle/node/app.py
@@ -36,11 +36,14 @@
 HOUSEKEEPING_INTERVAL_US = 1_000_000
 COUNTS_LOG_INTERVAL_US = 30_000_000  # between log lines with the counters so far
 HEALTH_PATH = b"/up"
-CLIENT_LIMITS = http1.Limits(line=8_192, head=16_384, headers=64, body=262_144)
+CLIENT_LIMITS = http1.Limits(line=8_192, head=16_384, headers=64, body=262_144)  # bytes, but for the header count
 
 
 class Node:
-    """One dispatcher (router process): serves the platform's clients and connects core, policy and discovery."""
+    """One dispatcher (router process): serves the platform's clients and connects core, policy and discovery.
+
+    It implements `Handler` of api/exchange.py, which answers the requests that the HTTP server receives.
+    """
 
     def __init__(self, world: World, config: NodeConfig) -> None:
         """Opens nothing; `start` does. `world`: the interface to clock, sockets, files and randomness."""
@@ -119,7 +122,10 @@
         self.discovery.change_address(config.discovery)
 
     def drain(self) -> None:
-        """Shut down gracefully: report it, serve what still arrives, answer what was accepted, then return."""
+        """Shut down gracefully: log it, serve what still arrives, answer what was accepted, then return.
+
+        The return also waits, for a limited time, until hosts have released what they hold for ended requests.
+        """
         self.stop()
         assert self._server is not None and self._stop_us is not None
         log.write("draining", open=len(self.executor.running))
--- a/yardspindle/node/config.py
+++ b/yardspindle/node/config.py
@@ -36,7 +36,7 @@
 
 
 class _File(Struct, frozen=True):
-    """The configuration file; `known` is the host list to start with until discovery answers."""
+    """The configuration file; `known` is the host list to start with until discovery (the platform's agent) answers."""
 
     settings: dict[str, Any]
     name: str | None = None
--- a/yardspindle/node/discovery.py
+++ b/yardspindle/node/discovery.py
@@ -21,7 +21,7 @@
 
 HOSTS_PATH = b"/discovery/hosts"
 CONNECT_TIMEOUT_US = timeouts.AGENT_RESPONSE_US
-RESPONSE_LIMITS = http1.Limits(line=8_192, head=16_384, headers=64, body=4_194_304)
+RESPONSE_LIMITS = http1.Limits(line=8_192, head=16_384, headers=64, body=4_194_304)  # bytes, but for `headers`
 
 
 class DiscoveryClient:
--- a/yardspindle/node/executor.py
+++ b/yardspindle/node/executor.py
@@ -1,8 +1,8 @@
-"""Carries out the core's commands over the platform's protocol, and passes events to the policy by direct calls.
+"""Carries out the core's commands by HTTP calls to model hosts, and passes events to the policy by direct calls.
 
-The core (`EdgeCore`) follows each request; the policy picks its reader (prefill) and writer (decode host). Carrying out
-a command never blocks: whatever waits for a peer runs in a task of its own. Events for the policy are queued meanwhile
-and handled afterwards, in order, as over the link of an edge to a planner (the same core and policy as two processes).
+Calls follow the protocol of the operators' platform. The core (`EdgeCore`) follows each request; the policy picks its
+reader (prefill) and writer (decode host). No command blocks: whatever waits for a peer runs in a task of its own.
+Events for the policy are queued and handled after the commands, in order, as if it ran in another process (a planner).
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.world import StreamError, World
 
-EPOCH = 1  # constant: the policy runs in this process and starts once with it
+EPOCH = 1  # number of the policy's run; constant, as the policy starts once, with this process
 MAX_FIRST_EVENT_BYTES = 262_144  # until the end of a stream's first event
 
 
@@ -48,7 +48,7 @@
         self._session = session
         self._hosts = hosts
         self.running: dict[int, RunningRequest] = {}
-        self.request_ids: dict[int, bytes] = {}  # of requests that run, or with releases to do
+        self.request_ids: dict[int, bytes] = {}  # of requests that run, or of which a host may still hold something
         self.releases = ReleaseTasks(world, core, hosts, self.request_ids, self.perform, self.forget)
         self.places_in_flight = 0  # unanswered calls for a place (memory reserved at a writer): it may be held
         self._events: deque[i.Event] = deque()
@@ -130,7 +130,7 @@
             case c.FlushStream(request):
                 known = self.running.get(request)
                 if known is not None:
-                    self._world.spawn("last words", self._flush_stream, request, known)
+                    self._world.spawn("last words", self._flush_stream, request, known)  # relay what has arrived
             case c.ReservePlace():
                 running = self.running[command.request]
                 running.places[command.place] = self._world.spawn("place", self._reserve_place, command, running)
@@ -176,7 +176,7 @@
         elif result.status in PROVES_ACCEPTED or result.status is i.Status.CANCELLED:  # cancelled: had begun to stream
             self._core.server_answered(self._world.now_us(), command.server.number)
         if result.status is i.Status.READ:
-            running.trace.read_ended(self._world.now_us(), result.note)
+            running.trace.read_ended(self._world.now_us(), result.note)  # a read's note: its cached prompt tokens
         if result.status not in (i.Status.READ, i.Status.SERVED):
             log.write(
                 "attempt failed",
@@ -197,6 +197,7 @@
         try:
             with self._world.deadline(command.deadline_us):
                 headers = [(b"req-id", running.request_id), (b"content-type", b"application/json")]
+                # A write's connect time may be shorter: the reader holds the prompt's KV cache for it meanwhile.
                 connect_us = None if isinstance(command, c.Read) else self._core.lifecycle.held_connect_timeout_us
                 outcome = self._hosts.send(
                     command.server,
@@ -230,7 +231,7 @@
             outcome.close()
 
     def _late_headers(self, command: c.Read | c.Write, running: RunningRequest) -> http1.Headers:
-        """Once connected, waits while a release of the request is pending: it could free what this attempt leaves."""
+        """Wait, once connected, until no release of the request is pending: one could free what this attempt leaves."""
         while True:
             if not self._core.lifecycle.remaining_ms(self._world.now_us(), command.request, command.attempt):
                 raise CallCancelled
@@ -306,7 +307,7 @@
             return AttemptResult(i.Status.SERVED, cached_tokens(tail))
         except ExchangeBroken as error:
             return AttemptResult(i.Status.RESET, detail=f"stream broken: {error}")
-        except http1.ProtocolError as error:  # malformed: that does not make the host worse than others
+        except http1.ProtocolError as error:  # not RESET: the host answers, so it is not judged unresponsive
             return AttemptResult(i.Status.ERROR, detail=f"stream spoilt: {error}")
         except StreamError:  # the client disconnected or stalled; the exchange notifies the core
             exchange.client_disconnected()
@@ -379,8 +380,7 @@
                 ms=(self._world.now_us() - began_us) // 1_000,
             )
         running.places.pop(command.place, None)
-        # The request may be over, and its id dropped, while its release still needs the id.
-        self.request_ids.setdefault(command.request, running.request_id)
+        self.request_ids.setdefault(command.request, running.request_id)  # a release needs it after the request's end
         self.perform(
             self._core.place_answered(self._world.now_us(), command.request, command.place, command.server, held)
         )
--- a/yardspindle/node/host_client.py
+++ b/yardspindle/node/host_client.py
@@ -33,12 +33,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended; `note` is passed to the policy with it."""
+    """How an attempt ended.
+
+    `note` is passed to the policy with it: the cached prompt tokens of a success, or 1 with `FULL` (the host declined)
+    if the state, the KV cache that the read left, is no longer held.
+    """
 
     status: Status
     note: int = 0
     detail: str = ""
-    stale: bool = False  # the connection was reset in a way that says little about the host
+    stale: bool = False  # an idle connection, or one being opened, was reset: weak evidence of a fault
     no_descriptor: bool = False  # no file descriptor was free, which says nothing about the host
 
 
--- a/yardspindle/node/release_tasks.py
+++ b/yardspindle/node/release_tasks.py
@@ -70,7 +70,7 @@
 
         def late_headers() -> http1.Headers:
             if not self._core.may_send_release(release):
-                raise CallCancelled  # another host has released it meanwhile
+                raise CallCancelled  # what is held was released by another host meanwhile
             call.written = True
             return []
 
--- a/yardspindle/node/request.py
+++ b/yardspindle/node/request.py
@@ -19,7 +19,7 @@
 REQUEST_ID = re.compile(rb"[0-9A-Za-z._-]{1,64}")
 MILLISECONDS = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,6})?")
 TOKEN_COUNT = re.compile(r"[0-9]{1,9}(\.[0-9]{1,6})?")
-CHARS_PER_TOKEN = 4.0
+CHARS_PER_TOKEN = 4.0  # estimates the prompt's tokens from the body's size if the client states no `prompt_len`
 
 
 class Refused(Exception):
@@ -36,7 +36,9 @@
 class ClientRequest:
     """A request as its head states it; the body is not parsed.
 
-    `cls` is its class: a configured kind of request with time limits and a value of its own.
+    `cls` is its class: a configured kind of request with time limits and a value of its own. `extra` holds hints such
+    as the prompt's length (`Req-Extra`). `repeat`: a client's retry of an earlier request (`Req-Retry: 1`); `resumed`:
+    it asks for the rest of a broken stream (`Req-Retry: again`).
     """
 
     id: bytes
--- a/yardspindle/node/running_request.py
+++ b/yardspindle/node/running_request.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class RunningRequest:
-    """I/O state of a request in progress."""
+    """I/O state of a request in progress; `answer` is set when the core has decided how the request ends."""
 
     request: i.Request
     request_id: bytes
--- a/yardspindle/node/settings_schema.py
+++ b/yardspindle/node/settings_schema.py
@@ -36,7 +36,7 @@
 
 
 class _Family(Struct, rename="kebab"):
-    """Properties of the model hosts; the tuples have one value for each kind of host."""
+    """Properties of the model hosts; the tuples have one value for each kind of host (prefill, decode or both)."""
 
     duty_by_kind: tuple[Literal["read", "write", "both"], ...] | None = None
     memory_tokens: tuple[Amount, ...] | None = None
--- a/yardspindle/node/trace.py
+++ b/yardspindle/node/trace.py
@@ -40,7 +40,12 @@
         self.read_answered_us, self.cached_tokens = now_us, cached_tokens
 
     def log_fields(self, now_us: int, request: i.Request, end: str) -> dict[str, object]:
-        """The fields of the log line; stages in milliseconds, of the last attempts only."""
+        """The fields of the log line; stages in milliseconds, of the last attempts only.
+
+        `kept`: prompt tokens found in the cache; `tries`: reads, writes, places asked for and refused; `at`: reader
+        and writer; `came`: time of arrival in ms; `ms`: the stages, of which `hold` is from the read's answer to the
+        write and `transfer` from there to the first event.
+        """
         times = {
             "wait": (self.received_us, self.read_written_us),
             "prefill": (self.read_written_us, self.read_answered_us),
