--- a/yardspindle/edge/app.py
+++ b/yardspindle/edge/app.py
@@ -53,12 +53,13 @@
 class Edge:
     """One edge: serves clients, links to the planner and sends attempts (calls for a request) to engines.
 
-    The decisions about a request are made by `EdgeCore`; the `Executor` carries out its commands."""
+    The decisions about a request are made by `EdgeCore`; the `Executor` carries out its commands. An `Edge` implements
+    `Handler` of api/exchange.py, which answers the requests that the HTTP server receives."""
 
     def __init__(self, world: World, config: Config) -> None:
         """Opens no sockets; see `start`. `world`: the interface to clock, sockets, files and randomness.
 
-        Raises ConfigError if the prefix index's tokenizer cannot be loaded.
+        Raises ConfigError if the tokenizer of the prefix index, which predicts cache hits, cannot be loaded.
         """
         self.world = world
         self.config = config
@@ -300,7 +301,8 @@
     ) -> tuple[AcceptedRequest, PromptBlocks, dict[str, float]]:
         """Add to a request the cached prompt tokens predicted for each reader (prefill server).
 
-        Also returns the prompt's blocks and the tokens that the readers' cache events claim."""
+        The field is `kept`. Also returns the prompt's blocks (runs of tokens that are cached as one) and, by reader,
+        how many of its tokens the reader's cache events report as cached."""
         prompt_blocks = tracker.blocks(fields.messages, fields.tools)
         readers = {
             s.name: s.number
--- a/yardspindle/edge/cache_events.py
+++ b/yardspindle/edge/cache_events.py
@@ -18,7 +18,7 @@
 from yardspindle.runtime.world import MessageSocket, World
 
 REPLAY_TIMEOUT_US = 1_000_000  # a replay that brings no message for this long has ended
-MAX_REPLAY_BATCHES = 20_000  # batches accepted from one replay
+MAX_REPLAY_BATCHES = 20_000  # batches (messages with some events each) accepted from one replay
 SEQUENCE_NUMBER_BYTES = 8
 
 log = structlog.get_logger("yardspindle.edge.events")
--- a/yardspindle/edge/executor.py
+++ b/yardspindle/edge/executor.py
@@ -33,7 +33,7 @@
 from yardspindle.runtime.world import StreamError, World
 
 RELEASE_TIMEOUT_US = 1_000_000  # for one call to release a state or place; the core retries
-PLACE_TIMEOUT_US = 1_000_000
+PLACE_TIMEOUT_US = 1_000_000  # for one call that reserves a place
 READ_TO_END_TIMEOUT_US = 1_000_000  # for the rest of the response after an answer's last event
 
 log = structlog.get_logger("yardspindle.edge")
@@ -54,10 +54,10 @@
     received_us: int
     done: Signal
     answer: c.Answer | None = None
-    client_error: tuple[int, bytes] | None = None
+    client_error: tuple[int, bytes] | None = None  # status and body with which an engine rejected the request itself
     attempts: dict[int, Task] = field(default_factory=dict)
     prompt_blocks: PromptBlocks = PromptBlocks()
-    claimed_tokens: dict[str, float] = field(default_factory=dict)
+    claimed_tokens: dict[str, float] = field(default_factory=dict)  # of the prompt, in caches by readers' events
     first_event_us: int = 0
     awaiting_event_since_us: int = 0  # when the wait for the writer's next event began; 0: not waiting
     attempt_written: bool = False  # whether the last byte of the attempt in flight is written
--- a/yardspindle/edge/metrics.py
+++ b/yardspindle/edge/metrics.py
@@ -36,6 +36,7 @@
         self.prompt_tokens = Counter(
             "yardspindle_prompt_tokens", "Prompt tokens that engines counted", registry=self.registry
         )
+        # A reader is a prefill server; it has kept a token if the token's KV cache was still there.
         self.cached_tokens = Counter(
             "yardspindle_cached_tokens", "Prompt tokens that readers had kept", registry=self.registry
         )
@@ -47,6 +48,7 @@
         self.broken_rules = Counter(
             "yardspindle_broken_rules", "Rules that the watch found broken", ("rule",), registry=self.registry
         )
+        # The prefix index predicts which blocks (runs of prompt tokens) each reader has in its KV cache.
         self.index_blocks = Gauge("yardspindle_index_blocks", "Blocks in the prefix index", registry=self.registry)
         self.index_predicted = Gauge(
             "yardspindle_index_told_tokens", "Kept tokens that reads had been told of, in all", registry=self.registry
@@ -57,6 +59,7 @@
         self.index_trust = Gauge(
             "yardspindle_index_trust", "Trust in a reader's cache events, 0 to 1", ("server",), registry=self.registry
         )
+        # The planner is the process that decides which server does what.
         self.planner_up = Gauge("yardspindle_planner_up", "Whether a planner decides", registry=self.registry)
         self.open_requests = Gauge(
             "yardspindle_open_requests", "Requests taken and not done with", registry=self.registry
--- a/yardspindle/edge/planner_link.py
+++ b/yardspindle/edge/planner_link.py
@@ -46,8 +46,9 @@
     ) -> None:
         """`response_timeout_us`: how long a planner may take to answer a batch of events before it counts as lost.
 
-        `on_up` and `on_actions` get the planner's epoch, a number that identifies one run of the planner; `on_down` is
-        called once after each `on_up`. `world` is the interface to clock, sockets, files and randomness."""
+        `hello` makes the first frame of a link, which names the edge. `on_up` and `on_actions` get the planner's epoch,
+        a number that identifies one run of the planner; `on_down` is called once after each `on_up`. `world` is the
+        interface to clock, sockets, files and randomness."""
         self._world = world
         self._address = address
         self._hello = hello
--- a/yardspindle/engine/http_client.py
+++ b/yardspindle/engine/http_client.py
@@ -35,7 +35,7 @@
 
 
 class NotSent(ExchangeBroken):
-    """The connection broke before the request's last byte was written."""
+    """The connection broke before the request's last byte was written, so the server cannot have run the request."""
 
 
 @dataclass(slots=True, eq=False)
--- a/yardspindle/engine/vllm.py
+++ b/yardspindle/engine/vllm.py
@@ -30,7 +30,7 @@
 PLACES = b"/v1/yardspindle/places"
 STATES = b"/v1/yardspindle/states"
 PLACE_HEADER = b"x-yardspindle-place"
-HOLDS = b"/v1/yardspindle/holds"
+HOLDS = b"/v1/yardspindle/holds"  # lists the states and places that the engine holds
 # Sent by a steward (a process that does background work for the whole fleet): its duty, that is, the name of the task,
 # and its fencing token, by which an engine rejects calls of an earlier owner of the duty.
 DUTY_HEADER, FENCE_HEADER = b"x-yardspindle-duty", b"x-yardspindle-fence"
@@ -120,12 +120,12 @@
     state: Any = None
     usage: Usage | None = None
     detail: str = ""
-    client_error: bytes | None = None  # the engine's 4xx response: the client's request is at fault
+    client_error: bytes | None = None  # body of the engine's 4xx response: the client's request is at fault
     client_status: int = 0
 
 
 def read_body(fields: Fields) -> bytes:
-    """The request body of the read."""
+    """The request body of the read: the client's fields, but for one token and with the KV cache kept for a writer."""
     fields_sent: dict[str, Any] = {name: raw for name, raw in fields.items() if name not in READ_EXCLUDED_FIELDS}
     fields_sent |= {"stream": False, "max_tokens": 1, "kv_transfer_params": READ_PARAMS}
     return msgspec.json.encode(fields_sent)
--- a/yardspindle/planner/app.py
+++ b/yardspindle/planner/app.py
@@ -30,7 +30,7 @@
 from yardspindle.runtime.scheduler import Closed, DeadlineExceeded
 from yardspindle.runtime.world import Listener, Stream, StreamError, World
 
-HANDSHAKE_TIMEOUT_US = 2_000_000
+HANDSHAKE_TIMEOUT_US = 2_000_000  # for an edge's first frame after it has connected
 WRITE_TIMEOUT_US = 2_000_000  # an edge that reads no actions for this long is disconnected
 
 VERSION = version("yardspindle")
@@ -184,7 +184,7 @@
         )
 
     def server_list_changed(self) -> None:
-        """Send the current server list to the edge and pass it to the policy."""
+        """Send the current server list to the edge, which connects to the servers, and pass it to the policy."""
         self.send(frames.Servers(self._planner.server_list.version, self._planner.server_list.addresses()))
         self._apply_decisions(self._planning.update_members(self._world.now_us(), self._planner.server_list))
 
--- a/yardspindle/steward/app.py
+++ b/yardspindle/steward/app.py
@@ -46,7 +46,7 @@
 
 
 class Steward:
-    """A steward process."""
+    """A steward: a process that does background work for the whole fleet and serves no client requests."""
 
     def __init__(self, world: World, config: Config, store: Store, version: str) -> None:
         """Opens nothing yet; see `start`. `world`: the interface to clock, sockets, files and randomness."""
@@ -113,7 +113,7 @@
         return frozenset(["clock", "release", *(f"sweep/{server.cell}" for server in self.server_list.servers)])
 
     def fence_to_act(self, duty: str) -> int | None:
-        """The fence to act with now, or None if this steward does not own the duty."""
+        """The fence (the owner's number) to act with now, or None if this steward does not own the duty."""
         return ownership.may_act(self.state, self.world.now_us(), duty)
 
     # --- events
@@ -204,7 +204,7 @@
     def _hand_over(self, duty: str, fence: int, duty_task: Task | None) -> None:
         def hand_over() -> None:
             if duty_task is not None:
-                duty_task.join()  # its last order must be answered or abandoned before another steward may own the duty
+                duty_task.join()  # its last call must be answered or abandoned before another steward may own the duty
             lease = self.state.lease
             self._retry_until_answered(
                 lambda: self.store.txn(self.keys.hand_over(duty, fence)), lambda: self.state.lease == lease
--- a/yardspindle/steward/clock.py
+++ b/yardspindle/steward/clock.py
@@ -31,7 +31,7 @@
 
 
 class ClockDuty:
-    """The clock duty (`Duty`)."""
+    """The clock duty (implements the interface `Duty` of steward/app.py)."""
 
     def __init__(
         self,
@@ -43,10 +43,10 @@
         bound_us: int,
         fence_to_act: Callable[[], int | None],
     ) -> None:
-        """`bound_us`: the largest tolerated offset.
+        """`bound_us`: the largest tolerated offset of a member's clock.
 
-        `fence_to_act`: the fencing token to write with, or None if this process does not own the duty. `world`: the
-        interface to clock, sockets, files and randomness.
+        `fence_to_act`: the fencing token (a number that grows with each owner) to write with, or None if this process
+        does not own the duty. `world`: the interface to clock, sockets, files and randomness.
         """
         self._world, self._store, self._keys, self._follower = world, store, keys, follower
         self._membership, self._bound_us, self._fence_to_act = membership, bound_us, fence_to_act
--- a/yardspindle/steward/release.py
+++ b/yardspindle/steward/release.py
@@ -29,7 +29,7 @@
 
 
 class ReleaseDuty:
-    """The release duty (`Duty`)."""
+    """The release duty (implements the interface `Duty` of steward/app.py)."""
 
     def __init__(
         self,
@@ -43,8 +43,8 @@
     ) -> None:
         """`limits`: for each group of units, how many may be unavailable and how many must serve.
 
-        `fence_to_act`: the fencing token to write with, or None if this process does not own the duty. `world`: the
-        interface to clock, sockets, files and randomness.
+        `fence_to_act`: the fencing token (a number that grows with each owner) to write with, or None if this process
+        does not own the duty. `world`: the interface to clock, sockets, files and randomness.
         """
         self._world, self._store, self._follower = world, store, follower
         self._keys, self._limits, self._name, self._fence_to_act = UnitKeys(keys), limits, name, fence_to_act
@@ -93,7 +93,10 @@
         return steps
 
     def _write_step(self, now_us: int, fence: int, view: ReleaseView, step: release_plan.Step) -> None:
-        """Writes one step to the store, which rejects later steps based on the same rows; they are decided again."""
+        """Writes one step to the store (the fleet's key-value store).
+
+        The store rejects later steps based on the same rows; they are decided again.
+        """
         txn: Txn
         match step:
             case release_plan.GrantPermit():
--- a/yardspindle/steward/sweep.py
+++ b/yardspindle/steward/sweep.py
@@ -37,7 +37,7 @@
 
 
 class SweepDuty:
-    """The sweep duty of one cell (`Duty`)."""
+    """The sweep duty of one cell (implements the interface `Duty` of steward/app.py)."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self._http = HttpClient(world, CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US)
         self._epochs = EndedEpochs()
         self._probing: set[str] = set()
-        self._unsupported: set[str] = set()  # engines that cannot list what they hold
+        self._unsupported: set[str] = set()  # engines without the call that lists what they hold (`vllm.HOLDS`)
         self._busy: set[str] = set()  # engines that are being swept
         self._swept_us = 0
         self._slots: Channel[None] = world.channel(MAX_CONCURRENT)
@@ -68,7 +68,8 @@
     def run(self) -> None:
         """Find dead edges and sweep the cell's engines until cancelled (`Duty`).
 
-        Calls in flight when the duty ends carry its fence: an engine that has seen a higher one rejects them.
+        Calls in flight when the duty ends carry its fence, a number that grows with each owner: an engine that has
+        seen a higher one rejects them with status 409.
         """
         tasks = []
         try:
--- a/yardspindle/unit/app.py
+++ b/yardspindle/unit/app.py
@@ -36,7 +36,10 @@
 
 
 class CheckFigures(msgspec.Struct, frozen=True):
-    """The figures that a check command may print as one line of JSON: work, capacity and requests (`UnitStatus`)."""
+    """The figures that a check command may print as one line of JSON, copied into the unit's `UnitStatus`.
+
+    `load`: work; `room`: capacity; `served` and `bad`: requests so far that succeeded and failed.
+    """
 
     load: float = 0.0
     room: float = 0.0
@@ -70,7 +73,7 @@
 
 
 class UnitSupervisor:
-    """The supervisor of one unit."""
+    """The supervisor of one unit; a process of its own beside the unit."""
 
     def __init__(
         self,
--- a/yardspindle/unit/runner.py
+++ b/yardspindle/unit/runner.py
@@ -18,7 +18,7 @@
 
 
 class ProcessRunner:
-    """Runs the unit's process detached, so that it outlives the supervisor (`UnitRunner`)."""
+    """Runs the unit's process detached, so that it outlives the supervisor (implements `UnitRunner` of unit/app.py)."""
 
     def __init__(self, world: RealWorld, file: UnitFile) -> None:
         """Starts nothing yet."""
