--- a/yardspindle/node/executor.py
+++ b/yardspindle/node/executor.py
@@ -1,7 +1,7 @@
 """Carries out the core's commands by HTTP calls to model hosts, and passes events to the policy by direct calls.
 
-Calls follow the protocol of the operators' platform. The core (`EdgeCore`) follows each request; the policy picks its
-reader (prefill) and writer (decode host). No command blocks: whatever waits for a peer runs in a task of its own.
+The operators' platform, which runs this program, defines the calls. The core (`EdgeCore`) follows each request; the
+policy picks its reader (prefill) and writer (decode host). No command blocks: what waits for a peer has its own task.
 Events for the policy are queued and handled after the commands, in order, as if it ran in another process (a planner).
 """
 
--- a/yardspindle/unit/app.py
+++ b/yardspindle/unit/app.py
@@ -38,7 +38,7 @@
 class CheckFigures(msgspec.Struct, frozen=True):
     """The figures that a check command may print as one line of JSON, copied into the unit's `UnitStatus`.
 
-    `load`: work; `room`: capacity; `served` and `bad`: requests so far that succeeded and failed.
+    `load`: work; `room`: capacity; `served` and `bad`: requests since the unit's start that succeeded and failed.
     """
 
     load: float = 0.0
