--- a/yardspindle/drill.py
+++ b/yardspindle/drill.py
@@ -1,7 +1,8 @@
 """Adapter to the operators' simulator: runs instances of the routing policy over its line protocol on stdin and stdout.
 
-It only translates between lines and the types of yardspindle/interface.py. Input comes in frames (groups of lines); the
-reply to each frame ends with `yield`.
+It only translates between lines and the types of yardspindle/interface.py. Input comes in frames (groups of lines, from
+`frame` to `eob`); the reply to each frame ends with `yield`. `spawn` creates an instance, `crash_now` removes one, and
+`page` defines a server list by its entries; all other messages are events for an instance.
 """
 
 from __future__ import annotations
--- a/yardspindle/interface.py
+++ b/yardspindle/interface.py
@@ -1,7 +1,8 @@
 """Types exchanged with the routing policy: its settings, the events it receives, the actions it returns.
 
-A state is the KV cache that a read leaves at its reader until the writer has fetched it; a place is memory reserved at
-a writer ahead of the write. An attempt is one send of a request's stage to one server.
+A reader runs the prefill stage of a request (a read), a writer the decode stage (a write). A state is the KV cache that
+a read leaves at its reader until the writer has fetched it; a place is memory reserved at a writer ahead of the write.
+An attempt is one send of a request's stage to one server; a cell is a group of servers within which states move fast.
 """
 
 from __future__ import annotations
@@ -49,13 +50,13 @@
 
     SERVED = "served"
     ERROR = "error"
-    FULL = "full"
+    FULL = "full"  # the server declined it, so it has not run
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
     MOOT = "moot"  # not sent in full, so it has not run
-    READ = "read"
+    READ = "read"  # the prompt was read; its state is held
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,12 +67,12 @@
     aim_us: float  # latency target
     give_up_us: float  # time after which the client no longer waits
     effect: Effect = Effect.SAFE
-    group: str = "all"
-    window_us: float = 0
+    group: str = "all"  # servers that know an idempotency key: all, else those of one cell
+    window_us: float = 0  # how long an idempotency key is known
     worth: float = 1.0  # value of an answer in time, relative to other classes
     late_worth: float = 0.0  # value of a late answer
     aim_us_per_1000_prompt_tokens: float = 0.0  # added to aim_us for long prompts
-    token_aim_us: float = 0.0
+    token_aim_us: float = 0.0  # time for each output token
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,17 +111,18 @@
     cold_us: int = 0  # time until a freshly started server has its full capacity; 0: at once
     start_capacity: float = 1.0  # fraction of its capacity at the start
     fall_multiple: float = 1.0  # a cold server fails at this multiple of its capacity within fall_us
-    fall_us: int = 0
+    fall_us: int = 0  # time over which the load of a cold server is counted
     answer_slack_us: int = 0  # time after a request's expiry in which its final answer is still on time
-    ask_within_us: int = 0
+    ask_within_us: int = 0  # not used by the policy
     max_attempts: int = 5
-    second_copies: bool = False
-    cancel: bool = False
-    probes: bool = False
-    peers: bool = False
+    second_copies: bool = False  # a request may have two attempts in flight; not used by the policy
+    cancel: bool = False  # attempts may be cancelled
+    probes: bool = False  # servers may be probed; not used by the policy
+    peers: bool = False  # router instances may exchange messages; not used by the policy
     retry_after: bool = False  # refusals may advise a time to retry after
-    max_retry_after_us: int = 0
+    max_retry_after_us: int = 0  # longest time that may be advised
     list_pushed: bool = True  # the server list is sent without a subscription
+    # Five weights and costs by which the operators judge the service; the policy uses only `cross_zone_price`.
     over_share_worth: float = 1.0
     late_fail_price: float = 0.0
     waste_price: float = 0.0
@@ -168,7 +170,7 @@
     cell: int
     state: State
     units: float
-    up_since_us: int = 0
+    up_since_us: int = 0  # last start; 0: long ago
 
 
 @dataclass(frozen=True, slots=True)
@@ -193,7 +195,7 @@
     tenant: str | None = None
     prefix: str | None = None
     session: str | None = None
-    hint_us: float | None = None
+    hint_us: float | None = None  # not used by the policy
     repeat: bool = False  # the client's retry of an earlier request
     resumed: bool = False  # the rest of a broken stream
     kept: Mapping[int, float] | None = None  # by reader: prompt tokens that are known to be cached there
@@ -211,7 +213,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """Event: the answer to the request for a place; `held` if it is reserved. `server` is the reader."""
+    """Event: a writer answered the request for a place; `held` if it is reserved. `server` is the request's reader."""
 
     request: int
     attempt: int
@@ -329,7 +331,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Set a timer."""
+    """Set a timer; `token` comes back with its event."""
 
     due_us: int
     token: int
--- a/yardspindle/policy/decide.py
+++ b/yardspindle/policy/decide.py
@@ -1,4 +1,8 @@
-"""Entry point of the routing policy: dispatches each event and returns the resulting actions."""
+"""Entry point of the routing policy: dispatches each event and returns the resulting actions.
+
+Events and actions are the types of yardspindle/interface.py. The sweep is the periodic check of waiting
+requests and unanswered attempts.
+"""
 
 from __future__ import annotations
 
--- a/yardspindle/policy/readers.py
+++ b/yardspindle/policy/readers.py
@@ -24,7 +24,7 @@
 # Fraction of the latency target (aim) that our tokens may wait at a reader. A reader with more backlog gets
 # no more of them until none are pending there.
 MAX_BACKLOG_AIM_FRACTION = 0.25
-SPILL_READERS = 1  # readers beyond its spread at which a key may be read
+SPILL_READERS = 1  # readers beyond those that a key is spread over (`_spread_width`) that may read it
 MAX_KEY_SHARE = 1.5  # one key may load a reader with this multiple of its even share of all requests
 # Weight of the readers in this router's own zone; with two zones they get four in five keys.
 OWN_ZONE_WEIGHT = 4.0
@@ -152,9 +152,9 @@
         """Return over how many readers a key is spread, in proportion to its share of the requests."""
         # With a single reader, a prefix shared by most sessions overloads it while others are idle. One
         # router among many sees too few of its requests to notice, but the share is the same for any number
-        # of routers. The current request is not counted: at a router with little traffic it made every key a
-        # tenth of all requests, and the fleet read each prefix, and each turn of a session, at another
-        # reader.
+        # of routers. The current request is not counted: a router with little traffic counts about ten in the
+        # window, so the current one alone made any key a tenth of them, and the fleet read each prefix, and
+        # each turn of a session, at another reader.
         share = max(self.key_counts.get(key, 0.0) - 1, 0.0) / max(self.key_count_total, 1.0)
         return max(1, math.ceil(share * len(self._reader_order(key)) / MAX_KEY_SHARE))
 
@@ -184,9 +184,9 @@
             (s for s in order if self._usable(s, request)),
             key=lambda s: s.entry.zone in request.unreachable_zones,
         )
-        # Reading prefixes ever farther from home evicts the cached ones everywhere, and a later turn of a
-        # session finds most of its tokens uncached there, however short its shared prefix is. Requests
-        # without a shared prefix may go anywhere, out of the others' way.
+        # Reading prefixes ever farther down their order of readers evicts the cached ones everywhere, and a
+        # later turn of a session finds most of its tokens uncached there, however short its shared prefix is.
+        # Requests without a shared prefix may go anywhere, out of the others' way.
         bound = (
             MAX_BACKLOG_AIM_FRACTION * request.aim_us * self.mean_backlog_tokens / max(self.mean_read_us, 1.0)
         )
@@ -209,8 +209,8 @@
             server.cached_tokens.get(request.arrival.prefix or "", 0.0),
             server.cached_tokens.get(request.arrival.session or "", 0.0),
         )
-        # A prefix index is more exact than our own reads: other routers read there too, and prefixes get
-        # evicted.
+        # `kept` comes from the prefix index (which prompt prefixes each engine has cached). It is more exact
+        # than our own reads: other routers read there too, and prefixes get evicted.
         if request.arrival.kept is not None:
             cached = request.arrival.kept.get(server.entry.server, cached)
         return max(request.arrival.prompt_tokens - cached, 1.0)
--- a/yardspindle/policy/request_lifecycle.py
+++ b/yardspindle/policy/request_lifecycle.py
@@ -15,7 +15,7 @@
 MIN_FULL_PAUSE_US = 100_000
 # The pause is at least this multiple of the time that the refusal took, so that asking costs little.
 FULL_PAUSE_FACTOR = 20
-MAX_PLACE_REQUESTS = 4  # writers asked for a place per read; each request costs as much as a probe
+MAX_PLACE_REQUESTS = 4  # writers asked for a place per read; asking costs as much as probing a server
 # Fraction of the latency target (aim) that a request may wait before its read; the rest is for the work.
 MAX_WAIT_AIM_FRACTION = 0.2
 MEAN_WEIGHT = 0.1  # weight of a new observation in the exponentially weighted means
@@ -164,7 +164,8 @@
             # shows that connections break, not that the server died.
             self._eject(server, status.value)
         elif status is i.Status.TIMEOUT and event.note == 1:
-            # The writer did not answer while the state was held: it may be unresponsive to everyone.
+            # Note 1: the writer did not answer within the time for which the state may be held, so the state
+            # was released. The writer may be unresponsive to everyone.
             self._eject(server, "silent")
         if event.stale:
             self.last_loss_us = self.now_us
@@ -207,7 +208,7 @@
             if request.cls.effect is not i.Effect.SAFE:
                 return self._end(request, "fail")
         if event.note == 1 or request.reader is None:
-            # There is no state left, or it could not be held any longer without an answer from a writer.
+            # There is no state left, or it could not be held any longer, as no writer had answered.
             self._release_held(request)
             return self._start_read(request)
         request.held_since_us = self.now_us
--- a/yardspindle/policy/servers.py
+++ b/yardspindle/policy/servers.py
@@ -15,8 +15,9 @@
 
 # Longest delay until a change that discovery knows of has reached this router.
 MAX_LIST_DELAY_US = 6_000_000
-# Reported start times that differ by less are the same start: the clocks of a planner and an edge differ, and
-# two starts of one server are farther apart.
+# Reported start times that differ by less are the same start: the list comes from the planner (the process
+# that runs this policy), its times are converted to the clock of the edge (the process that holds the client
+# connections), which is not exact, and two starts of one server are farther apart.
 START_TOLERANCE_US = 100_000
 # A reader in a cell with many writers gets at most this multiple of its even share of the keys.
 MAX_CELL_WEIGHT = 1.1
@@ -40,7 +41,7 @@
                     kind.role,
                     kind.memory_tokens,
                     self._start_time(entry),
-                    share_draw=self.server_random.random(),
+                    share_draw=self.server_random.random(),  # rounds its allowance in slow start
                 ),
             )
             start_change_us = abs(entry.up_since_us - known.entry.up_since_us)
@@ -83,7 +84,7 @@
         return entry.up_since_us if plausible else self.now_us
 
     def _update_cell_weights(self, serving: list[Server]) -> None:
-        """Set each cell's share of the reads by its share of the writers, so that few states leave it."""
+        """Set each cell's share of the reads by its share of the writers; few states then leave the cell."""
         units = {s.entry.cell: [0.0, 0.0] for s in serving}  # read and write capacity of each cell
         for s in serving:
             for column, other_role in enumerate((i.Role.WRITE, i.Role.READ)):
@@ -117,7 +118,7 @@
         server.ejected_until_us = self.now_us + BASE_EJECTION_US * (1 << min(server.failures - 1, 3))
 
     def _record_answer(self, server: Server, request: OpenRequest, sent_us: int | None) -> None:
-        """Clear the failures of a server that answered, and its pause for the request's tenant."""
+        """Clear the failures of a server that answered, and its pause for the request's tenant (customer)."""
         # An answer after failed connects means that the server restarted: the list is seconds late and does
         # not show it yet. Connections that broke later don't count as a restart: when they did, a few resets
         # made most of a warm fleet count as cold.
--- a/yardspindle/policy/slow_start.py
+++ b/yardspindle/policy/slow_start.py
@@ -27,7 +27,8 @@
 # Requests admitted per request that a cold server can serve; the rest allows for chance and uneven keys.
 SLOW_START_PART = 0.8
 ARRIVAL_WINDOW_US = 30_000_000  # averaging time of the usual arrival rate; surges are shorter
-PRIOR_WINDOW_US = 4_000_000  # time before the start that is assumed to have had the quotas' arrival rate
+# Time before the start that is assumed to have had the arrival rate of all tenants' (customers') quotas.
+PRIOR_WINDOW_US = 4_000_000
 
 
 class SlowStart(PolicyState):
--- a/yardspindle/policy/state.py
+++ b/yardspindle/policy/state.py
@@ -45,15 +45,16 @@
     first_failure_us: int = 0  # when the first of these failures was seen
     connect_failures: int = 0  # those failures where no connection was established
     ejected_until_us: int = 0
-    # By tenant: until when the server gets none of its requests, and how many times in a row it was full.
+    # By tenant (customer): until when the server gets none of its requests, and how many times in a row it
+    # was full.
     full_by_tenant: dict[str | None, tuple[int, int]] = field(default_factory=dict)
     # Tokens of each prefix or session that the server has read for this router.
     cached_tokens: dict[str, float] = field(default_factory=dict)
     delay_us: float = 0.0  # how long a read there last took beyond its own service time
     delay_seen_us: int = 0  # when delay_us was observed
     last_answered_send_us: int = LONG_AGO_US  # send time of the latest attempt that was answered
-    # Random number from 0 to 1 that rounds this router's fractional allowance of non-home requests up or
-    # down.
+    # Random number from 0 to 1 by which this router's fractional allowance of non-home requests (those that
+    # would go elsewhere if every listed server could serve, `slow_start.py`) is rounded up or down.
     share_draw: float = 0.0
     non_home_sends: deque[int] = field(default_factory=deque)  # send times of requests with another home
 
@@ -66,7 +67,8 @@
     cls: i.RequestClass
     aim_us: float  # latency target
     key: str  # routing key by which the reader is chosen
-    # Random number from 0 to 1 times the surge at arrival: a cold server admits requests with low numbers.
+    # Random number from 0 to 1 times the surge (arrivals relative to the usual rate, at least 1) when the
+    # request arrived: a cold (recently started) server admits requests with low numbers.
     admission_draw: float
     uncached_tokens: float = 1.0  # tokens that the reader must read beyond those it has cached
     backlog_tokens: float = 0.0  # our tokens at the reader, this request's included, when it was sent there
--- a/yardspindle/policy/writers.py
+++ b/yardspindle/policy/writers.py
@@ -11,11 +11,11 @@
 from yardspindle.policy.readers import ReaderSelection
 from yardspindle.policy.state import MAX_DELAY_AIM_FRACTION, OpenRequest, Server
 
-# While no place is refused, this router may use this multiple of its even share of the writers' memory.
+# While no writer refuses a place, this router may use this multiple of its even share of the writers' memory.
 MEMORY_OVERCOMMIT = 2.0
 MEMORY_FRACTION = 0.9  # usable fraction of a writer's memory; answers grow after they start
 # After a refused place, writers count as full for this multiple of the shortest latency target: one router
-# learns of few refusals.
+# sees few of the refusals, so each counts for long.
 MEMORY_FULL_AIMS = 4.0
 
 
--- a/yardspindle/settings_map.py
+++ b/yardspindle/settings_map.py
@@ -5,10 +5,12 @@
 
 Defaults for absent keys are neutral and never a figure of some deployment:
 
-- permissions (`holds-allowed`, `read-in-place`, `resume`, `second-copies`, `cancel`, `probes`, `peers`,
-  `retry-after`, `max-retry-after-us`): not permitted;
+- permissions (`holds-allowed`: memory may be reserved at a decode server ahead of the decode; `read-in-place`: decode
+  servers may run the prefill, too; `resume`: clients can continue a broken stream;
+  `second-copies`, `cancel`, `probes`, `peers`, `retry-after`, `max-retry-after-us`): not permitted;
 - allowances (`drain-grace-us`, `answer-slack-us`, `ask-within-us`): none;
-- bounds (`let-go-by-us`, `most-tries`): unbounded; the request's own time limit remains;
+- bounds (`let-go-by-us`, the time within which memory held for a request must be released; `most-tries`): unbounded;
+  the request's own time limit remains;
 - `idempotency` of a class: unsafe, so a request is not repeated once it may have run;
 - prices and weights (`prices`, `transfer-price`, `late-worth`, `fraction`, `quota-per-s`): 0; `worth` and
   `over-share-worth`: 1, the same for all;
@@ -31,7 +33,11 @@
 
 
 def parse_settings(raw: dict[str, Any]) -> i.Settings:
-    """Return the policy's settings for decoded JSON; unknown keys are ignored."""
+    """Return the policy's settings for decoded JSON; unknown keys are ignored.
+
+    In the users' format `services` are the classes of requests, `shapes` the kinds of server machines, `realms` the
+    tenants (customers), `obligations` the rules on drains, cold starts and answers.
+    """
     info, allowed, rules, prices = (raw.get(key) or {} for key in ("family-info", "allowed", "obligations", "prices"))
 
     def nth_value(key: str, index: int) -> float:
