--- a/yardspindle/core/config.py
+++ b/yardspindle/core/config.py
@@ -63,7 +63,12 @@
 
 
 class RulesConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """Parameters of the retry, drain and release rules, as guaranteed by the fleet's operators."""
+    """Parameters of the retry, drain and release rules, as guaranteed by the fleet's operators.
+
+    `release_ms` limits how long unused KV states and reserved memory may be held; `cold_ms` is the time until a started
+    server has its full capacity, `start_capacity` the fraction at its start. Beyond `fall_multiple` times its capacity
+    within `fall_ms` it fails.
+    """
 
     release_ms: Positive = 300.0
     drain_grace_ms: NotNegative = 500.0
@@ -78,7 +83,7 @@
 
 
 class EdgeConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """The edge: where it listens, and its limits."""
+    """The edge: where it listens, and its limits. `number` is its index, from 0, among all `dispatchers` (edges)."""
 
     listen: Address = "127.0.0.1:0"
     planner: Address = "127.0.0.1:7600"
@@ -124,7 +129,8 @@
 class FleetConfig(Struct, forbid_unknown_fields=True, frozen=True):
     """The fleet's shared store (a key-value store: etcd or a file) and this process's membership.
 
-    Without `store`, nothing is shared.
+    Without `store`, nothing is shared. `ttl_ms` is a lease's time to live, and an owner of a background task stops
+    `margin_ms` before its lease ends. With `ask_leave` an edge asks for a permit before it shuts down.
     """
 
     store: tuple[StoreLocation, ...] = ()
@@ -332,7 +338,7 @@
 
 
 def edge_rules(config: Config) -> EdgeRules:
-    """The settings of the edge's interlocks."""
+    """The settings of the edge's interlocks (the rules that override what the planner decides)."""
     rules = config.rules
     return EdgeRules(
         effects={row.name: i.Effect(row.effect) for row in config.classes},
--- a/yardspindle/core/fleet/canary_analysis.py
+++ b/yardspindle/core/fleet/canary_analysis.py
@@ -1,7 +1,8 @@
 """Decides whether a released version does harm: compares released with unreleased units over the same time windows.
 
 A unit is a dispatcher or a model host, which a release restarts with the new version. Each unit counts its requests and
-those that ended badly; the owner of the duty `release` (the steward that carries out the release) compares the counts.
+those that ended badly. A steward (a process that does background work for the whole fleet) compares the counts: the one
+that carries out the release, as the present owner of the duty `release` (a duty is a task with one owner at a time).
 
 While both groups are equally bad, a failed request falls on a released unit with a probability given by the request
 counts alone, so an incident that hits both groups is no evidence and no failure rate has to be estimated. This is a
@@ -20,7 +21,9 @@
 ALPHA = 0.001  # probability of halting a harmless release, over its whole duration
 TOLERATED_RATIO = 1.1  # a version may fail this many times as often: placement and traffic differ between the groups
 HARM_FACTORS = (1.5, 2.5, 6.0, 20.0, 80.0)  # alternatives that are tested; averaged, as the true one is unknown
-MAX_WEALTH, MIN_WEALTH = 1e12, 1e-9  # keep the product within a float; MIN_WEALTH also bounds what good windows offset
+# Bounds that keep the product within a float. MIN_WEALTH also limits how far a long time without harm can lower the
+# wealth, and so how much evidence is needed to halt a release that does harm later.
+MAX_WEALTH, MIN_WEALTH = 1e12, 1e-9
 
 
 class OutcomeCounts(Struct, frozen=True):
--- a/yardspindle/core/fleet/ownership.py
+++ b/yardspindle/core/fleet/ownership.py
@@ -18,7 +18,7 @@
 
 from yardspindle.core.fleet import duty_assignment
 
-TURN_DELAY_FRACTION = 0.1  # of the TTL: delay per rank before a candidate takes a free duty
+TURN_DELAY_FRACTION = 0.1  # of the lease's time to live (TTL): delay per rank before a candidate takes a free duty
 SETTLE_FRACTION = 1.0  # of the TTL: how long ownership must be unchanged before excess duties are handed over
 MAX_BACKOFF_DOUBLINGS = 6  # of the delay after lost leases and restarts
 SUCCESS_RATE_WEIGHT = 0.2  # weight of the latest store call in the moving average of successes
--- a/yardspindle/core/fleet/permits.py
+++ b/yardspindle/core/fleet/permits.py
@@ -19,6 +19,7 @@
 
 from yardspindle.core.config import Limit
 
+# A cold unit has started recently and has not regained its full capacity.
 Standing = Literal["well", "cold", "failing", "draining", "stopped", "starting"]
 RETRY_AFTER_US = 2_000_000  # delay before asking again after a denial that may change with time
 MAX_VIEW_AGE_US = 3_000_000  # at a grant; of the order of a lease's time to live
@@ -53,9 +54,9 @@
 
     unit: str
     epoch: str
-    by: str
+    by: str  # who asked for it
     why: str = ""
-    release: str = ""
+    release: str = ""  # id of the release for which it was granted; empty: a drain or shutdown
     since_us: int = 0  # by the granting process's clock
     number: int = 0
 
--- a/yardspindle/core/fleet/release_keys.py
+++ b/yardspindle/core/fleet/release_keys.py
@@ -72,7 +72,10 @@
         self.release = keys.root + b"release"
 
     def row_key(self, kind: str, unit: str) -> bytes:
-        """The key of a row; `kind` is places, statuses, permits, orders, wishes or log."""
+        """The key of a row; `kind` is places, statuses, permits, orders, wishes or log.
+
+        Here `places` are the units' kinds and groups, `wishes` operators' drain requests, and `log` the audit log.
+        """
         return self.root + f"{kind}/{unit}".encode()
 
     def read(self, rows: Mapping[bytes, KeyValue]) -> ReleaseView:
--- a/yardspindle/core/fleet/release_plan.py
+++ b/yardspindle/core/fleet/release_plan.py
@@ -21,6 +21,7 @@
 from yardspindle.core.fleet import permits
 from yardspindle.core.fleet.canary_analysis import SequentialTest
 
+# "going back": the rollback is in progress; "back": it is complete.
 Phase = Literal["running", "halted", "going back", "done", "back", "abandoned"]
 FIRST_WAVE_SIZE = 1  # a single unit reveals a version that does not start at all
 ZONE_WAVE_SIZE = 3  # then a few units of the same zone, so that a fault specific to the zone stays in one zone
@@ -35,7 +36,7 @@
     before: Annotated[str, Meta(min_length=1)]  # the version to which a rollback returns
     units: tuple[str, ...] = ()
     kind: Literal["dispatcher", "host"] = "dispatcher"
-    settle_s: Annotated[float, Meta(ge=0)] = 30.0
+    settle_s: Annotated[float, Meta(ge=0)] = 30.0  # from the completion of a wave to the next wave
     start_s: Annotated[float, Meta(gt=0)] = 120.0  # time within which a unit must be back and well
 
 
--- a/yardspindle/core/fleet/unit.py
+++ b/yardspindle/core/fleet/unit.py
@@ -37,7 +37,7 @@
     groups: dict[Literal["zone", "cell", "role", "kind", "rack"], str] = {}
     drain: tuple[str, ...] = ()  # exits once the unit is idle; if empty, the unit is drained by SIGTERM alone
     check: tuple[str, ...] = ()  # exit code 0: well, 1: cold, other: failing
-    page: Address | None = None
+    page: Address | None = None  # address of the supervisor's HTTP page; None: `listen` of `[fleet]`
     drain_s: NotNegative = 30.0
     stop_s: Positive = 10.0
     start_s: Positive = 60.0
--- a/yardspindle/core/hosts/directory.py
+++ b/yardspindle/core/hosts/directory.py
@@ -10,7 +10,7 @@
 
 from yardspindle.interface import Role, State
 
-FORGET_US = 60_000_000  # after a server left the list; by then no attempt is in flight there and no policy names it
+FORGET_US = 60_000_000  # after a server left the list; by then no attempt is in flight and no policy names it
 
 
 @dataclass(slots=True)
--- a/yardspindle/core/hosts/host_list.py
+++ b/yardspindle/core/hosts/host_list.py
@@ -27,7 +27,10 @@
 
 
 class Member(Struct, frozen=True):
-    """A host in discovery's answer; unknown fields are ignored."""
+    """A host in discovery's answer; unknown fields are ignored.
+
+    `locality` is its zone, `flavor` its kind of machine, `size` its capacity relative to other hosts.
+    """
 
     id: Annotated[str, Meta(min_length=1, max_length=1_024)]
     host_port: str = "0.0.0.0:0"  # only an entry in phase Gone may leave it out
--- a/yardspindle/core/hosts/server_list.py
+++ b/yardspindle/core/hosts/server_list.py
@@ -23,7 +23,11 @@
 
 
 class ListedServer(Struct, forbid_unknown_fields=True, frozen=True):
-    """An entry of the list. `up_since_ms` is the Unix time of the server's last start, 0 for long ago."""
+    """An entry of the list. `up_since_ms` is the Unix time of the server's last start, 0 for long ago.
+
+    `places`: it can reserve memory for a write in advance. `events` and `replay`: where it publishes and replays cache
+    events. A cell is a group of servers within which KV caches move fast.
+    """
 
     name: Name
     address: Address
--- a/yardspindle/core/prefix/cache_feed.py
+++ b/yardspindle/core/prefix/cache_feed.py
@@ -1,6 +1,7 @@
 """Applies one engine's cache events to the prefix index, in order and each once, and handles faults of the feed.
 
-Events arrive in batches with a sequence number and the publisher's time. Faults are handled as follows:
+The prefix index records which blocks (runs of prompt tokens) each engine has in its KV cache. Events arrive in batches
+with a sequence number and the publisher's time. Faults are handled as follows:
 
 - *gap*: later batches are buffered up to a limit, and a replay of the missing ones is requested. If the replay does
   not bring them, what is known of the engine is uncertain from then on, and the buffered batches are applied;
@@ -31,7 +32,7 @@
 REPLAY_TIMEOUT_US = 2_000_000  # for a replay to arrive; engines keep batches for longer than asking for a replay takes
 TRUST_HALF_LIFE_US = 5_000_000  # of what was known before a gap; cache contents turn over at about this rate
 MIN_TRUST = 0.5  # below it an engine's events are not used: the router's own estimate is better
-MAX_BLOCK_HASHES = 400_000  # engine block hashes remembered for each engine; the oldest are dropped first
+MAX_BLOCK_HASHES = 400_000  # hashes used by engines, kept for each engine; the oldest are dropped first
 MIN_RENEWED_BLOCKS = 2_000  # to be certain again, so many blocks must be reported, and as many as were known
 
 EngineBlockHash = int | bytes
@@ -77,7 +78,7 @@
     unfilled_gaps: int = 0
     restarts: int = 0
     unknown_parents: int = 0
-    incompatible: int = 0
+    incompatible: int = 0  # blocks of another size, or with tokens that do not fit it
 
 
 @dataclass(slots=True)
@@ -137,7 +138,7 @@
                 self._apply(now_us, number, batch)
         if self.last_number is not None:
             for number in [number for number in self._early if number <= self.last_number]:
-                del self._early[number]  # covered by the replay; applying it again would move backwards
+                del self._early[number]  # in the replay; applied again, it would undo the effect of later batches
         self._apply_consecutive(now_us)
         if self._early:
             self._skip_gap(now_us)
--- a/yardspindle/core/prefix/prefix_tracker.py
+++ b/yardspindle/core/prefix/prefix_tracker.py
@@ -1,7 +1,7 @@
 """Predicts how many of a prompt's tokens each reader (prefill server) has cached: from its cache events where it
 publishes them, else from the router's own estimates.
 
-The prediction never chooses a reader: the policy weighs it among the readers that it may use anyway. For a reader
+The prediction alone chooses no reader: the routing policy weighs it among the readers that it may use. For a reader
 whose events are uncertain, the prediction is scaled by the trust in them; below a trust of one half the estimate
 replaces it.
 """
@@ -48,7 +48,7 @@
     index: PrefixIndex = field(init=False)
     estimate: PrefixEstimate = field(init=False)
     feeds: dict[str, CacheFeed] = field(default_factory=dict)
-    claims: ClaimAccuracy = field(default_factory=ClaimAccuracy)
+    claims: ClaimAccuracy = field(default_factory=ClaimAccuracy)  # whether events agree with what reads found
     ignored_batches: int = 0  # batches of engines that are not on the server list
     score: PredictionScore = field(default_factory=PredictionScore)
 
--- a/yardspindle/core/request/commands.py
+++ b/yardspindle/core/request/commands.py
@@ -100,14 +100,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseAll:
-    """Release all states and places held for a request; `repeat`: more may come to be held afterwards."""
+    """Release all states and places held for a request; `repeat`: again later, as engines may come to hold more."""
 
     request: int
     repeat: bool
 
 
 class AbortReason(Enum):
-    """Why an attempt is aborted."""
+    """Why an attempt is aborted.
+
+    The last two apply while engines hold, or may hold, a state or place for the request: these must be used or released
+    within a time limit (`held_resources.py`), so the attempt gets less time to connect and be answered than otherwise.
+    """
 
     REQUEST_OVER = "its request is over"
     POLICY = "the policy called it off"
@@ -162,7 +166,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Warn:
-    """An interlock stopped an action of the policy that would have broken a rule: log and count it."""
+    """An interlock (a check at the edge) stopped an action of the policy that would break a rule: log and count it."""
 
     request: int
     rule: str
@@ -177,7 +181,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SendRequestRelease:
-    """Ask an engine to release all that any engine holds for a request, and report whether it confirmed."""
+    """Ask one engine to release the states and places of a request at all engines; report whether it confirmed.
+
+    The engine forwards the release to the others, so any live engine can be asked.
+    """
 
     release: RequestRelease
     server: Server
--- a/yardspindle/core/request/completion.py
+++ b/yardspindle/core/request/completion.py
@@ -21,7 +21,7 @@
         self.rules = rules
         self.directory = Directory()
         self.requests: dict[int, RequestRecord] = {}
-        self.epoch = 0  # of the planner in charge; 0: none
+        self.epoch = 0  # identifies the run of the planner in charge; 0: none
         self.counts = RequestCounts()
         self._commands: list[c.Command] = []
 
--- a/yardspindle/core/request/edge_core.py
+++ b/yardspindle/core/request/edge_core.py
@@ -33,7 +33,7 @@
 
     @property
     def epoch(self) -> int:
-        """Epoch of the planner in charge; 0: none."""
+        """Epoch (the number of one run) of the planner in charge; 0: none."""
         return self.lifecycle.epoch
 
     @property
@@ -47,7 +47,7 @@
         return self.busy or bool(self.unread_calls.requests)
 
     def counts(self) -> dict[str, int]:
-        """Requests accepted and how they ended, interlocks, expired releases and rule violations since the start."""
+        """Counts since the start: requests, their ends, actions stopped by interlocks, expired releases, violations."""
         broken = {
             f"broken_{rule.replace(' ', '_')}": count
             for rule, count in sorted(self.rule_checker.violation_counts.items())
--- a/yardspindle/core/request/held_resources.py
+++ b/yardspindle/core/request/held_resources.py
@@ -18,7 +18,7 @@
 from yardspindle.core.request.records import Attempt, Place, RequestRecord, UnansweredPlace
 from yardspindle.core.request.retry_safety import may_have_run
 
-RELEASE_FRACTION = 0.75  # of the release time: the edge then releases by itself; the policy acts at half
+RELEASE_FRACTION = 0.75  # of the release time: the edge then releases by itself; the routing policy does so at half
 CONNECTS_WHILE_HELD = 2  # writers that can be tried one after another within that time while a state is held
 PLACE_ANSWER_LIMIT_US = 450_000  # a writer that has seen no read for the place says so after 0.3 s
 NOTE_NOTHING_HELD = 1  # note of an attempt after which no state is held any more
@@ -29,7 +29,7 @@
 
     @property
     def held_connect_timeout_us(self) -> int | None:
-        """Connect time-out of a write, as the state stays held meanwhile; None without releases by request."""
+        """Connect time-out of a write, as the state stays held meanwhile; None without `release_by_request`."""
         return (
             round(RELEASE_FRACTION * self.rules.release_us / CONNECTS_WHILE_HELD)
             if self.rules.release_by_request
@@ -47,7 +47,7 @@
         if record.attempt is None or record.attempt.server.role is not i.Role.READ or server is None:
             return
         if server.closed_us is not None or not server.places:
-            return  # no call is made and the policy gets no note, as with a writer that cannot be reached
+            return  # no call is made, and the policy gets no answer, as if the writer were unreachable
         record.place_count += 1
         record.place = Place(record.place_count, server)
         self._commands.append(
@@ -94,7 +94,7 @@
             self._late_place_answer(now_us, record, request, number, server, held)
             return self._take_commands()
         if held is None and self.rules.release_by_request:
-            return self._take_commands()  # if held, a write there uses it, or the end of the request releases it
+            return self._take_commands()  # a place held after all is used by a write or released with the request
         if held is None:
             self._release_place(record)
             self._commands.append(c.ReleasePlace(request, number, server))
--- a/yardspindle/core/request/lifecycle.py
+++ b/yardspindle/core/request/lifecycle.py
@@ -35,7 +35,7 @@
     # --- planner, shutdown and server list
 
     def planner_up(self, now_us: int, epoch: int) -> list[c.Command]:
-        """A planner takes over; requests of an earlier one are finished without a planner."""
+        """A planner takes over; requests of an earlier one are finished without a planner. `epoch`: its run."""
         if self.epoch:
             self.planner_down(now_us)
         self.epoch = epoch
@@ -152,7 +152,7 @@
         record = self.requests.get(send.request)
         if record is None or record.epoch != self.epoch:
             return
-        # Counted even if it is not made, as in the policy.
+        # Counted even if it is not made: the policy counts its sends alike and names an attempt by that number.
         number, record.attempt_count = record.attempt_count, record.attempt_count + 1
         why, server = self._reason_not_to_send(now_us, record, send.server)
         if why is not None or server is None:
@@ -166,7 +166,7 @@
         deadline_us = record.request.expires_us
         if send.timeout_us:
             deadline_us = min(deadline_us, now_us + send.timeout_us)
-        # Without `release_by_request` the I/O does not report progress.
+        # Without `release_by_request` (one release frees all of a request) the I/O does not report progress.
         evidence = Evidence.DECIDED if self.rules.release_by_request else Evidence.ACCEPTED
         record.attempt = Attempt(number, server, now_us, deadline_us, evidence)
         if server.role is i.Role.READ:
--- a/yardspindle/core/request/planning.py
+++ b/yardspindle/core/request/planning.py
@@ -69,7 +69,8 @@
             self._handle(max(edge_now_us, due_us), i.Timer(token), decisions)
 
     def _handle(self, edge_now_us: int, event: i.Event, decisions: Decisions) -> None:
-        self._last_us = max(self._last_us, edge_now_us)  # frames and timers are merged here: time must not go back
+        # Messages of the edge and timers are merged here, and the policy's time must not go back.
+        self._last_us = max(self._last_us, edge_now_us)
         self.events += 1
         try:
             actions = self._policy(event, self._last_us)
@@ -88,7 +89,7 @@
                 case i.Log(text):
                     decisions.logs.append(text)
                 case i.Watch() | i.FetchList() | i.Tell() | i.Probe():
-                    pass  # not used here: the list is pushed, and there are no peers or probes
+                    pass  # not used in the planner: the list is pushed, and there are no peers or probes
                 case _:
                     decisions.actions.append(action)
 
--- a/yardspindle/core/request/records.py
+++ b/yardspindle/core/request/records.py
@@ -19,16 +19,16 @@
 class EdgeRules:
     """Settings of the edge's interlocks; times in microseconds."""
 
-    effects: dict[str, i.Effect]
-    release_us: int
-    drain_grace_us: int
-    answer_slack_us: int
+    effects: dict[str, i.Effect]  # by class of requests
+    release_us: int  # within which unused states and places must be released
+    drain_grace_us: int  # in which a draining server may still be sent work
+    answer_slack_us: int  # after a request's deadline: its final answer is still on time
     retry_after_us: int  # sent with refusals that the edge makes without a planner
     max_attempts: int
     max_open_requests: int
-    writers_read: bool = False
+    writers_read: bool = False  # writers may read prompts themselves
     resume: bool = False  # clients resume a stream that was cut
-    release_by_request: bool = False  # engines release all that is held for a request at once, nothing less
+    release_by_request: bool = False  # one release frees all that engines hold for a request; none frees only a part
 
 
 @dataclass(slots=True)
@@ -76,7 +76,7 @@
 
     request: i.Request
     effect: i.Effect
-    epoch: int  # of the planner that knows it; 0 if none does any more
+    epoch: int  # number of the run of the planner that knows it; 0 if none does any more
     buffered: bool = False  # answered in one piece: the deadline is for the last token
     attempt_count: int = 0
     attempt: Attempt | None = None
--- a/yardspindle/core/request/rule_checker.py
+++ b/yardspindle/core/request/rule_checker.py
@@ -20,7 +20,7 @@
 from yardspindle.core.request.retry_safety import PROVES_NOT_RUN
 
 LATE_TICK_US = 40_000  # the core ticks every 20 ms; a busy loop may miss one tick
-NOTHING_PINNED = "nothing left pinned"
+NOTHING_PINNED = "nothing left pinned"  # name of the rule that states and places are released in time
 MAX_ENDED = 2_000  # ended requests remembered, to check what follows their end
 
 
@@ -204,7 +204,8 @@
         if self._rules.release_by_request:
             record.unwritten.add(command.attempt)
         else:
-            record.accepted.add(command.attempt)  # the I/O does not report progress in that mode
+            # Without `release_by_request` (one release frees all of a request) the I/O reports no progress.
+            record.accepted.add(command.attempt)
         if write and self._rules.release_by_request:  # a send to another writer abandons the place
             record.places = {n: at for n, at in record.places.items() if at == command.server.name}
         if isinstance(command, c.Write) and command.place is not None:
@@ -298,7 +299,7 @@
             record.places[place] = server
 
     def _violation(self, rule: str, request: int, text: str) -> bool:
-        """Record a violation; returns False, to withhold the command."""
+        """Record a violation; returns False, with which the caller withholds the command."""
         self.last_violation = Violation(rule, request, text)
         self.new_violations.append(self.last_violation)
         self.violation_counts[rule] += 1
