--- a/yardspindle/core/fleet/members.py
+++ b/yardspindle/core/fleet/members.py
@@ -129,7 +129,7 @@
         return Txn((Compare(key, "create", "equal", fence),), (Delete(key),))
 
     def with_fence(self, duty: str, fence: int, *then: Put | Delete) -> Txn:
-        """Applies writes on behalf of a duty if it is still held with this fence."""
+        """Applies writes on behalf of a duty if it is still held with this fence (the number of its acquisition)."""
         return Txn((Compare(self.duty(duty), "create", "equal", fence),), then)
 
 
--- a/yardspindle/core/fleet/ownership.py
+++ b/yardspindle/core/fleet/ownership.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTiming:
-    """In microseconds. `margin_us` covers clock drift within one TTL and the delivery time of an order."""
+    """In microseconds. `margin_us` covers clock drift within one TTL, and the time until an order has arrived."""
 
     ttl_us: int
     margin_us: int
@@ -351,7 +351,7 @@
     commands: list[Command],
 ) -> OwnershipState:
     if lease != state.lease or duty not in state.pending:
-        return state  # acquired under an ended lease, with which the key is deleted
+        return state  # acquired under an ended lease; the store deletes the key with that lease
     state = replace(state, pending=tuple(name for name in state.pending if name != duty))
     if holder is None or (holder.name, holder.lease) != (state.name, state.lease):
         return state
--- a/yardspindle/core/fleet/release_plan.py
+++ b/yardspindle/core/fleet/release_plan.py
@@ -62,8 +62,8 @@
     number: int  # one higher than the unit's previous order, so that each is carried out once
     do: Literal["go", "undrain", "drain"]
     version: str
-    duty: str
-    fence: int
+    duty: str  # the duty (background task with one owner at a time) by whose owner it was given
+    fence: int  # grows with each owner of the duty, so that orders of a former owner are refused
     by: str = ""
 
 
--- a/yardspindle/core/fleet/sweep.py
+++ b/yardspindle/core/fleet/sweep.py
@@ -15,11 +15,11 @@
 
 from yardspindle.core.fleet.members import FleetView, Member
 
-EPOCH_RETENTION_US = 60_000_000  # twice the engines' own time-out: by then they hold nothing of a dead epoch
+EPOCH_RETENTION_US = 60_000_000  # twice the time-out after which engines free by themselves what a dead epoch held
 PROBE_RETRY_US = 200_000  # delay before an inconclusive probe is repeated; doubled up to the maximum
 MAX_PROBE_RETRY_US = 5_000_000
 RECENT_SWEEP_INTERVAL_US = 500_000  # soon after a death: calls still in flight at an engine may turn into holds
-IDLE_SWEEP_INTERVAL_US = 10_000_000  # otherwise: finds holds of epochs whose end this owner has not seen
+IDLE_SWEEP_INTERVAL_US = 10_000_000  # otherwise: finds holds of epochs whose end this process has not seen
 
 
 class ProbeResult(Enum):
--- a/yardspindle/core/fleet/unit.py
+++ b/yardspindle/core/fleet/unit.py
@@ -131,7 +131,7 @@
         case OrderReceived(order):
             return _apply_order(state, now_us, order)
         case CommandEnded("drain", _) if saved.stage == "draining":
-            # A time-out counts as drained: by then the platform would not wait any longer either.
+            # A time-out counts as drained: by then the operators' platform would not wait any longer either.
             if saved.drained:
                 return _remain_drained(state, now_us)
             return _enter_stage(state, now_us, "stopping", RunCommand("stop"))
@@ -203,7 +203,7 @@
     saved = state.saved
     fences = FenceRegistry({order.duty: saved.fence})
     if order.number <= saved.number or not fences.admits(order.duty, order.fence):
-        return state, ()  # already carried out, or issued by an owner that was replaced
+        return state, ()  # already carried out, or issued by a former owner of the duty `release`
     saved = replace(saved, number=order.number, fence=order.fence, refused="", drained=order.do == "drain", crashed=0)
     if order.do == "go" and order.version not in state.file.versions:
         saved = replace(saved, done=order.number, refused=f"version {order.version} is not here")
--- a/yardspindle/core/hosts/discovery_schedule.py
+++ b/yardspindle/core/hosts/discovery_schedule.py
@@ -17,7 +17,8 @@
 
     def __init__(self) -> None:
         """Starts with a request for the full list."""
-        # Whether the next call requests the full list, on a new connection so that it cannot get a late answer.
+        # Whether the next call requests the full list, on a new connection so that no answer to an earlier call
+        # can be taken for its own.
         self.full_list = True
         self._faults = 0  # since the last applied answer
         self._fault_us = NEVER_US
--- a/yardspindle/core/hosts/host_list.py
+++ b/yardspindle/core/hosts/host_list.py
@@ -22,6 +22,7 @@
 
 PHASES = {"Ready": i.State.SERVING, "Terminating": i.State.DRAINING, "Gone": i.State.GONE}
 NUMBER_BYTES = 5
+# Reason to reject an answer of which the drains count all the same (`HostList._drain`).
 MAY_LAG = "older than the list in force, just after a move"
 Revision = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
 
@@ -88,7 +89,7 @@
         self.started: list[Member] = []  # hosts whose start was reported by the last answer
         self.rejection = ""  # why the last well-formed answer was rejected; empty if it was applied
         self._moved_us: int | None = None  # when discovery last moved to another address
-        self._draining_early: set[str] = set()  # hosts that drain by a list that was not applied
+        self._draining_early: set[str] = set()  # hosts that drain by an answer of discovery that was not applied
         self._empty_since_us: int | None = None  # since when every full list has been empty
 
     def __len__(self) -> int:
--- a/yardspindle/core/hosts/resource_budget.py
+++ b/yardspindle/core/hosts/resource_budget.py
@@ -12,7 +12,7 @@
 MIN_IDLE_PER_HOST = 2
 MEBIBYTE = 1 << 20
 BODY_FRACTION = 1 / 8  # of the memory: a body exists twice when it is complete, and again as it is forwarded
-MIN_SOCKETS = 16  # a dispatcher uses 7 itself; the rest is for a few clients, their engines and a release
+MIN_SOCKETS = 16  # a dispatcher uses 7 itself; the rest is for a few clients, their engines and a release call
 
 
 @dataclass(frozen=True, slots=True)
--- a/yardspindle/core/request/answer.py
+++ b/yardspindle/core/request/answer.py
@@ -164,12 +164,14 @@
 
 # Messages to clients, by code.
 MESSAGES = {
+    # Refused by the routing policy, which found no server in time; a retry is harmless.
     "overloaded": "The service is busy; nothing of this request has run.",
     "edge_full": "This router holds as many requests as it may.",
     # The edge has no planner (the process that decides which server does what), or has lost the one of this request.
     "planner_lost": "Nothing can be planned at the moment.",
     # Given up by the routing policy: the request may have run and must not run twice.
     "gave_up": "The request was given up.",
+    # The edge itself ended the request: at its deadline no answer, or no complete one, had come.
     "deadline": "No answer came in time.",
     "may_have_run": "The request failed and may have run; it was not repeated.",
     "stream_broken": "The answer broke off.",
--- a/yardspindle/core/request/intake.py
+++ b/yardspindle/core/request/intake.py
@@ -64,11 +64,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedRequest:
-    """The request as the policy sees it, and how its size was estimated."""
+    """The request as the routing policy sees it, and how its size was estimated."""
 
     request: i.Request
-    text_kind: str
-    size: int
+    text_kind: str  # tenant (customer) and class, for which tokens per byte are learned
+    size: int  # bytes of the prompt
 
 
 class Intake:
@@ -95,7 +95,7 @@
         prefix_tokens = min(float(round(self.estimate.tokens(kind, prefix_size))), tokens) if prefix_size else 0.0
         prefix = self._prefix_hash(fields, prefix_tokens)
         limit_ms = cls.give_up_ms
-        if fields.buffered:  # the class limits the time to the first token; a buffered answer is seen after the last
+        if fields.buffered:  # the class limits the time to the first token; a buffered answer arrives with the last
             limit_ms += (fields.max_out or self._max_out) * (cls.token_aim_ms or BUFFERED_TOKEN_MS)
         give_up_us = microseconds(limit_ms)
         for param, value in (("timeout_ms", fields.timeout_ms), ("x-stainless-read-timeout", fields.client_timeout_ms)):
--- a/yardspindle/core/request/request_releases.py
+++ b/yardspindle/core/request/request_releases.py
@@ -23,7 +23,7 @@
 from yardspindle.interface import State
 
 MAX_IN_FLIGHT = 64  # calls at a time, so that a dead fleet does not cost a task for each request
-MAX_PRECAUTIONARY = 8  # of those; releases for calls that may lie unread must not delay others
+MAX_PRECAUTIONARY = 8  # of those; releases for calls that engines may not have read yet must not delay others
 MAX_LATE_CALLS = 16  # overdue calls still awaited: a host may be slow to accept, but a dead fleet never answers
 REPEAT_DELAY_US = 120_000  # by then a read that ended while its connection was closed is over, but not the release time
 RETRY_FANOUT = 3  # engines asked at once after one did not answer: with half unreachable, one round in eight fails
@@ -189,7 +189,7 @@
         self._late_calls -= 1
         if confirmed:
             self.server_answered(now_us, server)
-            # Otherwise another engine has confirmed.
+            # If the release is no longer pending, another engine has confirmed it.
             if self.pending.get(release.request) is release and server in release.failed:
                 self._confirmed(now_us, release)
 
--- a/yardspindle/core/request/unread_calls.py
+++ b/yardspindle/core/request/unread_calls.py
@@ -15,7 +15,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-AFTER_ANSWER_US = 120_000  # by then a server that answers again has read what lay in its other connections
+AFTER_ANSWER_US = 120_000  # after an answer: by then the server has read what lay in its other connections
 EXPIRY_US = 6_000_000  # a machine that is unresponsive for longer is taken to be gone
 MAX_TRACKED = 5_000  # requests; beyond it the oldest is evicted
 PERIOD_FRACTION = 0.75  # of the release time limit, from one release to the next
