--- a/yardspindle/core/config.py
+++ b/yardspindle/core/config.py
@@ -54,7 +54,7 @@
 
 
 class TenantConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """A tenant and the API keys that its clients send."""
+    """A tenant (customer) and the API keys that its clients send."""
 
     name: Name
     keys: tuple[Annotated[str, Meta(min_length=8, max_length=256)], ...]
@@ -130,7 +130,8 @@
     """The fleet's shared store (a key-value store: etcd or a file) and this process's membership.
 
     Without `store`, nothing is shared. `ttl_ms` is a lease's time to live, and an owner of a background task stops
-    `margin_ms` before its lease ends. With `ask_leave` an edge asks for a permit before it shuts down.
+    `margin_ms` before its lease ends. With `ask_leave` an edge asks the store for a permit to be out of service
+    before it shuts down.
     """
 
     store: tuple[StoreLocation, ...] = ()
@@ -352,6 +353,6 @@
 
 
 def settings_hash(config: Config) -> str:
-    """A hash of what edge and planner must agree on: classes, kinds, tenants and rules."""
+    """A hash of what edge and planner must agree on: classes, kinds, tenants (customers) and rules."""
     shared = (config.classes, config.kinds, [row.name for row in config.tenants], config.rules)
     return xxhash.xxh3_64_hexdigest(msgspec.json.encode(shared))
--- a/yardspindle/core/fleet/clock_skew.py
+++ b/yardspindle/core/fleet/clock_skew.py
@@ -32,7 +32,7 @@
 
 
 def find_skewed_clocks(offsets: dict[str, ClockOffset], epochs: dict[str, str], bound_us: int) -> ClockReport:
-    """Reports offsets from the median, and epochs (process starts) beyond the bound; by member, the local too."""
+    """Reports members' offsets from the median, this one's too, and epochs (process starts) beyond the bound."""
     if not offsets:
         return ClockReport()
     median_us = median_low(offset.midpoint_us for offset in offsets.values())
--- a/yardspindle/core/fleet/members.py
+++ b/yardspindle/core/fleet/members.py
@@ -47,7 +47,7 @@
 
 
 class Owner(Struct, frozen=True):
-    """The owner of a duty: the value of the duty's row."""
+    """The owner of a duty: the value of the duty's row (a key of the store with its value)."""
 
     name: str
     epoch: str
@@ -124,12 +124,12 @@
         )
 
     def hand_over(self, duty: str, fence: int) -> Txn:
-        """Releases a duty if it is still held with this fence."""
+        """Releases a duty if it is still held with this fence (the revision at which it was acquired)."""
         key = self.duty(duty)
         return Txn((Compare(key, "create", "equal", fence),), (Delete(key),))
 
     def with_fence(self, duty: str, fence: int, *then: Put | Delete) -> Txn:
-        """Applies writes on behalf of a duty if it is still held with this fence (the number of its acquisition)."""
+        """Applies writes on behalf of a duty if it is still held with this fence."""
         return Txn((Compare(self.duty(duty), "create", "equal", fence),), then)
 
 
--- a/yardspindle/core/fleet/release_plan.py
+++ b/yardspindle/core/fleet/release_plan.py
@@ -68,7 +68,10 @@
 
 
 def plan_waves(placements: Mapping[str, permits.UnitPlacement], units: list[str]) -> tuple[tuple[str, ...], ...]:
-    """Divides units into waves: one unit, then a few of its zone, then equal parts spread over zones and cells."""
+    """Divides units into waves: one unit, then a few of its zone, then equal parts spread over zones and cells.
+
+    A cell is a group of servers within which KV caches move fast.
+    """
     remaining = sorted(units)
     if not remaining:
         return ()
--- a/yardspindle/core/fleet/unit.py
+++ b/yardspindle/core/fleet/unit.py
@@ -4,7 +4,8 @@
 maps the state, the time and an event to the next state and commands. Each stage is saved before it begins
 (`SaveState`), so that a supervisor that is killed between stop and start resumes with the start and never stops the
 unit a second time. Orders are read from the fleet's store only, where each was written under its issuer's fence (a
-number that grows with each new issuer); an order with a lower fence than one already obeyed is ignored.
+number that grows with each new issuer); an order with a lower fence than one already obeyed is ignored. The issuer is
+the owner of the duty `release`, a background task with one owner at a time.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
     state: Annotated[str, Meta(min_length=1)]  # path of the file in which the supervisor saves its progress
     groups: dict[Literal["zone", "cell", "role", "kind", "rack"], str] = {}
     drain: tuple[str, ...] = ()  # exits once the unit is idle; if empty, the unit is drained by SIGTERM alone
-    check: tuple[str, ...] = ()  # exit code 0: well, 1: cold, other: failing
+    check: tuple[str, ...] = ()  # exit code 0: well, 1: cold (not yet at full capacity), other: failing
     page: Address | None = None  # address of the supervisor's HTTP page; None: `listen` of `[fleet]`
     drain_s: NotNegative = 30.0
     stop_s: Positive = 10.0
--- a/yardspindle/core/hosts/directory.py
+++ b/yardspindle/core/hosts/directory.py
@@ -1,7 +1,8 @@
 """The servers known to an edge: their addresses, roles and states, and since when each accepts no new work.
 
 The edge is the process that holds the client connections; the planner, which decides what each server does, sends it
-the list.
+the list. An attempt is one send of a request's stage to one server; a cell is a group of servers within which KV caches
+move fast.
 """
 
 from __future__ import annotations
@@ -55,7 +56,7 @@
         self.servers = servers
 
     def accepting(self, number: int, now_us: int, grace_us: int) -> Server | None:
-        """The server, if it may get new work. The drain rule is enforced here, whatever the planner decided."""
+        """The server, if it may get new work. A drain's grace period is enforced here, whatever the planner decided."""
         server = self.servers.get(number)
         if server is None or (server.closed_us is not None and now_us > server.closed_us + grace_us):
             return None
--- a/yardspindle/core/prefix/prefix_tracker.py
+++ b/yardspindle/core/prefix/prefix_tracker.py
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class PrefixTracker:
-    """What is known of the prefixes that engines have cached."""
+    """What is known of the prefixes that engines (model servers, readers among them) have cached."""
 
     tokenizer: Tokenizer
     block_size: int
--- a/yardspindle/core/request/completion.py
+++ b/yardspindle/core/request/completion.py
@@ -170,7 +170,7 @@
             self._commands.append(c.NotifyPlanner(event))
 
     def _interlock(self, record: RequestRecord, rule: str) -> None:
-        """Count and log that an interlock stopped something."""
+        """Count and log that an interlock (a rule enforced at the edge) was applied."""
         self.counts.interlocks[rule] = self.counts.interlocks.get(rule, 0) + 1
         self._commands.append(c.Warn(record.request.request, rule))
 
--- a/yardspindle/core/request/edge_core.py
+++ b/yardspindle/core/request/edge_core.py
@@ -3,6 +3,10 @@
 The edge is the process that holds the client connections; the planner is the process that decides which server does
 what. The edge's I/O handles requests through the class `EdgeCore` alone. Every command passes the rule checker before
 it goes out; releases are queued and go out as engines can be reached.
+
+An attempt is one send of a request's stage to one server: a reader (prefill) or writer (decode). A release frees a
+state (the KV cache that a read leaves) or a place (memory reserved at a writer). An interlock is a rule at the edge
+that stops an action of the planner.
 """
 
 from __future__ import annotations
--- a/yardspindle/core/request/records.py
+++ b/yardspindle/core/request/records.py
@@ -1,7 +1,8 @@
 """Records of the edge's open requests, and the settings of its interlocks.
 
 The edge is the process that holds the client connections. Its interlocks are rules that override an action of the
-policy in the planner, the process that decides which server does what.
+policy in the planner, the process that decides which server does what. A reader runs the prefill stage of a request, a
+writer the decode stage. A state is the KV cache that a read leaves; a place is memory reserved at a writer.
 """
 
 from __future__ import annotations
--- a/yardspindle/core/request/rule_checker.py
+++ b/yardspindle/core/request/rule_checker.py
@@ -5,6 +5,9 @@
 that share nothing with it: what was accepted, is in flight, may have run, is held, was answered. A violation is counted
 and logged with its request, and a harmful command is withheld where that is safe: a second answer, a forbidden attempt.
 The property tests and the simulations on the virtual clock read the same records.
+
+Held are states (the KV cache that a read, or prefill, leaves) and places (memory reserved at a writer, or decode
+server). An attempt is one send of a request's stage to one server.
 """
 
 from __future__ import annotations
--- a/yardspindle/policy/readers.py
+++ b/yardspindle/policy/readers.py
@@ -2,7 +2,8 @@
 
 A reader is a server that runs the prefill stage (a read), a writer one that runs the decode stage. A state is
 the KV cache that a read leaves until the writer has fetched it; a cell is a group of servers within which
-states move fast. A key is the request's shared prefix, else its session, else its own number.
+states move fast. A key is the request's shared prefix, else its session, else its own number. An attempt is
+one send of a request's stage to one server.
 """
 
 from __future__ import annotations
--- a/yardspindle/policy/request_lifecycle.py
+++ b/yardspindle/policy/request_lifecycle.py
@@ -2,7 +2,7 @@
 
 A read is the prefill stage, a write the decode stage. Held are a state (the KV cache that a read leaves until
 the writer has fetched it) and a place (memory reserved at a writer). The final answer, served, refused or
-failed, ends a request.
+failed, ends a request. An attempt is one send of a request's stage to one server.
 """
 
 from __future__ import annotations
@@ -11,7 +11,8 @@
 from yardspindle.policy.state import MAX_KEYS, SWEEP_INTERVAL_US, OpenRequest, Server
 from yardspindle.policy.writers import WriterSelection
 
-# Shortest time for which a full server gets no more of the tenant's requests: about a few tokens.
+# Shortest time for which a full server gets no more of the tenant's (customer's) requests: about the
+# time of a few tokens.
 MIN_FULL_PAUSE_US = 100_000
 # The pause is at least this multiple of the time that the refusal took, so that asking costs little.
 FULL_PAUSE_FACTOR = 20
--- a/yardspindle/policy/servers.py
+++ b/yardspindle/policy/servers.py
@@ -13,7 +13,8 @@
 from yardspindle.policy.slow_start import SlowStart
 from yardspindle.policy.state import BASE_EJECTION_US, KEY_WINDOW_US, LONG_AGO_US, OpenRequest, Server
 
-# Longest delay until a change that discovery knows of has reached this router.
+# Longest delay until a change that discovery (the service that lists the servers) knows of has reached this
+# router.
 MAX_LIST_DELAY_US = 6_000_000
 # Reported start times that differ by less are the same start: the list comes from the planner (the process
 # that runs this policy), its times are converted to the clock of the edge (the process that holds the client
--- a/yardspindle/policy/state.py
+++ b/yardspindle/policy/state.py
@@ -2,7 +2,8 @@
 
 Readers are servers that run the prefill stage (a read), writers those that run the decode stage (a write). A
 state of a request is the KV cache that a read leaves until the writer has fetched it; a place is memory
-reserved at a writer.
+reserved at a writer. An attempt is one send of a request's stage to one server; a cell is a group of servers
+within which states move fast.
 """
 
 from __future__ import annotations
