--- a/yardspindle/core/fleet/members.py
+++ b/yardspindle/core/fleet/members.py
@@ -47,7 +47,7 @@
 
 
 class Owner(Struct, frozen=True):
-    """The owner of a duty: the value of the duty's row."""
+    """The owner of a duty: the value of the duty's row (a key of the store with its value)."""
 
     name: str
     epoch: str
@@ -124,7 +124,7 @@
         )
 
     def hand_over(self, duty: str, fence: int) -> Txn:
-        """Releases a duty if it is still held with this fence."""
+        """Releases a duty if it is still held with this fence (the revision at which it was acquired)."""
         key = self.duty(duty)
         return Txn((Compare(key, "create", "equal", fence),), (Delete(key),))
 
--- a/yardspindle/core/fleet/ownership.py
+++ b/yardspindle/core/fleet/ownership.py
@@ -18,7 +18,7 @@
 
 from yardspindle.core.fleet import duty_assignment
 
-TURN_DELAY_FRACTION = 0.1  # of the TTL: delay per rank before a candidate takes a free duty
+TURN_DELAY_FRACTION = 0.1  # of the lease's time to live (TTL): delay per rank before a candidate takes a free duty
 SETTLE_FRACTION = 1.0  # of the TTL: how long ownership must be unchanged before excess duties are handed over
 MAX_BACKOFF_DOUBLINGS = 6  # of the delay after lost leases and restarts
 SUCCESS_RATE_WEIGHT = 0.2  # weight of the latest store call in the moving average of successes
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTiming:
-    """In microseconds. `margin_us` covers clock drift within one TTL and the delivery time of an order."""
+    """In microseconds. `margin_us` covers clock drift within one TTL, and the time until an order has arrived."""
 
     ttl_us: int
     margin_us: int
@@ -351,7 +351,7 @@
     commands: list[Command],
 ) -> OwnershipState:
     if lease != state.lease or duty not in state.pending:
-        return state  # acquired under an ended lease, with which the key is deleted
+        return state  # acquired under an ended lease; the store deletes the key with that lease
     state = replace(state, pending=tuple(name for name in state.pending if name != duty))
     if holder is None or (holder.name, holder.lease) != (state.name, state.lease):
         return state
--- a/yardspindle/core/fleet/unit.py
+++ b/yardspindle/core/fleet/unit.py
@@ -4,7 +4,8 @@
 maps the state, the time and an event to the next state and commands. Each stage is saved before it begins
 (`SaveState`), so that a supervisor that is killed between stop and start resumes with the start and never stops the
 unit a second time. Orders are read from the fleet's store only, where each was written under its issuer's fence (a
-number that grows with each new issuer); an order with a lower fence than one already obeyed is ignored.
+number that grows with each new issuer); an order with a lower fence than one already obeyed is ignored. The issuer is
+the owner of the duty `release`, a background task with one owner at a time.
 """
 
 from __future__ import annotations
@@ -36,8 +37,8 @@
     state: Annotated[str, Meta(min_length=1)]  # path of the file in which the supervisor saves its progress
     groups: dict[Literal["zone", "cell", "role", "kind", "rack"], str] = {}
     drain: tuple[str, ...] = ()  # exits once the unit is idle; if empty, the unit is drained by SIGTERM alone
-    check: tuple[str, ...] = ()  # exit code 0: well, 1: cold, other: failing
-    page: Address | None = None
+    check: tuple[str, ...] = ()  # exit code 0: well, 1: cold (not yet at full capacity), other: failing
+    page: Address | None = None  # address of the supervisor's HTTP page; None: `listen` of `[fleet]`
     drain_s: NotNegative = 30.0
     stop_s: Positive = 10.0
     start_s: Positive = 60.0
@@ -131,7 +132,7 @@
         case OrderReceived(order):
             return _apply_order(state, now_us, order)
         case CommandEnded("drain", _) if saved.stage == "draining":
-            # A time-out counts as drained: by then the platform would not wait any longer either.
+            # A time-out counts as drained: by then the operators' platform would not wait any longer either.
             if saved.drained:
                 return _remain_drained(state, now_us)
             return _enter_stage(state, now_us, "stopping", RunCommand("stop"))
@@ -203,7 +204,7 @@
     saved = state.saved
     fences = FenceRegistry({order.duty: saved.fence})
     if order.number <= saved.number or not fences.admits(order.duty, order.fence):
-        return state, ()  # already carried out, or issued by an owner that was replaced
+        return state, ()  # already carried out, or issued by a former owner of the duty `release`
     saved = replace(saved, number=order.number, fence=order.fence, refused="", drained=order.do == "drain", crashed=0)
     if order.do == "go" and order.version not in state.file.versions:
         saved = replace(saved, done=order.number, refused=f"version {order.version} is not here")
--- a/yardspindle/core/request/edge_core.py
+++ b/yardspindle/core/request/edge_core.py
@@ -3,6 +3,10 @@
 The edge is the process that holds the client connections; the planner is the process that decides which server does
 what. The edge's I/O handles requests through the class `EdgeCore` alone. Every command passes the rule checker before
 it goes out; releases are queued and go out as engines can be reached.
+
+An attempt is one send of a request's stage to one server: a reader (prefill) or writer (decode). A release frees a
+state (the KV cache that a read leaves) or a place (memory reserved at a writer). An interlock is a rule at the edge
+that stops an action of the planner.
 """
 
 from __future__ import annotations
@@ -33,7 +37,7 @@
 
     @property
     def epoch(self) -> int:
-        """Epoch of the planner in charge; 0: none."""
+        """Epoch (the number of one run) of the planner in charge; 0: none."""
         return self.lifecycle.epoch
 
     @property
@@ -47,7 +51,7 @@
         return self.busy or bool(self.unread_calls.requests)
 
     def counts(self) -> dict[str, int]:
-        """Requests accepted and how they ended, interlocks, expired releases and rule violations since the start."""
+        """Counts since the start: requests, their ends, actions stopped by interlocks, expired releases, violations."""
         broken = {
             f"broken_{rule.replace(' ', '_')}": count
             for rule, count in sorted(self.rule_checker.violation_counts.items())
--- a/yardspindle/policy/request_lifecycle.py
+++ b/yardspindle/policy/request_lifecycle.py
@@ -2,7 +2,7 @@
 
 A read is the prefill stage, a write the decode stage. Held are a state (the KV cache that a read leaves until
 the writer has fetched it) and a place (memory reserved at a writer). The final answer, served, refused or
-failed, ends a request.
+failed, ends a request. An attempt is one send of a request's stage to one server.
 """
 
 from __future__ import annotations
@@ -11,11 +11,12 @@
 from yardspindle.policy.state import MAX_KEYS, SWEEP_INTERVAL_US, OpenRequest, Server
 from yardspindle.policy.writers import WriterSelection
 
-# Shortest time for which a full server gets no more of the tenant's requests: about a few tokens.
+# Shortest time for which a full server gets no more of the tenant's (customer's) requests: about the
+# time of a few tokens.
 MIN_FULL_PAUSE_US = 100_000
 # The pause is at least this multiple of the time that the refusal took, so that asking costs little.
 FULL_PAUSE_FACTOR = 20
-MAX_PLACE_REQUESTS = 4  # writers asked for a place per read; each request costs as much as a probe
+MAX_PLACE_REQUESTS = 4  # writers asked for a place per read; asking costs as much as probing a server
 # Fraction of the latency target (aim) that a request may wait before its read; the rest is for the work.
 MAX_WAIT_AIM_FRACTION = 0.2
 MEAN_WEIGHT = 0.1  # weight of a new observation in the exponentially weighted means
@@ -164,7 +165,8 @@
             # shows that connections break, not that the server died.
             self._eject(server, status.value)
         elif status is i.Status.TIMEOUT and event.note == 1:
-            # The writer did not answer while the state was held: it may be unresponsive to everyone.
+            # Note 1: the writer did not answer within the time for which the state may be held, so the state
+            # was released. The writer may be unresponsive to everyone.
             self._eject(server, "silent")
         if event.stale:
             self.last_loss_us = self.now_us
@@ -207,7 +209,7 @@
             if request.cls.effect is not i.Effect.SAFE:
                 return self._end(request, "fail")
         if event.note == 1 or request.reader is None:
-            # There is no state left, or it could not be held any longer without an answer from a writer.
+            # There is no state left, or it could not be held any longer, as no writer had answered.
             self._release_held(request)
             return self._start_read(request)
         request.held_since_us = self.now_us
