--- a/yardspindle/fleet/fleet_watcher.py
+++ b/yardspindle/fleet/fleet_watcher.py
@@ -18,7 +18,7 @@
 from yardspindle.runtime.world import World
 
 WATCH_POLL_US = 200_000  # how often a watch without changes is checked for lag
-MAX_LAG_US = 1_000_000  # how long the view may stay behind a revision seen elsewhere
+MAX_LAG_US = 1_000_000  # how long the view may stay behind a revision that another answer of the store carried
 MIN_RETRY_PAUSE_US, MAX_RETRY_PAUSE_US = 100_000, 2_000_000
 
 log = structlog.get_logger("yardspindle.fleet")
--- a/yardspindle/fleet/member_page.py
+++ b/yardspindle/fleet/member_page.py
@@ -86,4 +86,4 @@
 
 
 def _ignore_error(fault: BaseException) -> None:
-    """An aborted request for the page needs no log line."""
+    """Log nothing for an aborted request for the page."""
--- a/yardspindle/fleet/membership.py
+++ b/yardspindle/fleet/membership.py
@@ -144,7 +144,7 @@
             if not may_register(registered, self.member):
                 assert registered is not None
                 reason = f"{self.member.id}: another process is registered under this name: {registered.value.decode()}"
-                # An earlier start whose lease still runs, or a second copy of this process.
+                # The registered process is an earlier start whose lease still runs, or a second copy of this process.
                 if reason != self.refusal_reason:
                     log.error("not registered", reason=reason)
                 self.refusal_reason = reason
--- a/yardspindle/lab/audit.py
+++ b/yardspindle/lab/audit.py
@@ -6,10 +6,11 @@
 a prefill leaves for the decode) or place (memory reserved for a decode) that nobody uses ("nothing left pinned").
 
 The audit shares no code with the router and reads none of its logs. Its input is the journals of `clients.py` and
-`engine.py`, where an engine is called `box`, and lines of the fault injection: `killed` for an engine; `control` for a
-command to it; `edge killed`, `edge started`, `edge stalled`, `edge woke` for an edge (the process that holds the client
-connections), by its port and the prefix of its request ids; `blind` and `seen` for an engine that edges cannot reach.
-Times are microseconds of one clock, in order.
+`engine.py`, and lines of the fault injection: `killed` for an engine; `control` for a command to it; `edge killed`,
+`edge started`, `edge stalled`, `edge woke` for an edge (the process that holds the client connections), by its port and
+the prefix of its request ids; `blind` and `seen` for an engine that edges cannot reach. Keys: `box` is an engine; `try`
+in the clients' journal and `lab` in the engines' name a try; `order` is the request that it is a try of. An attempt is
+an edge's call to an engine. Times are microseconds of one clock, in order.
 """
 
 from __future__ import annotations
@@ -24,19 +25,21 @@
 JournalLine = dict[str, Any]
 Spans = list[list[int]]
 FOREVER = 1 << 62  # the end of a span that is still open
+# Outcomes of a try. Besides these: "left" (the client hung up or stopped reading), "unreachable" (no connection),
+# "lost" (its connection or stream broke), "late" (no complete answer within 1 s after its deadline).
 ANSWERED = ("served", "refused", "failed")
 
 
 class AuditLimits(Struct, forbid_unknown_fields=True, frozen=True):
     """Limits that the rules state, and the measuring slack for several busy processes on one machine."""
 
-    release_ms: float = 300.0
-    drain_grace_ms: float = 500.0
-    list_ms: float = 250.0  # until every planner has read a changed list
+    release_ms: float = 300.0  # until a hold that no attempt uses is released
+    drain_grace_ms: float = 500.0  # during which an engine listed as draining may still get new attempts
+    list_ms: float = 250.0  # until every planner (it decides which engine does what) has read a changed server list
     slack_ms: float = 400.0
     left_ms: float = 1_000.0  # until an attempt ends after its client hung up
     hold_ms: float = 5_000.0  # after which engines expire what a killed edge left
-    unsafe: tuple[str, ...] = ()
+    unsafe: tuple[str, ...] = ()  # classes of requests that must not run twice
 
 
 @dataclass(slots=True)
@@ -105,7 +108,7 @@
         self._runs: dict[str, list[JournalLine]] = defaultdict(list)
         self._try_of_run: dict[str, str] = {}  # by attempt id, once its writer (decode engine) runs it
         self._ends: dict[tuple[str, str], JournalLine] = {}
-        self._order_runs: Counter[str] = Counter()
+        self._order_runs: Counter[str] = Counter()  # runs of unsafe requests, by request (all its tries)
         self._complete_events: dict[str, int] = {}  # by try: number of events of an answer that its writer completed
         self._draining_since: dict[str, int] = {}
         self._attempt_spans: dict[str, Spans] = defaultdict(list)  # by request: start, end of each attempt
@@ -158,7 +161,7 @@
         edge, spans = self._edges[line["edge"]], self._edge_outages[line["prefix"]]
         if line["ev"] in ("edge woke", "edge started"):
             _close(edge.outages, line["t"] + self._slack_us)
-            _close(spans, line["t"])  # the id of a new start is not known yet: the span of the killed one stays open
+            _close(spans, line["t"])  # each start has its own prefix, so the span of a killed one stays open
             return
         edge.outages.append([line["t"], FOREVER])
         spans.append([line["t"], FOREVER])
--- a/yardspindle/lab/clients.py
+++ b/yardspindle/lab/clients.py
@@ -50,7 +50,7 @@
 
     name: str
     share: float
-    give_up_ms: float
+    give_up_ms: float  # after which the client gives up
     answer_tokens: int = 40
 
 
@@ -59,7 +59,7 @@
 
     hang_up: float = 0.05
     stop_reading: float = 0.02
-    whole: float = 0.2  # that the answer is not streamed
+    whole: float = 0.2  # probability that the answer is not streamed
     retries: int = 2
     openings: int = 4  # shared prefixes
     opening_words: int = 400
@@ -72,7 +72,7 @@
 
     number: int
     cls: ClientClass
-    opening: int
+    opening: int  # number of the shared prefix
     words: int
     stream: bool
     hang_up_us: int
@@ -108,8 +108,8 @@
     code: str = ""
     status: int = 0
     retry_ms: float = 0.0
-    events: int = 0
-    extra: int = 0
+    events: int = 0  # of the answer
+    extra: int = 0  # events after the end of the answer
     first_token_us: int = 0
 
 
--- a/yardspindle/lab/day.py
+++ b/yardspindle/lab/day.py
@@ -26,7 +26,7 @@
 from yardspindle.runtime.real import RealWorld
 from yardspindle.runtime.scheduler import DeadlineExceeded
 
-SETTLE_US = 6_500_000  # after the last request: longer than any deadline and hold
+SETTLE_US = 6_500_000  # after the last request: longer than any client's deadline and than engines keep a hold
 
 Positive = Annotated[float, Meta(gt=0)]
 
@@ -35,10 +35,10 @@
     """A request class, as the router and its clients are configured with it."""
 
     name: str
-    effect: Literal["safe", "unsafe"]
+    effect: Literal["safe", "unsafe"]  # unsafe: must not run twice
     share: Positive
-    aim_ms: Positive = 1_500.0
-    give_up_ms: Positive = 4_000.0
+    aim_ms: Positive = 1_500.0  # latency target
+    give_up_ms: Positive = 4_000.0  # time limit
     answer_tokens: Annotated[int, Meta(ge=1)] = 40
     worth: Positive = 1.0
 
--- a/yardspindle/lab/engine.py
+++ b/yardspindle/lab/engine.py
@@ -3,8 +3,8 @@
 It does not emulate a GPU: a read (prefill) processes its uncached tokens, and a write (decode) takes one step per
 token, both slower with more running requests. Slots, queue, prefix cache, states (KV cache kept for the decode) and
 places (memory reserved for a decode) are real: they run out and expire, and the writer fetches a state from its reader
-over a socket. Every request, token count, hold and release is appended to a journal before its effect is visible; the
-audit reads no other record of an engine.
+over a socket. Every request, token count, hold and release is appended to a journal before its effect is visible.
+The audit (audit.py, which checks a run against the router's rules) reads no other record of an engine.
 """
 
 from __future__ import annotations
@@ -53,9 +53,9 @@
         self._events: MessageSocket | None = None
         self.events_port = self.replay_port = 0
         self.started_us = world.now_us()
-        self.slowdown = 1.0
-        self.reset = False
-        self.hang_signal: Signal | None = None
+        self.slowdown = 1.0  # a fault: the factor by which work takes longer
+        self.reset = False  # a fault: streams are aborted
+        self.hang_signal: Signal | None = None  # a fault: requests wait for it until the engine wakes
         self.host, self.port = "", 0
 
     def start(self, host: str, port: int, events_port: int = 0, replay_port: int = 0) -> tuple[str, int]:
@@ -127,7 +127,7 @@
         call = msgspec.json.decode(exchange.body, type=ChatCall)
         params = call.kv_transfer_params or {}
         stage = "read" if params.get("do_remote_decode") else "write"
-        lab_id = (call.metadata or {}).get("lab_id", "")
+        lab_id = (call.metadata or {}).get("lab_id", "")  # a try's name: for the audit, and to vary the answer's length
         self.record("arrive", request, stage=stage, lab=lab_id)
         closed = self.world.signal()  # set when the client disconnects
 
--- a/yardspindle/lab/engine_holds.py
+++ b/yardspindle/lab/engine_holds.py
@@ -2,8 +2,8 @@
 
 A state is the KV cache that a prefill leaves at its engine until the decode has fetched it; a place is memory reserved
 at a decode engine. Both are normally released by an edge, the router's process that holds the client connections.
-Beyond its releases, there are two extensions. `GET /v1/yardspindle/holds` lists every hold with its id. A list or
-release request may also come from a steward, a process that does background work for the whole fleet; it then names its
+Two extensions serve to release what a dead edge left: `GET /v1/yardspindle/holds` lists every hold with its id, and a
+list or release request may come from a steward, a process that does background work for the fleet. It then names its
 duty (the background task, which has one owner at a time) and carries its fence (the number of that ownership), and is
 refused with 409 `stale_fence` if a higher fence of that duty has been seen. The highest fences are kept in a file and
 survive a restart.
@@ -43,7 +43,7 @@
         self.states: dict[str, Hold] = {}
         self.places: dict[str, Hold] = {}
         self.released_early: OrderedDict[str, None] = OrderedDict()  # ids released before they were held
-        self.full = self.draining = False
+        self.full = self.draining = False  # set by injected faults: refuse new calls though there is room
         self.fences = FenceRegistry(self._known_fences())
 
     def _known_fences(self) -> dict[str, int]:
@@ -58,7 +58,7 @@
         return fences
 
     def record(self, event: str, request: str = "", **more: object) -> None:
-        """Append an event to the journal, without buffering; `box` is the engine's name."""
+        """Append an event to the journal, without buffering; its key `box` is the engine's name."""
         if self.settings.journal:
             line = {"t": self.world.now_us(), "box": self.settings.name, "ev": event, "id": request, **more}
             self.world.append_file(self.settings.journal, msgspec.json.encode(line) + b"\n")
--- a/yardspindle/lab/engine_settings.py
+++ b/yardspindle/lab/engine_settings.py
@@ -28,14 +28,14 @@
     block_size: int = 64
     read_tokens_per_s: float = 160_000.0
     step_ms: float = 4.0
-    move_tokens_per_s: float = 1_600_000.0
-    cold_ms: float = 0.0
+    move_tokens_per_s: float = 1_600_000.0  # speed at which a writer fetches a state
+    cold_ms: float = 0.0  # time from the start until full speed; it starts at `start_capacity` of that
     start_capacity: float = 1.0
-    fall_multiple: float = 2.5
-    fall_ms: float = 2_000.0
-    hold_ms: float = 5_000.0
-    places: bool = True
-    events: bool = False
+    fall_multiple: float = 2.5  # a cold engine goes down when its work exceeds this multiple of its capacity
+    fall_ms: float = 2_000.0  # the period over which that work is summed
+    hold_ms: float = 5_000.0  # after which an unused hold expires
+    places: bool = True  # places can be reserved, and holds released
+    events: bool = False  # publish cache events (blocks stored, removed)
     journal: str = ""
     holds: bool = True  # it lists its holds, and checks the fence (number of a duty's owner) of releases that carry one
     fences: str = ""  # file that keeps the highest fence seen of each duty (background task) across restarts
@@ -56,7 +56,7 @@
         "listed_draining",
         "listed_serving",
     ]
-    factor: float = 1.0
+    factor: float = 1.0  # for "slow": how many times as long work takes
 
 
 class Message(Struct):
--- a/yardspindle/lab/fleet.py
+++ b/yardspindle/lab/fleet.py
@@ -63,7 +63,8 @@
     config: dict[str, Any]
     engines: list[EngineInstance]
     dispatchers: list[Dispatcher]
-    shared_store: bool = False  # the dispatchers share a key-value store, a file in the folder, and a steward runs
+    # The dispatchers share a key-value store, a file in the folder; a steward (a process for background tasks) runs.
+    shared_store: bool = False
     steward: Child | None = None
     folder: tempfile.TemporaryDirectory[str] = field(
         default_factory=lambda: tempfile.TemporaryDirectory(prefix="yardspindle-")
--- a/yardspindle/lab/fleet_simulation.py
+++ b/yardspindle/lab/fleet_simulation.py
@@ -45,7 +45,7 @@
 # kind: (targets, second targets, shortest duration, longest duration in ms)
 FAULT_KINDS: dict[str, tuple[tuple[str, ...], tuple[str, ...], int, int]] = {
     "dies": (STEWARDS + EDGES, (), 50, 5_000),
-    "dies holding": (EDGES, (), 50, 6_000),
+    "dies holding": (EDGES, (), 50, 6_000),  # while engines hold a state or place for the edge
     "stalls": (STEWARDS + EDGES, (), 50, 7_000),
     "steps": (STEWARDS, (), 0, 0),  # the program's clock, by a minute
     "cut": (STEWARDS + EDGES, (STORE, *ENGINES), 50, 6_000),  # traffic in both directions
@@ -53,7 +53,7 @@
     "engine dies": (ENGINES, (), 50, 3_000),
     "engine hangs": (ENGINES, (), 500, 6_000),
     "no leader": ((STORE,), (), 50, 6_000),
-    "late": ((STORE,), (), 50, 4_000),
+    "late": ((STORE,), (), 50, 4_000),  # each answer is delayed
     "lost answers": ((STORE,), (), 0, 0),
     "leases end": ((STORE,), (), 0, 0),
     "watches break": ((STORE,), (), 0, 0),
@@ -66,8 +66,8 @@
     """A fault: its kind, targets, time and duration."""
 
     kind: str
-    on: str
-    other: str
+    on: str  # the target
+    other: str  # the other end of a cut; empty for other kinds
     at_ms: int
     for_ms: int
 
@@ -129,7 +129,7 @@
         self.instances: dict[str, EngineInstance] = {}
         self.ports: dict[str, int] = {}
         self._highest_fences: dict[tuple[str, str], int] = defaultdict(int)
-        self._registered_epochs: set[str] = set()  # every epoch that was registered in the store
+        self._registered_epochs: set[str] = set()  # every epoch (one start of an edge or steward) that was registered
         self._owners_may_overlap = any(fault.kind in ("steps", "leases end") for fault in script.faults)
 
     def run(self) -> tuple[str, ...]:
@@ -326,7 +326,7 @@
             self.violations.append(f"sweep: {engine} released {order['id']}, whose edge is alive")
 
     def held_ids(self) -> list[str]:
-        """The ids of all states and places that engines hold."""
+        """The ids of all states (KV cache for a decode) and places (memory reserved for one) that engines hold."""
         return [hold for engine in self.engines.values() for hold in (*engine.states, *engine.places)]
 
     def owners(self) -> dict[str, list[str]]:
--- a/yardspindle/lab/release_simulation.py
+++ b/yardspindle/lab/release_simulation.py
@@ -47,7 +47,7 @@
         self.version, self.mark, self.start_number, self.started_us = "", "", 0, 0
         self.running = False
         self.no_start_until_us = 0  # starts before this time fail
-        self.starts: Counter[str] = Counter()  # by mark, which stays the same when a supervisor repeats a start
+        self.starts: Counter[str] = Counter()  # by the start's mark; a supervisor that repeats a start reuses it
 
     def crash(self, for_us: int = 0) -> None:
         """End the process; it cannot be started again for the given time."""
--- a/yardspindle/lab/script.py
+++ b/yardspindle/lab/script.py
@@ -32,8 +32,8 @@
     "box dies": ("box", 50, 4_000),  # and restarts cold
     "box slow": ("box", 100, 3_000),
     "box full": ("box", 50, 2_000),
-    "box forgets": ("box", 0, 0),
-    "box resets": ("box", 20, 500),
+    "box forgets": ("box", 0, 0),  # its prefix cache is cleared
+    "box resets": ("box", 20, 500),  # it aborts its streams
     "box draining": ("box", 500, 3_000),
     "box gone": ("box", 500, 3_000),  # removed from the server list
     "rack dies": ("rack", 50, 3_000),  # and restarts together
@@ -50,8 +50,8 @@
     "link cut up": ("edge", 20, 3_000),  # from edge to planner only
     "link cut down": ("edge", 20, 3_000),
     "link slow": ("edge", 100, 3_000),
-    "box cut there": ("edge box", 20, 3_000),
-    "box cut back": ("edge box", 20, 3_000),
+    "box cut there": ("edge box", 20, 3_000),  # from edge to engine only
+    "box cut back": ("edge box", 20, 3_000),  # from engine to edge only
     "box connects refused": ("edge box", 20, 2_000),
     "box connects hang": ("edge box", 20, 2_000),
     "box connections reset": ("box", 0, 0),
@@ -60,7 +60,7 @@
     "move cut": ("move", 20, 3_000),  # writer to reader
     "events bad": ("box", 200, 4_000),  # cache events lost, duplicated, reordered
     "list bad": ("", 100, 2_000),
-    "list half": ("", 20, 1_000),
+    "list half": ("", 20, 1_000),  # the server list is cut off in the middle
     "list missing": ("", 100, 2_000),
     "flood": ("", 0, 0),
     "flood of hang-ups": ("", 0, 0),
--- a/yardspindle/lab/traffic_simulation.py
+++ b/yardspindle/lab/traffic_simulation.py
@@ -29,11 +29,13 @@
 )
 
 PROBE_CLASS = ClientClass("chat", 1.0, 4_000.0, 4)
-# Interlocks (rules by which an edge overrides its planner) that must not act while the planner decides in time.
+# Interlocks (rules by which an edge overrides its planner, the process that decides which engine does what) that must
+# not act while the planner decides in time.
 FALLBACK_INTERLOCKS = {"answer overdue", "held too long"}
 QUIESCE_US = 8_000_000  # after the probes: longer than any hold, time-out and idle connection
 RECOVERY_TIMEOUT_US = 6_000_000  # every edge must serve again within this time after the last fault
-# Timers of an idle fleet: each engine's expiry, each edge's tick and policy, the list reader, the rules, this task.
+# Timers of an idle fleet: each engine's check for expired holds, the ticks of each edge and of its policy (the
+# planner's decision module), the reader of the server list, the check of the rules, this task.
 MAX_IDLE_TIMERS = len(ENGINE_NAMES) + 2 * len(EDGE_NAMES) + 3
 MAX_RUN_US = 90_000_000  # virtual time; a run that has not ended by then is stuck
 
--- a/yardspindle/link/frames.py
+++ b/yardspindle/link/frames.py
@@ -59,18 +59,18 @@
     """First frame from edge to planner."""
 
     version: int
-    number: int
-    dispatchers: int
+    number: int  # of this edge, from 0
+    dispatchers: int  # how many edges the fleet has
     zone: str
     now_us: int
-    settings_hash: str
+    settings_hash: str  # both sides must have the same settings
 
 
 class Welcome(Struct, tag=True, array_like=True):
     """First frame from planner to edge."""
 
     version: int
-    epoch: int
+    epoch: int  # identifies the planner's run; a later start has a higher one
 
 
 class Servers(Struct, tag=True, array_like=True):
--- a/yardspindle/protocol/http1.py
+++ b/yardspindle/protocol/http1.py
@@ -180,7 +180,8 @@
     def _chunk(self) -> Event | None:
         """Return data of the current chunk and, once it is complete, of the whole chunks buffered behind it.
 
-        One event for each small chunk was so slow that a close by the client behind them was detected late.
+        With one event per chunk, parsing many small chunks took so long that the client's close, which follows them on
+        the connection, was detected late.
         """
         event = self._sized_body(_Stage.CHUNK_END)
         if self.stage is not _Stage.CHUNK_END or not isinstance(event, Data):
