--- a/yardspindle/fleet/member_page.py
+++ b/yardspindle/fleet/member_page.py
@@ -36,7 +36,7 @@
 
 
 class MemberPage:
-    """Serves a member's page."""
+    """Serves a member's page, as the `Handler` (api/exchange.py) of an HTTP server."""
 
     def __init__(self, world: World, member: Callable[[], Member]) -> None:
         """`world`: the interface to clock, sockets and files. `member` returns the current registration."""
--- a/yardspindle/lab/block_cache.py
+++ b/yardspindle/lab/block_cache.py
@@ -14,7 +14,7 @@
 from yardspindle.core.prefix.blocks import block_hashes
 from yardspindle.core.prefix.cache_feed import AllBlocksCleared, Batch, BlockRemoved, BlockStored, CacheEvent
 
-REPLAY_BATCHES = 10_000
+REPLAY_BATCHES = 10_000  # kept for subscribers that missed some
 
 
 class BlockCache:
@@ -38,7 +38,7 @@
         self._number = 0
 
     def cached_prefix_blocks(self, hashes: list[int]) -> int:
-        """How many leading blocks of a chain are cached."""
+        """How many leading blocks of a chain (the block hashes of a prompt, in order) are cached."""
         for depth, block in enumerate(hashes):
             if block not in self.blocks:
                 return depth
--- a/yardspindle/lab/engine.py
+++ b/yardspindle/lab/engine.py
@@ -88,7 +88,7 @@
     def _record_fault(self, fault: BaseException) -> None:
         self.record("fault", "", text=f"{type(fault).__name__}: {fault}")
 
-    # --- routes
+    # --- routes (methods of the `Handler` interface, api/exchange.py)
 
     def early_reply(self, head: http1.RequestHead) -> Reply | None:
         """The reply to a request that is answered without reading its body, or None (Handler)."""
--- a/yardspindle/lab/etcd.py
+++ b/yardspindle/lab/etcd.py
@@ -40,14 +40,14 @@
 
 
 class EtcdControl(Struct, forbid_unknown_fields=True):
-    """A fault to inject or to end."""
+    """A fault to inject or to end; the module's docstring lists them."""
 
     do: Literal[
         "no_leader", "leader", "late", "lose", "break_watches", "expire", "compact", "mark", "restore", "stale_reads"
     ]
-    ms: float = 0.0
-    count: int = 0
-    on: bool = True
+    ms: float = 0.0  # for "late"
+    count: int = 0  # for "lose"
+    on: bool = True  # for "stale_reads": begin or end
 
 
 @dataclass(slots=True)
@@ -62,7 +62,7 @@
 
 
 class EtcdStandIn:
-    """An etcd cluster of one member."""
+    """An etcd cluster of one member; serves HTTP requests as a `Handler` (api/exchange.py)."""
 
     def __init__(self, world: World, journal: str = "") -> None:
         """`world`: the interface to clock, sockets and files. Opens no sockets before `start`."""
--- a/yardspindle/lab/load.py
+++ b/yardspindle/lab/load.py
@@ -50,8 +50,8 @@
     rate_per_s: Annotated[float, Meta(gt=0, le=2_000)]
     arrivals: Literal["poisson", "bursts"] = "poisson"
     burst_times: Positive = 4.0  # the rate in a burst, relative to the rate between bursts
-    burst_s: Positive = 1.0
-    burst_every_s: Positive = 5.0
+    burst_s: Positive = 1.0  # length of a burst
+    burst_every_s: Positive = 5.0  # from the start of one burst to the next
     openings: Annotated[int, Meta(ge=1)] = 50  # shared prefixes
     zipf: Positive = 1.1  # exponent of their popularity
     opening_words: Annotated[int, Meta(ge=0)] = 300
--- a/yardspindle/lab/release_simulation.py
+++ b/yardspindle/lab/release_simulation.py
@@ -56,7 +56,7 @@
 
 
 class SimulatedRunner:
-    """Starts, stops and checks a unit in virtual time (UnitRunner)."""
+    """Starts, stops and checks a unit in virtual time for its supervisor (`UnitRunner` in unit/app.py)."""
 
     def __init__(self, world: VirtualWorld, unit: SimulatedUnit) -> None:
         """For one start of the supervisor; `world` is its simulated clock, network and files."""
@@ -181,7 +181,7 @@
         UnitSupervisor(world, file, fleet, store, "world", SimulatedRunner(world, self.simulated_units[name])).start()
 
     def store_view(self) -> ReleaseView:
-        """The release's rows, read directly from the store's data."""
+        """The rows of the release and its units, read directly from the store's data."""
         model = self.etcd.model
         return self.keys.read({row.key: row for row in model.rows(self.keys.root, b"\0")})
 
--- a/yardspindle/lab/script.py
+++ b/yardspindle/lab/script.py
@@ -59,7 +59,7 @@
     "box narrow": ("box", 100, 3_000),
     "move cut": ("move", 20, 3_000),  # writer to reader
     "events bad": ("box", 200, 4_000),  # cache events lost, duplicated, reordered
-    "list bad": ("", 100, 2_000),
+    "list bad": ("", 100, 2_000),  # the server list has a wrong count
     "list half": ("", 20, 1_000),  # the server list is cut off in the middle
     "list missing": ("", 100, 2_000),
     "flood": ("", 0, 0),
@@ -74,8 +74,8 @@
     kind: str
     at_ms: int
     for_ms: int
-    on: str = ""
-    other: str = ""
+    on: str = ""  # the target
+    other: str = ""  # the other end, for a fault of a connection
     factor: float = 1.0
 
     def __str__(self) -> str:
--- a/yardspindle/lab/simulated_fleet.py
+++ b/yardspindle/lab/simulated_fleet.py
@@ -91,7 +91,7 @@
     edge: Edge | None = None
     port: int = 0
     idle_tasks: Counter[str] = field(default_factory=Counter)  # tasks of an edge that serves no request
-    idle_streams: int = 0
+    idle_streams: int = 0  # connections of such an edge
 
 
 class SimulatedFleet:
@@ -114,7 +114,7 @@
         self._published_lists: set[frozenset[str]] = {frozenset()}  # names in every list ever written
         self._print_line, self._count_transitions = print_line, count_transitions
         self._trace_hash = hashlib.sha256()
-        self._list_fault = ""
+        self._list_fault = ""  # kind of the active fault of the server list file
         self._list_outages, self._list_outage_until_us = 0, 0
         self._clients_world = self.sim.program("clients")
         self._clients = Clients(self._clients_world, "yardspindle-demo", lambda line: self.record(**line), HABITS)
@@ -122,7 +122,7 @@
             self._clients_world, "yardspindle-demo", lambda line: self.record(**line), PROBE_HABITS
         )
         self._extra_requests: list[Any] = []
-        self._last_number = 10_000
+        self._last_number = 10_000  # of requests beside the script's, which have lower numbers
         self._violations: list[str] = []
         self._main_task: Task | None = None
         self._stopped = False
