--- a/yardspindle/fleet/member_page.py
+++ b/yardspindle/fleet/member_page.py
@@ -36,7 +36,7 @@
 
 
 class MemberPage:
-    """Serves a member's page."""
+    """Serves a member's page, as the `Handler` (api/exchange.py) of an HTTP server."""
 
     def __init__(self, world: World, member: Callable[[], Member]) -> None:
         """`world`: the interface to clock, sockets and files. `member` returns the current registration."""
@@ -86,4 +86,4 @@
 
 
 def _ignore_error(fault: BaseException) -> None:
-    """An aborted request for the page needs no log line."""
+    """Log nothing for an aborted request for the page."""
--- a/yardspindle/lab/release_simulation.py
+++ b/yardspindle/lab/release_simulation.py
@@ -47,7 +47,7 @@
         self.version, self.mark, self.start_number, self.started_us = "", "", 0, 0
         self.running = False
         self.no_start_until_us = 0  # starts before this time fail
-        self.starts: Counter[str] = Counter()  # by mark, which stays the same when a supervisor repeats a start
+        self.starts: Counter[str] = Counter()  # by the start's mark; a supervisor that repeats a start reuses it
 
     def crash(self, for_us: int = 0) -> None:
         """End the process; it cannot be started again for the given time."""
@@ -56,7 +56,7 @@
 
 
 class SimulatedRunner:
-    """Starts, stops and checks a unit in virtual time (UnitRunner)."""
+    """Starts, stops and checks a unit in virtual time for its supervisor (`UnitRunner` in unit/app.py)."""
 
     def __init__(self, world: VirtualWorld, unit: SimulatedUnit) -> None:
         """For one start of the supervisor; `world` is its simulated clock, network and files."""
@@ -181,7 +181,7 @@
         UnitSupervisor(world, file, fleet, store, "world", SimulatedRunner(world, self.simulated_units[name])).start()
 
     def store_view(self) -> ReleaseView:
-        """The release's rows, read directly from the store's data."""
+        """The rows of the release and its units, read directly from the store's data."""
         model = self.etcd.model
         return self.keys.read({row.key: row for row in model.rows(self.keys.root, b"\0")})
 
