--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -9,6 +9,7 @@
 
 
 def clock_sample(offset_us: int, took_us: int = 2 * MS) -> tuple[int, int, int]:
+    """Returns the arguments of `estimate_offset` for a clock that is off by `offset_us`, read in `took_us`."""
     return 0, offset_us + took_us // 2, took_us
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("step_us", [-3_600_000_000, 3_600_000_000])
 def test_a_start_told_by_a_clock_that_was_stepped_counts_from_when_it_can_have_been(step_us: int) -> None:
-    """Listed as an hour ago, a start would get full load at once; as in an hour, it would stay cold for that long."""
+    """A start listed an hour in the past would get full load at once; an hour ahead, it would stay cold that long."""
     settings = i.Settings(
         me=0,
         instances=1,
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -78,6 +78,8 @@
 
 
 class ModelWatch:
+    """A watch on the model, which polls for changes."""
+
     def __init__(self, store: ModelStore, key: bytes, end: bytes, revision: int) -> None:
         self.store, self.key, self.end, self.at = store, key, end, revision
 
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -1,4 +1,4 @@
-"""The virtual World by itself: streams, cuts, half-closes, kills, stalls, clocks, messages."""
+"""The virtual World alone: streams, cuts, half-closes, kills, stalls, clocks, messages."""
 
 from __future__ import annotations
 
