--- a/tests/test_release_worlds.py
+++ b/tests/test_release_worlds.py
@@ -1,4 +1,4 @@
-"""Seeded worlds of releases: none breaks, and planted mistakes are found in them."""
+"""Seeded worlds of releases: none breaks a rule, and planted faults are found."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     patch.setattr(release_plan, "target_version", lambda release: release.version)
 
 
-MISTAKES: dict[str, tuple[Callable[[Patch], None], int]] = {
+PLANTED_FAULTS: dict[str, tuple[Callable[[Patch], None], int]] = {
     plant.__name__: (plant, seed)
     for plant, seed in (
         (accidents_do_not_count, 0),
@@ -53,11 +53,11 @@
         (a_bad_version_does_not_halt, 1),
         (the_way_back_goes_forward, 0),
     )
-}  # each with a world that is clean without it
+}  # each with the seed of a world that is clean without the fault
 
 
-@pytest.mark.parametrize("name", MISTAKES)
+@pytest.mark.parametrize("name", PLANTED_FAULTS)
 def test_a_mistake_is_found(name: str, monkeypatch: Patch) -> None:
-    plant, seed = MISTAKES[name]
+    plant, seed = PLANTED_FAULTS[name]
     plant(monkeypatch)
     assert run_release_seed(seed)[0], "not found"
