--- a/yardspindle/core/fleet/members.py
+++ b/yardspindle/core/fleet/members.py
@@ -64,7 +64,8 @@
 class ClockReport(Struct, frozen=True):
     """Offsets from the fleet's median clock, in microseconds, by member; and the epochs whose clock is skewed.
 
-    Epochs, not names: a process reads its clock at its start, so a restarted process is evaluated afresh."""
+    Skewed clocks are listed by epoch, not by name: a process reads its clock only at its start, so a restart may
+    correct the error. The restarted process has a new epoch, for which the clock is evaluated afresh."""
 
     offsets: dict[str, int] = {}
     out: tuple[str, ...] = ()
--- a/yardspindle/core/request/timeouts.py
+++ b/yardspindle/core/request/timeouts.py
@@ -11,36 +11,59 @@
 CLIENT_REQUEST_US = 2_000_000  # for a connection's first byte, and for a request to be complete
 STALLED_CLIENT_US = 10_000_000  # for a client that reads nothing of its stream
 IDLE_CLIENT_US = 60_000_000  # for an idle connection, as long as there is room for it
-CLOSE_POLL_US = 1_000  # for the task that watches a client to read what has arrived: one turn of the loop
-CLOSE_POLLS = 3  # as it may be a turn late; a client that sent so much ahead that reading stopped is not waited for
+# Before a call to a host, a request's task checks whether its client has closed the connection. The close may have
+# arrived but still be unread, so the task sleeps for one turn of the event loop, in which the task that watches the
+# client reads it, and does so up to CLOSE_POLLS times, as that task may run a turn late. A client that has sent so much
+# ahead that reading from it has stopped is not waited for any longer than that.
+CLOSE_POLL_US = 1_000
+CLOSE_POLLS = 3
 
 # Model hosts. The head of an answer and its first event arrive together with the first token.
 RESPONSE_HEAD_US = 500_000  # from the first byte of a head to its last
 RESPONSE_BODY_US = 500_000  # from the head of a short complete answer to its end
 FIRST_EVENT_US = 500_000  # from the head to the end of the first event
 STREAM_IDLE_US = 4_500_000  # for a stream that brings nothing; its client waits 5 s at most
-PARTIAL_EVENT_US = 100_000  # complete events in a chunk that stays incomplete; 0.3 s after being written they are late
-FIRST_PARTIAL_EVENT_US = 200_000  # the same for the first event, after which no retry is possible: 0.1 s less than that
-FINAL_POLL_US = 1_000  # for a stream's task to read what has arrived: one turn of the loop
-FINAL_POLLS = 20  # a client that reads nothing is not waited for any longer
+# How long complete events wait in an HTTP chunk that stays incomplete, before they are passed on without the rest of
+# the chunk. An event is late if the client gets it more than 0.3 s after the host wrote it. The first event waits up to
+# 0.1 s less than these 0.3 s: once it is passed on, the request cannot be retried at another host.
+PARTIAL_EVENT_US = 100_000
+FIRST_PARTIAL_EVENT_US = 200_000
+# At shutdown, a stream that its client can resume is cut. Before that, the task that relays it gets up to FINAL_POLLS
+# turns of the event loop to pass on what has arrived from the host; a client that reads nothing is not waited for any
+# longer. FINAL_POLL_US, one turn, is also the wait until a stream with unread data is checked for idleness again.
+FINAL_POLL_US = 1_000
+FINAL_POLLS = 20
 IDLE_REUSE_FRACTION = 0.6  # of the time after which a host closes an idle connection, it is reused
-REUSE_PAUSE_US = 20_000  # after an answer, before the next request: an answer may arrive twice, some ms apart
-RESERVE_PLACE_US = 1_000_000  # a writer that does not know whether it holds a place says so after 0.3 s
+# How long a host's connection rests after an answer before it is used again: a faulty host may send an answer twice,
+# some ms apart, and the second copy must not be taken for the answer to the next request.
+REUSE_PAUSE_US = 20_000
+# For a call that reserves a place (memory at a writer, a host that runs the decode). A writer that does not know
+# whether it holds the place says so only after 0.3 s.
+RESERVE_PLACE_US = 1_000_000
 RELEASE_CALL_US = 70_000  # for one host to confirm a release: the rule's 300 ms leave time for a few
-LATE_RELEASE_CALL_US = 600_000  # for a host slow to accept while others are asked: useless after the rule's time
-RELEASE_DESCRIPTOR_US = 60_000  # of it to get a file descriptor if none is free: that failure is known before the limit
+# For the whole release call at a host that is slow to accept it, while other hosts are asked as well: a release that is
+# confirmed only after the rule's time is useless.
+LATE_RELEASE_CALL_US = 600_000
+# For a release call to get a file descriptor if none is free. Less than RELEASE_CALL_US, so that a lack of descriptors
+# is recognized before the host counts as slow.
+RELEASE_DESCRIPTOR_US = 60_000
 RELEASE_POLL_US = 2_000  # how often an attempt checks whether all releases of its request are confirmed
-DESCRIPTOR_WAIT_US = 1_000_000  # for a descriptor while nothing is held: running calls end, and no host is to blame
-DESCRIPTOR_RETRY_PAUSE_US = 5_000  # between tries to get a descriptor: a tenth of the shortest time for a whole call
+# For a new connection to get a file descriptor, if no host holds anything for the request; if one does, the wait is
+# limited like connecting. Running calls end and free descriptors, and the lack of them is not the host's fault.
+DESCRIPTOR_WAIT_US = 1_000_000
+DESCRIPTOR_RETRY_PAUSE_US = 5_000  # between tries to get a descriptor: a tenth of the shortest time a whole call gets
 
-# Discovery. A change missed by a watch that became unresponsive counts as announced 6 s after it, or 2 s after the wait
-# of the call if that is later; in any other failure, 6 s after discovery had it and could be reached. The least time is
-# left when the agent stops responding just after a call: that is detected after the wait and AGENT_RESPONSE_US. Each
-# call after that has to connect, be answered and be read, and the first of them may be corrupted in the slowest way, by
-# an answer that never ends: 1.0 + 0.2 + (0.2 + 2.0) + 0.02 + (0.2 + 2.0) = 5.62 s, the last of them for an answer that
-# arrives in single bytes. For an agent that was down, a change counts from its return: the call that it swallowed last
-# is abandoned 0.2 s later at most, the next is made 0.02 s after that, and 0.03 s are left for its answer of the
-# shortest known grace period of a drain, 0.25 s. Calls are cheap for an agent, and it answers at once.
+# Discovery. A watch is a call that the agent answers at the next change of the list, or after WATCH_WAIT_US. The
+# platform expects the router to follow a change from a fixed time on: if a watch became unresponsive and missed it, 6 s
+# after the change, or 2 s after the end of the call's wait if that is later; in any other failure, 6 s after the moment
+# from which discovery had the change and could be reached. The least time is left when the agent stops responding just
+# after a call: that is detected after the wait and AGENT_RESPONSE_US. Each call after that has to connect, be answered
+# and be read, and the first of them may be corrupted in the slowest way, by an answer that never ends:
+# 1.0 + 0.2 + (0.2 + 2.0) + 0.02 + (0.2 + 2.0) = 5.62 s, the last call with a valid answer that arrives byte by byte.
+# For an agent that was down, a change counts from its return: the last call that it left unanswered is abandoned at
+# most 0.2 s later and the next is made 0.02 s after that. The shortest known grace period of a drain (in which requests
+# may still be sent to the host) is 0.25 s, which leaves 0.03 s for the answer to that call. Calls are cheap for an
+# agent, and it answers at once.
 LIST_UPDATE_LIMIT_US = 6_000_000
 WATCH_WAIT_US = 1_000_000
 AGENT_RESPONSE_US = 200_000  # for a call to bring something after its wait, connecting included
@@ -50,19 +73,20 @@
 AGENT_RETRY_PAUSE_US = 20_000  # before the second and later retries of a call; the first retry is immediate
 # Answers that are readable but doubtful. A complete list without hosts takes effect once it was reported for
 # EMPTY_LIST_US: if that starts after a silence, 1.0 + 0.2 + (0.2 + 0.5) + 3.0 + 0.1 + (0.2 + 0.5) = 5.7 s of the 6. A
-# new agent address counts 4 s after SIGHUP, so a lower revision at it is accepted while there is time for one more
-# call, however slow; the drains in it take effect at once.
+# new agent address, read from the configuration on SIGHUP, must be in use 4 s later. An agent there whose list has a
+# lower revision than the list in force may only lag, so its list is not accepted until AGENT_MOVE_WAIT_US after the
+# SIGHUP; one more call, however slow, then still fits into the 4 s. The drains in such a list take effect at once.
 LIST_RECHECK_PAUSE_US = 100_000  # before the complete list is requested again; the first time it is requested at once
 EMPTY_LIST_US = 3_000_000
 AGENT_MOVE_LIMIT_US = 4_000_000
 AGENT_MOVE_WAIT_US = AGENT_MOVE_LIMIT_US - LIST_RECHECK_PAUSE_US - AGENT_RESPONSE_US - LIST_BODY_US
 
-# The first list. What the agent has counts as announced from a process's first moment, so "up" waits for it. But nine
-# in ten restarted processes must be ready within 6 s on short days (test runs; 10 s on others), even if the agent is
-# unresponsive throughout; then the last known list takes effect and the calls above go on: what the agent has on its
-# return takes effect 0.25 s later, as after any silence. A longer wait is safer for lists, a shorter one better for
-# clients: all that the 6 s leave is used. Until Node.start a process takes 0.36 s of processor time, about 1 s on a
-# slow part of a core.
+# The first list. A process has to follow the agent's list from its first moment, so it reports ready ("up") only when
+# it has that list. But nine in ten restarted processes must be ready within 6 s in the platform's short test runs (10 s
+# in other runs), even if the agent is unresponsive throughout; then the last known list takes effect and the
+# calls above go on: what the agent has on its return takes effect 0.25 s later, as after any silence. A longer wait is
+# safer for lists, a shorter one better for clients: all that the 6 s leave is used. Until Node.start a process takes
+# 0.36 s of processor time, about 1 s on a slow part of a core.
 READY_LIMIT_US = 6_000_000  # from a process's start
 STARTUP_US = 1_000_000  # of it until the first call to the agent
 READY_MARGIN_US = 750_000  # of it for a slower start, and until a front end that polls from time to time has noticed
--- a/yardspindle/edge/app.py
+++ b/yardspindle/edge/app.py
@@ -39,7 +39,7 @@
 from yardspindle.runtime.world import StreamError, World
 
 VERSION = version("yardspindle")
-TICK_INTERVAL_US = 20_000  # how often the core's deadlines are checked; the same interval as the policy's
+TICK_INTERVAL_US = 20_000  # how often the core's deadlines are checked; as often as the policy does (SWEEP_INTERVAL_US)
 HOUSEKEEPING_INTERVAL_US = 1_000_000
 PLANNER_WAIT_US = 2_000_000  # how long start-up waits for a planner: without one, the edge refuses every request
 STREAM_HEADERS: http1.Headers = [
@@ -156,6 +156,7 @@
     # --- planner
 
     def _hello(self) -> frames.Hello:
+        """The first message on a link to the planner; `dispatchers` is the number of edges in the fleet."""
         edge = self.config.edge
         return frames.Hello(
             frames.VERSION, edge.number, edge.dispatchers, edge.zone, self.world.now_us(), settings_hash(self.config)
@@ -224,6 +225,10 @@
         return Reply(200, [JSON_CONTENT_TYPE], msgspec.json.encode(model))
 
     def _set_index_metrics(self, tracker: PrefixTracker) -> None:
+        """Set the metrics of the prefix index.
+
+        The trust in an engine (0 to 1) is how current its feed of cache events is, times how well its claims, the
+        cached tokens that the feed implies, agreed with what its answers reported."""
         metrics, now = self.metrics, self.world.now_us()
         metrics.index_blocks.set(len(tracker.index))
         metrics.index_predicted.set(tracker.score.predicted)
@@ -304,6 +309,7 @@
         The field is `kept`. Also returns the prompt's blocks (runs of tokens that are cached as one) and, by reader,
         how many of its tokens the reader's cache events report as cached."""
         prompt_blocks = tracker.blocks(fields.messages, fields.tools)
+        # all but writers (decode servers), which run no prefill
         readers = {
             s.name: s.number
             for s in self.core.lifecycle.directory.servers.values()
--- a/yardspindle/fleet/store/embedded.py
+++ b/yardspindle/fleet/store/embedded.py
@@ -223,7 +223,7 @@
         return revision
 
     def rows(self, key: bytes, end: bytes) -> list[KeyValue]:
-        """The current rows of a range, ordered by key (RowReader)."""
+        """The current rows of a range, ordered by key (`RowReader`, the read access that `evaluate` needs)."""
         where, arguments = _range_condition(key, end)
         return [
             _to_key_value(row)
@@ -231,7 +231,7 @@
         ]
 
     def has_lease(self, lease: int) -> bool:
-        """Whether a lease exists and has not ended (RowReader)."""
+        """Whether a lease exists and has not ended (`RowReader`)."""
         return bool(self._db.run("SELECT 1 FROM leases WHERE lease = ?", (lease,)))
 
     def _range(self, key: bytes, end: bytes, revision: int) -> RangeResult:
--- a/yardspindle/lab/clients.py
+++ b/yardspindle/lab/clients.py
@@ -141,7 +141,9 @@
         self._http.close_all()
 
     def send_once(self, plan: RequestPlan, attempt: int, edge: tuple[str, int]) -> _TryResult:
-        """Send a request once and record how it ended."""
+        """Send a request once and record how it ended.
+
+        In the record, `try` names this send and `order` the request that it is a try of."""
         name = f"q{plan.number}.{attempt}"
         started = self._world.now_us()
         result = _TryResult()
@@ -195,6 +197,7 @@
         return result
 
     def _send(self, plan: RequestPlan, name: str, edge: tuple[str, int]) -> Response:
+        """Send a try; its name goes along as `lab_id`, by which the audit finds it in the engines' journal."""
         opening = " ".join(WORDS[(plan.opening + at) % len(WORDS)] for at in range(self._habits.opening_words))
         text = " ".join(WORDS[(plan.number + at) % len(WORDS)] for at in range(plan.words))
         body = msgspec.json.encode(
--- a/yardspindle/node/settings_schema.py
+++ b/yardspindle/node/settings_schema.py
@@ -20,74 +20,85 @@
     """A class: a kind of request with time limits and a value of its own."""
 
     name: Name
-    goal_time_us: Annotated[float, Meta(gt=0, le=1e13)]
-    give_up_us: Annotated[float, Meta(gt=0, le=1e13)]
+    goal_time_us: Annotated[float, Meta(gt=0, le=1e13)]  # latency target
+    give_up_us: Annotated[float, Meta(gt=0, le=1e13)]  # time after which the client no longer waits
+    # Whether a request may be repeated after it may have run: always, only under an idempotency key, or never.
     idempotency: Literal["free", "guarded", "single_shot"] = "single_shot"
-    group: str = "all"
-    window_us: Time = 0
-    worth: Amount = 1.0
-    late_worth: Amount = 0.0
+    group: str = "all"  # hosts that know an idempotency key: all, else those of one cell (a group of hosts)
+    window_us: Time = 0  # how long an idempotency key is known
+    worth: Amount = 1.0  # value of an answer in time, relative to other classes
+    late_worth: Amount = 0.0  # value of a late answer
 
 
 class _Tenant(Struct, rename="kebab"):
+    """A customer."""
+
     name: str
-    fraction: Amount = 0.0
-    quota_per_s: Amount = 0.0
+    fraction: Amount = 0.0  # its share of the service
+    quota_per_s: Amount = 0.0  # its requests per second over all router instances
 
 
 class _Family(Struct, rename="kebab"):
-    """Properties of the model hosts; the tuples have one value for each kind of host (prefill, decode or both)."""
+    """Properties of the model hosts. Tuples have a value for each kind of host, or for each class where noted.
+
+    To read is to run the prefill stage, to write the decode stage."""
 
-    duty_by_kind: tuple[Literal["read", "write", "both"], ...] | None = None
-    memory_tokens: tuple[Amount, ...] | None = None
-    aim_us_per_1000_prompt_tokens: tuple[Time, ...] | None = None
-    token_aim_us: tuple[Time, ...] | None = None
-    holds_allowed: bool = False
-    read_in_place: bool = False
-    resume: bool = False
-    let_go_by_us: Annotated[float, Meta(ge=1, le=1e13)] = 1
-    transfer_price: float = 0.0
+    duty_by_kind: tuple[Literal["read", "write", "both"], ...] | None = None  # the stages that the kind runs
+    memory_tokens: tuple[Amount, ...] | None = None  # memory for the KV cache, in tokens; 0: unknown
+    aim_us_per_1000_prompt_tokens: tuple[Time, ...] | None = None  # by class: added to its latency target
+    token_aim_us: tuple[Time, ...] | None = None  # by class: target time for each output token
+    holds_allowed: bool = False  # memory may be reserved at a decode host ahead of the decode
+    read_in_place: bool = False  # decode hosts may run the prefill, too
+    resume: bool = False  # clients can continue a broken stream with a new request
+    let_go_by_us: Annotated[float, Meta(ge=1, le=1e13)] = 1  # time within which unused memory must be released
+    transfer_price: float = 0.0  # a cost weight of the operators; the policy does not use it
 
 
 class _Rules(Struct, rename="kebab"):
-    drain_grace_us: Time = 0
-    cold_us: Time = 0
-    start_capacity: Annotated[float, Meta(gt=0, le=1)] = 1.0
-    fall_multiple: Amount = 1.0
-    fall_us: Time = 0
-    answer_slack_us: Time = 0
-    ask_within_us: Time = 0
+    """Rules on drains, on cold starts (hosts that were just started) and on answers."""
+
+    drain_grace_us: Time = 0  # time in which a draining host may still be sent requests
+    cold_us: Time = 0  # time until a freshly started host has its full capacity
+    start_capacity: Annotated[float, Meta(gt=0, le=1)] = 1.0  # fraction of its capacity at the start
+    fall_multiple: Amount = 1.0  # a cold host fails at this multiple of its capacity within fall_us
+    fall_us: Time = 0  # time over which the load of a cold host is counted
+    answer_slack_us: Time = 0  # time after a request's expiry in which its final answer is still on time
+    ask_within_us: Time = 0  # not used by the policy
 
 
 class _Allowed(Struct, rename="kebab"):
-    most_tries: Count = 1
-    max_open: Time | None = None
-    connect_timeout_us: Time | None = None
-    conn_idle_us: Time | None = None
-    max_retry_after_us: Time = 0
-    second_copies: bool = False
-    cancel: bool = False
-    probes: bool = False
-    peers: bool = False
-    retry_after: bool = False
+    """What the router may do, and its limits."""
+
+    most_tries: Count = 1  # attempts for one request
+    max_open: Time | None = None  # most requests open at a time; absent or 0: no practical limit
+    connect_timeout_us: Time | None = None  # limit for connecting to a host; absent or 0: derived from the classes
+    conn_idle_us: Time | None = None  # time after which a host may close an idle connection; 0: at once
+    max_retry_after_us: Time = 0  # longest time to retry after that a refusal may advise
+    second_copies: bool = False  # a request may have two attempts in flight; not used by the policy
+    cancel: bool = False  # attempts may be cancelled
+    probes: bool = False  # hosts may be probed; not used by the policy
+    peers: bool = False  # router instances may exchange messages; not used by the policy
+    retry_after: bool = False  # refusals may advise a time to retry after
 
 
 class _Prices(Struct, rename="kebab"):
+    """Cost weights by which the operators judge the service; the policy uses only `cross_zone`."""
+
     late_fail: float = 0.0
     waste: float = 0.0
-    cross_zone: float = 0.0
+    cross_zone: float = 0.0  # cost of an attempt in another zone
 
 
 class _Settings(Struct, rename="kebab"):
-    me: Annotated[int, Meta(ge=0)]
-    instances: Count
-    services: Annotated[tuple[_Class, ...], Meta(min_length=1)]
-    shapes: Annotated[tuple[str, ...], Meta(min_length=1)]
-    zone: str = ""
-    realms: tuple[_Tenant, ...] | None = None
-    membership_mode: str = "push"
-    over_share_worth: float = 1.0
-    tick_us: Annotated[float, Meta(ge=1, le=1e13)] = 1
+    me: Annotated[int, Meta(ge=0)]  # index of this router instance, from 0
+    instances: Count  # number of router instances in the fleet
+    services: Annotated[tuple[_Class, ...], Meta(min_length=1)]  # the classes of requests
+    shapes: Annotated[tuple[str, ...], Meta(min_length=1)]  # names of the kinds of host machines
+    zone: str = ""  # where this instance runs
+    realms: tuple[_Tenant, ...] | None = None  # the tenants (customers)
+    membership_mode: str = "push"  # "push": host lists are sent without a subscription
+    over_share_worth: float = 1.0  # a weight by which the operators judge the service; the policy does not use it
+    tick_us: Annotated[float, Meta(ge=1, le=1e13)] = 1  # resolution of the clock
     family_info: _Family | None = None
     allowed: _Allowed | None = None
     obligations: _Rules | None = None
--- a/yardspindle/protocol/chunks.py
+++ b/yardspindle/protocol/chunks.py
@@ -12,7 +12,9 @@
 
 MAX_LINE_BYTES = 256  # limit of a chunk-size line or a trailer line
 MAX_TRAILER_LINES = 32
-TAIL_BYTES = 2  # length of the longest delimiter minus one
+# Bytes already returned that may begin a delimiter: the longest one that callers of `take_partial` look for, the end of
+# an event as b"\n\r\n", has 3 bytes, of which all but the last may have been returned.
+TAIL_BYTES = 2
 
 
 class ChunkReader:
--- a/yardspindle/unit/runner.py
+++ b/yardspindle/unit/runner.py
@@ -39,7 +39,10 @@
         return self._service is not None and self._service.alive()
 
     def start(self, version: str, mark: str) -> int:
-        """Start the unit, or take over the process with this mark; 0, or 127 if it cannot be started (`UnitRunner`)."""
+        """Start the unit; returns 0, or 127 if it cannot be started (`UnitRunner`).
+
+        `mark`: a text in the process's environment. A running process that carries it is taken over: the supervisor was
+        killed after starting it and before storing its process id."""
         argv = [part.replace("{version}", version) for part in self._file.run]
         try:
             self._service = DetachedProcess.find(self._world, mark) or DetachedProcess.start(
