--- a/tests/crossing_parties.py
+++ b/tests/crossing_parties.py
@@ -80,14 +80,14 @@
         """For how many seconds the machine has kept the program and this process from running so far."""
         return 0.0
 
-    def wait_for(self, what: str, probe: Callable[[], T | None]) -> T:
-        """Waits until `probe` returns something true, and returns it."""
+    def wait_for(self, what: str, probe: Callable[[], T | None], poll_s: float = 0.1) -> T:
+        """Waits until `probe` returns something true, and returns it; it is polled and asked at each event."""
         deadline = monotonic() + MAX_WAIT_S
         with self.changed:
             while not (seen := probe()):
                 left = deadline - monotonic()
                 assert left > 0, f"not seen in time: {what}\n" + self.transcript()
-                self.changed.wait(min(left, 0.1))
+                self.changed.wait(min(left, poll_s))
             return seen
 
     def transcript(self) -> str:
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -258,9 +258,9 @@
         rows = [row.split() for row in Path("/proc/net/tcp").read_text().splitlines()[1:]]
         return any(row[2].endswith(f":{port}") and row[3] == "02" for row in rows)
 
-    def wait_connecting(self, host: Host) -> None:
-        """Waits until the program is connecting to a host: its SYN is unanswered."""
-        self.wait_for(f"a connection to {host.name}", lambda: self._syn_is_pending(host))
+    def wait_connecting(self, host: Host, poll_s: float = 0.01) -> None:
+        """Waits until the program is connecting to a host: its SYN is unanswered, for 0.15 s while a state is held."""
+        self.wait_for(f"a connection to {host.name}", lambda: self._syn_is_pending(host), poll_s)
 
     def wait_connected(self, host: Host) -> None:
         """Waits until no connection to a host is being established, and all established ones were used or ended."""
