--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -50,7 +50,10 @@
         ("[[classes]]\nname = 'a'\naim_ms = 9\ngive_up_ms = 8", "c.toml: classes.a.aim_ms: over give_up_ms (8)"),
         ("[[classes]]\nname = 'a'\naim_ms = 9\ngive_up_ms = 90", "c.toml: classes.a.give_up_ms: not over twice"),
         ("classes = []", "c.toml: classes: empty"),
-        ("[[kinds]]\nname = 'a'\nrole = 'read'", "c.toml: kinds: no kind that reads, or none that writes"),
+        (
+            "[[kinds]]\nname = 'a'\nrole = 'read'",
+            "c.toml: kinds: needs one with role read and one with role write, or one with role both",
+        ),
         ("[edge]\nnumber = 1", "c.toml: edge.number: not under edge.dispatchers (1)"),
         ("[edge]\ndefault_class = 'x'", "c.toml: edge.default_class: no such class: x"),
         (
--- a/yardspindle/core/config.py
+++ b/yardspindle/core/config.py
@@ -33,7 +33,13 @@
 
 
 class ClassConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """A class of requests: its latency target (`aim_ms`), time limit, value and whether it may run twice (`effect`)."""
+    """A class of requests.
+
+    `effect` says whether a request may be repeated after it may have run: `safe` always, `keyed` only under an
+    idempotency key, `unsafe` never. The answer should begin within `aim_ms`, plus `aim_ms_per_1000_prompt_tokens` for
+    long prompts; its client waits `give_up_ms` for that. `token_aim_ms` is the target time for each output token (0:
+    not set). `worth` and `late_worth` are the values of an answer in time and of a late one.
+    """
 
     name: Name
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
@@ -54,7 +60,11 @@
 
 
 class TenantConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """A tenant (customer) and the API keys that its clients send."""
+    """A tenant (customer) and the API keys that its clients send.
+
+    `share` is its fraction of the service, `quota_per_s` its requests per second over all edges; 0: not stated. Neither
+    limits its requests: the policy only derives the arrival rate to expect at its start from the quotas.
+    """
 
     name: Name
     keys: tuple[Annotated[str, Meta(min_length=8, max_length=256)], ...]
@@ -63,11 +73,15 @@
 
 
 class RulesConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """Parameters of the retry, drain and release rules, as guaranteed by the fleet's operators.
+    """What the operators state of their engines and of the rules for retries, drains and answers.
 
-    `release_ms` limits how long unused KV states and reserved memory may be held; `cold_ms` is the time until a started
-    server has its full capacity, `start_capacity` the fraction at its start. Beyond `fall_multiple` times its capacity
-    within `fall_ms` it fails.
+    `release_ms` limits how long an engine may hold unused KV states and reserved memory (for the roll-out of a version
+    see `ReleaseConfig`). A draining server may be sent requests for `drain_grace_ms`. `cold_ms` is the time until a
+    started server has its full capacity, `start_capacity` the fraction at its start. Such a server is assumed to fail
+    if all edges together send it more than `fall_multiple` times its current capacity within `fall_ms`.
+
+    A request's deadline at the edge is `answer_margin_ms` before its client gives up. A final answer up to
+    `answer_slack_ms` after the deadline is in time; the slack is less than the margin, so the client still gets it.
     """
 
     release_ms: Positive = 300.0
@@ -83,7 +97,14 @@
 
 
 class EdgeConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """The edge: where it listens, and its limits. `number` is its index, from 0, among all `dispatchers` (edges)."""
+    """The edge: where it listens, and its limits. `number` is its index, from 0, among all `dispatchers` (edges).
+
+    Clients: `idle_ms` limits the wait for the first byte of the next request on a connection, `header_ms` that for the
+    rest of the request's head, `stalled_client_ms` a write that blocks because the client does not read. `drain_ms`
+    limits a shutdown. Engines: `connect_ms` limits connecting, `engine_idle_ms` is the longest idle time after which a
+    connection is reused, `stalled_stream_ms` limits the wait for a stream's next event. The link to a planner that
+    leaves a batch of events unanswered for `planner_silent_ms` is cut.
+    """
 
     listen: Address = "127.0.0.1:0"
     planner: Address = "127.0.0.1:7600"
@@ -129,9 +150,11 @@
 class FleetConfig(Struct, forbid_unknown_fields=True, frozen=True):
     """The fleet's shared store (a key-value store: etcd or a file) and this process's membership.
 
-    Without `store`, nothing is shared. `ttl_ms` is a lease's time to live, and an owner of a background task stops
-    `margin_ms` before its lease ends. With `ask_leave` an edge asks the store for a permit to be out of service
-    before it shuts down.
+    Without `store`, nothing is shared. `ttl_ms` is a lease's time to live, and the owner of a duty (a background task
+    with one owner at a time) stops `margin_ms` before its lease ends. `call_ms` limits a call to one member of the
+    store. A member whose clock differs from the fleet's median by more than `clock_bound_ms` owns no duty. With
+    `ask_leave` an edge asks the store for a permit to be out of service before it shuts down; after `leave_wait_ms` it
+    shuts down without one.
     """
 
     store: tuple[StoreLocation, ...] = ()
@@ -215,7 +238,7 @@
         raise ConfigError(f"{file}: index.chat_template: missing; a model's tokenizer needs its template")
     roles = {row.role for row in config.kinds}
     if "both" not in roles and roles != {"read", "write"}:
-        raise ConfigError(f"{file}: kinds: no kind that reads, or none that writes")
+        raise ConfigError(f"{file}: kinds: needs one with role read and one with role write, or one with role both")
     if config.edge.number >= config.edge.dispatchers:
         raise ConfigError(f"{file}: edge.number: not under edge.dispatchers ({config.edge.dispatchers})")
     if config.edge.default_class is not None and config.edge.default_class not in {r.name for r in config.classes}:
@@ -239,7 +262,7 @@
     for location in fleet.store:
         address = location.removeprefix("http://")
         if address != location and (re.fullmatch(ADDRESS, address) is None or not _address_in_range(address)):
-            raise ConfigError(f"{file}: fleet.store: not http:// with an address and a port: {location}")
+            raise ConfigError(f"{file}: fleet.store: expected http://ADDRESS:PORT, got {location}")
     if len(fleet.store) > 1 and any(location.startswith("file:") for location in fleet.store):
         raise ConfigError(f"{file}: fleet.store: a file: store must be the only entry")
     if 4 * fleet.call_ms > fleet.ttl_ms:
@@ -339,7 +362,7 @@
 
 
 def edge_rules(config: Config) -> EdgeRules:
-    """The settings of the edge's interlocks (the rules that override what the planner decides)."""
+    """The settings of the edge's interlocks: its rules that override actions of the policy, which the planner runs."""
     rules = config.rules
     return EdgeRules(
         effects={row.name: i.Effect(row.effect) for row in config.classes},
