--- a/yardspindle/core/hosts/address.py
+++ b/yardspindle/core/hosts/address.py
@@ -1,4 +1,4 @@
-"""Parses the platform's addresses: an IPv4 address and a port.
+"""Parses addresses (an IPv4 address and a port) in the dispatcher's configuration and in the host list of discovery.
 
 Host names are not accepted, because their resolution would block the event loop.
 """
--- a/yardspindle/core/hosts/directory.py
+++ b/yardspindle/core/hosts/directory.py
@@ -11,7 +11,9 @@
 
 from yardspindle.interface import Role, State
 
-FORGET_US = 60_000_000  # after a server left the list; by then no attempt is in flight and no policy names it
+# Since the edge learned that a server drains or left the list. It is sent nothing new after the grace period, so by
+# then no attempt there is normally in flight and no policy names it.
+FORGET_US = 60_000_000
 
 
 @dataclass(slots=True)
@@ -35,7 +37,10 @@
 
 @dataclass(slots=True)
 class Directory:
-    """The servers of one run of a planner. A server that left the list stays known for FORGET_US, in state GONE."""
+    """The servers of one run of a planner.
+
+    A server that left the list stays known, in state GONE, until FORGET_US after its `closed_us`.
+    """
 
     servers: dict[int, Server] = field(default_factory=dict)
 
--- a/yardspindle/core/hosts/discovery_schedule.py
+++ b/yardspindle/core/hosts/discovery_schedule.py
@@ -1,8 +1,8 @@
 """Decides what the next call to discovery requests, the full list or a watch, and the pause before it. No I/O.
 
 Discovery is an agent of the operators' platform that reports the list of model hosts; a watch waits for changes. After
-a fault the full list is requested at once, unless there was another fault within a second: an agent that corrupts every
-second answer must not make a dispatcher call it in a tight loop.
+a fault the full list is requested at once, unless there was another fault in the last WATCH_WAIT_US (the wait of one
+watch): an agent that corrupts every second answer must not make a dispatcher call it in a tight loop.
 """
 
 from __future__ import annotations
@@ -13,7 +13,10 @@
 
 
 class DiscoverySchedule:
-    """The schedule of calls to one discovery agent. Each method returns the pause before the next call."""
+    """The schedule of calls to one discovery agent. Each method returns the pause before the next call.
+
+    After a fault it also returns whether to log it.
+    """
 
     def __init__(self) -> None:
         """Starts with a request for the full list."""
@@ -32,7 +35,11 @@
         return self._fault(now_us, timeouts.LIST_RECHECK_PAUSE_US)
 
     def applied(self, began_us: int, now_us: int, changed: bool) -> int:
-        """An answer was applied. Returns the pause: 0, unless a watch returned without a change and without waiting."""
+        """An answer was applied. Returns the pause.
+
+        It is 0, unless a watch returned without a change and without waiting: an agent that never waits must not be
+        called in a tight loop.
+        """
         idle = not self.full_list and not changed and now_us - began_us < timeouts.AGENT_RETRY_PAUSE_US
         self.full_list, self._faults = False, 0
         return timeouts.AGENT_RETRY_PAUSE_US if idle else 0
@@ -41,4 +48,4 @@
         first = not self._faults and now_us - self._fault_us >= timeouts.WATCH_WAIT_US
         self.full_list, self._fault_us = True, now_us
         self._faults += 1
-        return 0 if first else pause_us, first
+        return (0 if first else pause_us), first
--- a/yardspindle/core/hosts/host_list.py
+++ b/yardspindle/core/hosts/host_list.py
@@ -22,8 +22,8 @@
 
 PHASES = {"Ready": i.State.SERVING, "Terminating": i.State.DRAINING, "Gone": i.State.GONE}
 NUMBER_BYTES = 5
-# Reason to reject an answer of which the drains count all the same (`HostList._drain`).
-MAY_LAG = "older than the list in force, just after a move"
+# Reason to reject an answer whose drains are applied nevertheless (`HostList._drain`).
+MAY_LAG = "older than the list in force, just after discovery moved to another address"
 Revision = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
 
 
@@ -83,7 +83,7 @@
         self._roles = roles
         self._members: dict[str, Member] = {}
         self._numbers: dict[str, int] = {}
-        self._used_numbers: set[int] = {0}
+        self._used_numbers: set[int] = {0}  # 0 is no valid number: `number` looks for an unused one from it
         self.revision = 0
         self.stale = True  # only the list restored at the start is known
         self.started: list[Member] = []  # hosts whose start was reported by the last answer
@@ -97,7 +97,10 @@
         return len(self._members)
 
     def number(self, host: str) -> int:
-        """A host's number: the same at every dispatcher, unless two ids have the same hash here."""
+        """A host's number: the same at every dispatcher, unless two listed ids have the same hash.
+
+        Then the order in which they arrived decides.
+        """
         if host not in self._numbers:
             number, salt = 0, 0
             while number in self._used_numbers:
@@ -109,7 +112,7 @@
         return self._numbers[host]
 
     def restore(self, answer: ListAnswer) -> None:
-        """Sets the list that was last in force, as configured at the start."""
+        """Sets the list to use until discovery answers: the configured one, which was last in force before."""
         self.revision = answer.revision
         self._members = {member.id: member for member in answer.members if member.phase != "Gone"}
 
@@ -120,7 +123,7 @@
     def apply(self, answer: ListAnswer, now_us: int = 0, requested_full: bool = False) -> bool:
         """Applies an answer of discovery. Returns whether anything changed.
 
-        If the answer is rejected, `rejection` holds the reason; the drains of one that may lag count all the same.
+        If the answer is rejected, `rejection` holds the reason; if that is MAY_LAG, its drains are applied anyway.
         `requested_full`: it answers a request for the full list that was the first on its connection, so it cannot be
         a late answer to an earlier request.
         """
@@ -138,11 +141,11 @@
                 and known is not None
                 and known.phase != "Ready"
                 and member.up_since_ms <= known.up_since_ms
-            ):  # the answer may lag: its next list, or a start of the host, ends the drain
+            ):  # an answer with a lower revision may lag, so only a later one, or a later start, ends the drain
                 after[member.id] = replace(member, phase=known.phase)
             else:
                 after[member.id] = member
-        first, self.stale, self.revision = self.stale, False, answer.revision
+        was_stale, self.stale, self.revision = self.stale, False, answer.revision
         self.started = [
             member
             for member in after.values()
@@ -152,28 +155,29 @@
         for host in before.keys() - after.keys():
             if host in self._numbers:
                 self._used_numbers.discard(self._numbers.pop(host))
-        return first or bool(drained_early) or after != before
+        return was_stale or bool(drained_early) or after != before
 
     def _reason_to_reject(self, answer: ListAnswer, now_us: int, requested_full: bool) -> str:
         """The reason to reject an answer, or an empty string.
 
-        A lower revision is either a late, old answer, or discovery restarted and counts from the beginning: a full
-        list requested on a new connection proves the restart. Just after a move, an agent that lags behind the list
-        in force is a third cause; a list that was only restored at the start is no evidence of that.
+        A lower revision means that the answer is late, or that discovery restarted and counts its revisions from the
+        beginning. A full list requested on a new connection cannot be late, so it is accepted. The exception is the
+        time just after discovery moved to another address: the agent there may lag behind the list in force. If that
+        list was only restored at the start, it may itself be outdated, so the exception does not apply.
 
-        An empty full list ends the service, and an answer that lost its entries looks the same. It is accepted if it
-        is newer than the list in force and every full list requested during EMPTY_LIST_US was empty. Discovery that
-        restarted and is not filled yet has a lower revision, so its empty list is rejected.
+        Applying an empty full list leaves no host to send requests to, and an answer that lost its entries looks the
+        same. It is accepted if it is newer than the list in force and every full list requested during EMPTY_LIST_US
+        was empty. Discovery that restarted and is not filled yet has a lower revision, so its empty list is rejected.
         """
         older = answer.revision < self.revision
         empty = answer.complete and all(member.phase == "Gone" for member in answer.members)
         if not empty:
             self._empty_since_us = None
         elif older or answer.revision == self.revision or not requested_full:
-            return "no host, and not a newer full list that was requested"
+            return "lists no host, and is not a requested full list with a higher revision"
         else:
             self._empty_since_us = now_us if self._empty_since_us is None else self._empty_since_us
-            return "no host" if now_us - self._empty_since_us < timeouts.EMPTY_LIST_US else ""
+            return "lists no host" if now_us - self._empty_since_us < timeouts.EMPTY_LIST_US else ""
         if older and not (requested_full and answer.complete):
             return "older than the list in force"
         if (
@@ -188,7 +192,7 @@
     def _drain(self, answer: ListAnswer) -> bool:
         """Applies only the drains and removals of an answer, both as drains, until a list is applied.
 
-        Returns whether they differ from before. They are valid whether the agent lags or counts from the beginning.
+        Returns whether they differ from before. They are valid whether the agent lags or restarted.
         A drain older than a host's last start is over. A host that is missing counts as removed, unless it started
         after all listed hosts: then the agent may not know it yet.
         """
@@ -211,7 +215,7 @@
         return i.State.DRAINING if member.id in self._draining_early else PHASES.get(member.phase, i.State.DRAINING)
 
     def members(self, offset_us: int = 0) -> i.Members:
-        """The list as a policy event."""
+        """The list as a policy event; `offset_us` is added to Unix time to get the policy's clock."""
         entries = tuple(
             i.Entry(
                 self.number(member.id),
--- a/yardspindle/core/hosts/resource_budget.py
+++ b/yardspindle/core/hosts/resource_budget.py
@@ -7,32 +7,42 @@
 
 from dataclasses import dataclass
 
-CLIENT_FRACTION = 0.55  # requests take a third at most; the rest is for idle clients and for refusals
-IDLE_FRACTION = 1 / 64  # for each engine: a dozen engines take a fifth at most
+# Of the descriptors, for client connections. At most a third of the descriptors is meant for clients with a request in
+# progress, as each also needs a connection to an engine; the rest of these is for idle clients and for refusals.
+CLIENT_FRACTION = 0.55
+IDLE_FRACTION = 1 / 64  # of the descriptors, for idle connections to each engine: a dozen engines take a fifth at most
 MIN_IDLE_PER_HOST = 2
 MEBIBYTE = 1 << 20
 BODY_FRACTION = 1 / 8  # of the memory: a body exists twice when it is complete, and again as it is forwarded
-MIN_SOCKETS = 16  # a dispatcher uses 7 itself; the rest is for a few clients, their engines and a release call
+# The least `limits.sockets` that is accepted: a dispatcher uses 7 descriptors itself; the rest is for a few clients,
+# connections to their engines and a call that releases what an engine holds for a request.
+MIN_SOCKETS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceBudget:
-    """Each use's part of `sockets` descriptors and `memory_mb` of memory."""
+    """Each use's part of the file descriptors and of the memory.
 
-    sockets: int
-    memory_mb: int
+    They are the settings `limits.sockets`, or the machine's limit if that is lower, and `limits.memory_mb`.
+    """
+
+    descriptors: int
+    memory_mib: int
 
     @property
     def client_connections(self) -> int:
         """Maximum client connections, idle ones included."""
-        return max(int(self.sockets * CLIENT_FRACTION), 1)
+        return max(int(self.descriptors * CLIENT_FRACTION), 1)
 
     @property
     def body_bytes(self) -> int:
-        """Maximum bytes of request bodies being received or queued: enough for a few hundred clients at once."""
-        return int(self.memory_mb * MEBIBYTE * BODY_FRACTION)
+        """Maximum bytes of request bodies being received or queued, of all clients together.
+
+        The default `limits.memory_mb`, 2,048, leaves room for 1,024 bodies of 256 KiB, the largest that are accepted.
+        """
+        return int(self.memory_mib * MEBIBYTE * BODY_FRACTION)
 
     @property
     def idle_per_host(self) -> int:
         """Maximum idle connections to each engine."""
-        return max(int(self.sockets * IDLE_FRACTION), MIN_IDLE_PER_HOST)
+        return max(int(self.descriptors * IDLE_FRACTION), MIN_IDLE_PER_HOST)
--- a/yardspindle/core/hosts/server_list.py
+++ b/yardspindle/core/hosts/server_list.py
@@ -101,7 +101,7 @@
         return self._names.get(number, f"#{number}")
 
     def members(self, offset_us: int) -> i.Members:
-        """The list as a policy event; `offset_us` converts this planner's clock to the edge's."""
+        """The list as a policy event. `offset_us`, the edge's clock minus the planner's, is added to start times."""
         entries = tuple(
             i.Entry(
                 self._numbers[s.name],
@@ -117,7 +117,7 @@
         return i.Members(i.ListKind.COMPLETE, self.version, entries)
 
     def addresses(self) -> list[Server]:
-        """The list with addresses, as an edge needs it."""
+        """The list as `Server` records, with addresses and roles, as an edge needs it (cf. `HostList.servers`)."""
         return [
             Server(
                 self._numbers[s.name],
