--- a/yardspindle/api/chat.py
+++ b/yardspindle/api/chat.py
@@ -36,7 +36,9 @@
 class _Fields(Struct):
     """The request fields that the router acts on.
 
-    `metadata` may name the request's class: a configured kind of request with time limits and a value of its own.
+    `metadata` may hold `class`: a configured class of requests with its own time limits and weight (how much an answer
+    in time counts relative to other classes); `session`; `timeout_ms`; and `shared_opening`: a name for the prompt
+    prefix that the request shares with others, used before `prompt_cache_key`.
     """
 
     model: str
@@ -145,7 +147,9 @@
             "timeout_ms", metadata.get("timeout_ms") or _header(head, b"x-request-timeout-ms"), 1.0
         ),
         client_timeout_ms=_milliseconds(
-            "x-stainless-read-timeout", _header(head, b"x-stainless-read-timeout"), 1_000.0
+            "x-stainless-read-timeout",
+            _header(head, b"x-stainless-read-timeout"),
+            1_000.0,  # the header is in seconds
         ),
         prefix_parts=tuple(part for part in (tools, *texts[:leading]) if part),
         first_message=texts[leading] if leading < len(texts) else b"",
--- a/yardspindle/api/errors.py
+++ b/yardspindle/api/errors.py
@@ -40,7 +40,7 @@
 
 
 def final_reply(error: HttpError, request_id: bytes) -> Reply:
-    """The reply to a valid request that the core refused or that failed at the engines, before its first token."""
+    """The reply to a valid request that the core (core/request) refused, or that failed before its first token."""
     return Reply(
         error.status,
         [JSON_CONTENT_TYPE, (b"x-request-id", request_id), *error.headers],
--- a/yardspindle/api/exchange.py
+++ b/yardspindle/api/exchange.py
@@ -39,11 +39,14 @@
         self.started = False
         self.ended = False
         self.keep_alive = keep_alive
-        self.writing_since_us = 0
+        self.writing_since_us = 0  # start of the write in progress; 0: none. Read by the server's stall check
 
     @property
     def closes_connection(self) -> bool:
-        """Whether the connection closes after this response, or (after `abort`) before its end."""
+        """Whether the connection closes after this response, or (after `abort`) before its end.
+
+        False until the response head is written.
+        """
         return self.keep_alive is _no_keep_alive
 
     def client_disconnected(self) -> None:
@@ -85,7 +88,10 @@
         self._write(http1.write_chunk(data) + http1.LAST_CHUNK if self.head.minor else data)
 
     def abort(self) -> None:
-        """Close without ending the response, so that the client cannot take it for complete."""
+        """Give up the response: the server closes the connection once the handler returns.
+
+        No last chunk is sent, so that the client cannot take the response for complete.
+        """
         self.ended = True
         self.keep_alive = _no_keep_alive
 
--- a/yardspindle/api/request_queue.py
+++ b/yardspindle/api/request_queue.py
@@ -51,10 +51,10 @@
     queued: deque[QueuedRequest] = field(default_factory=deque)
     error: http1.ProtocolError | None = None  # nothing after the queued requests can be parsed
     _head: http1.RequestHead | None = None  # of the request being received
-    _body: bytearray = field(default_factory=bytearray)  # a list of two-byte pieces takes 22 times the memory
+    _body: bytearray = field(default_factory=bytearray)  # a list of two-byte pieces would take 22 times the memory
     _keep_body: bool = True
-    _body_bytes: int = 0
-    _head_bytes: int = 0
+    _held_body_bytes: int = 0  # of the queued bodies and the one being received
+    _head_bytes: int = 0  # of the queued heads
     _parser: http1.RequestParser = field(init=False)
 
     def __post_init__(self) -> None:
@@ -108,12 +108,12 @@
         """Free everything that is held for the connection, at its end."""
         self.queued.clear()
         self._body.clear()
-        self._release_body_bytes(self._body_bytes)
+        self._release_body_bytes(self._held_body_bytes)
         self._add_head_bytes(-self._head_bytes)
 
     def _release_body_bytes(self, size: int) -> None:
-        size = min(size, self._body_bytes)
-        self._body_bytes -= size
+        size = min(size, self._held_body_bytes)
+        self._held_body_bytes -= size
         self.budget.body_bytes -= size
 
     def _add_head_bytes(self, size: int) -> None:
@@ -130,14 +130,14 @@
                 0 < self.budget.max_body_bytes < total_bytes
                 or is_queued
                 and (
-                    self._body_bytes + len(event.data) > MAX_QUEUED_BODY_BYTES
+                    self._held_body_bytes + len(event.data) > MAX_QUEUED_BODY_BYTES
                     or total_bytes > self.budget.max_queued_body_bytes
                 )
             ):
                 self._keep_body = False
             if self._keep_body:
                 self._body += event.data
-                self._body_bytes += len(event.data)
+                self._held_body_bytes += len(event.data)
                 self.budget.body_bytes += len(event.data)
             else:
                 self._release_body_bytes(len(self._body))
@@ -148,7 +148,7 @@
             self._add_head_bytes(_head_size(self._head))
             self._head = None
             self._body.clear()
-            # "May wait" in the error: stay queued. The client has pipelined more than the bounds allow.
+            # The client has pipelined more than the bounds allow. All that follows gets this one error reply.
             if (
                 len(self.queued) >= MAX_QUEUED_REQUESTS
                 or self._head_bytes > MAX_QUEUED_HEAD_BYTES
--- a/yardspindle/api/serving.py
+++ b/yardspindle/api/serving.py
@@ -23,8 +23,10 @@
 
 LINGER_US = 1_000_000  # how long a client is read after our FIN, so that it receives the response
 LINGER_BYTES = 4_194_304  # how much of what it still sends is discarded meanwhile
-MAX_ACCEPTS_PER_TURN = 16  # each takes 0.1 ms of processor time, and a router process may have a tenth of a core
-LINGERING_FRACTION = 1 / 8  # share of the connections that may only wait for the client's FIN
+# Connections accepted in one turn of the event loop, so that a burst does not delay the other tasks for long: each
+# takes 0.1 ms of processor time, and a router process may have a tenth of a core.
+MAX_ACCEPTS_PER_TURN = 16
+LINGERING_FRACTION = 1 / 8  # share of `max_connections` set aside for those that linger: FIN sent, client's awaited
 NEW_CONNECTION_GRACE_US = 300_000  # a new connection is not closed sooner: its first request is in transit
 
 
@@ -39,10 +41,12 @@
     first_byte_us: int = 0  # until the first byte of a new connection; 0: `idle_us`
     body_us: int = 15_000_000
     max_connections: int = 0  # 0: no bound. Beyond it the connection that has been idle longest is closed
-    max_body_bytes: int = 0  # received or queued; 0: no bound. A body beyond it is refused at its end
+    # Bytes of all bodies held at once, over all connections; 0: no bound. A request whose body exceeds it is refused
+    # once it has been received in full.
+    max_body_bytes: int = 0
 
 
-# Sent for a body beyond the bounds on bytes held in memory; "may wait" means: be received or queued.
+# Sent for a request whose body was dropped, as it exceeded a bound on the bytes of bodies held in memory.
 OVERLOADED_REPLY = Reply(503, [(b"content-type", b"text/plain")], b"more at once than may wait\n")
 
 
@@ -78,7 +82,7 @@
         self._budget = QueueBudget(max_body_bytes=limits.max_body_bytes)
         self.draining = False
         self.closing = False  # responses say that their connection closes
-        self._aborting = False  # the time of `drain` is over
+        self._aborting = False  # the deadline of `drain` has passed
 
     @property
     def connections(self) -> int:
@@ -105,7 +109,8 @@
     def _admit(self, stream: Stream) -> None:
         """Serve a connection, or reset it if there is no room: the last descriptors are for calls to engines."""
         if not self._has_room() and not self._make_room():
-            self._world.sleep_until(self._world.now_us())  # new ones become idle in their first turn
+            # Lets the connections just accepted run once: only then are they listed as idle and can be closed.
+            self._world.sleep_until(self._world.now_us())
             if not self._has_room() and not self._make_room():
                 stream.abort()
                 return
@@ -119,8 +124,9 @@
     def _make_room(self) -> bool:
         """Close the connection that has been idle longest; False if every one is busy.
 
-        It does not linger, as idle clients may arrive by the hundred a second. That is safe: no response is in
-        transit and no unread bytes were there when checked, so that the client receives our FIN, not a reset.
+        It does not linger: hundreds of idle clients may connect each second, and they would displace the connections
+        that linger for a response in transit (`_half_close`). That is safe: no response of this one is in transit and
+        no unread bytes were there when checked, so that the client receives our FIN, not a reset.
         """
         for task, idle in self._idle.items():
             if self._close_if_idle(task, now=True):
@@ -172,7 +178,7 @@
     def drain(self, until_us: int) -> None:
         """Stop accepting, close idle connections, wait for responses in progress until `until_us`, then abort."""
         self.draining = True
-        self.listener.stop(self._admit)  # those already connected are owed a response
+        self.listener.stop(self._admit)  # connections not yet accepted are admitted, not reset
         self.close_idle()
         try:
             with self._world.deadline(until_us):
@@ -307,8 +313,8 @@
 
     def _read_more(self, stream: Stream, queue: RequestQueue) -> None:
         data = stream.read()
-        if not data and queue.client_closed:
-            raise StreamError("closed")
+        if not data and queue.client_closed:  # the first end of input is left to the parser: it may be an error
+            raise StreamError("the client closed before its request was complete")
         queue.feed(self._world.now_us(), data)
 
     def _watch(self, stream: Stream, queue: RequestQueue, exchange: Exchange) -> None:
--- a/yardspindle/engine/__init__.py
+++ b/yardspindle/engine/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP client for engines (model servers): prefill and decode calls, memory reservations, and releases of both."""
+"""HTTP client for engines (model servers): prefill, decode, reserving places, and releasing KV states and places."""
--- a/yardspindle/engine/http_client.py
+++ b/yardspindle/engine/http_client.py
@@ -2,8 +2,8 @@
 
 The caller decides with that report whether a request may be sent again without running twice.
 
-A pooled connection is reused only if it is quiet, that is, open with no data to read. A connection that its server
-closed while it was idle must be detected before a request is written to it, since afterwards it is unknown whether
+A pooled connection is reused only if `Stream.is_idle`, that is, open with no data to read. A connection that its server
+closed while it was pooled must be detected before a request is written to it, since afterwards it is unknown whether
 the request arrived. A connection with data beyond the last response is not reused either: that data would be taken
 for the answer to the next request. For the same reason a caller may require a minimum idle time before reuse.
 """
@@ -90,11 +90,11 @@
 
 @dataclass(slots=True)
 class Counts:
-    """Counts of connections opened and reused, and of pooled ones found too old, closed or not quiet."""
+    """Counts of connections."""
 
     opened: int = 0
     reused: int = 0
-    stale: int = 0
+    stale: int = 0  # pooled ones discarded before use: idle for too long, closed, or with data to read
 
 
 @dataclass(slots=True)
@@ -105,11 +105,11 @@
     """
 
     world: World
-    connect_us: int
-    idle_us: int
+    connect_us: int  # limit on opening a connection
+    idle_us: int  # a pooled connection that was idle for longer is not reused
     max_idle: int = MAX_IDLE
     limits: http1.Limits = field(default_factory=http1.Limits)
-    idle_limit: IdleLimit | None = None  # shortens the reuse time when servers close sooner; None: `idle_us`
+    idle_limit: IdleLimit | None = None  # in place of `idle_us`: lowered when connections are found closed
     head_us: int = 0  # limit from the first byte of a response head to its last; 0: none
     counts: Counts = field(default_factory=Counts)
     _idle: dict[tuple[str, int], deque[Connection]] = field(default_factory=dict)
@@ -138,7 +138,8 @@
 
         `connect_us` limits the time to open a connection. A pooled one is used only if its last response ended at
         least `min_idle_us` ago. `descriptor_us` limits the wait for a file descriptor when none is available; the
-        connect time begins after it.
+        connect time begins after it. By default it is the connect limit if `connect_us` is given, else
+        DESCRIPTOR_WAIT_US.
 
         Raises ConnectError or NotSent if the request was not sent completely, else ExchangeBroken: it may have arrived.
         """
@@ -152,7 +153,7 @@
             if not connection.idle_since_us:
                 connection.stream.close()
                 raise NotSent("closed before the request's first byte")
-            self._discard_idle(connection)  # it was quiet until `late_headers` blocked
+            self._discard_idle(connection)  # it was idle until `late_headers` blocked
         succeeded = False
         try:
             data = http1.write_request(method, target, [(b"host", name.encode()), *headers, *late], body)
@@ -196,7 +197,7 @@
             now = self.world.now_us()
             self.idle_limit.found_closed(now, now - connection.idle_since_us)
 
-    def _limit_us(self) -> int:
+    def _reuse_limit_us(self) -> int:
         return self.idle_us if self.idle_limit is None else self.idle_limit.limit_us(self.world.now_us())
 
     def _head(self, connection: Connection) -> http1.Event:
@@ -243,8 +244,8 @@
     def put_idle(self, key: tuple[str, int], connection: Connection) -> None:
         """Adds a connection to the pool.
 
-        One that the server closed with the last byte was never idle: in the pool it would reduce the idle limit of
-        the others.
+        One that the server closed right after its response is not pooled: found closed later, it would be taken for
+        the sign of a short idle timeout and lower the idle limit for all.
         """
         if not connection.stream.is_idle():
             return connection.stream.close()
@@ -261,7 +262,7 @@
 
     def close_expired(self) -> None:
         """Closes connections that were idle longer than allowed; called periodically."""
-        oldest = self.world.now_us() - self._limit_us()
+        oldest = self.world.now_us() - self._reuse_limit_us()
         for key, idle in list(self._idle.items()):
             while idle and idle[0].idle_since_us < oldest:
                 idle.popleft().stream.close()
@@ -275,7 +276,7 @@
 
     def _take_idle(self, key: tuple[str, int], min_idle_us: int) -> Connection | None:
         while (connection := self._pop_idle(key, min_idle_us)) is not None:
-            if self.world.now_us() - connection.idle_since_us >= self._limit_us():
+            if self.world.now_us() - connection.idle_since_us >= self._reuse_limit_us():
                 self.counts.stale += 1
                 connection.stream.close()
             elif connection.stream.is_idle():
@@ -295,7 +296,7 @@
         return None
 
     def _discard_idle(self, connection: Connection) -> None:
-        """Closes a pooled connection that is not quiet. If the server had closed it, the idle limit is reduced."""
+        """Closes a pooled connection that was closed or has data to read; if it was closed, lowers the idle limit."""
         self.counts.stale += 1
         try:
             received_data = bool(connection.stream.read())
@@ -312,7 +313,7 @@
             descriptor_us = timeouts.DESCRIPTOR_WAIT_US if connect_us is None else limit_us
         until_us = self.world.now_us() + descriptor_us
         while True:
-            try:  # the connect time begins once a descriptor is available: the server is judged by it
+            try:  # a wait for a descriptor is not connect time, which tells whether the server is responsive
                 stream = self.world.connect(*key, self.world.now_us() + limit_us)
             except DescriptorsExhausted:
                 if self.world.now_us() >= until_us:
--- a/yardspindle/engine/vllm.py
+++ b/yardspindle/engine/vllm.py
@@ -7,7 +7,7 @@
 
 A state is the KV cache that a reader keeps until the writer has fetched it; a place is memory reserved at a writer
 ahead of the write. Places, and releases of places and states, are an extension of this project under
-`/v1/yardspindle/`; a server without it (`places` in the server list) is never asked for them.
+`/v1/yardspindle/`; only servers marked `places` in the server list are asked for them.
 """
 
 from __future__ import annotations
@@ -112,7 +112,8 @@
 class AttemptResult:
     """How an attempt (one call for a read or write) ended, as reported to the core, which decides what follows.
 
-    `note` depends on the status: the cached prompt tokens of a success; 1 for an error if the engine found no state.
+    `note` is passed to the policy as `Outcome.note` (interface.py): the cached prompt tokens of a success, or 1 for
+    an error if the engine found no state.
     """
 
     status: Status
@@ -183,8 +184,8 @@
         self.http = http
         self._id_prefix = id_prefix
 
-    def state_id(self, request: int, attempt: int) -> str:
-        """The id under which a reader holds the state of a read."""
+    def attempt_id(self, request: int, attempt: int) -> str:
+        """The id of an attempt; a reader holds the state of a read under it."""
         return f"{self._id_prefix}-{request}.{attempt}"
 
     def place_id(self, request: int, place: int) -> str:
@@ -198,7 +199,7 @@
 
         `on_written` is called once the request's last byte is written.
         """
-        headers = [*JSON_HEADERS, (b"x-request-id", self.state_id(request, attempt).encode())]
+        headers = [*JSON_HEADERS, (b"x-request-id", self.attempt_id(request, attempt).encode())]
         try:
             response = self.http.request(server.host, server.port, b"POST", COMPLETIONS, headers, body, on_written)
         except ConnectError as error:
@@ -212,7 +213,7 @@
         finally:
             response.close()
         if response.head.status != 200:
-            return refused(response.head.status, data)
+            return error_result(response.head.status, data)
         try:
             answer = msgspec.json.decode(data, type=_ReadAnswer)
         except msgspec.DecodeError as error:
@@ -232,7 +233,7 @@
         on_written: Callable[[], None] | None = None,
     ) -> AnswerStream | AttemptResult:
         """Send the write; returns the answer's stream, or the attempt's result if no stream began."""
-        headers = [*JSON_HEADERS, (b"x-request-id", self.state_id(request, attempt).encode())]
+        headers = [*JSON_HEADERS, (b"x-request-id", self.attempt_id(request, attempt).encode())]
         if place is not None:
             headers.append((PLACE_HEADER, self.place_id(request, place).encode()))
         try:
@@ -244,7 +245,7 @@
         if response.head.status == 200:
             return AnswerStream(response)
         try:
-            return refused(response.head.status, response.read_all())
+            return error_result(response.head.status, response.read_all())
         except ExchangeBroken as error:
             return AttemptResult(Status.RESET, detail=str(error))
         finally:
@@ -258,7 +259,7 @@
             {
                 "place": self.place_id(request, place),
                 "tokens": round(tokens),
-                "read": {"id": self.state_id(request, read_attempt), "host": reader.host, "port": reader.port},
+                "read": {"id": self.attempt_id(request, read_attempt), "host": reader.host, "port": reader.port},
             }
         )
         status = self._call(server, b"POST", PLACES, body)
@@ -266,7 +267,7 @@
 
     def release_state(self, server: Server, request: int, attempt: int) -> bool:
         """Releases a state; without effect if there is none. Returns False if the server did not answer."""
-        target = STATES + b"/" + self.state_id(request, attempt).encode()
+        target = STATES + b"/" + self.attempt_id(request, attempt).encode()
         return self._call(server, b"DELETE", target) is not None
 
     def release_place(self, server: Server, request: int, place: int) -> bool:
@@ -288,7 +289,7 @@
             response.close()
 
 
-def refused(http_status: int, data: bytes) -> AttemptResult:
+def error_result(http_status: int, data: bytes) -> AttemptResult:
     """Converts an engine's error response to the result of the attempt."""
     code: str | None = None
     message = ""
--- a/yardspindle/link/frames.py
+++ b/yardspindle/link/frames.py
@@ -44,6 +44,9 @@
     return msgspec.defstruct(kind.__name__, fields, tag=True, array_like=True, frozen=True)
 
 
+# In events, `Note` is a writer's answer to the request for a place (memory reserved for a decode), `Hangup` a client's
+# disconnect. In actions, `Ahead` requests a place, `Discard` releases all that is held for a request, and `Move` ends a
+# stream so that its client reconnects.
 EVENTS = (i.Request, i.First, i.Note, i.Outcome, i.Hangup)
 ACTIONS = (i.Send, i.Ahead, i.Discard, i.Refuse, i.Fail, i.Cancel, i.CloseIdle, i.Move)
 _WIRE_TYPES: dict[type[Any], type[Struct]] = {kind: _wire_type(kind) for kind in (*EVENTS, *ACTIONS)}
@@ -58,7 +61,7 @@
 class Hello(Struct, tag=True, array_like=True):
     """First frame from edge to planner."""
 
-    version: int
+    version: int  # of the protocol
     number: int  # of this edge, from 0
     dispatchers: int  # how many edges the fleet has
     zone: str
@@ -69,14 +72,14 @@
 class Welcome(Struct, tag=True, array_like=True):
     """First frame from planner to edge."""
 
-    version: int
+    version: int  # of the protocol
     epoch: int  # identifies the planner's run; a later start has a higher one
 
 
 class Servers(Struct, tag=True, array_like=True):
     """The complete server list."""
 
-    version: int
+    version: int  # of the list: one more with each change
     servers: list[Server]
 
 
@@ -91,7 +94,7 @@
 class Actions(Struct, tag=True, array_like=True):
     """Actions for the edge to perform, in order."""
 
-    answers: int
+    answers: int  # `Events.number` of the last frame that the planner has processed
     actions: list[AnyAction]
 
 
--- a/yardspindle/protocol/http1.py
+++ b/yardspindle/protocol/http1.py
@@ -41,7 +41,7 @@
 
     method: bytes
     target: bytes
-    minor: int
+    minor: int  # of the version: HTTP/1.0 or HTTP/1.1
     headers: Headers
 
     def get(self, name: bytes) -> bytes | None:
@@ -54,7 +54,7 @@
     """Status line and headers of a response; header names are in lower case."""
 
     status: int
-    minor: int
+    minor: int  # of the version: HTTP/1.0 or HTTP/1.1
     headers: Headers
 
     def get(self, name: bytes) -> bytes | None:
@@ -106,9 +106,9 @@
     limits: Limits = field(default_factory=Limits)
     buffer: bytearray = field(default_factory=bytearray)
     stage: _Stage = _Stage.HEAD
-    remaining: int = 0
-    body_bytes: int = 0
-    head_searched: int = 0
+    remaining: int = 0  # bytes left of the body or chunk; in stage TRAILERS: the number of trailers so far
+    body_bytes: int = 0  # received so far
+    head_searched: int = 0  # offset in `buffer` up to which the end of the head was searched for
     closed: bool = False
 
     def feed(self, data: bytes) -> None:
@@ -180,8 +180,8 @@
     def _chunk(self) -> Event | None:
         """Return data of the current chunk and, once it is complete, of the whole chunks buffered behind it.
 
-        With one event per chunk, parsing many small chunks took so long that the client's close, which follows them on
-        the connection, was detected late.
+        An event for each of many small chunks takes so long that a close of the client, which follows them on the
+        connection, is detected late.
         """
         event = self._sized_body(_Stage.CHUNK_END)
         if self.stage is not _Stage.CHUNK_END or not isinstance(event, Data):
@@ -256,7 +256,8 @@
             if len(self.buffer) >= self.limits.head:
                 raise ProtocolError("the head is too large", 431)
             if BARE_LF.search(self.buffer, self.head_searched):
-                raise ProtocolError("a line ends without CRLF")  # now: the CRLF that ends such a head never comes
+                # Checked before the head is complete: a peer that sends bare LF never sends the CRLF CRLF at its end.
+                raise ProtocolError("a line ends without CRLF")
             if self.buffer and self.closed:
                 raise ProtocolError("the peer closed inside a head")
             self.head_searched = len(self.buffer)
