--- a/tests/crossing_planted.py
+++ b/tests/crossing_planted.py
@@ -168,8 +168,8 @@
     "attempts are told more time": single_change(
         Executor,
         "_late_headers",
-        "self._remaining_ms(command))]",
-        "(self._remaining_ms(command) + 200))]",
+        "self._start_sending(command))]",
+        "(self._start_sending(command) + 200))]",
         "more than is left",
     ),
     "the time left is not looked at when an attempt goes out": single_change(
@@ -198,8 +198,8 @@
     "an attempt waits when all has been looked at": single_change(
         Executor,
         "_late_headers",
-        'return [(b"req-deadline-ms", b"%d" % self._remaining_ms(command))]',
-        "remaining_ms = self._remaining_ms(command); self._world.sleep_until(self._world.now_us() + 250_000)\n"
+        'return [(b"req-deadline-ms", b"%d" % self._start_sending(command))]',
+        "remaining_ms = self._start_sending(command); self._world.sleep_until(self._world.now_us() + 250_000)\n"
         '                return [(b"req-deadline-ms", b"%d" % remaining_ms)]',
         "more than is left",
     ),
--- a/yardspindle/node/__main__.py
+++ b/yardspindle/node/__main__.py
@@ -29,7 +29,11 @@
         print(error, file=sys.stderr)
         return 2
     except OSError as error:
-        print(f"ROUTER_LISTEN: {os.environ.get('ROUTER_LISTEN')}: {error.strerror}", file=sys.stderr)
+        print(
+            f"ROUTER_LISTEN: {os.environ.get('ROUTER_LISTEN')}, or `listen` in {os.environ.get('ROUTER_CONFIG')}: "
+            f"{error.strerror}",
+            file=sys.stderr,
+        )
         return 2
     return 0
 
@@ -38,14 +42,14 @@
     """The main task: handle signals, start, wait for a stop signal, drain.
 
     Signal handlers are installed before the configuration file is read, so that a change announced by SIGHUP is either
-    in what is read or causes a reload. Until then SIGHUP is ignored by the start command in the deploy file.
+    in what is read or causes a reload. Until then SIGHUP is ignored: `run` in deploy/balancer.toml sets it to SIG_IGN.
     """
 
     def reload() -> None:
         try:
             node.reload(read_config(world.read_file, variables))
         except ConfigError as error:
-            log.write("the new configuration is not taken", fault=error)
+            log.write("the new configuration is not taken", fault=error)  # the running one stays in force
 
     def stop() -> None:
         node.stop()
@@ -56,7 +60,7 @@
     node = Node(world, read_config(world.read_file, variables))
     node.start()
     if not world.stop.is_set:
-        gc.collect()
+        gc.collect()  # with `freeze`: later collections, which block all tasks, skip the objects made at the start
         gc.freeze()
         log.write("ready", name=node.config.name)
     world.stop.wait()
--- a/yardspindle/node/app.py
+++ b/yardspindle/node/app.py
@@ -32,7 +32,7 @@
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.world import StreamError, World
 
-TICK_INTERVAL_US = 20_000  # how often the core's deadlines are checked; the same as for the policy's
+TICK_INTERVAL_US = 20_000  # how often the core's deadlines are checked; as often as the policy does (SWEEP_INTERVAL_US)
 HOUSEKEEPING_INTERVAL_US = 1_000_000
 COUNTS_LOG_INTERVAL_US = 30_000_000  # between log lines with the counters so far
 HEALTH_PATH = b"/up"
@@ -52,7 +52,7 @@
         self.core = EdgeCore(config.rules, config.seed)
         policy = Policy(config.settings, config.seed)
         now = world.now_us()
-        session = PlanningSession(lambda event, at_us: policy.handle(at_us, event), now, now)
+        session = PlanningSession(lambda event, at_us: policy.handle(at_us, event), edge_now_us=now, now_us=now)
         self.policy = policy
         self.host_list = HostList(config.roles)
         self.resources = ResourceBudget(min(config.limits.sockets, world.max_descriptors()), config.limits.memory_mb)
@@ -73,10 +73,10 @@
             world, config.discovery, self.host_list, self._on_list_change, self._discovery_settled
         )
         self._open_ids: set[bytes] = set()
-        self._requests = 0
+        self._last_request_number = 0
         self._server: Server | None = None
         self._ready = False
-        self._stop_us: int | None = None  # when `stop` was called
+        self._stop_called_us: int | None = None
         self._refuse_from_us: int | None = None  # while stopping: requests received from then on are refused
 
     # --- program
@@ -107,12 +107,12 @@
                 self._discovery_settled.wait()
         except DeadlineExceeded:
             log.write("discovery has not answered yet", known=len(self.host_list))
-        self._ready = self._stop_us is None
+        self._ready = self._stop_called_us is None
 
     def stop(self) -> None:
         """Begin to stop: the health check says not ready, and `start` no longer waits for the first server list."""
-        if self._stop_us is None:
-            self._stop_us = self.world.now_us()
+        if self._stop_called_us is None:
+            self._stop_called_us = self.world.now_us()
         self._ready = False
         self._discovery_settled.set()
 
@@ -127,14 +127,14 @@
         The return also waits, for a limited time, until hosts have released what they hold for ended requests.
         """
         self.stop()
-        assert self._server is not None and self._stop_us is not None
+        assert self._server is not None and self._stop_called_us is not None
         log.write("draining", open=len(self.executor.running))
         longest_us = max(round(cls.give_up_us) for cls in self.config.settings.classes)
-        times = shutdown_times(self._stop_us, longest_us, self.config.rules.resume)
+        times = shutdown_times(self._stop_called_us, longest_us, self.config.rules.resume)
         self._refuse_from_us = times.refuse_us
         self.world.sleep_until(times.close_idle_us)
         self._server.close_idle()
-        self.world.call_at(times.stop_us, self._leave)
+        self.world.call_at(times.stop_us, self._end_open_requests)
         self._server.drain(times.exit_us)
         while (
             self.core.request_releases.pending or self.executor.places_in_flight
@@ -142,8 +142,8 @@
             self.world.sleep_until(self.world.now_us() + TICK_INTERVAL_US)
         log.write("counts", **self.core.counts(), **self.policy.counts())
 
-    def _leave(self) -> None:
-        """Give every open request its final answer now: the process is about to be killed."""
+    def _end_open_requests(self) -> None:
+        """Give every open request its final answer now: the process is about to be killed ("leaving" in the log)."""
         log.write("leaving", open=len(self.executor.running))
         self.executor.perform(self.core.shut_down(self.world.now_us()))
 
@@ -172,8 +172,8 @@
                 "host started",
                 id=member.id,
                 number=self.host_list.number(member.id),
-                kind=member.flavor,
-                up=f"{member.up_since_ms:.0f}",
+                kind=member.flavor,  # "flavor" in the messages of discovery
+                up=f"{member.up_since_ms:.0f}",  # Unix time in milliseconds
             )
         self.executor.perform(self.core.update_servers(now, self.host_list.servers()))
         self.executor.update_members(self.host_list.members())
@@ -181,7 +181,7 @@
     # --- HTTP front
 
     def early_reply(self, head: http1.RequestHead) -> Reply | None:
-        """Answer the health check; refuse before the body is read what the head shows to be wrong (`Handler`)."""
+        """Answer the health check, and refuse invalid requests before their body is read (`Handler.early_reply`)."""
         if head.target == HEALTH_PATH and head.method in (b"GET", b"HEAD"):
             return Reply(200 if self._ready else 503, [], b"")
         try:
@@ -191,17 +191,18 @@
         return None
 
     def _read_request(self, head: http1.RequestHead) -> request.ClientRequest:
+        # `effects`: by configured class, whether its requests may be repeated.
         client_request = request.read_head(head, self.core.lifecycle.rules.effects)
         if client_request.id in self._open_ids:
             raise request.Refused(409, "Req-Id: open already")
         return client_request
 
     def malformed(self, error: http1.ProtocolError) -> Reply:
-        """The reply to input that is not valid HTTP (`Handler`)."""
+        """The reply to input that is not valid HTTP (`Handler.malformed`)."""
         return _error_reply(error.status, error.reason)
 
     def handle(self, exchange: Exchange) -> None:
-        """Run one client request from its arrival to its final answer (`Handler`)."""
+        """Run one client request from its arrival to its final answer (`Handler.handle`)."""
         received_us = exchange.received_us
         try:
             client_request = self._read_request(exchange.head)  # again: its id may be in use by now
@@ -211,8 +212,8 @@
         except request.Refused as refused:
             exchange.reply(_error_reply(refused.status, refused.reason))
             return
-        self._requests += 1
-        number = self._requests
+        self._last_request_number += 1
+        number = self._last_request_number
         policy_request = request.policy_request(client_request, number, received_us, len(exchange.body))
         running = RunningRequest(
             policy_request, client_request.id, exchange, self.world.signal(), trace=RequestTrace(received_us)
@@ -230,7 +231,7 @@
             del self.executor.running[number]
             self._open_ids.discard(client_request.id)
             self.executor.forget(number)
-            end = "left" if running.answer is None else running.answer.code
+            end = "left" if running.answer is None else running.answer.code  # "left": the client disconnected
             log.write(
                 "request",
                 id=client_request.id.decode(),
@@ -259,6 +260,7 @@
                 _error_reply(503, answer.code, [(b"retry-after", retry_after)] if answer.retry_after_us else [])
             )
         else:
+            # The status does not depend on `unsafe`, which adds a header that is not sent here.
             exchange.reply(_error_reply(http_error(answer, unsafe=False).status, answer.code))
 
 
--- a/yardspindle/node/config.py
+++ b/yardspindle/node/config.py
@@ -59,8 +59,8 @@
     known: ListAnswer
     settings: i.Settings
     rules: EdgeRules
-    connect_us: int
-    idle_us: int
+    connect_us: int  # limit on opening a connection to a host
+    idle_us: int  # time after which a host may close an idle connection
 
     @property
     def roles(self) -> dict[str, i.Role]:
@@ -99,10 +99,10 @@
     try:
         mapped = parse_settings(raw)
     except KeyError as error:
-        raise ConfigError(f"{file}: settings: no such value: {_one_line(error)}") from None
+        raise ConfigError(f"{file}: settings: missing key or unknown value: {_one_line(error)}") from None
     except (ValueError, TypeError, AttributeError, IndexError, OverflowError) as error:
         raise ConfigError(f"{file}: settings: {_one_line(error)}") from None
-    allowed = raw.get("allowed") or {}
+    allowed = raw.get("allowed") or {}  # holds limits that the policy's settings leave out
     return NodeConfig(
         name=contents.name or variables["ROUTER_NAME"],
         listen=_address(file, "listen", contents.listen, variables["ROUTER_LISTEN"]),
@@ -112,15 +112,15 @@
         known=contents.known,
         settings=mapped,
         rules=EdgeRules(
-            effects={row.name: row.effect for row in mapped.classes},
+            effects={row.name: row.effect for row in mapped.classes},  # whether a request may be repeated
             release_us=mapped.release_us,
             drain_grace_us=mapped.drain_grace_us,
             answer_slack_us=mapped.answer_slack_us,
             retry_after_us=mapped.max_retry_after_us if mapped.retry_after else 0,
             max_attempts=mapped.max_attempts,
             max_open_requests=connection_defaults.max_open(allowed.get("max-open")),
-            writers_read=mapped.writers_read,
-            resume=mapped.resume,
+            writers_read=mapped.writers_read,  # decode hosts may run the prefill, too
+            resume=mapped.resume,  # clients can continue a broken stream with a new request
             release_by_request=True,
         ),
         connect_us=connection_defaults.connect_us(mapped, allowed.get("connect-timeout-us")),
--- a/yardspindle/node/discovery.py
+++ b/yardspindle/node/discovery.py
@@ -21,6 +21,7 @@
 
 HOSTS_PATH = b"/discovery/hosts"
 CONNECT_TIMEOUT_US = timeouts.AGENT_RESPONSE_US
+IDLE_TIMEOUT_US = 60_000_000  # a connection that was idle for longer is not reused
 RESPONSE_LIMITS = http1.Limits(line=8_192, head=16_384, headers=64, body=4_194_304)  # bytes, but for `headers`
 
 
@@ -55,7 +56,7 @@
                 self.start()
 
     def _run(self, address: tuple[str, int]) -> None:
-        client = HttpClient(self._world, CONNECT_TIMEOUT_US, 60_000_000, limits=RESPONSE_LIMITS)
+        client = HttpClient(self._world, CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US, limits=RESPONSE_LIMITS)
         schedule = DiscoverySchedule()
         try:
             while True:
@@ -74,6 +75,7 @@
         except (ConnectError, ExchangeBroken, DeadlineExceeded, ValueError) as error:
             pause_us, worth_logging = schedule.failed(self._world.now_us())
             if worth_logging:
+                # The call failed in any way, also by a malformed answer; the list in force stays.
                 log.write("discovery is not heard", fault=f"{type(error).__name__}: {error}")
             return pause_us
         if changed:
@@ -82,6 +84,7 @@
         if self._hosts.rejection:
             pause_us, worth_logging = schedule.rejected(self._world.now_us())
             if worth_logging:
+                # Rejected as implausible; the list of revision `held` stays in force.
                 log.write("discovery's list is not taken", fault=self._hosts.rejection, held=self._hosts.revision)
             return pause_us
         return schedule.applied(began_us, self._world.now_us(), changed)
@@ -108,7 +111,10 @@
         return self._hosts.apply(answer, self._world.now_us(), requested_full=full_list)
 
     def _read_body(self, response: Response) -> bytes:
-        """Read the whole body, however small its pieces. Raises ValueError if it does not end in time."""
+        """Read the whole body. Raises ValueError if it does not end in time.
+
+        Other tasks run after each LIST_SLICE_US: a large list that arrives fast, in small pieces, would block them.
+        """
         body = bytearray()
         now = self._world.now_us()
         end_us, slice_us = now + timeouts.LIST_BODY_US, now + timeouts.LIST_SLICE_US
--- a/yardspindle/node/executor.py
+++ b/yardspindle/node/executor.py
@@ -130,7 +130,7 @@
             case c.FlushStream(request):
                 known = self.running.get(request)
                 if known is not None:
-                    self._world.spawn("last words", self._flush_stream, request, known)  # relay what has arrived
+                    self._world.spawn("flush stream", self._flush_stream, request, known)
             case c.ReservePlace():
                 running = self.running[command.request]
                 running.places[command.place] = self._world.spawn("place", self._reserve_place, command, running)
@@ -231,13 +231,13 @@
             outcome.close()
 
     def _late_headers(self, command: c.Read | c.Write, running: RunningRequest) -> http1.Headers:
-        """Wait, once connected, until no release of the request is pending: one could free what this attempt leaves."""
+        """Wait, once connected, until no release of the request is pending: it could free the state of this attempt."""
         while True:
             if not self._core.lifecycle.remaining_ms(self._world.now_us(), command.request, command.attempt):
                 raise CallCancelled
             self._check_client_close(running)
             if not self._core.release_pending(command.request) and not self.releases.in_flight(command.request):
-                return [(b"req-deadline-ms", b"%d" % self._remaining_ms(command))]
+                return [(b"req-deadline-ms", b"%d" % self._start_sending(command))]
             self._world.sleep_until(self._world.now_us() + timeouts.RELEASE_POLL_US)
 
     def _check_client_close(self, running: RunningRequest) -> None:
@@ -247,7 +247,7 @@
                 return
             self._world.sleep_until(self._world.now_us() + timeouts.CLOSE_POLL_US)
 
-    def _remaining_ms(self, command: c.Read | c.Write) -> int:
+    def _start_sending(self, command: c.Read | c.Write) -> int:  # the milliseconds left for the attempt
         remaining_ms = self._core.start_sending(self._world.now_us(), command.request, command.attempt)
         if not remaining_ms:
             raise CallCancelled
@@ -304,11 +304,11 @@
                 running.awaiting_host_since_us = 0
                 exchange.send(data)
                 running.awaiting_host_since_us, tail = self._world.now_us(), tail[-512:] + data
-            return AttemptResult(i.Status.SERVED, cached_tokens(tail))
+            return AttemptResult(i.Status.SERVED, cached_tokens(tail))  # 512 bytes: the count may span pieces
         except ExchangeBroken as error:
             return AttemptResult(i.Status.RESET, detail=f"stream broken: {error}")
         except http1.ProtocolError as error:  # not RESET: the host answers, so it is not judged unresponsive
-            return AttemptResult(i.Status.ERROR, detail=f"stream spoilt: {error}")
+            return AttemptResult(i.Status.ERROR, detail=f"stream spoilt: {error}")  # malformed
         except StreamError:  # the client disconnected or stalled; the exchange notifies the core
             exchange.client_disconnected()
             return AttemptResult(i.Status.CANCELLED)
@@ -324,7 +324,7 @@
             due_us = (running.awaiting_host_since_us or now) + timeouts.STREAM_IDLE_US
             if now >= due_us and stream.is_idle():
                 stream.abort()
-            else:  # bytes that are there unread are read in this turn
+            else:  # not due, or bytes have arrived, which the relaying task reads in this turn of the event loop
                 cancel[0] = self._world.call_at(max(due_us, now + timeouts.FINAL_POLL_US), check)
 
         check()
@@ -374,7 +374,7 @@
             held = None if requested else False
         if requested and held is None:
             log.write(
-                "place unknown",
+                "place unknown",  # that is, whether the writer holds it
                 id=running.request_id.decode(),
                 at=command.server.name,
                 ms=(self._world.now_us() - began_us) // 1_000,
--- a/yardspindle/node/host_client.py
+++ b/yardspindle/node/host_client.py
@@ -42,7 +42,7 @@
     status: Status
     note: int = 0
     detail: str = ""
-    stale: bool = False  # an idle connection, or one being opened, was reset: weak evidence of a fault
+    stale: bool = False  # a pooled connection, or one being opened, was reset: weak evidence of a fault of the host
     no_descriptor: bool = False  # no file descriptor was free, which says nothing about the host
 
 
@@ -188,7 +188,7 @@
         if head.status == 202 and server.role is Role.READ:
             return AttemptResult(Status.READ, cached_tokens(content))
         if head.status == 410 and declined:
-            return AttemptResult(Status.FULL, 1)
+            return AttemptResult(Status.FULL, note=1)  # the state is no longer held
         if head.status in (503, 504) and declined:
             return AttemptResult(Status.FULL)
         return AttemptResult(Status.ERROR, detail=f"status {head.status}")
@@ -201,9 +201,10 @@
             return False  # nothing was sent
 
     def release(self, server: Server, request_id: bytes, late_headers: LateHeaders) -> bool | None:
-        """Ask a host to release all that is held for a request anywhere; returns whether it acknowledged.
+        """Ask a host to release all that any host holds for a request: it passes the release on.
 
-        None: no file descriptor was free and nothing was sent; the core then retries without blaming the host.
+        Returns whether it acknowledged. None: no file descriptor was free and nothing was sent; the core then retries
+        without blaming the host.
         """
         try:
             return self._call(server, b"DELETE", request_id, late_headers, timeouts.RELEASE_DESCRIPTOR_US) == 204
--- a/yardspindle/node/release_tasks.py
+++ b/yardspindle/node/release_tasks.py
@@ -26,7 +26,7 @@
     """A release call in flight."""
 
     written: bool = False  # its bytes may have been sent
-    late: bool = False  # it is overdue, and other hosts are asked as well
+    late: bool = False  # it is overdue and goes on, while other hosts are asked as well
 
 
 class ReleaseTasks:
@@ -59,7 +59,10 @@
         self.running.setdefault(release.request, {})[task] = ReleaseCall()
 
     def in_flight(self, request: int) -> bool:
-        """Whether a call that may have been written is in flight, even if another host's answer made it needless."""
+        """Whether a call that may have been written is in flight.
+
+        It may still take effect, also if another host has released everything, so new attempts wait for its end.
+        """
         return any(call.written for call in self.running.get(request, {}).values())
 
     def _release(self, release: RequestRelease, server: Server) -> None:
@@ -79,7 +82,7 @@
                 task.cancel()  # another host has released it, and a newer attempt may wait for this call to end
                 return
             call.late, commands = self._core.request_release_overdue(self._world.now_us(), release, server.number)
-            if not call.late:
+            if not call.late:  # the core decides whether an overdue call goes on beside those to other hosts
                 task.cancel()
             self._perform(commands)
 
@@ -108,13 +111,17 @@
             self._forget(release.request)
 
     def _cancel_late_calls(self, tasks: dict[Task, ReleaseCall]) -> None:
-        """Cancel late calls after another host's release: read later, they could hit what a newer attempt leaves."""
+        """Cancel late calls after another host's release: one read later could release what a newer attempt holds."""
         for task, call in list(tasks.items()):
             if call.late and call.written:
                 task.cancel()
 
     def _log_release(self, release: RequestRelease, server: Server, acknowledged: bool | None) -> None:
-        """Log a release that was not acknowledged at the first try."""
+        """Log a release that was not acknowledged at the first try.
+
+        `heard`: whether this call was acknowledged, None if no descriptor was free; `tries`: failed calls; `said`:
+        confirmations by hosts so far.
+        """
         if not acknowledged or release.failed:
             log.write(
                 "release",
--- a/yardspindle/node/request.py
+++ b/yardspindle/node/request.py
@@ -19,7 +19,7 @@
 REQUEST_ID = re.compile(rb"[0-9A-Za-z._-]{1,64}")
 MILLISECONDS = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,6})?")
 TOKEN_COUNT = re.compile(r"[0-9]{1,9}(\.[0-9]{1,6})?")
-CHARS_PER_TOKEN = 4.0  # estimates the prompt's tokens from the body's size if the client states no `prompt_len`
+BYTES_PER_TOKEN = 4.0  # estimates the prompt's tokens from the body's size if the client states no `prompt_len`
 
 
 class Refused(Exception):
@@ -36,14 +36,15 @@
 class ClientRequest:
     """A request as its head states it; the body is not parsed.
 
-    `cls` is its class: a configured kind of request with time limits and a value of its own. `extra` holds hints such
-    as the prompt's length (`Req-Extra`). `repeat`: a client's retry of an earlier request (`Req-Retry: 1`); `resumed`:
-    it asks for the rest of a broken stream (`Req-Retry: again`).
+    `cls` is its class: a configured class of requests with its own time limits and weight (how much an answer in time
+    counts relative to other classes). `extra` holds hints such as the prompt's length (`Req-Extra`). `repeat`: a
+    client's retry of an earlier request (`Req-Retry: 1`); `resumed`: it asks for the rest of a broken stream
+    (`Req-Retry: again`).
     """
 
     id: bytes
     cls: str
-    deadline_us: int
+    time_limit_us: int  # from its arrival
     tenant: str | None
     session: str | None
     extra: dict[str, str]
@@ -95,8 +96,8 @@
     return i.Request(
         request=number,
         cls=client_request.cls,
-        expires_us=received_us + client_request.deadline_us,
-        prompt_tokens=float(client_request.extra.get("prompt_len") or body_size // CHARS_PER_TOKEN),
+        expires_us=received_us + client_request.time_limit_us,
+        prompt_tokens=float(client_request.extra.get("prompt_len") or body_size // BYTES_PER_TOKEN),
         prefix_tokens=float(client_request.extra.get("prefix_len") or 0.0) if prefix else 0.0,
         max_out=float(client_request.extra.get("max_out") or 0.0),
         tenant=client_request.tenant,
--- a/yardspindle/node/running_request.py
+++ b/yardspindle/node/running_request.py
@@ -19,7 +19,7 @@
     request: i.Request
     request_id: bytes
     exchange: Exchange
-    done: Signal
+    done: Signal  # set when `answer` is, or when the client has disconnected
     answer: c.Answer | None = None
     attempts: dict[int, Task] = field(default_factory=dict)
     places: dict[int, Task] = field(default_factory=dict)  # unanswered calls for a place (memory reserved at a writer)
--- a/yardspindle/node/trace.py
+++ b/yardspindle/node/trace.py
@@ -43,8 +43,8 @@
         """The fields of the log line; stages in milliseconds, of the last attempts only.
 
         `kept`: prompt tokens found in the cache; `tries`: reads, writes, places asked for and refused; `at`: reader
-        and writer; `came`: time of arrival in ms; `ms`: the stages, of which `hold` is from the read's answer to the
-        write and `transfer` from there to the first event.
+        and writer; `came`: `received_us` in milliseconds; `ms`: the stages, of which `hold` is from the read's answer
+        to the write, while the reader holds the prompt's KV cache, and `transfer` from there to the first event.
         """
         times = {
             "wait": (self.received_us, self.read_written_us),
