--- a/yardspindle/drill.py
+++ b/yardspindle/drill.py
@@ -2,7 +2,8 @@
 
 It only translates between lines and the types of yardspindle/interface.py. Input comes in frames (groups of lines, from
 `frame` to `eob`); the reply to each frame ends with `yield`. `spawn` creates an instance, `crash_now` removes one, and
-`page` defines a server list by its entries; all other messages are events for an instance.
+`page` defines a server list by its entries; all other messages are events for an instance. The module keeps its name
+because deploy/balancer.toml starts the adapter by it.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from yardspindle.policy import Policy
 from yardspindle.settings_map import parse_settings
 
-# Codes of the protocol, and its names of the values in load reports.
+# Codes of the protocol.
 STATUS = {
     "S": i.Status.SERVED,
     "E": i.Status.ERROR,
@@ -30,6 +31,7 @@
 }
 STATE = {"SERVING": i.State.SERVING, "DRAINING": i.State.DRAINING, "DELETED": i.State.GONE}
 LISTS = {"D": i.ListKind.CHANGES, "F": i.ListKind.COMPLETE, "C": i.ListKind.STALE, "X": i.ListKind.FAILED}
+# Names of the values in load reports, which the policy does not use; x0 and x1 are passed on under their own names.
 LOAD = {
     "rif": "inflight",
     "q": "queue",
@@ -40,18 +42,20 @@
     "x0": "x0",
     "x1": "x1",
 }
-# Number of fields after the name of each message; a line with any other number is malformed.
+# Number of fields after the name of each message; a line with any other number is malformed. The comments name the
+# fields in order, from field 0, the instance; `_` is not read.
 FIELD_COUNTS = {
-    "view": 4,
+    "view": 4,  # INSTANCE LIST_KIND VERSION LIST_NUMBER (of a `page`)
+    # INSTANCE REQUEST MAX_OUT PREFIX_TOKENS FLAGS PROMPT_TOKENS CLASS HINT_US EXPIRES_US TENANT PREFIX SESSION
     "submit": 12,
-    "flowing": 5,
-    "resolved": 9,
-    "hangup": 2,
-    "due": 2,
-    "probe_result": 5,
-    "memo": 3,
-    "crash_now": 1,
-    "reserved": 6,
+    "flowing": 5,  # INSTANCE REQUEST ATTEMPT SERVER LATENCY_US
+    "resolved": 9,  # INSTANCE REQUEST ATTEMPT SERVER STATUS LATENCY_US CLOSED NOTE LOAD
+    "hangup": 2,  # INSTANCE REQUEST
+    "due": 2,  # INSTANCE TIMER_TOKEN
+    "probe_result": 5,  # INSTANCE STATUS LATENCY_US SERVER LOAD
+    "memo": 3,  # INSTANCE SENDER DATA (hexadecimal)
+    "crash_now": 1,  # INSTANCE
+    "reserved": 6,  # INSTANCE REQUEST ATTEMPT SERVER HELD _
 }
 
 
@@ -105,7 +109,10 @@
 
     @staticmethod
     def parse_request(f: list[str]) -> i.Request:
-        """Parse a request; flags: 1 it has a hint, 2 the client repeats it, 16 it resumes a broken stream."""
+        """Parse a request; flags: 1 it has a hint (`hint_us`), 2 the client repeats it, 16 it resumes a broken stream.
+
+        Other flags are ignored.
+        """
         flags = integer(f[4])
         return i.Request(
             request=int(f[1]),
@@ -223,6 +230,7 @@
             target.write("\n".join([*reply, "yield\n"]))
             target.flush()
     except (Malformed, ValueError, KeyError, TypeError, IndexError) as error:
+        # A KeyError's text is the key alone: an unknown code or list number, or a missing key of the settings.
         reason = f"no such value: {error}" if isinstance(error, KeyError) else str(error)
         print(f"line {line_number}: {reason}", file=sys.stderr)
         return 2
--- a/yardspindle/interface.py
+++ b/yardspindle/interface.py
@@ -29,7 +29,7 @@
 
 
 class State(Enum):
-    """State of a server in the server list."""
+    """Phase of a server in the server list; no KV state is meant."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -67,12 +67,12 @@
     aim_us: float  # latency target
     give_up_us: float  # time after which the client no longer waits
     effect: Effect = Effect.SAFE
-    group: str = "all"  # servers that know an idempotency key: all, else those of one cell
+    group: str = "all"  # servers that share idempotency keys: `all`; any other value: those of one cell
     window_us: float = 0  # how long an idempotency key is known
     worth: float = 1.0  # value of an answer in time, relative to other classes
     late_worth: float = 0.0  # value of a late answer
     aim_us_per_1000_prompt_tokens: float = 0.0  # added to aim_us for long prompts
-    token_aim_us: float = 0.0  # time for each output token
+    token_aim_us: float = 0.0  # target time for each output token; not used by the policy
 
 
 @dataclass(frozen=True, slots=True)
@@ -113,7 +113,7 @@
     fall_multiple: float = 1.0  # a cold server fails at this multiple of its capacity within fall_us
     fall_us: int = 0  # time over which the load of a cold server is counted
     answer_slack_us: int = 0  # time after a request's expiry in which its final answer is still on time
-    ask_within_us: int = 0  # not used by the policy
+    ask_within_us: int = 0  # an allowance in the operators' rules (`ask-within-us`); not used by the policy
     max_attempts: int = 5
     second_copies: bool = False  # a request may have two attempts in flight; not used by the policy
     cancel: bool = False  # attempts may be cancelled
@@ -123,11 +123,11 @@
     max_retry_after_us: int = 0  # longest time that may be advised
     list_pushed: bool = True  # the server list is sent without a subscription
     # Five weights and costs by which the operators judge the service; the policy uses only `cross_zone_price`.
-    over_share_worth: float = 1.0
-    late_fail_price: float = 0.0
-    waste_price: float = 0.0
+    over_share_worth: float = 1.0  # weight of answers to a tenant beyond its share
+    late_fail_price: float = 0.0  # cost of a request that fails late
+    waste_price: float = 0.0  # cost of work done in vain
     cross_zone_price: float = 0.0  # cost of an attempt in another zone
-    far_price: float = 0.0
+    far_price: float = 0.0  # cost of moving a state (`transfer-price`)
     tick_us: int = 1_000  # resolution of the clock
 
     def __post_init__(self) -> None:
@@ -213,7 +213,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """Event: a writer answered the request for a place; `held` if it is reserved. `server` is the request's reader."""
+    """Event: a writer answered the request for a place (`Ahead`); `held` if it is reserved.
+
+    `attempt` and `server` are those of the request's read in progress, not the writer; the policy reads neither.
+    """
 
     request: int
     attempt: int
@@ -223,10 +226,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """Event: an attempt has ended; `closed` if the request has thereby its final answer.
+    """Event: an attempt has ended; `closed` if this gave the request its final answer.
 
-    `note` of a read: prompt tokens that were cached. Of a write: 1 if its state is no longer held, so that the
-    prompt must be read again.
+    `note` of a successful read: prompt tokens that were cached. Of any other attempt: 1 if no state is held for the
+    request any more (a writer found none, or the time for holding it is up), so that the prompt must be read again.
     """
 
     request: int
@@ -324,7 +327,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """End a running stream cleanly so that its client reconnects."""
+    """End a running stream cleanly so that its client reconnects and resumes it; not used by the policy."""
 
     request: int
 
--- a/yardspindle/settings_map.py
+++ b/yardspindle/settings_map.py
@@ -1,9 +1,10 @@
-"""Maps settings in the users' format to the routing policy's settings (`interface.Settings`).
+"""Maps settings in the operators' format to the routing policy's settings (`interface.Settings`).
 
-Both the simulator adapter and the dispatcher on the platform use this mapping: the format is that of the simulator's
-first message and of the platform's configuration. Standard library only.
+Both the simulator adapter (yardspindle/drill.py) and the dispatcher on the operators' platform (yardspindle/node) use
+this mapping: the simulator's `spawn` message and the platform's configuration have the same format. Standard library
+only.
 
-Defaults for absent keys are neutral and never a figure of some deployment:
+Defaults for absent keys are neutral; none is taken from a particular deployment:
 
 - permissions (`holds-allowed`: memory may be reserved at a decode server ahead of the decode; `read-in-place`: decode
   servers may run the prefill, too; `resume`: clients can continue a broken stream;
@@ -27,7 +28,7 @@
 from yardspindle import interface as i
 
 EFFECT = {"free": i.Effect.SAFE, "guarded": i.Effect.KEYED, "single_shot": i.Effect.UNSAFE}
-UNBOUNDED_US = 10_000_000_000_000  # over a hundred days: the longest time that settings may give
+UNBOUNDED_US = 10_000_000_000_000  # stands for no limit: over a hundred days, the most that the platform may set
 UNBOUNDED_ATTEMPTS = 1 << 20
 ROLE = {"read": i.Role.READ, "write": i.Role.WRITE, "both": i.Role.BOTH}
 
@@ -35,8 +36,9 @@
 def parse_settings(raw: dict[str, Any]) -> i.Settings:
     """Return the policy's settings for decoded JSON; unknown keys are ignored.
 
-    In the users' format `services` are the classes of requests, `shapes` the kinds of server machines, `realms` the
-    tenants (customers), `obligations` the rules on drains, cold starts and answers.
+    In the operators' format `services` are the classes of requests, `shapes` the kinds of server machines, `realms` the
+    tenants (customers), `obligations` the rules on drains, cold starts and answers. `family-info` describes the model
+    servers; a list in it has one value for each class or each kind, in the order of `services` or `shapes`.
     """
     info, allowed, rules, prices = (raw.get(key) or {} for key in ("family-info", "allowed", "obligations", "prices"))
 
