--- a/yardspindle/policy/decide.py
+++ b/yardspindle/policy/decide.py
@@ -10,7 +10,8 @@
 from yardspindle.policy.request_lifecycle import RequestLifecycle
 from yardspindle.policy.state import SWEEP_INTERVAL_US
 
-SWEEP_TOKEN = 1 << 40  # timer token of the sweep; request ids are under 2^32
+# Token of the sweep's timer, the only one that the policy sets; above all request ids, which are under 2^32.
+SWEEP_TOKEN = 1 << 40
 
 
 class Policy(RequestLifecycle):
--- a/yardspindle/policy/request_lifecycle.py
+++ b/yardspindle/policy/request_lifecycle.py
@@ -14,9 +14,11 @@
 # Shortest time for which a full server gets no more of the tenant's (customer's) requests: about the
 # time of a few tokens.
 MIN_FULL_PAUSE_US = 100_000
-# The pause is at least this multiple of the time that the refusal took, so that asking costs little.
+# The pause is at least this multiple of the time that the refusal took, so that requests spend little of
+# their time on refusals.
 FULL_PAUSE_FACTOR = 20
-MAX_PLACE_REQUESTS = 4  # writers asked for a place per read; asking costs as much as probing a server
+# Most writers that are asked for a place during one read; asking costs as much as probing a server.
+MAX_PLACE_REQUESTS = 4
 # Fraction of the latency target (aim) that a request may wait before its read; the rest is for the work.
 MAX_WAIT_AIM_FRACTION = 0.2
 MEAN_WEIGHT = 0.1  # weight of a new observation in the exponentially weighted means
@@ -85,7 +87,7 @@
         self._send(request, server)
 
     def _count_stream(self, request: OpenRequest, writer: Server, sign: int) -> None:
-        """Add (sign 1) or subtract (sign -1) a stream or place of ours at a writer."""
+        """Add (sign 1) or subtract (sign -1) a stream or place of this router at a writer."""
         writer.streams += sign
         self.held_tokens += sign * request.arrival.prompt_tokens
 
@@ -125,7 +127,7 @@
         return self._wait(request)
 
     def _wait(self, request: OpenRequest) -> None:
-        """Leave the request to the next sweep, unless it expires before: writers are full or readers late."""
+        """Let the request wait for the next sweep, as none can take it now; end it if it expires before."""
         request.waiting_since_us = request.waiting_since_us or self.now_us
         if self.now_us >= request.arrival.expires_us - 2 * SWEEP_INTERVAL_US:
             self._end(request, "time")
@@ -156,7 +158,8 @@
         server, request = self.servers[event.server], self.open_requests.get(event.request)
         status = event.status
         if status is i.Status.FULL and event.note == 0 and request is not None:
-            # A server may refuse one tenant though it has room, so it is paused for that tenant only.
+            # Note 0: the server had no room (note 1: it found no state for the write). It may refuse one
+            # tenant though it has room for others, so it is paused for that tenant only.
             times_full = server.full_by_tenant.get(request.arrival.tenant, (0, 0))[1]
             pause_us = max(MIN_FULL_PAUSE_US, FULL_PAUSE_FACTOR * event.latency_us) * (times_full + 1)
             server.full_by_tenant[request.arrival.tenant] = self.now_us + pause_us, times_full + 1
@@ -166,7 +169,7 @@
             self._eject(server, status.value)
         elif status is i.Status.TIMEOUT and event.note == 1:
             # Note 1: the writer did not answer within the time for which the state may be held, so the state
-            # was released. The writer may be unresponsive to everyone.
+            # was released. The writer may be unresponsive to everyone; docs/on-call.md names this reason.
             self._eject(server, "silent")
         if event.stale:
             self.last_loss_us = self.now_us
@@ -184,12 +187,12 @@
             if status is i.Status.READ:  # the request has ended: release the state that this read left
                 self.actions.append(i.Discard(event.request))
             return None
-        was_read = event.attempt in request.in_flight and self._remove_attempt(request, event.attempt)
+        is_read_attempt = event.attempt in request.in_flight and self._remove_attempt(request, event.attempt)
         if event.closed:
             return self._end(request, None)
         if event.attempt in request.cancelled_attempts:
             return None  # a state that it may have left is released when the request ends
-        if was_read:
+        if is_read_attempt:
             if status is i.Status.READ:
                 self._record_answer(server, request, sent_us)
                 self._record_read(server, event, request)
@@ -205,7 +208,8 @@
             return self._start_read(request)
         if status not in (i.Status.CONNECT_FAILED, i.Status.FULL, i.Status.MOOT):
             request.may_have_run = True
-            # Keyed requests are not repeated either: not worth the risk.
+            # Keyed requests are not repeated either: a server that does not know the key, or has forgotten
+            # it, would run them again.
             if request.cls.effect is not i.Effect.SAFE:
                 return self._end(request, "fail")
         if event.note == 1 or request.reader is None:
@@ -241,7 +245,11 @@
         request.held_since_us = 0
 
     def _end(self, request: OpenRequest, why: str | None) -> None:
-        """End a request: cancel its attempts, answer it (unless `why` is None), release and forget it."""
+        """End a request: cancel its attempts, answer it (unless `why` is None), release and forget it.
+
+        `why` is logged, and named in docs/on-call.md: `time`, it expired or has no attempt left; `late`, it
+        waited too long for a server; `fail`, it may have run and must not be repeated.
+        """
         for attempt in list(request.in_flight):
             request.may_have_run = not self._remove_attempt(request, attempt) or request.may_have_run
             if self.settings.cancel:
@@ -278,8 +286,8 @@
         self.sweep_pending = False
         for request in [request for request in self.open_requests.values() if self._overdue(request)]:
             for server in (s for s in request.in_flight.values() if s.role is i.Role.READ):
-                # Its tokens are hardly still queued there; while they counted, one lost read kept all others
-                # away.
+                # An overdue read is probably no longer queued there, so its tokens no longer count as
+                # pending; otherwise one lost read would keep all others away.
                 server.pending_tokens, request.uncached_tokens = (
                     server.pending_tokens - request.uncached_tokens,
                     0.0,
@@ -292,13 +300,15 @@
             if self.now_us >= request.arrival.expires_us - 2 * SWEEP_INTERVAL_US:
                 self._end(request, "time")
             elif request.held_since_us and self.now_us - request.held_since_us < self.settings.release_us / 2:
+                # Later, what is held is released; the other half of the time is margin for the release.
                 self._write_or_wait(request)
             elif (
                 self.now_us - request.waiting_since_us > MAX_WAIT_AIM_FRACTION * request.aim_us
                 and not request.arrival.resumed
             ):
                 # The remainder of a broken stream waits instead: refusing it also loses the part that was
-                # written, and when a router ends, all its streams reach the other routers at the same moment.
+                # written. When a router stops, all its streams reach the other routers at the same moment, so
+                # that some of them have to wait.
                 self._end(request, "late")
             else:
                 if request.held_since_us:
--- a/yardspindle/policy/servers.py
+++ b/yardspindle/policy/servers.py
@@ -11,18 +11,26 @@
 
 from yardspindle import interface as i
 from yardspindle.policy.slow_start import SlowStart
-from yardspindle.policy.state import BASE_EJECTION_US, KEY_WINDOW_US, LONG_AGO_US, OpenRequest, Server
+from yardspindle.policy.state import (
+    BASE_EJECTION_US,
+    LONG_AGO_US,
+    REMOVED_SERVER_RETENTION_US,
+    OpenRequest,
+    Server,
+)
 
 # Longest delay until a change that discovery (the service that lists the servers) knows of has reached this
 # router.
 MAX_LIST_DELAY_US = 6_000_000
-# Reported start times that differ by less are the same start: the list comes from the planner (the process
-# that runs this policy), its times are converted to the clock of the edge (the process that holds the client
-# connections), which is not exact, and two starts of one server are farther apart.
+# Reported start times that differ by less are the same start; two starts of one server are farther apart. The
+# times may differ because they are converted, not exactly, from the clock of the planner (the process that
+# runs this policy) to that of the edge (the process that holds the client connections).
 START_TOLERANCE_US = 100_000
 # A reader in a cell with many writers gets at most this multiple of its even share of the keys.
 MAX_CELL_WEIGHT = 1.1
-CELL_WEIGHT_ITERATIONS = 8  # enough for the cells' shares of the reads to add up to one
+# Iterations that scale the weights until the cells' shares of the reads add up to about one; what is missing
+# after these, because weights are capped, is shared out at the end.
+CELL_WEIGHT_ITERATIONS = 8
 
 
 class ServerHealth(SlowStart):
@@ -67,7 +75,7 @@
             or s.in_flight
             or s.streams
             or n in listed
-            or self.now_us - s.inactive_since_us < KEY_WINDOW_US
+            or self.now_us - s.inactive_since_us < REMOVED_SERVER_RETENTION_US
         }
         self.serving_by_role = Counter(s.role for s in self.servers.values() if not s.inactive)
         self._update_cell_weights([s for s in self.servers.values() if not s.inactive])
@@ -87,7 +95,7 @@
     def _update_cell_weights(self, serving: list[Server]) -> None:
         """Set each cell's share of the reads by its share of the writers; few states then leave the cell."""
         units = {s.entry.cell: [0.0, 0.0] for s in serving}  # read and write capacity of each cell
-        for s in serving:
+        for s in serving:  # a server counts as a reader unless it is a writer only, and the other way round
             for column, other_role in enumerate((i.Role.WRITE, i.Role.READ)):
                 units[s.entry.cell][column] += s.entry.units * (s.role is not other_role)
         total = [max(sum(values), 1e-9) for values in zip(*units.values(), strict=True)]
@@ -110,7 +118,11 @@
         self.spare_write_capacity = [max(write - read, 0.0) for read, write in self.cell_shares.values()]
 
     def _eject(self, server: Server, why: str) -> None:
-        """Eject a server for a time that doubles with each failure; trial requests go there afterwards."""
+        """Eject a server for a time that doubles with each failure, up to eight times BASE_EJECTION_US.
+
+        Afterwards trial requests go there. The log line is quoted in docs/on-call.md; its number is the
+        server's in the server list.
+        """
         server.failures += 1
         server.connect_failures += why == i.Status.CONNECT_FAILED.value
         if server.failures == 1:
@@ -121,8 +133,8 @@
     def _record_answer(self, server: Server, request: OpenRequest, sent_us: int | None) -> None:
         """Clear the failures of a server that answered, and its pause for the request's tenant (customer)."""
         # An answer after failed connects means that the server restarted: the list is seconds late and does
-        # not show it yet. Connections that broke later don't count as a restart: when they did, a few resets
-        # made most of a warm fleet count as cold.
+        # not show it yet. Connections that broke after they were established are no sign of a restart: a few
+        # resets would make most of a warm fleet count as cold.
         if server.connect_failures and (sent_us or self.now_us) >= server.first_failure_us:
             server.started_us = self.now_us
         server.failures = server.connect_failures = 0
@@ -130,7 +142,10 @@
         server.full_by_tenant.pop(request.arrival.tenant, None)
 
     def _usable(self, server: Server, request: OpenRequest) -> bool:
-        """Return whether the server is serving, not paused, without a recent trial and not excluded."""
+        """Return whether the server is serving, not paused and not excluded for the request.
+
+        A server with failures gets one trial in each BASE_EJECTION_US while the trials are unanswered.
+        """
         paused_until = max(
             server.ejected_until_us, server.full_by_tenant.get(request.arrival.tenant, (0, 0))[0]
         )
--- a/yardspindle/policy/slow_start.py
+++ b/yardspindle/policy/slow_start.py
@@ -1,8 +1,8 @@
 """Slow start: limits what all routers together send to a cold server; each knows its own traffic only.
 
 A cold server is one that has just started. It fails if all routers together send it more than `fall_multiple`
-times its current capacity within `fall_us`. Each router therefore limits its own share, by what it knows from
-its start on and never by failures that it observes:
+times its current capacity within `fall_us`. Each router therefore limits its own share from its own start on,
+by its settings, the server list and its arrivals, without waiting for a cold server to fail:
 
 - A request may go to its home: the one server of each stage that it would get if every listed server could
   serve. The home requests of a server are thus its even share, however many others are full, dead or cold.
@@ -10,8 +10,9 @@
   request by request over `fall_us`. Where that is less than one request, only a fraction of the routers may
   send one, by a random draw that holds while the server is listed.
 - A request goes to each cold server at most once, as attempts that are refused or fail load it too.
-- Of the remaining requests a fraction is admitted, according to the capacity that the server has regained for
-  certain; as the real ramp is unknown, a linear one is assumed.
+- Of the remaining requests a fraction is admitted, in proportion to the capacity that the server has
+  regained. As the real ramp is unknown, a linear one is assumed; after failed connects the server counts as
+  just started.
 - When arrivals surge (client retries, routers that died), the fraction shrinks in proportion.
 """
 
@@ -24,7 +25,7 @@
 
 # Requests that a cold server may be sent beyond its home requests, in even shares of the usual arrivals.
 NON_HOME_SHARE = 0.5
-# Requests admitted per request that a cold server can serve; the rest allows for chance and uneven keys.
+# Fraction of a cold server's current capacity that is used; the rest allows for chance and uneven keys.
 SLOW_START_PART = 0.8
 ARRIVAL_WINDOW_US = 30_000_000  # averaging time of the usual arrival rate; surges are shorter
 # Time before the start that is assumed to have had the arrival rate of all tenants' (customers') quotas.
@@ -51,8 +52,10 @@
     def _surge(self) -> float:
         """Return the arrivals in the last `fall_us` relative to what cold servers tolerate; at least 1.
 
-        The home requests of a server may take what `fall_multiple` leaves beside the non-home requests. A
-        single request is always tolerated: among hundreds of routers, most see no more than one in `fall_us`.
+        Relative to its even share of the usual arrivals and to its warmth, a cold server is sent
+        SLOW_START_PART as home requests, times the surge, and SLOW_START_PART * NON_HOME_SHARE as others. The
+        surge that it tolerates is the one at which the sum of both is `fall_multiple`. A single request is
+        always tolerated: among hundreds of routers, most see no more than one in `fall_us`.
         """
         tolerated = max(self.settings.fall_multiple / SLOW_START_PART - NON_HOME_SHARE, 1.0)
         return max(len(self.recent_arrivals) / max(tolerated * self._expected_arrivals(), 1.0), 1.0)
@@ -64,7 +67,7 @@
         return rate * self.settings.fall_us
 
     def _warmth(self, server: Server) -> float:
-        """Return the fraction of its capacity that a server has regained, by a linear ramp from its start."""
+        """Return a server's warmth: the fraction of its capacity regained, by a linear ramp since start."""
         # After failed connects the server may be up again at any moment, freshly started.
         age = 0 if server.connect_failures else self.now_us - server.started_us
         start = self.settings.start_capacity
@@ -97,7 +100,10 @@
         return len(server.non_home_sends) < math.floor(allowance + server.share_draw)
 
     def _record_send(self, request: OpenRequest, server: Server, home: Server | None) -> None:
-        """Count and log an attempt that is sent to a cold server."""
+        """Count and log an attempt that is sent to a cold server.
+
+        docs/operate/node.md quotes the log line; its warmth is the fraction of the capacity regained.
+        """
         warmth = self._warmth(server)
         if warmth >= 1:
             return
--- a/yardspindle/policy/state.py
+++ b/yardspindle/policy/state.py
@@ -18,12 +18,13 @@
 SWEEP_INTERVAL_US = 20_000
 # First ejection time of a failed server; doubled for each further failure, as its cause may last.
 BASE_EJECTION_US = 250_000
-# Fraction of the latency target (aim) that other requests' work at a server may take before ours. A server
+# Fraction of the latency target (aim) for which a request may be delayed by other work at a server. A server
 # with a longer expected delay is passed over, and the request waits if all are.
 MAX_DELAY_AIM_FRACTION = 0.4
-# Window for counting requests by key: one router sees too little traffic in a few seconds. Also how long a
-# lost attempt has an effect, and how long removed servers are remembered.
+# Window for counting requests by key: one router sees too little traffic in a few seconds.
 KEY_WINDOW_US = 30_000_000
+LOSS_WINDOW_US = 30_000_000  # how long after a lost attempt late readers are sent trial requests
+REMOVED_SERVER_RETENTION_US = 30_000_000  # how long removed servers are remembered
 MAX_KEYS = 10_000  # bound on counted keys, and on cached prefixes per server, to limit memory
 LONG_AGO_US = -(1 << 60)  # before any clock reading
 
@@ -38,10 +39,10 @@
     started_us: int  # last start: from the list, or inferred from an answer after failed connections
     inactive: bool = False  # draining or removed
     inactive_since_us: int = 0
-    # Send times of our attempts that have not been answered yet, by (request, attempt).
+    # Send times of this router's attempts that have not been answered yet, by (request, attempt).
     in_flight: dict[tuple[int, int], int] = field(default_factory=dict)
-    pending_tokens: float = 0.0  # our prompt tokens waiting at the reader
-    streams: int = 0  # our answers and places at the writer
+    pending_tokens: float = 0.0  # prompt tokens from this router that wait at the reader
+    streams: int = 0  # answers and places of this router at the writer
     failures: int = 0  # failed connections since the server last answered
     first_failure_us: int = 0  # when the first of these failures was seen
     connect_failures: int = 0  # those failures where no connection was established
@@ -51,8 +52,10 @@
     full_by_tenant: dict[str | None, tuple[int, int]] = field(default_factory=dict)
     # Tokens of each prefix or session that the server has read for this router.
     cached_tokens: dict[str, float] = field(default_factory=dict)
-    delay_us: float = 0.0  # how long a read there last took beyond its own service time
-    delay_seen_us: int = 0  # when delay_us was observed
+    # Expected delay of a read beyond its own service time, raised for an overloaded reader
+    # (`_avoidance_time`); it counts down from `delay_seen_us`, when it was observed.
+    delay_us: float = 0.0
+    delay_seen_us: int = 0
     last_answered_send_us: int = LONG_AGO_US  # send time of the latest attempt that was answered
     # Random number from 0 to 1 by which this router's fractional allowance of non-home requests (those that
     # would go elsewhere if every listed server could serve, `slow_start.py`) is rounded up or down.
@@ -68,11 +71,11 @@
     cls: i.RequestClass
     aim_us: float  # latency target
     key: str  # routing key by which the reader is chosen
-    # Random number from 0 to 1 times the surge (arrivals relative to the usual rate, at least 1) when the
-    # request arrived: a cold (recently started) server admits requests with low numbers.
+    # Random number from 0 to 1 times the surge (`_surge`, at least 1) when the request arrived: a cold
+    # (recently started) server admits only requests whose number is below a fraction that it has regained.
     admission_draw: float
     uncached_tokens: float = 1.0  # tokens that the reader must read beyond those it has cached
-    backlog_tokens: float = 0.0  # our tokens at the reader, this request's included, when it was sent there
+    backlog_tokens: float = 0.0  # the reader's pending_tokens just after it was sent there
     waiting_since_us: int = 0  # 0 while the request has not had to wait
     attempts: int = 0
     in_flight: dict[int, Server] = field(default_factory=dict)  # by attempt
@@ -97,6 +100,7 @@
         """Start without servers and requests; equal seeds and events give equal decisions."""
         self.settings, self.now_us, self.random = settings, 0, random.Random(seed)
         # A separate generator for servers, so that their draws and those of requests don't affect each other.
+        # Its seed's text must stay: another one would change every draw, and with it each recorded run.
         self.server_random = random.Random(f"lots {seed}")
         self.kinds = {kind.name: kind for kind in settings.kinds}
         self.classes = {cls.name: cls for cls in settings.classes}
@@ -105,7 +109,8 @@
         # Cached order of readers by key; cleared when the list changes.
         self.reader_orders: dict[str, list[Server]] = {}
         self.cell_weights: dict[int, float] = {}  # hash weight of a cell's readers, per unit of capacity
-        self.spare_write_capacity: list[float] = []  # fraction of all writes that each cell has to spare
+        # Fraction of all writes that each cell has to spare, in the order of `cell_shares`.
+        self.spare_write_capacity: list[float] = []
         self.cell_shares: dict[int, tuple[float, float]] = {}  # each cell's share of the reads and the writes
         # Delay of the last state that was moved out of each cell, and when it was observed.
         self.cell_delays: dict[int, tuple[float, int]] = {}
@@ -120,7 +125,7 @@
         # When an attempt was last lost, or a connection last broke in a way that says nothing of its server.
         self.last_loss_us = LONG_AGO_US
         self.last_place_refused_us = LONG_AGO_US  # when a writer last refused a place to this router
-        self.held_tokens = 0.0  # tokens of our requests that occupy writers' memory
+        self.held_tokens = 0.0  # tokens of this router's requests in writers' memory
         self.recent_arrivals: deque[int] = deque()  # arrival times in the last `fall_us`
         self.serving_by_role: Counter[i.Role] = Counter()  # number of serving servers by role
         self.last_list_us = LONG_AGO_US  # when the latest server list that is not stale was received
--- a/yardspindle/policy/writers.py
+++ b/yardspindle/policy/writers.py
@@ -16,7 +16,7 @@
 MEMORY_FRACTION = 0.9  # usable fraction of a writer's memory; answers grow after they start
 # After a refused place, writers count as full for this multiple of the shortest latency target: one router
 # sees few of the refusals, so each counts for long.
-MEMORY_FULL_AIMS = 4.0
+MEMORY_FULL_AIM_MULTIPLE = 4.0
 
 
 class WriterSelection(ReaderSelection):
@@ -30,9 +30,10 @@
         limit = MEMORY_FRACTION * sum(s.memory_tokens for s in writers) / self.settings.instances
         limit *= (
             1
-            if self.now_us - self.last_place_refused_us < MEMORY_FULL_AIMS * self.min_aim_us
+            if self.now_us - self.last_place_refused_us < MEMORY_FULL_AIM_MULTIPLE * self.min_aim_us
             else MEMORY_OVERCOMMIT
         )
+        # A limit of 0 means that the writers' memory is unknown.
         if self.held_tokens and self.held_tokens + request.arrival.prompt_tokens > limit > 0:
             return None
         reader_cell = request.reader.entry.cell if request.reader is not None else None
@@ -43,7 +44,11 @@
         return self._least_loaded(writers, request)
 
     def _choose_home_writer(self, request: OpenRequest) -> Server | None:
-        """Return a random writer near the request's home reader, out of all that are listed as serving."""
+        """Return a random writer in the cell where states of the first reader in the key's order are written.
+
+        The choice is among all that are listed as serving, of any cell if that cell has none, and weighted by
+        their capacity.
+        """
         listed = [s for s in self.servers.values() if s.role is not i.Role.READ and not s.inactive]
         readers = self._reader_order(request.key)
         cell = self._writer_cell(request, readers[0].entry.cell) if readers else None
@@ -51,7 +56,11 @@
         return self.random.choices(near, [s.entry.units for s in near])[0] if near else None
 
     def _least_loaded(self, writers: list[Server], request: OpenRequest) -> Server | None:
-        """Return a usable writer with few of our streams for its current capacity, ties broken at random."""
+        """Return a usable writer with few streams of this router, relative to its current capacity.
+
+        Random noise, of one stream in the mean, is added to each load: it breaks the frequent ties and keeps
+        many routers from choosing the same writer.
+        """
         usable = [
             s for s in writers if self._usable(s, request) and s.entry.server not in request.full_writers
         ]
