--- a/yardspindle/core/request/answer.py
+++ b/yardspindle/core/request/answer.py
@@ -5,12 +5,12 @@
 failed.
 
 `AnswerTracker` inspects each event once and decides what is forwarded to the client and when the answer is complete: a
-`finish_reason`, then `[DONE]`. An engine that sends `error`, or stops before that, has broken its stream. Events are
-forwarded unchanged, except the usage event that the edge asked for, which is dropped if the client did not ask for it.
-Most events are recognised without being parsed.
+`finish_reason`, then `[DONE]`. An engine that sends `error`, or whose stream ends before `[DONE]`, has broken its
+stream. Events are forwarded unchanged, except the usage event that the edge asked for, which is dropped if the client
+did not ask for it. Most events are recognised without being parsed.
 
 `http_error` gives each final answer its status. The official clients retry a 5xx by themselves unless told not to;
-for a request that may have run, `x-should-retry: false` tells them.
+`x-should-retry: false` tells them for every failed request of an unsafe class, as it may have run.
 """
 
 from __future__ import annotations
@@ -98,7 +98,8 @@
     """Assembles the events of an answer into one body, for a client that did not ask for a stream.
 
     Deltas are merged by the rule that clients use: strings are concatenated, lists merged by `index`, objects field by
-    field, and of anything else the last value wins. So fields unknown to this code pass too.
+    field, and of anything else the last value wins, as it does of `role`, `type`, `id` and `index`. So fields unknown
+    to this code pass too.
     """
 
     def __init__(self) -> None:
@@ -164,7 +165,8 @@
 
 # Messages to clients, by code.
 MESSAGES = {
-    # Refused by the routing policy, which found no server in time; a retry is harmless.
+    # Refused by the routing policy, which found no server in time; a retry is harmless. (A request of a safe class is
+    # refused with this text even if an attempt of it may have run.)
     "overloaded": "The service is busy; nothing of this request has run.",
     "edge_full": "This router holds as many requests as it may.",
     # The edge has no planner (the process that decides which server does what), or has lost the one of this request.
--- a/yardspindle/core/request/commands.py
+++ b/yardspindle/core/request/commands.py
@@ -71,8 +71,8 @@
 class TrackUnreadCall:
     """Track a call that a server may have received but not read, and may act on later.
 
-    `silent`: its connection was unresponsive for longer than a running server takes to read a call, even if the server
-    answers on other connections.
+    `silent`: its connection was unresponsive for longer than a running server takes to read a call, so the connection
+    itself may be dead, and the server's answers on other connections do not prove that it has read this call.
     """
 
     request: int
@@ -109,14 +109,15 @@
 class AbortReason(Enum):
     """Why an attempt is aborted.
 
-    The last two apply while engines hold, or may hold, a state or place for the request: these must be used or released
-    within a time limit (`held_resources.py`), so the attempt gets less time to connect and be answered than otherwise.
+    The last two apply while engines hold, or may hold, a state or place for the request ("something" in their texts):
+    these must be used or released within a time limit (`held_resources.py`), so the attempt gets less time to connect
+    and be answered than otherwise. The texts are logged as `why`; operators look for that of UNANSWERED.
     """
 
     REQUEST_OVER = "its request is over"
     POLICY = "the policy called it off"
-    PLANNER_LOST = "no planner decides"
-    SHUTDOWN = "this program ends"
+    PLANNER_LOST = "no planner is connected"
+    SHUTDOWN = "the process is shutting down"
     NOT_CONNECTED = "not connected in time while something is held"
     UNANSWERED = "no word of it in time while something is held"
 
@@ -141,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The final answer of a request. For a served one, it ends the stream."""
+    """The final answer of a request. If it was served, only the end of the answer remains to be sent."""
 
     request: int
     final: Final
--- a/yardspindle/core/request/completion.py
+++ b/yardspindle/core/request/completion.py
@@ -25,8 +25,8 @@
         self.counts = RequestCounts()
         self._commands: list[c.Command] = []
 
-    def _give_up(self, record: RequestRecord, code: str, retry_after_us: int | None = None) -> None:
-        """Give up a request at the edge, without a planner: refuse it where a retry is harmless, else fail it."""
+    def _end_without_policy(self, record: RequestRecord, code: str, retry_after_us: int | None = None) -> None:
+        """End a request by the edge's own decision: refuse it if a retry is harmless, else fail it."""
         if harmless_to_repeat(record.effect, record.may_have_run):
             self._final(
                 record, c.Final.REFUSED, code, self.rules.retry_after_us if retry_after_us is None else retry_after_us
@@ -37,6 +37,7 @@
         self._forget_if_done(record)
 
     def _answer(self, now_us: int, record: RequestRecord, final: c.Final, code: str, retry_after_us: int = 0) -> None:
+        """Give a request that is still unanswered its final answer, and end all its work."""
         if record.final is not None or record.streaming:
             return  # already answered, or its stream began while this answer was under way
         self._final(record, final, code, retry_after_us)
@@ -96,7 +97,8 @@
 
     def _track_unread(self, record: RequestRecord, attempt: Attempt, silent: bool = False) -> None:
         """Track an attempt that ended without an answer: its server may read it later and keep a state."""
-        # An accepted read may also resume at a host that was paused in it. A write that is read late finds no state.
+        # Reads that a server had accepted are tracked too: a paused host may resume one. Writes are not: a server that
+        # receives one late finds no state to fetch.
         if self.rules.release_by_request and attempt.written and attempt.server.role is not i.Role.WRITE:
             self._commands.append(c.TrackUnreadCall(record.request.request, attempt.server, silent))
 
@@ -118,7 +120,7 @@
             self.requests.pop(record.request.request, None)
 
     def _release(self, record: RequestRecord) -> None:
-        """Release everything that no attempt depends on."""
+        """Release everything that no attempt depends on (a read does not: it leaves a state of its own)."""
         if self.rules.release_by_request:
             return self._release_all(record)
         if record.attempt is None or record.attempt.server.role is i.Role.READ:
--- a/yardspindle/core/request/edge_core.py
+++ b/yardspindle/core/request/edge_core.py
@@ -122,7 +122,7 @@
         state: Any = None,
         stale: bool = False,
     ) -> list[c.Command]:
-        """An attempt ended or timed out."""
+        """An attempt ended or timed out; `note`, `state` and `stale` as in `Lifecycle.attempt_ended`."""
         if status is i.Status.TIMEOUT and self.lifecycle.is_unwritten(request, number):
             status = i.Status.MOOT  # timed out before its last byte was written: nothing of it has run
         self.rule_checker.attempt_ended(now_us, request, number, status, note)
@@ -131,7 +131,7 @@
     def start_sending(self, now_us: int, request: int, number: int) -> int:
         """An attempt's first byte is about to be written: the milliseconds left for it, 0 if it must not be sent.
 
-        None is sent while a release of its request is pending: the release would take what the attempt needs, and
+        No attempt is sent while a release of its request is pending: the release would take what the attempt needs, and
         could not be sent itself for as long as the attempt lies unread at some server.
         """
         left_ms, server = self.lifecycle.remaining_ms(now_us, request, number), self.lifecycle.listed_server(request)
--- a/yardspindle/core/request/engine_releases.py
+++ b/yardspindle/core/request/engine_releases.py
@@ -2,8 +2,8 @@
 
 A state is the KV cache that a read (prefill) leaves at its engine; a place is memory reserved for a write (decode). A
 lost release leaves memory pinned at an engine until the engine's own time-out. So each one is retried with growing
-pauses for as long as the engine may still hold the resource, and no longer. An engine that is down must not cost a task
-for everything it ever held: a few releases go to each server at a time, the others wait in its queue.
+pauses for as long as the engine may still hold the resource, and no longer. A few go to each server at a time and the
+others wait in its queue, so that an engine that is down does not keep one task waiting for each state and place.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 MAX_IN_FLIGHT_PER_SERVER = 4  # releases are small, and each call to a dead server lasts until its time-out
 INITIAL_PAUSE_US = 25_000  # before the second try; a lost connection is usually back at once
 MAX_PAUSE_US = 1_000_000
-EXPIRY_US = 30_000_000  # an engine releases by itself before this: later tries are useless
+EXPIRY_US = 30_000_000  # by then an engine frees a state or place by its own time-out: later tries are useless
 MAX_PENDING = 20_000  # in all; beyond it the oldest of the longest queue is dropped, as it expires first
 
 
--- a/yardspindle/core/request/graceful_shutdown.py
+++ b/yardspindle/core/request/graceful_shutdown.py
@@ -3,12 +3,12 @@
 A dispatcher is a router process on the operators' platform. The platform kills the process no earlier than the longest
 deadline (three seconds at most) plus 0.7 s after the signal. The times count back from there. Streams are cut well
 before the kill: in a rolling restart the next dispatcher gets its signal at about the time of this kill, and a client
-that resumes its stream there would find it gone. Idle connections are served until shortly before the cut, since the
-dispatcher restarted before may not be back.
+that resumes its stream at that dispatcher would find it shutting down. Idle connections are served until shortly before
+the cut, since the dispatcher that was restarted before this one may not be ready yet.
 
 Where clients do not resume streams, cutting one loses its request. There streams run to their end or to the kill, which
-costs nothing for requests that arrived early enough. New requests are therefore refused once their service is no longer
-owed: one that arrives later and is unanswered at the kill is lost.
+is late enough for requests that arrived before KILL_GRACE_US after the signal. Later ones need not be served and are
+refused: one that is unanswered at the kill would be lost.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from dataclasses import dataclass
 
 MAX_DEADLINE_US = 3_000_000  # the longest deadline of a request counts up to this
-KILL_GRACE_US = 700_000  # added to it; for so long after the signal new requests must be served in any case
-STOP_LEAD_US = 1_100_000  # streams are cut this long before the kill; at 0.3 s a third of what arrived failed
+KILL_GRACE_US = 700_000  # from the longest deadline to the kill; so long after the signal new requests must be served
+STOP_LEAD_US = 1_100_000  # streams are cut this long before the kill; with 0.3 s a third of the arriving requests fail
 CLOSE_LEAD_US = 1_500_000  # idle connections close this long before the kill: time to answer their last requests
 FINAL_ANSWERS_US = 150_000  # to send the remaining answers
-RELEASES_US = 900_000  # for pending releases: the platform's rule allows 0.6 s, and the kill is 0.2 s away then
+RELEASES_US = 900_000  # from the cut, for pending releases: the rule allows 0.6 s; ends 0.2 s before the kill
 STREAMS_US = 60_000_000  # for streams that run to their end; the kill comes long before
 
 
@@ -30,7 +30,7 @@
 
     close_idle_us: int  # idle connections are closed, no new ones accepted
     refuse_us: int  # new requests are refused
-    stop_us: int  # open requests are answered; where clients resume, streams are cut
+    stop_us: int  # open requests are refused or failed unless they stream; where clients resume, streams are cut
     exit_us: int  # the process exits at the latest, unless releases are pending
     release_deadline_us: int  # then it exits in any case
 
--- a/yardspindle/core/request/held_resources.py
+++ b/yardspindle/core/request/held_resources.py
@@ -16,12 +16,13 @@
 from yardspindle.core.request.completion import RequestCompletion
 from yardspindle.core.request.evidence import Evidence
 from yardspindle.core.request.records import Attempt, Place, RequestRecord, UnansweredPlace
-from yardspindle.core.request.retry_safety import may_have_run
+from yardspindle.core.request.retry_safety import NOTE_NO_STATE, may_have_run
 
 RELEASE_FRACTION = 0.75  # of the release time: the edge then releases by itself; the routing policy does so at half
 CONNECTS_WHILE_HELD = 2  # writers that can be tried one after another within that time while a state is held
-PLACE_ANSWER_LIMIT_US = 450_000  # a writer that has seen no read for the place says so after 0.3 s
-NOTE_NOTHING_HELD = 1  # note of an attempt after which no state is held any more
+# A running writer answers a call for a place within this time. It takes longest, 0.3 s, to say that it does not know
+# whether it holds the place, as it knows of no read of the request. After a longer silence the connection may be dead.
+PLACE_ANSWER_LIMIT_US = 450_000
 
 
 class HeldResources(RequestCompletion):
@@ -72,7 +73,7 @@
         return server is not None and server.closed_us is None and self._same_address(server, record.place.server)
 
     def place_requested(self, now_us: int, request: int, number: int, server: Server) -> None:
-        """The call for a place is being written: from now on it may be held, whatever the answer."""
+        """The call for a place is being written: from now on the place may be held, whatever the answer."""
         record = self.requests.get(request)
         if record is not None:
             record.unanswered_places[number] = UnansweredPlace(server, now_us)
@@ -123,7 +124,7 @@
                 self._release(record)
 
     def _mark_read_accepted(self, read: Attempt) -> None:
-        """A writer's answer to a call for a place: it sends one only if a read of the request is running."""
+        """Called when a writer grants or declines a place, which it can only if a running reader has the read."""
         if read.written:
             read.evidence = Evidence.ACCEPTED
 
@@ -173,8 +174,8 @@
                 status,
                 now_us - attempt.sent_us,
                 False,
-                NOTE_NOTHING_HELD,
+                NOTE_NO_STATE,
             ),
         )
         if not record.epoch:
-            self._give_up(record, "planner_lost")
+            self._end_without_policy(record, "planner_lost")
--- a/yardspindle/core/request/intake.py
+++ b/yardspindle/core/request/intake.py
@@ -5,13 +5,13 @@
 
 - *shared prefix*: what sessions share at the start. `metadata.shared_opening`, else `prompt_cache_key`, else a
   hash of the tools and the leading system and developer messages, if they are long enough to be worth caching;
-- *session*: `metadata.session` or the header `X-Session-Id`, else a hash up to the first message after the
-  shared prefix: a later turn of the conversation starts with the same;
+- *session*: `metadata.session` or the header `X-Session-Id`, else a hash of the prompt up to and including the first
+  message after the shared prefix, with which later turns of the conversation begin too;
 - *class*: `metadata.class` or `X-Request-Class`, else the configured default, else the first safe class (one whose
-  requests may run twice);
-- *deadline*: `X-Request-Timeout-Ms`, `metadata.timeout_ms`, or the read time-out that OpenAI's clients send,
-  none later than the class's own. It bounds the first token of a streamed answer and the last of a buffered one,
-  which gets additional time for its maximum length.
+  requests may run twice), or the first class if none is safe;
+- *deadline*: the least of the time stated in `X-Request-Timeout-Ms` or `metadata.timeout_ms`, the read time-out that
+  OpenAI's clients send, and the class's own. It bounds the first token of a streamed answer and the last of a buffered
+  one, which gets additional time for its maximum length.
 
 Names that clients give are scoped by tenant; hashes of prompts are not, as the same prompt has the same state.
 """
@@ -34,7 +34,10 @@
 
 
 class IntakeError(Exception):
-    """A field of the request is invalid; `param` names it."""
+    """A field of the request is invalid; `param` names it.
+
+    A value that can be stated in several fields (such as a header and a field of the body) is named by one of them.
+    """
 
     def __init__(self, param: str, reason: str) -> None:
         """`reason` is for the client."""
--- a/yardspindle/core/request/lifecycle.py
+++ b/yardspindle/core/request/lifecycle.py
@@ -12,6 +12,8 @@
 - a state or place is released in time unless a running server is known to have an attempt, and at once when the
   request ends (`held_resources.py`).
 
+Metrics and logs have names for them (`rule_checker.py`), one for the second and third together.
+
 The edge never chooses a server. Events and results come in with the current time; commands go out in order.
 """
 
@@ -26,7 +28,7 @@
 from yardspindle.core.request.evidence import PROVES_ACCEPTED, Evidence
 from yardspindle.core.request.held_resources import HeldResources
 from yardspindle.core.request.records import Attempt, RequestRecord
-from yardspindle.core.request.retry_safety import PROVES_NOT_RUN, harmless_to_repeat, may_have_run
+from yardspindle.core.request.retry_safety import NOTE_NO_STATE, PROVES_NOT_RUN, harmless_to_repeat, may_have_run
 
 
 class Lifecycle(HeldResources):
@@ -54,7 +56,7 @@
                 if record.attempt is not None and record.attempt.server.role is i.Role.READ:
                     self._abort(now_us, record, c.AbortReason.PLANNER_LOST)
                 if record.attempt is None:
-                    self._give_up(record, "planner_lost")
+                    self._end_without_policy(record, "planner_lost")
             record.epoch = 0
         return self._take_commands()
 
@@ -72,10 +74,12 @@
                 if self.rules.resume and record.attempt is not None:
                     self._commands.append(c.FlushStream(record.request.request, record.attempt.number))
                 continue
-            if record.attempt is not None:  # by the platform's rules a read counts as run, too (docs/questions.md)
+            if record.attempt is not None:
+                # On the platform, which has `release_by_request`, an attempt that was sent counts as run when the
+                # process exits, even a read (docs/questions.md).
                 record.may_have_run = record.may_have_run or self.rules.release_by_request and record.attempt.written
                 self._abort(now_us, record, c.AbortReason.SHUTDOWN)
-            self._give_up(record, "draining", 0)  # other dispatchers can serve it: no need to wait
+            self._end_without_policy(record, "draining", 0)  # other dispatchers can serve it: no need to wait
         return self._take_commands()
 
     def stream_flushed(self, now_us: int, request: int) -> list[c.Command]:
@@ -99,7 +103,7 @@
         full = len(self.requests) >= self.rules.max_open_requests
         self.requests[request.request] = record
         if full or not self.epoch:
-            self._give_up(record, "planner_lost" if not full else "edge_full")
+            self._end_without_policy(record, "planner_lost" if not full else "edge_full")
         else:
             self._notify(record, request)
         return self._take_commands()
@@ -157,7 +161,8 @@
         why, server = self._reason_not_to_send(now_us, record, send.server)
         if why is not None or server is None:
             self._interlock(record, why or "unknown server")
-            note = 1 if why == "no state" else 0
+            # A missing state is reported as by an engine that finds none: the policy then has the prompt read again.
+            note = NOTE_NO_STATE if why == "no state" else 0
             status = i.Status.FULL if note else i.Status.MOOT
             self._notify(
                 record, i.Outcome(send.request, number, send.server, status, 0, record.final is not None, note)
@@ -247,7 +252,11 @@
         state: Any = None,
         stale: bool = False,
     ) -> list[c.Command]:
-        """An attempt ended or timed out; `state` is a read's result, `stale` means an idle connection was reset."""
+        """An attempt ended or timed out.
+
+        `note`: see `interface.Outcome`; `state`: a read's result; `stale`: a kept-alive connection turned out to be
+        closed when it was used again, or was reset during connect, which says little about the server.
+        """
         record = self.requests.get(request)
         if record is None or record.attempt is None or record.attempt.number != number:
             return self._take_commands()  # it was aborted, and its end has been reported
@@ -266,7 +275,7 @@
             self._release(record)
         elif attempt.server.role is i.Role.READ:  # it may still be reading, or hold a state that was never reported
             self._commands.append(c.ReleaseState(request, number, attempt.server))
-        elif note == 1:
+        elif note == NOTE_NO_STATE:
             self._release_state(record)
         if status not in (i.Status.SERVED, i.Status.FULL) and not record.streaming:
             self._unconfirmed_write(now_us, record, attempt)
@@ -287,7 +296,7 @@
             ),
         )
         if record.final is None and not record.epoch:
-            self._give_up(record, "planner_lost")
+            self._end_without_policy(record, "planner_lost")
         self._settle(now_us, record)
         return self._take_commands()
 
--- a/yardspindle/core/request/planning.py
+++ b/yardspindle/core/request/planning.py
@@ -40,7 +40,7 @@
         self.events = 0
 
     def update_members(self, now_us: int, server_list: ServerList) -> Decisions:
-        """Pass a change of the server list to the policy."""
+        """Pass a change of the server list to the policy (as `interface.Members`, the list of model servers)."""
         decisions = Decisions()
         self._handle(now_us + self.offset_us, server_list.members(self.offset_us), decisions)
         return decisions
@@ -74,7 +74,7 @@
         self.events += 1
         try:
             actions = self._policy(event, self._last_us)
-        except Exception as error:  # only this request fails
+        except Exception as error:  # it must not end the session: only the event's request fails, if it has one
             decisions.errors.append(f"{type(event).__name__}: {type(error).__name__}: {error}")
             request = getattr(event, "request", None)
             if isinstance(request, int):
--- a/yardspindle/core/request/records.py
+++ b/yardspindle/core/request/records.py
@@ -29,7 +29,7 @@
     max_open_requests: int
     writers_read: bool = False  # writers may read prompts themselves
     resume: bool = False  # clients resume a stream that was cut
-    release_by_request: bool = False  # one release frees all that engines hold for a request; none frees only a part
+    release_by_request: bool = False  # a release frees all that engines hold for a request, never only a part of it
 
 
 @dataclass(slots=True)
@@ -96,7 +96,10 @@
 
 
 def phase(record: RequestRecord) -> str:
-    """A short description of a request's progress, for status pages, traces and counts of transitions."""
+    """A short description of a request's progress, for status pages, traces and counts of transitions.
+
+    "read" means that the read has ended and left its state; "place asked", that the writer has not granted it yet.
+    """
     if record.final is not None:
         return "settling" if record.attempt is not None else "over"
     if record.streaming:
@@ -114,13 +117,13 @@
 
 @dataclass(slots=True)
 class RequestCounts:
-    """Counts of accepted requests, their ends and triggered interlocks, for the metrics."""
+    """Counts of requests, their ends and triggered interlocks, for the metrics."""
 
-    taken: int = 0
+    taken: int = 0  # all that arrived, also those refused at once for lack of room or of a planner
     served: int = 0
     refused: int = 0
     failed: int = 0
-    left: int = 0
+    left: int = 0  # their clients disconnected before the final answer
     interlocks: dict[str, int] = field(default_factory=dict)
 
     def as_dict(self) -> dict[str, int]:
--- a/yardspindle/core/request/request_releases.py
+++ b/yardspindle/core/request/request_releases.py
@@ -1,10 +1,11 @@
 """Pending releases by request, where one message to any engine releases all that any engine holds for the request.
 
 What is held is a state (the KV cache that a read leaves) or a place (memory reserved for a write). Any live engine
-forwards such a release, so an engine that is down does not excuse a missing one. The engine that answered last is asked
-first; if it does not answer, several others are asked at once, since in a partition most of those that answered last
-are unreachable. An engine that did not answer is asked last for all other requests too. Those of which nothing is known
-are asked in an order of each edge's own, or a whole fleet would ask one engine, dead or not, at the same moment.
+forwards such a release to the others, so it can be delivered while some engines are down. The engine that answered last
+is asked first; if it does not answer, several others are asked at once, since in a partition most of those that
+answered last are unreachable. An engine that did not answer is asked last for all other requests too. Those of which
+nothing is known are asked in an order of each edge's own, or a whole fleet would ask one engine, dead or not, at the
+same moment.
 
 A read whose connection was closed may still leave its state after the release, which is therefore repeated a little
 later. A release that arrives while a newer attempt of its request runs would take that attempt's state or place, and an
@@ -25,11 +26,14 @@
 MAX_IN_FLIGHT = 64  # calls at a time, so that a dead fleet does not cost a task for each request
 MAX_PRECAUTIONARY = 8  # of those; releases for calls that engines may not have read yet must not delay others
 MAX_LATE_CALLS = 16  # overdue calls still awaited: a host may be slow to accept, but a dead fleet never answers
-REPEAT_DELAY_US = 120_000  # by then a read that ended while its connection was closed is over, but not the release time
+# A read that succeeds while its connection is being closed has left its state by then. Less than the release time.
+REPEAT_DELAY_US = 120_000
 RETRY_FANOUT = 3  # engines asked at once after one did not answer: with half unreachable, one round in eight fails
 IMMEDIATE_TRIES = 10  # engines asked without a pause, in four rounds; the platform's rule allows 300 ms in all
 RETRY_PAUSE_US = 100_000
-EXPIRY_US = 10_000_000  # engines free what they hold by a time-out of their own: a later release is pointless
+# By then the platform's hosts have freed what they hold by a time-out of their own: a later release is pointless. (The
+# engines of `engine_releases.py`, which take releases of single states and places, have a longer one.)
+EXPIRY_US = 10_000_000
 
 
 @dataclass(slots=True)
@@ -125,13 +129,13 @@
                 continue
             if self._in_flight >= MAX_IN_FLIGHT:
                 break
-            asked = self._ask(release, servers)
+            asked = self._choose_engines(release, servers)
             release.in_flight = {server.number for server in asked}
             self._in_flight += len(asked)
             due += [(release, server) for server in asked]
         return due
 
-    def _ask(self, release: RequestRelease, servers: Mapping[int, Server]) -> list[Server]:
+    def _choose_engines(self, release: RequestRelease, servers: Mapping[int, Server]) -> list[Server]:
         """The engines to ask now: one, or after a failure several that differ from each other and from the failed ones.
 
         Servers fail by role or by zone. Those that answered last may all be of the part that just failed, and each
--- a/yardspindle/core/request/rule_checker.py
+++ b/yardspindle/core/request/rule_checker.py
@@ -6,8 +6,8 @@
 and logged with its request, and a harmful command is withheld where that is safe: a second answer, a forbidden attempt.
 The property tests and the simulations on the virtual clock read the same records.
 
-Held are states (the KV cache that a read, or prefill, leaves) and places (memory reserved at a writer, or decode
-server). An attempt is one send of a request's stage to one server.
+What is held is a state (the KV cache that a read, or prefill, leaves) or a place (memory reserved at a writer, or
+decode server). An attempt is one send of a request's stage to one server.
 """
 
 from __future__ import annotations
@@ -20,10 +20,14 @@
 from yardspindle.core.request import commands as c
 from yardspindle.core.request.evidence import PROVES_ACCEPTED
 from yardspindle.core.request.records import EdgeRules
-from yardspindle.core.request.retry_safety import PROVES_NOT_RUN
+from yardspindle.core.request.retry_safety import NOTE_NO_STATE, PROVES_NOT_RUN
 
 LATE_TICK_US = 40_000  # the core ticks every 20 ms; a busy loop may miss one tick
-NOTHING_PINNED = "nothing left pinned"  # name of the rule that states and places are released in time
+# Names of the rules, as metrics and logs have them; the full rules are in `lifecycle.py`.
+ONE_FINAL_ANSWER = "one final answer"  # for each request, in time, and nothing is done for it afterwards
+NO_EFFECT_TWICE = "no effect twice"  # of an unsafe request, nor two attempts of any request in flight
+DRAINS_KEPT = "drains kept"  # nothing new goes to a server that drains or is gone
+NOTHING_PINNED = "nothing left pinned"  # states and places are released in time
 MAX_ENDED = 2_000  # ended requests remembered, to check what follows their end
 
 
@@ -115,14 +119,14 @@
         if status is i.Status.READ:
             self._start_hold_time(now_us, record)
             record.state = attempt, server
-        elif write and (note == 1 or status is i.Status.SERVED):
+        elif write and (note == NOTE_NO_STATE or status is i.Status.SERVED):
             record.state = None
 
     def may_reserve_place(self, now_us: int, request: int, place: int, listed: Server | None) -> bool:
-        """The call for a place is about to be written; returns whether it may be. It may be held from now on."""
+        """Whether a call for a place may be written now; if so, the place is recorded as held from now on."""
         record = self.requests.get(request)
         if record is None or record.finished or listed is None or not self._accepts_work(now_us, listed):
-            return self._violation("drains kept" if record else "one final answer", request, "a call for a place")
+            return self._violation(DRAINS_KEPT if record else ONE_FINAL_ANSWER, request, "a call for a place")
         self._start_hold_time(now_us, record)
         record.places[place] = listed.name
         return True
@@ -196,13 +200,13 @@
         record = self.requests.get(command.request)
         write = isinstance(command, c.Write)
         if record is None or record.finished:
-            return self._violation("one final answer", command.request, "an attempt after the end")
+            return self._violation(ONE_FINAL_ANSWER, command.request, "an attempt after the end")
         if record.in_flight:
-            return self._violation("no effect twice", command.request, "a second attempt while one is in flight")
+            return self._violation(NO_EFFECT_TWICE, command.request, "a second attempt while one is in flight")
         if record.may_have_run and record.effect is not i.Effect.SAFE:
-            return self._violation("no effect twice", command.request, "an attempt though one may have run")
+            return self._violation(NO_EFFECT_TWICE, command.request, "an attempt though one may have run")
         if not self._accepts_work(now_us, command.server):
-            return self._violation("drains kept", command.request, f"an attempt at {command.server.name}")
+            return self._violation(DRAINS_KEPT, command.request, f"an attempt at {command.server.name}")
         record.in_flight[command.attempt] = write, command.server.name
         if self._rules.release_by_request:
             record.unwritten.add(command.attempt)
@@ -225,10 +229,10 @@
         """
         record = self.requests.get(request)
         if record is None or record.finished or attempt not in record.in_flight:
-            return self._violation("one final answer", request, "a first byte of an aborted attempt")
+            return self._violation(ONE_FINAL_ANSWER, request, "a first byte of an aborted attempt")
         name = record.in_flight[attempt][1]
         if listed is None or listed.name != name or not self._accepts_work(now_us, listed):
-            return self._violation("drains kept", request, f"a first byte to {name}")
+            return self._violation(DRAINS_KEPT, request, f"a first byte to {name}")
         if release_pending:
             return self._violation(NOTHING_PINNED, request, f"a first byte to {name} while a release is pending")
         return True
@@ -240,15 +244,19 @@
     def _check_answer(self, now_us: int, answer: c.Answer) -> bool:
         record = self.requests.get(answer.request)
         if record is None or record.finished:
-            return self._violation("one final answer", answer.request, f"a second one: {answer.code}")
+            return self._violation(ONE_FINAL_ANSWER, answer.request, f"a second final answer: {answer.code}")
         harmless = record.effect is i.Effect.SAFE or not (
             record.may_have_run or any(write for write, _ in record.in_flight.values())
         )
         if answer.final is c.Final.REFUSED and not harmless:
-            self._violation("no effect twice", answer.request, "a refusal though it may have run")
+            self._violation(NO_EFFECT_TWICE, answer.request, "a refusal though it may have run")
         late_us = now_us - record.expires_us - self._rules.answer_slack_us - LATE_TICK_US
         if late_us > 0 and not record.stream_visible:
-            self._violation("one final answer", answer.request, f"{late_us} us late")
+            self._violation(
+                ONE_FINAL_ANSWER,
+                answer.request,
+                f"the final answer is {late_us} us late, slack and a missed tick not counted",
+            )
         record.answered = True
         self._forget(answer.request, record)
         return True
@@ -257,8 +265,8 @@
         """Check time limits: overdue answers, and states or places held without an accepted attempt."""
         for request, record in list(self.requests.items()):
             if not record.stream_visible and now_us > record.expires_us + self._rules.answer_slack_us + LATE_TICK_US:
-                self._violation("one final answer", request, "none in time")
-                record.disconnected = True
+                self._violation(ONE_FINAL_ANSWER, request, "no final answer in time")
+                record.disconnected = True  # ends the record, so that this is reported once
                 self._forget(request, record)
         for request, record in (*self.requests.items(), *self._ended.items()):
             held = record.state is not None or record.places
@@ -276,6 +284,7 @@
         """A release is about to be written; whether it takes nothing from an attempt that may run."""
         record = self._find(request)
         written = record.in_flight.keys() - record.unwritten if record is not None else set()
+        # "under attempts": while these attempts may be running.
         return not written or self._violation(NOTHING_PINNED, request, f"a release under attempts {sorted(written)}")
 
     def release_overdue(self, now_us: int, request: int, since_us: int) -> None:
--- a/yardspindle/core/request/timeouts.py
+++ b/yardspindle/core/request/timeouts.py
@@ -13,8 +13,8 @@
 IDLE_CLIENT_US = 60_000_000  # for an idle connection, as long as there is room for it
 # Before a call to a host, a request's task checks whether its client has closed the connection. The close may have
 # arrived but still be unread, so the task sleeps for one turn of the event loop, in which the task that watches the
-# client reads it, and does so up to CLOSE_POLLS times, as that task may run a turn late. A client that has sent so much
-# ahead that reading from it has stopped is not waited for any longer than that.
+# client reads it, and does so up to CLOSE_POLLS times, as that task may run a turn late. If reading from a client is
+# paused, since it has sent too much ahead, its close cannot be seen, and the call is made after CLOSE_POLLS turns.
 CLOSE_POLL_US = 1_000
 CLOSE_POLLS = 3
 
@@ -24,8 +24,8 @@
 FIRST_EVENT_US = 500_000  # from the head to the end of the first event
 STREAM_IDLE_US = 4_500_000  # for a stream that brings nothing; its client waits 5 s at most
 # How long complete events wait in an HTTP chunk that stays incomplete, before they are passed on without the rest of
-# the chunk. An event is late if the client gets it more than 0.3 s after the host wrote it. The first event waits up to
-# 0.1 s less than these 0.3 s: once it is passed on, the request cannot be retried at another host.
+# the chunk. An event is late if the client gets it more than 0.3 s after the host wrote it. The first event waits
+# longer than later ones: once it is passed on, the request cannot be retried at another host.
 PARTIAL_EVENT_US = 100_000
 FIRST_PARTIAL_EVENT_US = 200_000
 # At shutdown, a stream that its client can resume is cut. Before that, the task that relays it gets up to FINAL_POLLS
@@ -51,19 +51,22 @@
 # For a new connection to get a file descriptor, if no host holds anything for the request; if one does, the wait is
 # limited like connecting. Running calls end and free descriptors, and the lack of them is not the host's fault.
 DESCRIPTOR_WAIT_US = 1_000_000
-DESCRIPTOR_RETRY_PAUSE_US = 5_000  # between tries to get a descriptor: a tenth of the shortest time a whole call gets
+DESCRIPTOR_RETRY_PAUSE_US = 5_000  # between tries to get a descriptor: short against all waits for one
 
 # Discovery. A watch is a call that the agent answers at the next change of the list, or after WATCH_WAIT_US. The
-# platform expects the router to follow a change from a fixed time on: if a watch became unresponsive and missed it, 6 s
-# after the change, or 2 s after the end of the call's wait if that is later; in any other failure, 6 s after the moment
-# from which discovery had the change and could be reached. The least time is left when the agent stops responding just
-# after a call: that is detected after the wait and AGENT_RESPONSE_US. Each call after that has to connect, be answered
-# and be read, and the first of them may be corrupted in the slowest way, by an answer that never ends:
-# 1.0 + 0.2 + (0.2 + 2.0) + 0.02 + (0.2 + 2.0) = 5.62 s, the last call with a valid answer that arrives byte by byte.
-# For an agent that was down, a change counts from its return: the last call that it left unanswered is abandoned at
-# most 0.2 s later and the next is made 0.02 s after that. The shortest known grace period of a drain (in which requests
-# may still be sent to the host) is 0.25 s, which leaves 0.03 s for the answer to that call. Calls are cheap for an
-# agent, and it answers at once.
+# platform expects the router to follow a change from a fixed time on: if a watch became unresponsive and missed it,
+# LIST_UPDATE_LIMIT_US after the change, or 2 s after the end of the watch's wait if that is later; in any other
+# failure, LIST_UPDATE_LIMIT_US after the moment from which the agent had the change and could be reached. The least
+# time is left if the agent stops responding just after a call and corrupts the first call after that in the slowest
+# way, by an answer that never ends:
+#     WATCH_WAIT_US + AGENT_RESPONSE_US     until the unresponsive watch ends,
+#     AGENT_RESPONSE_US + LIST_BODY_US      for the call with the endless answer,
+#     AGENT_RETRY_PAUSE_US
+#     AGENT_RESPONSE_US + LIST_BODY_US      for a call with a valid answer that arrives byte by byte: 5.62 s in all.
+# For an agent that was down, a change counts from its return: the last call that it left unanswered ends at most
+# AGENT_RESPONSE_US later, and the next is made AGENT_RETRY_PAUSE_US after that, 0.22 s in all. The shortest known grace
+# period of a drain (in which requests may still be sent to the host) is 0.25 s, so the agent has 0.03 s to answer that
+# call. These short times cost little: calls are cheap for an agent, and it answers at once.
 LIST_UPDATE_LIMIT_US = 6_000_000
 WATCH_WAIT_US = 1_000_000
 AGENT_RESPONSE_US = 200_000  # for a call to bring something after its wait, connecting included
@@ -72,22 +75,25 @@
 LIST_SLICE_US = 5_000  # an answer that arrives fast is read for so long before other tasks run
 AGENT_RETRY_PAUSE_US = 20_000  # before the second and later retries of a call; the first retry is immediate
 # Answers that are readable but doubtful. A complete list without hosts takes effect once it was reported for
-# EMPTY_LIST_US: if that starts after a silence, 1.0 + 0.2 + (0.2 + 0.5) + 3.0 + 0.1 + (0.2 + 0.5) = 5.7 s of the 6. A
-# new agent address, read from the configuration on SIGHUP, must be in use 4 s later. An agent there whose list has a
-# lower revision than the list in force may only lag, so its list is not accepted until AGENT_MOVE_WAIT_US after the
-# SIGHUP; one more call, however slow, then still fits into the 4 s. The drains in such a list take effect at once.
+# EMPTY_LIST_US. If it comes after the agent was unresponsive, that takes WATCH_WAIT_US + AGENT_RESPONSE_US until the
+# watch ends, AGENT_RESPONSE_US + LIST_CHUNK_US for the first empty list, EMPTY_LIST_US + LIST_RECHECK_PAUSE_US, and
+# AGENT_RESPONSE_US + LIST_CHUNK_US for the last: 5.7 s of the 6 s of LIST_UPDATE_LIMIT_US. A new agent address, read
+# from the configuration on SIGHUP, must be in use AGENT_MOVE_LIMIT_US later. An agent there whose list has a lower
+# revision than the list in force may only lag, so its list is not accepted until AGENT_MOVE_WAIT_US after the SIGHUP;
+# one more call, however slow, then still fits into the limit. The drains in such a list take effect at once.
 LIST_RECHECK_PAUSE_US = 100_000  # before the complete list is requested again; the first time it is requested at once
 EMPTY_LIST_US = 3_000_000
 AGENT_MOVE_LIMIT_US = 4_000_000
 AGENT_MOVE_WAIT_US = AGENT_MOVE_LIMIT_US - LIST_RECHECK_PAUSE_US - AGENT_RESPONSE_US - LIST_BODY_US
 
 # The first list. A process has to follow the agent's list from its first moment, so it reports ready ("up") only when
-# it has that list. But nine in ten restarted processes must be ready within 6 s in the platform's short test runs (10 s
-# in other runs), even if the agent is unresponsive throughout; then the last known list takes effect and the
-# calls above go on: what the agent has on its return takes effect 0.25 s later, as after any silence. A longer wait is
-# safer for lists, a shorter one better for clients: all that the 6 s leave is used. Until Node.start a process takes
-# 0.36 s of processor time, about 1 s on a slow part of a core.
+# it has that list. But the platform requires nine in ten restarted processes to be ready within READY_LIMIT_US (in its
+# longer runs within 10 s), even if the agent is unresponsive throughout; then the last known list takes effect and the
+# calls above go on: what the agent has on its return takes effect 0.25 s later, as after any outage. A longer wait is
+# safer for lists, a shorter one better for clients: all of READY_LIMIT_US that is left is used.
 READY_LIMIT_US = 6_000_000  # from a process's start
-STARTUP_US = 1_000_000  # of it until the first call to the agent
-READY_MARGIN_US = 750_000  # of it for a slower start, and until a front end that polls from time to time has noticed
+# Part of READY_LIMIT_US until the first call to the agent: until Node.start a process takes 0.36 s of processor time,
+# about 1 s on a slow part of a core.
+STARTUP_US = 1_000_000
+READY_MARGIN_US = 750_000  # part of it for a slower start, and until a front end that polls has noticed
 FIRST_LIST_US = READY_LIMIT_US - STARTUP_US - READY_MARGIN_US
