--- a/tests/ownership_model.py
+++ b/tests/ownership_model.py
@@ -193,7 +193,7 @@
             world = self.feed(
                 world,
                 who,
-                own.ViewUpdated(own.DutyView(world.store.revision, held, frozenset(NAMES), frozenset([DUTY]))),  # type: ignore[arg-type]
+                own.ViewUpdated(own.DutyView(world.store.revision, held, frozenset(NAMES), frozenset([DUTY]))),
             )
             if world.states[who].lease and not any(c.who == who and c.kind == "keep" for c in world.calls):
                 world = self._commit(world, world.calls, Call(who, "keep", now, world.states[who].lease))
--- a/yardspindle/core/fleet/canary_analysis.py
+++ b/yardspindle/core/fleet/canary_analysis.py
@@ -1,8 +1,8 @@
 """Decides whether a released version does harm: compares released with unreleased units over the same time windows.
 
 A unit is a dispatcher or a model host, which a release restarts with the new version. Each unit counts its requests and
-those that ended badly. A steward (a process that does background work for the whole fleet) compares the counts: the one
-that carries out the release, as the present owner of the duty `release` (a duty is a task with one owner at a time).
+those that ended badly. The counts are compared by the steward that carries out the release. (Stewards are processes
+that do background work for the whole fleet. A duty is a task of which one of them is the owner; here it is `release`.)
 
 While both groups are equally bad, a failed request falls on a released unit with a probability given by the request
 counts alone, so an incident that hits both groups is no evidence and no failure rate has to be estimated. This is a
@@ -21,8 +21,9 @@
 ALPHA = 0.001  # probability of halting a harmless release, over its whole duration
 TOLERATED_RATIO = 1.1  # a version may fail this many times as often: placement and traffic differ between the groups
 HARM_FACTORS = (1.5, 2.5, 6.0, 20.0, 80.0)  # alternatives that are tested; averaged, as the true one is unknown
-# Bounds that keep the product within a float. MIN_WEALTH also limits how far a long time without harm can lower the
-# wealth, and so how much evidence is needed to halt a release that does harm later.
+# Bounds that keep math.exp and the product within a float. MIN_WEALTH also limits how far a long time without harm can
+# lower the wealth, and so how much evidence is needed to halt a release that does harm later.
+MAX_LOG_RATIO = 60.0  # of one window's likelihood ratio, in both directions
 MAX_WEALTH, MIN_WEALTH = 1e12, 1e-9
 
 
@@ -64,7 +65,9 @@
         log_ratio = released.bad * math.log(harmful_share / tolerated_share) + others.bad * math.log(
             (1 - harmful_share) / (1 - tolerated_share)
         )
-        updated.append(min(max(wealth * math.exp(max(min(log_ratio, 60.0), -60.0)), MIN_WEALTH), MAX_WEALTH))
+        updated.append(
+            min(max(wealth * math.exp(max(min(log_ratio, MAX_LOG_RATIO), -MAX_LOG_RATIO)), MIN_WEALTH), MAX_WEALTH)
+        )
     return SequentialTest(tuple(updated), test.seen + released.all)
 
 
--- a/yardspindle/core/fleet/clock_skew.py
+++ b/yardspindle/core/fleet/clock_skew.py
@@ -1,8 +1,9 @@
-"""Detects members with a skewed clock: offsets measured by polling each member's page, relative to the fleet's median.
+"""Detects members with a skewed clock: offsets measured by polling each member's HTTP page, relative to the median.
 
 A member is a process of the fleet (edge, planner, steward or unit supervisor) that is registered in the shared store.
-An answer received between two readings of the local clock bounds the remote clock's offset from both sides. A member
-counts as skewed only if its whole interval lies beyond the bound: a slow answer widens the interval and proves nothing.
+Its page tells its epoch (one start of the process) and its clock. An answer received between two readings of the local
+clock bounds the remote clock's offset from both sides. A member counts as skewed only if its whole interval lies beyond
+the bound: a slow answer widens the interval and proves nothing.
 """
 
 from __future__ import annotations
@@ -32,7 +33,10 @@
 
 
 def find_skewed_clocks(offsets: dict[str, ClockOffset], epochs: dict[str, str], bound_us: int) -> ClockReport:
-    """Reports members' offsets from the median, this one's too, and epochs (process starts) beyond the bound."""
+    """Reports every member's offset from the median, and the epochs of those that are beyond the bound.
+
+    `offsets`: by member, the polling one included; `epochs`: by member, the start of its process that answered.
+    """
     if not offsets:
         return ClockReport()
     median_us = median_low(offset.midpoint_us for offset in offsets.values())
--- a/yardspindle/core/fleet/kv.py
+++ b/yardspindle/core/fleet/kv.py
@@ -13,6 +13,9 @@
 
 FIRST_REVISION = 1  # of an empty store, as in etcd
 
+# gRPC status codes.
+INVALID_ARGUMENT, NOT_FOUND, FAILED_PRECONDITION, OUT_OF_RANGE = 3, 5, 9, 11
+
 Target = Literal["version", "create", "mod", "value", "lease"]
 Relation = Literal["equal", "greater", "less", "not_equal"]
 
@@ -21,16 +24,16 @@
     """A revision was requested whose history has been compacted."""
 
     def __init__(self, revision: int) -> None:
-        """`revision`: the oldest that is still available."""
-        super().__init__(f"compacted up to revision {revision}")
+        """`revision`: of the last compaction. Reads at it still work; a watch has to start after it."""
+        super().__init__(f"the history before revision {revision} is compacted")
         self.revision = revision
 
 
 class BadRequest(Exception):
-    """The store rejected the request and applied none of it. `code`: the gRPC status code."""
+    """The store rejected the request and applied none of it. `code`: the gRPC status code, as etcd gives it."""
 
     def __init__(self, code: int, text: str) -> None:
-        """`text`: the error message that etcd uses."""
+        """`text`: the error message, in etcd's form."""
         super().__init__(text)
         self.code = code
 
@@ -161,7 +164,7 @@
     else:
         actual = 0 if row is None else getattr(row, compare.target)
     if isinstance(actual, bytes) != isinstance(compare.expected, bytes):
-        raise BadRequest(3, f"etcdserver: {compare.target} is compared with a value of another kind")
+        raise BadRequest(INVALID_ARGUMENT, f"etcdserver: {compare.target} is compared with a value of another kind")
     match compare.relation:
         case "equal":
             return actual == compare.expected
@@ -192,11 +195,11 @@
                 results.append(tuple(rows[row_key] for row_key in sorted(rows)))
             case Put(key, value, lease):
                 if key in written:
-                    raise BadRequest(3, "etcdserver: duplicate key given in txn request")
+                    raise BadRequest(INVALID_ARGUMENT, "etcdserver: duplicate key given in txn request")
                 if not key:
-                    raise BadRequest(3, "etcdserver: key is not provided")
+                    raise BadRequest(INVALID_ARGUMENT, "etcdserver: key is not provided")
                 if lease and not reader.has_lease(lease):
-                    raise BadRequest(5, "etcdserver: requested lease not found")
+                    raise BadRequest(NOT_FOUND, "etcdserver: requested lease not found")
                 old = next(iter(reader.rows(key, b"")), None)
                 row = KeyValue(
                     key,
@@ -211,7 +214,7 @@
             case Delete(key, end):
                 for old in reader.rows(key, end):
                     if old.key in written:
-                        raise BadRequest(3, "etcdserver: duplicate key given in txn request")
+                        raise BadRequest(INVALID_ARGUMENT, "etcdserver: duplicate key given in txn request")
                     written[old.key] = Change(KeyValue(old.key, b"", 0, next_revision, 0), removed=True)
                 results.append(())
     return TxnResult(next_revision if written else revision, succeeded, tuple(results)), tuple(written.values())
--- a/yardspindle/core/fleet/kv_model.py
+++ b/yardspindle/core/fleet/kv_model.py
@@ -2,7 +2,7 @@
 
 Served over HTTP by the test bench's stand-in for etcd, and used directly by simulations, in which a virtual World (the
 interface to clock, sockets, files and randomness) replaces the real one. It does no I/O: the time is passed to each
-call, and expired leases are ended by `expire`, which the model's owner calls before any other method.
+call, and expired leases are ended by `expire`, which the caller must call before any other method.
 """
 
 from __future__ import annotations
@@ -11,7 +11,10 @@
 from dataclasses import dataclass, field
 
 from yardspindle.core.fleet.kv import (
+    FAILED_PRECONDITION,
     FIRST_REVISION,
+    NOT_FOUND,
+    OUT_OF_RANGE,
     BadRequest,
     Change,
     Changes,
@@ -70,7 +73,7 @@
         if not revision or revision == self.revision:
             return RangeResult(self.revision, tuple(self.rows(key, end)))
         if revision > self.revision:
-            raise BadRequest(11, "etcdserver: mvcc: required revision is a future revision")
+            raise BadRequest(OUT_OF_RANGE, "etcdserver: mvcc: required revision is a future revision")
         if revision < self.compacted:
             raise Compacted(self.compacted)
         past = dict(self._base)
@@ -112,7 +115,10 @@
         self._history.append(Changes(self.revision, changes))
 
     def changes_since(self, key: bytes, end: bytes, revision: int) -> Changes:
-        """The changes in a range from a revision on, as a watch would deliver them. Raises Compacted."""
+        """The changes in a range from a revision on, as a watch would deliver them. Raises Compacted.
+
+        Revision 0: from the oldest change that is kept, even if earlier ones were compacted.
+        """
         if revision <= self.compacted and revision:
             raise Compacted(self.compacted)
         found = [
@@ -127,7 +133,7 @@
     def compact(self, revision: int) -> None:
         """Discards the history before a revision. Raises BadRequest, Compacted."""
         if revision > self.revision:
-            raise BadRequest(11, "etcdserver: mvcc: required revision is a future revision")
+            raise BadRequest(OUT_OF_RANGE, "etcdserver: mvcc: required revision is a future revision")
         if revision <= self.compacted:
             raise Compacted(self.compacted)
         self._base = {row.key: row for row in self.range(b"\0", b"\0", revision).rows}
@@ -139,7 +145,7 @@
     def grant(self, now_us: int, ttl_s: int, lease: int = 0) -> int:
         """Creates a lease, with the given id or else one that the store chooses. Raises BadRequest."""
         if lease and lease in self.leases:
-            raise BadRequest(9, "etcdserver: lease already exists")
+            raise BadRequest(FAILED_PRECONDITION, "etcdserver: lease already exists")
         while not lease or lease in self.leases:
             lease, self._next_lease = self._next_lease, self._next_lease + 1
         ttl_us = max(ttl_s, MIN_TTL_S) * 1_000_000
@@ -157,7 +163,7 @@
     def revoke(self, lease: int) -> None:
         """Ends a lease and deletes its keys. Raises BadRequest."""
         if lease not in self.leases:
-            raise BadRequest(5, "etcdserver: requested lease not found")
+            raise BadRequest(NOT_FOUND, "etcdserver: requested lease not found")
         keys = sorted(self.leases[lease].keys)
         if keys:
             self._commit(evaluate(Txn(then=tuple(Delete(key) for key in keys)), self, self.revision)[1])
--- a/yardspindle/core/fleet/members.py
+++ b/yardspindle/core/fleet/members.py
@@ -29,7 +29,10 @@
 
 
 class Member(Struct, frozen=True):
-    """A process's registration. `page`: address of its HTTP page, which it serves for as long as it runs."""
+    """A process's registration.
+
+    `page`: address of its HTTP page, which tells its registration and its clock for as long as the process runs.
+    """
 
     name: str
     kind: Kind
@@ -68,7 +71,7 @@
     correct the error. The restarted process has a new epoch, for which the clock is evaluated afresh."""
 
     offsets: dict[str, int] = {}
-    out: tuple[str, ...] = ()
+    out: tuple[str, ...] = ()  # the epochs whose clock is skewed
 
 
 def decode_row(data: bytes, kind: type[T]) -> T | None:
@@ -142,7 +145,7 @@
     return registered is not None and registered.epoch == member.epoch
 
 
-def decode_holder(row: KeyValue) -> Holder | None:
+def decode_holder(row: KeyValue) -> Holder:
     """The holder of a duty, from the duty's row; its name is "?" if the value is malformed."""
     owner = decode_row(row.value, Owner)
     return Holder(owner.name if owner is not None else "?", row.lease, row.create)
@@ -194,8 +197,7 @@
             if (member := decode_row(row.value, Member)) is not None:
                 self.epochs[row.key[len(keys.epochs) :].decode()] = member
         elif row.key.startswith(keys.duties):
-            if (holder := decode_holder(row)) is not None:
-                self.duties[row.key[len(keys.duties) :].decode()] = holder
+            self.duties[row.key[len(keys.duties) :].decode()] = decode_holder(row)
         elif row.key == keys.clocks:
             self.clocks = decode_row(row.value, ClockReport) or ClockReport()
         else:
--- a/yardspindle/core/fleet/ownership.py
+++ b/yardspindle/core/fleet/ownership.py
@@ -200,7 +200,7 @@
 
 
 def may_act(state: OwnershipState, now_us: int, duty: str) -> int | None:
-    """The fence to act with, or None if the process may not act; checked again before every action."""
+    """Whether the process may act for a duty: the fence to act with, or else None; asked again before every action."""
     if now_us >= state.lease_valid_until_us or state.clock_skewed:
         return None
     return dict(state.held).get(duty)
@@ -351,7 +351,7 @@
     commands: list[Command],
 ) -> OwnershipState:
     if lease != state.lease or duty not in state.pending:
-        return state  # acquired under an ended lease; the store deletes the key with that lease
+        return state  # acquired under an ended lease, with which the store deletes the key; or reported before
     state = replace(state, pending=tuple(name for name in state.pending if name != duty))
     if holder is None or (holder.name, holder.lease) != (state.name, state.lease):
         return state
--- a/yardspindle/core/fleet/permits.py
+++ b/yardspindle/core/fleet/permits.py
@@ -3,9 +3,9 @@
 A unit is a dispatcher or model host that a release restarts. It counts in every group that it belongs to (its zone,
 cell, rack, role and kind). Unavailable are the units with a permit, and those with an unplanned outage: silent, cold or
 failing. Missing information counts against a permit: a unit without a status is unavailable, and a view older than
-`MAX_VIEW_AGE_US` permits nothing. A permit outlives the process that holds it; it ends when the unit is well again in
-another epoch (or undrained on an order), or at an operator's request. Grants are serialised: each is a transaction of
-the fleet's store, conditional on a head key that every grant writes.
+`MAX_VIEW_AGE_US` permits nothing. A permit outlives the process that holds it; it ends when the unit has been restarted
+and is well, when it is well after an order to undrain it, or at an operator's request. Grants are serialised: each is a
+transaction of the fleet's store, conditional on a head key that every grant writes.
 """
 
 from __future__ import annotations
@@ -40,8 +40,8 @@
     epoch: str  # identifies the running process; differs after each start
     standing: Standing
     version: str = ""
-    done: int = 0  # number of the last order carried out
-    refused: str = ""  # why the last order failed
+    done: int = 0  # number of the last order that ended, whether it was carried out or failed
+    refused: str = ""  # why the last order failed; empty if it did not
     load: float = 0.0  # current work, in a measure that depends on its role (streams, tokens)
     room: float = 0.0  # capacity, in the same measure
     served: int = 0  # requests since its start that ended well; compared between versions
@@ -101,7 +101,7 @@
 
 
 def groups_of(placement: UnitPlacement) -> list[tuple[str, str]]:
-    """The (group, value) pairs that a unit belongs to."""
+    """The (group, value) pairs that a unit belongs to: ("all", its kind), and one for each group, as ("zone", "a")."""
     return [("all", placement.kind), *sorted((name, value) for name, value in placement.groups.items() if value)]
 
 
@@ -137,7 +137,7 @@
 
 
 def check_departure(fleet: FleetSnapshot, unit: str) -> Denial | None:
-    """Whether a unit may become unavailable now: None if it may, as one that already has a permit does."""
+    """Whether a unit may become unavailable now: None if it may, which includes a unit that already has a permit."""
     if fleet.age_us > MAX_VIEW_AGE_US:
         return Denial(f"the view is {fleet.age_us / 1e6:.1f} s old", RETRY_AFTER_US)
     if unit in fleet.permits:
@@ -180,12 +180,13 @@
     load = sum(peer.load for peer in peers) + (own.load if own is not None else 0.0)
     capacity = sum(peer.room for peer in peers) * (1 - fleet.reserve)
     if load > capacity and load > 0:
+        # "it": the unit that is to leave. `capacity` is that of the other units less the reserve.
         return Denial(f"role {role}: load {load:g}, room without it {capacity:g}", RETRY_AFTER_US)
     return None
 
 
 def has_returned(permit: Permit, status: UnitStatus | None) -> bool:
-    """Whether a unit with a permit is back in service: restarted and well, or undrained on an order."""
+    """Whether a unit with a permit is back in service: restarted and well, or well after an order to undrain it."""
     if status is None or status.standing != "well":
         return False
     return status.epoch != permit.epoch or (permit.number > 0 and status.done >= permit.number)
--- a/yardspindle/core/fleet/release_keys.py
+++ b/yardspindle/core/fleet/release_keys.py
@@ -139,8 +139,10 @@
             puts.append(self.put_audit_entry(entry))
         return Txn(self._with_fence(fence, Compare(self.release, "mod", "equal", view.release_mod)), tuple(puts))
 
+    # --- transaction of a unit that shuts down, without a fence
+
     def grant_own_permit(self, view: ReleaseView, permit: permit_rules.Permit) -> Txn:
-        """A permit for a process that was asked to shut down, if no other was granted since the view was read."""
+        """Grants a process that was asked to shut down a permit of its own, if the view's permits are unchanged."""
         return Txn(
             (
                 Compare(self.head, "mod", "equal", view.head_mod),
@@ -173,7 +175,11 @@
 def drain_request_steps(
     view: ReleaseView, fleet: permit_rules.FleetSnapshot, now_us: int, fence: int, by: str
 ) -> list[release_plan.Step]:
-    """The next step for operators' drain requests: one unit at a time, under the same permits as releases."""
+    """The next step, at most one, for operators' drain requests and for permits that no release has asked for.
+
+    Drains are under the same permits as releases. A permit without a drain request, such as one that a unit granted
+    itself to shut down, is closed once its unit is back. `by` is not used: permits and orders name the operator.
+    """
     found: list[release_plan.Step] = [
         release_plan.ClosePermit(unit)
         for unit, permit in sorted(view.permits.items())
--- a/yardspindle/core/fleet/release_plan.py
+++ b/yardspindle/core/fleet/release_plan.py
@@ -152,7 +152,7 @@
         status, permit = fleet.statuses.get(unit), fleet.permits.get(unit)
         if status is not None and status.version == version and status.standing == "well" and permit is None:
             continue
-        if permit is not None and not _needs_new_order(permit, orders.get(unit), version):
+        if permit is not None and not _needs_new_order(orders.get(unit), version):
             continue  # the order is in progress
         if status is not None and status.version == version and permit is None and status.standing != "well":
             continue  # an unplanned outage with the right version: an order would not help
@@ -193,7 +193,7 @@
     return status is not None and status.version == version and status.standing == "well"
 
 
-def _needs_new_order(permit: permits.Permit, last: Order | None, version: str) -> bool:
+def _needs_new_order(last: Order | None, version: str) -> bool:
     """Whether a unit's last order was for another version than the one required now."""
     return last is None or last.version != version
 
@@ -201,11 +201,11 @@
 def _halt_reason(release: Release, fleet: permits.FleetSnapshot, now_us: int) -> str:
     """Why a release must be halted automatically; empty if it need not be."""
     if release.trial.shows_harm:
-        return f"released units do worse than the others (evidence {release.trial.evidence:.0f} to 1)"
+        return f"released units do worse than the others (likelihood ratio {release.trial.evidence:.0f})"
     for unit in (unit for wave in release.waves for unit in wave):
         status = fleet.statuses.get(unit)
         if status is not None and status.version == release.version and status.crashed >= CRASHES_TO_HALT:
-            return f"{unit} ended by itself {status.crashed} times"
+            return f"{unit} ended by itself {status.crashed} times"  # without an order: unexpected exits
     for unit, permit in fleet.permits.items():
         if permit.release != release.id or unit not in fleet.placements:
             continue
@@ -242,4 +242,4 @@
             return replace(release, phase="going back", why=why, wave=0, settled_us=0)
         case "abandon" if phase in ("running", "halted", "going back"):
             return replace(release, phase="abandoned", why=why)
-    return f"a release that is {phase} cannot {command}"
+    return f"the command {command!r} is not allowed in phase {phase!r} of a release"
--- a/yardspindle/core/fleet/sweep.py
+++ b/yardspindle/core/fleet/sweep.py
@@ -2,10 +2,10 @@
 
 An edge is a process that holds client connections. Its holds are the KV states and the reserved memory (places) that
 engines keep for its requests. An epoch is one start of a process; it is confirmed dead when its registration has ended
-*and* its page proves it: the machine refuses connections there, or another epoch answers. An expired lease alone proves
-nothing: an edge that is cut off from the store goes on serving. A page that does not answer proves nothing either: the
-network path may be down, or the process suspended. An epoch that has ended cannot start again, so a confirmed death is
-final.
+*and* its page (an HTTP page that tells its epoch) proves it: the machine refuses connections there, or another epoch
+answers. An expired lease alone proves nothing: an edge that is cut off from the store goes on serving. A page that does
+not answer proves nothing either: the network path may be down, or the process suspended. An epoch that has ended cannot
+start again, so a confirmed death is final.
 """
 
 from __future__ import annotations
@@ -18,7 +18,8 @@
 EPOCH_RETENTION_US = 60_000_000  # twice the time-out after which engines free by themselves what a dead epoch held
 PROBE_RETRY_US = 200_000  # delay before an inconclusive probe is repeated; doubled up to the maximum
 MAX_PROBE_RETRY_US = 5_000_000
-RECENT_SWEEP_INTERVAL_US = 500_000  # soon after a death: calls still in flight at an engine may turn into holds
+RECENT_DEATH_US = EPOCH_RETENTION_US / 10  # for so long after a death, calls in flight at an engine may turn into holds
+RECENT_SWEEP_INTERVAL_US = 500_000  # within RECENT_DEATH_US after a death
 IDLE_SWEEP_INTERVAL_US = 10_000_000  # otherwise: finds holds of epochs whose end this process has not seen
 
 
@@ -91,8 +92,7 @@
     def next_sweep_us(self, now_us: int, last_us: int) -> int:
         """When the engines' holds must be listed again, given the time of the last sweep."""
         recent = any(
-            entry.confirmed_us and now_us - entry.confirmed_us < EPOCH_RETENTION_US / 10
-            for entry in self.ended.values()
+            entry.confirmed_us and now_us - entry.confirmed_us < RECENT_DEATH_US for entry in self.ended.values()
         )
         return last_us + (RECENT_SWEEP_INTERVAL_US if recent else IDLE_SWEEP_INTERVAL_US)
 
--- a/yardspindle/core/fleet/unit.py
+++ b/yardspindle/core/fleet/unit.py
@@ -39,10 +39,10 @@
     drain: tuple[str, ...] = ()  # exits once the unit is idle; if empty, the unit is drained by SIGTERM alone
     check: tuple[str, ...] = ()  # exit code 0: well, 1: cold (not yet at full capacity), other: failing
     page: Address | None = None  # address of the supervisor's HTTP page; None: `listen` of `[fleet]`
-    drain_s: NotNegative = 30.0
-    stop_s: Positive = 10.0
-    start_s: Positive = 60.0
-    check_s: Positive = 2.0
+    drain_s: NotNegative = 30.0  # time-out of `drain`
+    stop_s: Positive = 10.0  # from SIGTERM to SIGKILL
+    start_s: Positive = 60.0  # time within which `check` must report the started unit well
+    check_s: Positive = 2.0  # time-out of `check`
 
 
 class SavedState(Struct, frozen=True):
@@ -50,10 +50,10 @@
 
     version: str  # the version to run
     number: int = 0  # of the last order that was begun
-    done: int = 0  # number of the last order that was carried out
+    done: int = 0  # number of the last order that ended, whether it was carried out or failed
     stage: Stage = "starting"
     fence: int = 0  # the highest fence obeyed
-    refused: str = ""  # why the last order failed
+    refused: str = ""  # why the last order failed; empty if it did not
     drained: bool = False  # the last order was to drain: the unit stays drained, and is not restarted if it exits
     starts: int = 0  # number of starts begun; distinguishes each start from all others
     crashed: int = 0  # unexpected exits since the last order
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandEnded:
-    """A command ended; `code` is None if it timed out."""
+    """A `RunCommand` ended; `code`: the exit code, or None if it timed out."""
 
     what: Literal["drain", "stop", "start", "check"]
     code: int | None
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunCommand:
-    """Run one of the unit's commands; its end is reported by `CommandEnded`."""
+    """Drain, stop, start or check the unit, with the command line of its file if it has one; `CommandEnded` follows."""
 
     what: Literal["drain", "stop", "start", "check"]
 
@@ -126,13 +126,13 @@
 
 
 def step(state: UnitState, now_us: int, event: Event) -> tuple[UnitState, tuple[Command, ...]]:
-    """The next state, and the commands to execute in order."""
+    """The next state, and the `Command`s to execute in order."""
     saved = state.saved
     match event:
         case OrderReceived(order):
             return _apply_order(state, now_us, order)
         case CommandEnded("drain", _) if saved.stage == "draining":
-            # A time-out counts as drained: by then the operators' platform would not wait any longer either.
+            # A time-out counts as drained: after so long the operators' platform does not wait for a drain either.
             if saved.drained:
                 return _remain_drained(state, now_us)
             return _enter_stage(state, now_us, "stopping", RunCommand("stop"))
@@ -175,7 +175,8 @@
         case "stopping" if alive:
             return state, (RunCommand("stop"),)
         case "starting" if not alive:
-            return state, (RunCommand("start"),)  # the same start: an already started process is found by its mark
+            # The same start: a process that it already started is found by the number of the start (`starts`).
+            return state, (RunCommand("start"),)
         case "stopping":
             return _enter_stage(state, now_us, "starting", RunCommand("start"))
         case "starting" | "checking":
@@ -207,7 +208,9 @@
         return state, ()  # already carried out, or issued by a former owner of the duty `release`
     saved = replace(saved, number=order.number, fence=order.fence, refused="", drained=order.do == "drain", crashed=0)
     if order.do == "go" and order.version not in state.file.versions:
-        saved = replace(saved, done=order.number, refused=f"version {order.version} is not here")
+        saved = replace(
+            saved, done=order.number, refused=f"version {order.version} is not in `versions` of the unit's file"
+        )
         return with_changes(state, saved=saved), (SaveState(saved),)
     if order.do == "undrain":
         ordered = with_changes(state, saved=saved)
