--- a/yardspindle/edge/app.py
+++ b/yardspindle/edge/app.py
@@ -39,7 +39,7 @@
 from yardspindle.runtime.world import StreamError, World
 
 VERSION = version("yardspindle")
-TICK_INTERVAL_US = 20_000  # how often the core's deadlines are checked; as often as the policy does (SWEEP_INTERVAL_US)
+TICK_INTERVAL_US = 20_000  # how often the core checks its deadlines; the policy does as often (policy/state.py)
 HOUSEKEEPING_INTERVAL_US = 1_000_000
 PLANNER_WAIT_US = 2_000_000  # how long start-up waits for a planner: without one, the edge refuses every request
 STREAM_HEADERS: http1.Headers = [
@@ -64,6 +64,7 @@
         self.world = world
         self.config = config
         self.instance_id = f"{world.random('edge id').getrandbits(48):012x}"
+        # Classes whose requests clients must not repeat once these may have run.
         self._unsafe_classes = {row.name for row in config.classes if row.effect != "safe"}
         self._api_keys = chat.ApiKeys(config)
         self.metrics = EdgeMetrics()
@@ -127,7 +128,7 @@
             )
         try:
             with self.world.deadline(self.world.now_us() + PLANNER_WAIT_US):
-                self.planner_link.connected.wait()
+                self.planner_link.first_connected.wait()
         except DeadlineExceeded:
             log.warning("no planner linked yet; requests are refused until one is")
         return listener.host, listener.port
@@ -137,7 +138,7 @@
         assert self._server is not None
         log.info("draining", open_requests=len(self.executor.running))
         self._server.drain(self.world.now_us() + microseconds(self.config.edge.drain_ms))
-        self.http_client.close_all()
+        self.http_client.close_all()  # idle connections to engines only; those in use stay open
 
     def _tick(self) -> None:
         housekeeping_us = self.world.now_us()
@@ -163,6 +164,7 @@
         )
 
     def _planner_up(self, epoch: int) -> None:
+        """A link to a planner is up; `epoch` identifies this run of the planner."""
         self.metrics.planner_up.set(1)
         self.executor.perform(self.core.planner_up(self.world.now_us(), epoch))
 
@@ -210,7 +212,7 @@
             return Reply(
                 200, [(b"content-type", b"text/plain; version=0.0.4; charset=utf-8")], self.metrics.exposition()
             )
-        if path == b"/healthz":
+        if path == b"/healthz":  # the core's epoch is that of the linked planner, 0 while there is none
             return Reply(
                 200 if self.core.epoch else 503,
                 [JSON_CONTENT_TYPE],
@@ -260,7 +262,7 @@
             run.done.wait()
             self._send_final_answer(run)
         finally:
-            if run.answer is None:  # however the handler ended, the core must be notified
+            if run.answer is None:  # disconnected, or the handler failed; the core ignores a repeated notice
                 self.executor.perform(self.core.client_disconnected(self.world.now_us(), number))
                 self.metrics.clients_left.labels(run.accepted.request.cls).inc()
             del self.executor.running[number]
@@ -269,7 +271,7 @@
     def _accept(self, exchange: Exchange) -> RunningRequest:
         tenant = self._api_keys.authenticate(exchange.head)
         chat_request = chat.parse_request(exchange.body, exchange.head, tenant, self.config.model)
-        exchange.body = b""
+        exchange.body = b""  # not needed any more; the parsed fields keep the buffer as long as they need it
         now = self.world.now_us()
         self._last_request_number += 1
         try:
@@ -340,19 +342,20 @@
             else:
                 exchange.reply(Reply(200, [JSON_CONTENT_TYPE, (b"x-request-id", request_id)], served_body(run)))
         elif answer.streamed and run.stream:
-            error = error_body(answer.code, http_error(answer, True).message, "server_error")
+            error = error_body(answer.code, http_error(answer, unsafe=True).message, "server_error")
             exchange.send(write_event(error, b"error"), run.response_head)
             exchange.abort()
         elif run.client_error is not None and not answer.streamed:
             status, body = run.client_error  # the engine rejected the request itself
             exchange.reply(Reply(status, [JSON_CONTENT_TYPE, (b"x-request-id", request_id)], body))
         else:
-            http_error_reply = http_error(answer, run.accepted.request.cls in self._unsafe_classes)
+            http_error_reply = http_error(answer, unsafe=run.accepted.request.cls in self._unsafe_classes)
             exchange.reply(final_reply(http_error_reply, request_id))
 
     def _log_request(self, run: RunningRequest) -> None:
         now, request, answer = self.world.now_us(), run.accepted.request, run.answer
         counts = run.answer_tracker.counts
+        # Without an answer the client disconnected first, which the log calls "left".
         log.info(
             "request",
             request_id=run.request_id,
--- a/yardspindle/edge/cache_events.py
+++ b/yardspindle/edge/cache_events.py
@@ -31,6 +31,7 @@
         """Subscribes to nothing until `update_servers` is called. `world`: the interface to clock and sockets."""
         self._world = world
         self._tracker = tracker
+        # By server name; the addresses are those of the event socket and of the replay socket.
         self._subscriptions: dict[str, tuple[str, str | None, Task, MessageSocket]] = {}
         self._replaying: set[str] = set()
         self._up_since_ms: dict[str, float] = {}
@@ -39,9 +40,9 @@
     def update_servers(self, servers: list[Server]) -> None:
         """Apply a new server list: subscribe to the publishers on it, unsubscribe from all others."""
         publishing = {s.name: s for s in servers if s.events is not None} if self._tracker.use_events else {}
-        for name, (address, replay, task, socket) in list(self._subscriptions.items()):
+        for name, (events_address, replay_address, task, socket) in list(self._subscriptions.items()):
             server = publishing.get(name)
-            if server is None or (server.events, server.replay) != (address, replay):
+            if server is None or (server.events, server.replay) != (events_address, replay_address):
                 socket.close()
                 task.cancel()
                 del self._subscriptions[name]
@@ -57,7 +58,7 @@
                 task = self._world.spawn("cache events", self._receive_events, name, socket, server.replay)
                 self._subscriptions[name] = (server.events, server.replay, task, socket)
 
-    def _receive_events(self, name: str, socket: MessageSocket, replay: str | None) -> None:
+    def _receive_events(self, name: str, socket: MessageSocket, replay_address: str | None) -> None:
         while True:
             try:
                 parts = socket.receive()
@@ -67,9 +68,9 @@
             if numbered_batch is None:
                 continue
             replay_start = self._tracker.receive_batch(self._world.now_us(), name, *numbered_batch)
-            if replay_start is not None and replay is not None and name not in self._replaying:
+            if replay_start is not None and replay_address is not None and name not in self._replaying:
                 self._replaying.add(name)
-                self._world.spawn("replay", self._replay, name, replay, replay_start)
+                self._world.spawn("replay", self._replay, name, replay_address, replay_start)
 
     def _replay(self, name: str, address: str, start: int) -> None:
         batches: list[tuple[int, Batch]] = []
--- a/yardspindle/edge/executor.py
+++ b/yardspindle/edge/executor.py
@@ -55,19 +55,19 @@
     done: Signal
     answer: c.Answer | None = None
     client_error: tuple[int, bytes] | None = None  # status and body with which an engine rejected the request itself
-    attempts: dict[int, Task] = field(default_factory=dict)
+    attempts: dict[int, Task] = field(default_factory=dict)  # by number; at most one runs, aborted ones are removed
     prompt_blocks: PromptBlocks = PromptBlocks()
-    claimed_tokens: dict[str, float] = field(default_factory=dict)  # of the prompt, in caches by readers' events
+    claimed_tokens: dict[str, float] = field(default_factory=dict)  # by reader: prompt tokens its events say it caches
     first_event_us: int = 0
     awaiting_event_since_us: int = 0  # when the wait for the writer's next event began; 0: not waiting
-    attempt_written: bool = False  # whether the last byte of the attempt in flight is written
+    attempt_written: bool = False  # whether the HTTP request of the running attempt is written to its last byte
 
     def mark_written(self) -> None:
-        """Record that the last byte of the attempt is written."""
+        """Record that the last byte of the running attempt's HTTP request is written."""
         self.attempt_written = True
 
     def timeout_result(self) -> vllm.AttemptResult:
-        """The result of an attempt that timed out: if its last byte was not written, none of it has run."""
+        """The result of an attempt that timed out: MOOT (certainly not run) if its request was not written in full."""
         return vllm.AttemptResult(i.Status.TIMEOUT if self.attempt_written else i.Status.MOOT)
 
 
@@ -83,7 +83,7 @@
         intake: Intake,
         stream_idle_us: int,
         notify_planner: Callable[[i.Event], None],
-        tracker: PrefixTracker | None,
+        prefix_tracker: PrefixTracker | None,
     ) -> None:
         """`stream_idle_us`: how long a running answer stream may stay without data.
 
@@ -96,7 +96,7 @@
         self._intake = intake
         self._stream_idle_us = stream_idle_us
         self._notify_planner = notify_planner
-        self._tracker = tracker
+        self._prefix_tracker = prefix_tracker
         self.running: dict[int, RunningRequest] = {}
 
     def perform(self, commands: list[c.Command]) -> None:
@@ -124,7 +124,8 @@
                         run.done.set()
                 case c.CloseIdle(server):
                     self._engines.http.close_idle(server.host, server.port)
-                case c.Warn(request, rule):  # a rule of the edge overrode an action of the planner
+                case c.Warn(request, rule):
+                    # A rule of the edge, an interlock, stopped an action of the planner or made up for a missing one.
                     self._metrics.interlocks.labels(rule).inc()
                     run = self.running.get(request)
                     log.warning("interlock", rule=rule, request_id=run.request_id if run else str(request))
@@ -157,12 +158,13 @@
         if result.client_error is not None:
             run.client_error = result.client_status, result.client_error
         if result.usage is not None:
+            # `learn` corrects the estimate of a prompt's tokens from the size of its text by the engine's count.
             self._intake.learn(run.accepted, result.usage.prompt_tokens)
             self._metrics.prompt_tokens.inc(result.usage.prompt_tokens)
             self._metrics.cached_tokens.inc(result.usage.cached_tokens or 0)
-            if result.status is i.Status.READ and self._tracker is not None:
+            if result.status is i.Status.READ and self._prefix_tracker is not None:
                 predicted = (run.accepted.request.kept or {}).get(command.server.number)
-                self._tracker.record_read(
+                self._prefix_tracker.record_read(
                     command.server.name,
                     run.prompt_blocks,
                     result.usage.prompt_tokens,
@@ -170,6 +172,7 @@
                     predicted,
                     run.claimed_tokens.get(command.server.name),
                 )
+        # The note is a success's cached prompt tokens, or 1 if the engine found no state to fetch.
         self.perform(
             self._core.attempt_ended(
                 self._world.now_us(), command.request, command.attempt, result.status, result.note, result.state
@@ -249,21 +252,21 @@
                 counts = run.answer_tracker.counts
                 if counts is not None:
                     self._intake.learn(run.accepted, counts.prompt)
-                return vllm.AttemptResult(i.Status.SERVED, counts.cached if counts else 0)
+                return vllm.AttemptResult(i.Status.SERVED, note=counts.cached if counts else 0)  # cached tokens
             return vllm.AttemptResult(
                 i.Status.ERROR if run.answer_tracker.error else i.Status.RESET, detail="stream broken"
             )
         except (ExchangeBroken, ValueError) as error:
             return vllm.AttemptResult(i.Status.RESET, detail=str(error))
-        except StreamError:  # client disconnected or not reading; the exchange has notified the core
-            run.exchange.client_disconnected()
+        except StreamError:  # the client disconnected or does not read
+            run.exchange.client_disconnected()  # notifies the core, unless that is done
             return vllm.AttemptResult(i.Status.CANCELLED)
         finally:
             cancel_guard()
 
     def _forward(self, run: RunningRequest, batch: list[bytes]) -> None:
-        tracker = run.answer_tracker
-        forwarded = [data for data in batch if tracker.forward(data)]
+        answer_tracker = run.answer_tracker
+        forwarded = [data for data in batch if answer_tracker.forward(data)]
         if not forwarded:
             return
         self._metrics.streamed_events.inc(len(forwarded))
@@ -298,13 +301,13 @@
     # --- places and releases
 
     def _reserve_place(self, command: c.ReservePlace) -> None:
-        held: bool | None = None
+        held: bool | None = None  # None: unknown, the writer gave no clear answer
         try:
             with self._world.deadline(self._world.now_us() + PLACE_TIMEOUT_US):
                 held = self._engines.reserve_place(
                     command.server, command.request, command.place, command.tokens, command.reader, command.read_attempt
                 )
-        except (DeadlineExceeded, Cancelled):
+        except (DeadlineExceeded, Cancelled):  # cancelled as the program ends; the writer may hold the place
             held = None
         self.perform(
             self._core.place_answered(self._world.now_us(), command.request, command.place, command.server, held)
--- a/yardspindle/edge/metrics.py
+++ b/yardspindle/edge/metrics.py
@@ -20,7 +20,10 @@
             "yardspindle_final_answers", "Final answers", ("cls", "final", "code"), registry=self.registry
         )
         self.clients_left = Counter(
-            "yardspindle_clients_left", "Clients that left before their final answer", ("cls",), registry=self.registry
+            "yardspindle_clients_left",
+            "Clients that disconnected before their final answer",
+            ("cls",),
+            registry=self.registry,
         )
         self.attempts = Counter("yardspindle_attempts", "Ended attempts", ("stage", "status"), registry=self.registry)
         self.first_token_seconds = Histogram(
@@ -36,33 +39,41 @@
         self.prompt_tokens = Counter(
             "yardspindle_prompt_tokens", "Prompt tokens that engines counted", registry=self.registry
         )
-        # A reader is a prefill server; it has kept a token if the token's KV cache was still there.
         self.cached_tokens = Counter(
-            "yardspindle_cached_tokens", "Prompt tokens that readers had kept", registry=self.registry
+            "yardspindle_cached_tokens",
+            "Prompt tokens that readers (prefill servers) found in their KV caches",
+            registry=self.registry,
         )
-        # An interlock is a rule by which the edge overrides an action of the planner.
+        # An interlock is a rule by which the edge stops an action of the planner, or makes up for a missing one.
         self.interlocks = Counter(
-            "yardspindle_interlocks", "Actions the edge refused or took by itself", ("rule",), registry=self.registry
+            "yardspindle_interlocks",
+            "Planner actions that the edge refused, and missing ones that it made up for",
+            ("rule",),
+            registry=self.registry,
         )
         # Found by the rule checker, which checks every command of the core against a record of its own.
         self.broken_rules = Counter(
-            "yardspindle_broken_rules", "Rules that the watch found broken", ("rule",), registry=self.registry
+            "yardspindle_broken_rules", "Violations that the rule checker found", ("rule",), registry=self.registry
         )
         # The prefix index predicts which blocks (runs of prompt tokens) each reader has in its KV cache.
         self.index_blocks = Gauge("yardspindle_index_blocks", "Blocks in the prefix index", registry=self.registry)
         self.index_predicted = Gauge(
-            "yardspindle_index_told_tokens", "Kept tokens that reads had been told of, in all", registry=self.registry
+            "yardspindle_index_told_tokens",
+            "Cached prompt tokens predicted for finished reads, total",
+            registry=self.registry,
         )
         self.index_found = Gauge(
-            "yardspindle_index_found_tokens", "Of those, found by the reads", registry=self.registry
+            "yardspindle_index_found_tokens",
+            "Predicted cached prompt tokens that the readers found cached, total",
+            registry=self.registry,
         )
         self.index_trust = Gauge(
             "yardspindle_index_trust", "Trust in a reader's cache events, 0 to 1", ("server",), registry=self.registry
         )
         # The planner is the process that decides which server does what.
-        self.planner_up = Gauge("yardspindle_planner_up", "Whether a planner decides", registry=self.registry)
+        self.planner_up = Gauge("yardspindle_planner_up", "1 while a planner is linked, else 0", registry=self.registry)
         self.open_requests = Gauge(
-            "yardspindle_open_requests", "Requests taken and not done with", registry=self.registry
+            "yardspindle_open_requests", "Requests accepted and not yet finished", registry=self.registry
         )
         self.client_connections = Gauge(
             "yardspindle_client_connections", "Open client connections", registry=self.registry
--- a/yardspindle/edge/planner_link.py
+++ b/yardspindle/edge/planner_link.py
@@ -21,7 +21,7 @@
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.world import ConnectError, Stream, StreamError, World
 
-MAX_PENDING_EVENTS = 50_000  # a busy edge produces this many in some seconds
+MAX_PENDING_EVENTS = 50_000  # more mean that the planner does not read; a busy edge queues them in some seconds
 MIN_RETRY_PAUSE_US = 50_000  # after a lost link; doubled up to the maximum, so that a dead planner costs little
 MAX_RETRY_PAUSE_US = 1_000_000
 HANDSHAKE_TIMEOUT_US = 2_000_000
@@ -60,12 +60,12 @@
         self._pending_events: list[i.Event] = []
         self._events_available = world.channel(1)
         self._stream: Stream | None = None
-        self._last_sent = 0
-        self.last_answered = 0
-        self.connected = world.signal()  # set when the first link is up
+        self._last_sent_frame = 0  # number of an Events frame
+        self.last_answered_frame = 0  # number of an Events frame
+        self.first_connected = world.signal()  # set when the first link is up; never cleared
 
     def send_event(self, event: i.Event) -> None:
-        """Queue an event for the planner. Without a link it is dropped: the core ends what needs a planner."""
+        """Queue an event for the planner. Without a link it is dropped: the core itself ends what needs a planner."""
         if self._stream is None:
             return
         if len(self._pending_events) >= MAX_PENDING_EVENTS:
@@ -80,7 +80,10 @@
     def check_liveness(self, now_us: int) -> None:
         """Close the link if the planner no longer answers; `run` then reports it as down."""
         if self._stream is not None and self._liveness.timed_out(now_us):
-            log.error("planner is silent; the link is cut", answered=self.last_answered, told=self._last_sent)
+            # Both values are numbers of Events frames: the last that the planner answered, and the last sent.
+            log.error(
+                "planner is silent; the link is cut", answered=self.last_answered_frame, told=self._last_sent_frame
+            )
             self._liveness.reset(now_us)
             self._stream.abort()
 
@@ -117,7 +120,7 @@
         sender = None
         try:
             self._on_up(epoch)
-            self.connected.set()
+            self.first_connected.set()
             sender = self._world.spawn("link sender", self._send_events, stream)
             log.info("planner up", epoch=epoch)
             for frame in early_frames:
@@ -152,7 +155,7 @@
 
     def _handle_frame(self, epoch: int, frame: frames.Frame) -> None:
         if isinstance(frame, frames.Actions):
-            self.last_answered = frame.answers
+            self.last_answered_frame = frame.answers  # number of the last Events frame that the planner processed
             self._liveness.record_answered(self._world.now_us(), frame.answers)
             self._on_actions(epoch, [frames.from_wire(action) for action in frame.actions])
         elif isinstance(frame, frames.Servers):
@@ -168,12 +171,12 @@
                 self._events_available.get()
                 while self._pending_events and self._stream is stream:
                     events, self._pending_events = self._pending_events, []
-                    self._last_sent += 1
-                    self._liveness.record_sent(self._world.now_us(), self._last_sent)
+                    self._last_sent_frame += 1
+                    self._liveness.record_sent(self._world.now_us(), self._last_sent_frame)
                     stream.write(
                         frames.encode(
                             frames.Events(
-                                self._last_sent, self._world.now_us(), [frames.to_wire(event) for event in events]
+                                self._last_sent_frame, self._world.now_us(), [frames.to_wire(event) for event in events]
                             )
                         )
                     )
--- a/yardspindle/planner/app.py
+++ b/yardspindle/planner/app.py
@@ -4,8 +4,8 @@
 decides which server does what: it gets events of the edge (requests, ended attempts) and returns actions for it.
 
 The planner connects to no engine and knows no clients. Each link has its own task; the policies' timers run on the
-planner's clock. An edge that does not read its actions in time is disconnected: it ends its open requests, but for
-those being streamed or written, and links again.
+planner's clock. An edge that does not read its actions in time is disconnected. It then ends its open requests, except
+those with a write (decode) in flight, whose answer may be streaming already, and connects again.
 """
 
 from __future__ import annotations
@@ -32,6 +32,7 @@
 
 HANDSHAKE_TIMEOUT_US = 2_000_000  # for an edge's first frame after it has connected
 WRITE_TIMEOUT_US = 2_000_000  # an edge that reads no actions for this long is disconnected
+MAX_QUEUED_FRAMES = 4_096  # for one edge; an edge that leaves more unread is disconnected
 
 VERSION = version("yardspindle")
 log = structlog.get_logger("yardspindle.planner")
@@ -116,6 +117,7 @@
         if not isinstance(hello, frames.Hello) or hello.version != frames.VERSION:
             reason = f"this planner speaks version {frames.VERSION}"
         elif hello.settings_hash != self._settings_hash:
+            # The parts of the configuration that `settings_hash` covers; of the tenants, the names alone.
             reason = "classes, kinds, tenants or rules differ between edge and planner"
         if reason or not isinstance(hello, frames.Hello):
             stream.write(frames.encode(frames.Bye(reason)))
@@ -124,7 +126,9 @@
         seed = self.world.random(f"policy {hello.number}").getrandbits(63)
         policy = Policy(settings, seed)
         planning = PlanningSession(
-            lambda event, now_us: policy.handle(now_us, event), hello.now_us, self.world.now_us()
+            lambda event, now_us: policy.handle(now_us, event),
+            edge_now_us=hello.now_us,
+            now_us=self.world.now_us(),
         )
         session = EdgeSession(self, stream, reader, planning, hello.number)
         self.metrics.linked_edges.set(len(self.sessions) + 1)
@@ -156,7 +160,7 @@
         self._last_events_number = 0
         self._timer_us: int | None = None
         self._cancel_timer = _no_timer
-        self._send_queue = self._world.channel(4_096)
+        self._send_queue = self._world.channel(MAX_QUEUED_FRAMES)
 
     def run(self) -> None:
         """Process the edge's frames until the link ends."""
@@ -179,12 +183,13 @@
             raise frames.LinkError(f"an edge does not send {type(frame).__name__}")
         self._last_events_number = frame.number
         self._planner.metrics.events.inc(len(frame.events))
+        # Always answered, as the edge counts a planner as lost that leaves a frame of events unanswered.
         self._apply_decisions(
-            self._planning.handle_events(frame.now_us, [frames.from_wire(e) for e in frame.events]), True
+            self._planning.handle_events(frame.now_us, [frames.from_wire(e) for e in frame.events]), always_reply=True
         )
 
     def server_list_changed(self) -> None:
-        """Send the current server list to the edge, which connects to the servers, and pass it to the policy."""
+        """Send the current server list to the edge, which connects to the servers, and to the policy (as `Members`)."""
         self.send(frames.Servers(self._planner.server_list.version, self._planner.server_list.addresses()))
         self._apply_decisions(self._planning.update_members(self._world.now_us(), self._planner.server_list))
 
@@ -245,8 +250,10 @@
         """Register all metrics at zero."""
         self.registry = CollectorRegistry()
         self.linked_edges = Gauge("yardspindle_edges", "Edges that are linked", registry=self.registry)
-        self.events = Counter("yardspindle_events", "Events heard", registry=self.registry)
-        self.attempts = Counter("yardspindle_sends", "Attempts decided", ("server",), registry=self.registry)
+        self.events = Counter("yardspindle_events", "Events received from edges", registry=self.registry)
+        self.attempts = Counter(
+            "yardspindle_sends", "Attempts that policies assigned to a server", ("server",), registry=self.registry
+        )
         self.policy_errors = Counter(
             "yardspindle_policy_faults", "Events on which the policy failed", registry=self.registry
         )
