--- a/tests/fleet_scenarios.py
+++ b/tests/fleet_scenarios.py
@@ -200,7 +200,7 @@
     logged = p.until(
         "it says so", lambda: p.logged("s0", "the store went back; nothing is taken from it or written to it")
     )
-    assert "it had told" in logged["reason"]
+    assert "but an earlier answer had revision" in logged["reason"]
     assert p.owner("sweep/0") is None and p.chat()[0] == 200
     assert_rules_hold(p)
 
--- a/tests/test_store_failures.py
+++ b/tests/test_store_failures.py
@@ -92,7 +92,7 @@
         stand_in.saved_model = stand_in.model.copy()
         store.txn(put(b"a", b""))
         stand_in.model = stand_in.saved_model.copy()
-        with pytest.raises(InconsistentStore, match="stands at revision 1; it had told 2"):
+        with pytest.raises(InconsistentStore, match="is at revision 1, but an earlier answer had revision 2"):
             store.range(b"a")
         with pytest.raises(InconsistentStore):
             store.txn(put(b"a", b""))
@@ -144,7 +144,7 @@
         db.execute("CREATE TABLE orders (id)")
     db.close()
     before = path.read_bytes()
-    with pytest.raises(StoreError, match="none of ours"):
+    with pytest.raises(StoreError, match="not a store of this program"):
         run("file", tmp_path, lambda world, store: None)
     assert b"orders" in path.read_bytes()
 
--- a/yardspindle/fleet/departure.py
+++ b/yardspindle/fleet/departure.py
@@ -19,7 +19,7 @@
 
 RETRY_PAUSE_US = 200_000
 
-log = structlog.get_logger("yardspindle.fleet")
+log = structlog.get_logger("yardspindle.fleet")  # its events call the permit "leave"
 
 
 def request_departure(world: World, config: Config, unit: str) -> bool:
@@ -34,14 +34,18 @@
             keys = UnitKeys(FleetKeys(config.fleet.name))
             rows = store.range(keys.root, prefix_end(keys.root))
             units = keys.read({row.key: row for row in rows.rows})
-            denial = p.check_departure(units.snapshot(config.release.limit, 0), unit)
+            denial = p.check_departure(units.snapshot(config.release.limit, age_us=0), unit)
             if unit in units.permits:  # granted by a release, or by a call whose answer was lost
                 log.info("leave was given", unit=unit, by=units.permits[unit].by)
                 return True
             if denial is None:
                 status = units.statuses.get(unit)
                 permit = p.Permit(
-                    unit, status.epoch if status is not None else "", unit, "asked to end", since_us=world.now_us()
+                    unit,
+                    status.epoch if status is not None else "",
+                    by=unit,
+                    why="asked to end",  # the unit's program got its stop signal
+                    since_us=world.now_us(),
                 )
                 store.txn(keys.grant_own_permit(units, permit))
                 continue  # read the store again: either this permit was granted, or another unit got one first
@@ -52,5 +56,6 @@
             logged_reason = reason
             log.info("leave is not given now", unit=unit, reason=reason)
         world.sleep_until(min(world.now_us() + RETRY_PAUSE_US, until_us))
+    # `leave_wait_ms` is over.
     log.warning("shutting down without leave: the wait has ended", unit=unit, reason=logged_reason)
     return False
--- a/yardspindle/fleet/fleet_watcher.py
+++ b/yardspindle/fleet/fleet_watcher.py
@@ -1,8 +1,8 @@
 """Keeps a view (a local copy) of the fleet's data in the store, the key-value store that its processes share.
 
 One full read, then a watch; another full read whenever the watch breaks or may have missed a change.
-A watch can stop delivering without breaking. Other answers of the store carry its revision (`observe_revision`); a
-view that stays behind such a revision for more than `MAX_LAG_US` is read in full again.
+A watch can stop delivering without breaking. Other answers of the store carry its revision (`observe_revision`); if
+the view is behind such a revision and the watch delivers nothing for `MAX_LAG_US`, all is read again.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from yardspindle.runtime.world import World
 
 WATCH_POLL_US = 200_000  # how often a watch without changes is checked for lag
-MAX_LAG_US = 1_000_000  # how long the view may stay behind a revision that another answer of the store carried
+MAX_LAG_US = 1_000_000  # how long the watch may deliver nothing while the view is behind another answer's revision
 MIN_RETRY_PAUSE_US, MAX_RETRY_PAUSE_US = 100_000, 2_000_000
 
 log = structlog.get_logger("yardspindle.fleet")
@@ -36,7 +36,7 @@
         self.view = FleetView(keys)
         self.confirmed_us = 0  # when the view was last known to match the store
         self.full_reads = 0
-        self._behind_since_us = 0  # since when the view has been behind the store; 0: it is not
+        self._behind_since_us = 0  # when a lag was found, or the watch last delivered during it; 0: no lag known
 
     def observe_revision(self, revision: int) -> None:
         """Compare the view with a revision of the store that another answer carried."""
@@ -76,14 +76,14 @@
                 with limit:
                     changes = watch.next()
             except DeadlineExceeded:
-                if not limit.passed:
+                if not limit.passed:  # an enclosing deadline of the caller passed, not this one
                     raise
                 if self._behind_since_us and self._world.now_us() - self._behind_since_us > MAX_LAG_US:
                     log.warning("the watch delivers nothing; reading all again", revision=self.view.revision)
                     return
                 continue
             self.view.apply(changes.revision, changes.changes)
-            if self._behind_since_us:
+            if self._behind_since_us:  # the watch delivers: MAX_LAG_US starts again
                 self._behind_since_us = self._world.now_us()
             self._view_updated()
 
--- a/yardspindle/fleet/member_page.py
+++ b/yardspindle/fleet/member_page.py
@@ -63,24 +63,24 @@
         return ApiError(error.status, "malformed_request", error.reason).reply()
 
 
-def probe_member(http: HttpClient, page: str) -> tuple[ProbeResult, MemberStatus | None]:
-    """Request a member page; the status is None unless the member answered."""
+def probe_member(http: HttpClient, page_address: str) -> tuple[ProbeResult, MemberStatus | None]:
+    """Request a member page at `host:port`; the status is None unless the member answered."""
     world = http.world
     limit = world.deadline(world.now_us() + PROBE_TIMEOUT_US)
     try:
         with limit:
-            response = http.request(*split_address(page), b"GET", MEMBER_PATH, [])
+            response = http.request(*split_address(page_address), b"GET", MEMBER_PATH, [])
             data = response.read_all()
             response.close()
         return ProbeResult.ANSWERED, msgspec.json.decode(data, type=MemberStatus)
-    except ConnectReset:
+    except ConnectReset:  # also if this process has no free socket: proves nothing about the member
         return ProbeResult.NO_ANSWER, None
-    except ConnectError as error:
+    except ConnectError as error:  # only the text tells a refusal, which proves that the process has ended
         return ProbeResult.REFUSED if "refused" in str(error).lower() else ProbeResult.NO_ANSWER, None
     except (ExchangeBroken, msgspec.DecodeError):
         return ProbeResult.NO_ANSWER, None
     except DeadlineExceeded:
-        if not limit.passed:
+        if not limit.passed:  # an enclosing deadline of the caller passed, not this one
             raise
         return ProbeResult.NO_ANSWER, None
 
--- a/yardspindle/fleet/membership.py
+++ b/yardspindle/fleet/membership.py
@@ -93,7 +93,7 @@
             self._update_needed.set()
 
     def deregister(self) -> None:
-        """Remove the registration by revoking the lease. A steward still frees what this run held at engines."""
+        """Remove the registration by revoking the lease. What engines still hold for this epoch, a steward releases."""
         lease, self.lease = self.lease, -1
         if lease > 0:
             try:
@@ -111,12 +111,13 @@
                     pause_us = self._ttl_us * RETRY_FRACTION
                     continue
             except InconsistentStore as error:
+                # The store has lost data or is another store: registration fails until this process restarts.
                 if str(error) != self.refusal_reason:
                     log.error("the store went back; nothing is taken from it or written to it", reason=str(error))
                 self.refusal_reason = str(error)
                 self._callbacks.on_failed(True)
             except StoreError as error:
-                log.warning("no lease", reason=str(error))
+                log.warning("no lease", reason=str(error))  # not granted or not usable; retried after a pause
                 self._callbacks.on_failed(True)
             self._world.sleep_until(self._world.now_us() + round(pause_us))
             pause_us = min(2 * pause_us, self._ttl_us * KEEP_ALIVE_FRACTION)
@@ -199,4 +200,5 @@
             host, port
         )
     except (StoreError, OSError) as error:
+        # The program runs on without the fleet; it does not try to join again.
         log.error("not a member of its fleet", kind=kind, store=list(config.store), reason=str(error))
--- a/yardspindle/fleet/server_list_file.py
+++ b/yardspindle/fleet/server_list_file.py
@@ -1,7 +1,8 @@
 """Reads the list of prefill and decode servers from a file at a fixed interval; applies it completely or not at all.
 
 A rejected file leaves the current list in force and is logged once, and again when the reason changes. The file is
-polled because reading it costs little compared with a late list, and detects every way of replacing a file.
+polled: that costs little compared with a list that comes late and, unlike a file watch, notices every way of replacing
+a file.
 """
 
 from __future__ import annotations
@@ -44,6 +45,7 @@
         document = parse_server_list(self._path, data, self._config)
         self._data = data
         if self._server_list.apply(document):
+            # Logged for each list that is applied.
             log.info("server list", version=self._server_list.version, servers=len(document.servers))
             self._on_change()
 
--- a/yardspindle/fleet/store/embedded.py
+++ b/yardspindle/fleet/store/embedded.py
@@ -38,12 +38,14 @@
 
 T = TypeVar("T")
 SCHEMA_VERSION = 1
-MIN_LOCK_RETRY_US = 1_000  # while another process holds the lock: about the time of one transaction
+MIN_LOCK_RETRY_US = 1_000  # first pause while another process holds the lock, about one transaction; then doubled
 MAX_LOCK_RETRY_US = 20_000
-WATCH_POLL_US = 20_000  # poll interval of a watch: of the order of a network hop; a poll costs some microseconds
+WATCH_POLL_US = 20_000  # poll interval of a watch: delays a change as a network might; a poll costs some microseconds
 HISTORY_REVISIONS = 10_000  # revisions of history to keep; compacted when twice as many exist
 BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
+# made and mod: the revisions at which a key was created and last changed (etcd's create_revision and mod_revision).
 COLUMNS = "key, value, made, mod, version, lease"
+# `about` holds the store's metadata: schema version (`form`), revision, compacted revision and last lease.
 TABLES = (
     "CREATE TABLE versions (key BLOB, mod INTEGER, made INTEGER, version INTEGER, value BLOB, lease INTEGER,"
     " removed INTEGER, PRIMARY KEY (key, mod)) WITHOUT ROWID",
@@ -67,7 +69,7 @@
         try:
             self._boot_id = world.read_file(BOOT_ID_PATH).decode().strip()
         except OSError:
-            self._boot_id = ""
+            self._boot_id = ""  # unknown: leases then outlast a reboot until the uptime reaches their end
         self.last_revision = 0
         self.call_count = 0
         self._refusal_reason = ""  # why this store must no longer be used; empty while it may
@@ -137,7 +139,7 @@
     # --- waiting for the lock
 
     def _retry_while_locked(self, operation: Callable[[], T], is_read: bool = False) -> T:
-        """Retry until the lock is free, yielding to other tasks; raises NotApplied when the call's time is up."""
+        """Retry until the lock is free, yielding to other tasks; raises NotApplied after `call_us`."""
         self.call_count += 1
         until_us, pause_us = self._world.now_us() + self._call_us, MIN_LOCK_RETRY_US
         while True:
@@ -193,7 +195,7 @@
         try:
             tables = {row[0] for row in self._db.run("SELECT name FROM sqlite_master WHERE type = 'table'")}
             if tables and "about" not in tables:
-                raise StoreError(f"{self._path}: a database, but none of ours; it is left as it is")
+                raise StoreError(f"{self._path}: not a store of this program (it has no table `about`); left unchanged")
             if tables and int(self._metadata("form")) != SCHEMA_VERSION:
                 raise StoreError(
                     f"{self._path}: schema version {self._metadata('form')}, this program reads {SCHEMA_VERSION}"
@@ -216,7 +218,9 @@
     def _revision(self) -> int:
         revision = int(self._metadata("revision"))
         if revision < self.last_revision:  # permanent: a loss cannot be detected later, when the store has caught up
-            self._refusal_reason = f"{self._path} stands at revision {revision}; it had told {self.last_revision}"
+            self._refusal_reason = (
+                f"{self._path} is at revision {revision}, but an earlier answer had revision {self.last_revision}"
+            )
         if self._refusal_reason:
             raise InconsistentStore(self._refusal_reason)
         self.last_revision = revision
@@ -235,16 +239,16 @@
         return bool(self._db.run("SELECT 1 FROM leases WHERE lease = ?", (lease,)))
 
     def _range(self, key: bytes, end: bytes, revision: int) -> RangeResult:
-        now = self._revision()
-        if not revision or revision == now:
-            return RangeResult(now, tuple(self.rows(key, end)))
-        if revision > now:
+        current_revision = self._revision()
+        if not revision or revision == current_revision:
+            return RangeResult(current_revision, tuple(self.rows(key, end)))
+        if revision > current_revision:
             raise NotApplied("11: etcdserver: mvcc: required revision is a future revision")
         if revision < int(self._metadata("compacted")):
             raise Compacted(int(self._metadata("compacted")))
         where, arguments = _range_condition(key, end)
         return RangeResult(
-            now,
+            current_revision,
             tuple(
                 _to_key_value(row)
                 for row in self._db.run(
@@ -257,10 +261,10 @@
 
     def _txn(self, txn: Txn) -> TxnResult:
         result, changes = evaluate(txn, self, self._revision())
-        self._commit(changes)
+        self._store_changes(changes)
         return result
 
-    def _commit(self, changes: tuple[Change, ...]) -> None:
+    def _store_changes(self, changes: tuple[Change, ...]) -> None:
         if not changes:
             return
         for change in changes:
@@ -311,24 +315,24 @@
     def _revoke(self, lease: int) -> None:
         keys = [row[0] for row in self._db.run("SELECT key FROM now WHERE lease = ? ORDER BY key", (lease,))]
         if keys:
-            self._commit(evaluate(Txn(then=tuple(Delete(key) for key in keys)), self, self._revision())[1])
+            self._store_changes(evaluate(Txn(then=tuple(Delete(key) for key in keys)), self, self._revision())[1])
         self._db.run("DELETE FROM leases WHERE lease = ?", (lease,))
 
     def changes_since(self, key: bytes, end: bytes, revision: int) -> Changes:
         """The changes of a range since a revision, inclusive. Raises Compacted."""
 
         def read() -> Changes:
-            now = self._revision()
-            if now < revision:
-                return Changes(now)
+            current_revision = self._revision()
+            if current_revision < revision:
+                return Changes(current_revision)
             if revision <= int(self._metadata("compacted")):
                 raise Compacted(int(self._metadata("compacted")))
             where, arguments = _range_condition(key, end)
             rows = self._db.run(
                 f"SELECT {COLUMNS}, removed FROM versions WHERE {where} AND mod >= ? AND mod <= ? ORDER BY mod, key",
-                (*arguments, revision, now),
+                (*arguments, revision, current_revision),
             )
-            return Changes(now, tuple(Change(_to_key_value(row[:6]), bool(row[6])) for row in rows))
+            return Changes(current_revision, tuple(Change(_to_key_value(row[:6]), bool(row[6])) for row in rows))
 
         return self._retry_while_locked(read, is_read=True)
 
@@ -362,5 +366,5 @@
 
 
 def _to_key_value(row: tuple[Any, ...]) -> KeyValue:
-    key, value, made, mod, version, lease = row
-    return KeyValue(key, value, made, mod, version, lease)
+    key, value, create, mod, version, lease = row
+    return KeyValue(key, value, create, mod, version, lease)
--- a/yardspindle/fleet/store/etcd.py
+++ b/yardspindle/fleet/store/etcd.py
@@ -30,7 +30,7 @@
 T = TypeVar("T")
 JSON_HEADERS: http1.Headers = [(b"content-type", b"application/json")]
 CONNECT_TIMEOUT_US = 300_000  # an endpoint without a connection by then is skipped
-MAX_IDLE_US = 30_000_000
+MAX_IDLE_US = 30_000_000  # a connection that was idle for longer is closed, not used again
 # gRPC codes that prove that nothing was done: invalid argument, not found, already exists, permission denied,
 # failed precondition, out of range, unimplemented, unauthenticated. Any other can also follow after the leader has
 # accepted the request.
@@ -118,6 +118,7 @@
             reply = j.decode(data, kind)
         except j.MalformedMessage as error:
             raise (OutcomeUnknown if is_write else NotApplied)(f"the answer is malformed: {error}") from None
+        # The answer to a keep-alive is a stream's message, which wraps the response in `result`.
         header = getattr(reply, "header", None) or getattr(getattr(reply, "result", None), "header", None)
         if header is not None:
             self._check_header(min_revision, header)
@@ -195,7 +196,9 @@
         if self.cluster_id and cluster and cluster != self.cluster_id:
             self._refusal_reason = f"the store is another cluster ({cluster}, was {self.cluster_id})"
         elif revision < min_revision:
-            self._refusal_reason = f"the store stands at revision {revision}; it had told {min_revision}"
+            self._refusal_reason = (
+                f"the store is at revision {revision}, but an earlier answer had revision {min_revision}"
+            )
         if self._refusal_reason:
             raise InconsistentStore(self._refusal_reason)
         self.cluster_id = cluster or self.cluster_id
--- a/yardspindle/fleet/store/etcd_json.py
+++ b/yardspindle/fleet/store/etcd_json.py
@@ -36,7 +36,7 @@
 
 T = TypeVar("T")
 JsonInt = int | str  # the gateway reads both and writes strings
-TARGETS: dict[Target, tuple[str, str]] = {
+TARGETS: dict[Target, tuple[str, str]] = {  # the enum's name, and the field with the expected value
     "version": ("VERSION", "version"),
     "create": ("CREATE", "create_revision"),
     "mod": ("MOD", "mod_revision"),
@@ -266,17 +266,21 @@
             return RequestOp(request_delete_range=DeleteRangeRequest(encode_base64(key), encode_base64(end)))
 
 
-def decode_op(call: RequestOp) -> Op:
+def decode_op(request_op: RequestOp) -> Op:
     """Convert an operation from its JSON form. Raises MalformedMessage."""
-    if call.request_range is not None:
-        return Get(decode_base64(call.request_range.key), decode_base64(call.request_range.range_end))
-    if call.request_put is not None:
+    if request_op.request_range is not None:
+        return Get(decode_base64(request_op.request_range.key), decode_base64(request_op.request_range.range_end))
+    if request_op.request_put is not None:
         return Put(
-            decode_base64(call.request_put.key), decode_base64(call.request_put.value), int(call.request_put.lease)
+            decode_base64(request_op.request_put.key),
+            decode_base64(request_op.request_put.value),
+            int(request_op.request_put.lease),
         )
-    if call.request_delete_range is not None:
-        return Delete(decode_base64(call.request_delete_range.key), decode_base64(call.request_delete_range.range_end))
-    raise MalformedMessage("an operation that is none of the three")
+    if request_op.request_delete_range is not None:
+        return Delete(
+            decode_base64(request_op.request_delete_range.key), decode_base64(request_op.request_delete_range.range_end)
+        )
+    raise MalformedMessage("an operation that is neither a range, a put nor a delete")
 
 
 def encode_txn(txn: Txn) -> bytes:
@@ -285,9 +289,9 @@
     for c in txn.compare:
         target, name = TARGETS[c.target]
         expected = encode_base64(c.expected) if isinstance(c.expected, bytes) else str(c.expected)
-        call = JsonCompare(RELATIONS[c.relation], target, encode_base64(c.key))
-        setattr(call, name, expected)
-        compare.append(call)
+        condition = JsonCompare(RELATIONS[c.relation], target, encode_base64(c.key))
+        setattr(condition, name, expected)
+        compare.append(condition)
     return msgspec.json.encode(
         TxnRequest(compare, [encode_op(op) for op in txn.then], [encode_op(op) for op in txn.otherwise])
     )
@@ -295,9 +299,9 @@
 
 def decode_txn(data: bytes) -> Txn:
     """Decode a transaction request. Raises MalformedMessage."""
-    call = decode(data, TxnRequest)
+    request = decode(data, TxnRequest)
     compare = []
-    for c in call.compare:
+    for c in request.compare:
         target = next((name for name, (wire, _) in TARGETS.items() if wire == c.target), None)
         relation = next((name for name, wire in RELATIONS.items() if wire == c.result), None)
         if target is None or relation is None:
@@ -311,7 +315,9 @@
                 decode_base64(expected or "") if target == "value" else int(expected or 0),
             )
         )
-    return Txn(tuple(compare), tuple(decode_op(op) for op in call.success), tuple(decode_op(op) for op in call.failure))
+    return Txn(
+        tuple(compare), tuple(decode_op(op) for op in request.success), tuple(decode_op(op) for op in request.failure)
+    )
 
 
 def encode_txn_result(txn: Txn, result: TxnResult, header: ResponseHeader) -> bytes:
