--- a/yardspindle/runtime/detached_process.py
+++ b/yardspindle/runtime/detached_process.py
@@ -25,10 +25,11 @@
     """Return a process's start time in clock ticks since boot, or 0 if it does not exist or is a zombie."""
     try:
         with open(f"/proc/{pid}/stat", "rb") as file:
+            # The name, field 2 of proc(5), is in parentheses and may hold spaces: start after it, at field 3.
             fields = file.read().rpartition(b")")[2].split()
     except OSError:
         return 0
-    return 0 if fields[0] in (b"Z", b"X") else int(fields[19])
+    return 0 if fields[0] in (b"Z", b"X") else int(fields[19])  # state and start time: fields 3 and 22
 
 
 class DetachedProcess:
--- a/yardspindle/runtime/poller.py
+++ b/yardspindle/runtime/poller.py
@@ -53,7 +53,7 @@
         waiting = self._waiting.setdefault(descriptor, {})
         assert mask not in waiting, "two tasks wait for the same direction of one descriptor"
         waiting[mask] = scheduler.current
-        self._poll.register(descriptor, sum(waiting))
+        self._poll.register(descriptor, sum(waiting))  # the masks are different bits: their sum is their union
         try:
             scheduler.park()
         finally:
--- a/yardspindle/runtime/process.py
+++ b/yardspindle/runtime/process.py
@@ -1,6 +1,7 @@
 """Child processes on the real machine: started, read, waited for and terminated without blocking the event loop.
 
-They use `RealWorld`, the real machine's interface to clock, sockets and files.
+The one exception is the wait after SIGKILL, for the short time in which the kernel ends the process. They use
+`RealWorld`, the real machine's interface to clock, sockets and files.
 """
 
 from __future__ import annotations
--- a/yardspindle/runtime/real.py
+++ b/yardspindle/runtime/real.py
@@ -185,11 +185,11 @@
                     raise
 
     def stop(self, admit: Callable[[Stream], None]) -> None:
-        """Stop (Listener); after `listen(0)` the kernel queues one connection and drops SYNs, which clients resend."""
+        """Stop (Listener); of what connects after the last accept, `close` resets at most the one that is queued."""
         if not self.closed:
             with contextlib.suppress(OSError):
                 self._accept_pending(admit)
-                self._sock.listen(0)
+                self._sock.listen(0)  # the kernel queues one connection and drops other SYNs, which clients resend
                 self._accept_pending(admit)
             self.close()
 
@@ -283,7 +283,7 @@
         """Connect by the deadline (World). Hosts are IP addresses: resolving a name would block the event loop."""
         try:
             sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
-        except OSError as error:
+        except OSError as error:  # no reset, but also raised as ConnectReset: weak evidence of a fault of the server
             if error.errno in EXHAUSTION_ERRNOS and self.free_descriptor():
                 return self.connect(host, port, deadline_us)
             raise (DescriptorsExhausted if error.errno in EXHAUSTION_ERRNOS else ConnectReset)(
@@ -362,7 +362,7 @@
 
     def database(self, path: str) -> Database:
         """Open a database that processes of one machine share (World)."""
-        from yardspindle.runtime.database import SqliteDatabase  # on first use: not loaded if no file is the store
+        from yardspindle.runtime.database import SqliteDatabase  # on first use: not for a store in etcd
 
         return SqliteDatabase(path)
 
--- a/yardspindle/runtime/scheduler.py
+++ b/yardspindle/runtime/scheduler.py
@@ -69,7 +69,7 @@
         "result",
         "error",
         "_joiners",
-        "_observed",
+        "_joined",
         "gate",
     )
 
@@ -83,7 +83,7 @@
         self.result: Any = None
         self.error: BaseException | None = None
         self._joiners: list[Task] = []
-        self._observed = False
+        self._joined = False  # if so, its error is raised in the joiner, not passed to the crash hook
         self.gate: Gate | None = None
 
         def body(_value: object = None) -> None:
@@ -105,7 +105,7 @@
 
     def join(self) -> Any:
         """Wait until the task ends; return its result or raise its error."""
-        self._observed = True
+        self._joined = True
         while not self.done:
             self._joiners.append(self._scheduler.current)
             try:
@@ -141,8 +141,8 @@
 
     @property
     def passed(self) -> bool:
-        """Whether this deadline raised its error, as opposed to an enclosing one."""
-        return self._error.__traceback__ is not None
+        """Whether this deadline, as opposed to an enclosing one, raised its error in the block."""
+        return self._error.__traceback__ is not None  # an error gets a traceback when it is raised
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
@@ -185,7 +185,7 @@
         """Run a task and those it spawns on this thread; when it ends, cancel the others and wait for their end."""
         self.hub = greenlet.greenlet(self._loop, greenlet.getcurrent())
         main = self.spawn(name, function, *args)
-        main._observed = True
+        main._joined = True
         self._main = main
         self.hub.switch()
         if main.error is not None:
@@ -254,7 +254,7 @@
         self.tasks.pop(task, None)
         for joiner in task._joiners:
             self.wake(joiner)
-        if task.error is not None and not task._observed:
+        if task.error is not None and not task._joined:
             self.on_crash(task, task.error)
 
     def _loop(self) -> None:
--- a/yardspindle/runtime/virtual.py
+++ b/yardspindle/runtime/virtual.py
@@ -103,7 +103,7 @@
     def _crash(self, task: Task, error: BaseException) -> None:
         world = next((world for world in self.programs.values() if world.gate is task.gate), None)
         if task.gate is None or (world is not None and world.alive):  # errors after the kill are ignored
-            name = world.name if world is not None else "run"
+            name = world.name if world is not None else "simulation"  # a task of no program
             self.crashes.append(f"{name}: task {task.name}: {type(error).__name__}: {error}")
 
 
@@ -132,7 +132,7 @@
             return
         self.alive = False
         self.sim.network.close_all(self)
-        self.resume()
+        self.resume()  # suspended tasks must run once more, to be cancelled
         for task in [task for task in self.scheduler.tasks if task.gate is self.gate]:
             self.scheduler.interrupt(task, Cancelled())
 
@@ -280,7 +280,7 @@
         return 1 << 20
 
     def uptime_us(self) -> int:
-        """Microseconds since the machine booted (World)."""
+        """Microseconds since the machine booted (World): all machines booted at the reference clock's zero."""
         return self.sim.now_us()
 
     def database(self, path: str) -> Database:
--- a/yardspindle/runtime/virtual_network.py
+++ b/yardspindle/runtime/virtual_network.py
@@ -43,7 +43,7 @@
 
 
 class Program(Protocol):
-    """What the network needs from a program that uses it."""
+    """What the network needs from a program that uses it: its `VirtualWorld`, called `world` below."""
 
     name: str
     scheduler: Scheduler
@@ -106,13 +106,13 @@
             for arrive in held:
                 arrive()
 
-    def close_all(self, program: Program) -> None:
+    def close_all(self, world: Program) -> None:
         """Close the sockets of a killed program and reset its connections, as its kernel would."""
-        for listener in [listener for listener in self.listeners.values() if listener.world is program]:
+        for listener in [listener for listener in self.listeners.values() if listener.world is world]:
             listener.close()
-        for stream in [stream for stream in self.streams if stream.world is program]:
+        for stream in [stream for stream in self.streams if stream.world is world]:
             stream.abort()
-        for socket in [socket for socket in self.message_sockets if socket.world is program]:
+        for socket in [socket for socket in self.message_sockets if socket.world is world]:
             socket.close()
 
 
@@ -155,7 +155,9 @@
         self._unread_bytes = 0  # sent by the peer and not yet read here
         self._last_arrival_us = 0  # arrival time of the last segment sent to this end; keeps segments in order
         self._held_segments = 0  # segments to this end held by a cut
-        self._ended = self._reset = self._closed = self._finished = False
+        self._eof_received = self._eof_sent = False
+        self._closed = False  # at this end
+        self._reset = False  # by the peer
         self._readable = Waiter(world.scheduler)
         self._writable = Waiter(world.scheduler)
         self.network.streams[self] = None
@@ -174,7 +176,7 @@
                 if self.remote is not None:
                     self.remote._writable.wake()
                 return data
-            if self._ended:
+            if self._eof_received:
                 return b""
             self._readable.wait()
 
@@ -183,7 +185,7 @@
         rest = memoryview(data)
         while rest:
             remote = self.remote
-            if self._closed or self._reset or self._finished or remote is None:
+            if self._closed or self._reset or self._eof_sent or remote is None:
                 raise StreamError("Connection reset by peer" if self._reset else "closed here")
             room = WINDOW_BYTES - remote._unread_bytes
             if room <= 0:
@@ -198,7 +200,7 @@
 
     def is_idle(self) -> bool:
         """Whether there is no unread input and the peer has not closed (Stream)."""
-        return not (self._closed or self._reset or self._ended or self._inbox)
+        return not (self._closed or self._reset or self._eof_received or self._inbox)
 
     def wait_input(self) -> None:
         """Wait until the peer sends data or closes, without reading it (Stream)."""
@@ -207,17 +209,17 @@
 
     def send_eof(self) -> None:
         """Close the sending side only (Stream)."""
-        if not (self._closed or self._finished or self.remote is None):
-            self._finished = True
+        if not (self._closed or self._eof_sent or self.remote is None):
+            self._eof_sent = True
             self.remote._schedule(0, self.remote._receive_eof)
 
     def close(self) -> None:
         """Close the connection; with a reset if received bytes were not read (Stream)."""
-        self._disconnect(lambda far: far._receive_eof())
+        self._disconnect(lambda remote: remote._receive_eof())
 
     def abort(self) -> None:
         """Close with a reset, discarding unsent data (Stream)."""
-        self._disconnect(lambda far: far.receive_reset())
+        self._disconnect(lambda remote: remote.receive_reset())
 
     @property
     def open(self) -> bool:
@@ -273,7 +275,7 @@
         self._readable.wake()
 
     def _receive_eof(self) -> None:
-        self._ended = True
+        self._eof_received = True
         self._readable.wake()
 
     def receive_reset(self) -> None:
--- a/yardspindle/runtime/zeromq.py
+++ b/yardspindle/runtime/zeromq.py
@@ -1,6 +1,6 @@
 """ZeroMQ sockets on the scheduler: a task waits for the descriptor of the ZeroMQ library as for any other.
 
-The descriptor is edge-triggered: it may not become readable although a message is queued, because a send consumed the
+The descriptor is edge-triggered: it can stay unreadable although a message is queued, because a send consumed the
 notification. A receive therefore always tries first, and sockets that both send and receive also check periodically.
 """
 
@@ -14,7 +14,7 @@
 from yardspindle.runtime.scheduler import Closed, DeadlineExceeded, Scheduler
 
 KINDS = {"sub": zmq.SUB, "pub": zmq.PUB, "dealer": zmq.DEALER, "router": zmq.ROUTER}
-HIGH_WATER_MARK = 10_000  # messages queued for a slow peer; further ones are dropped, which the receiver sees as a gap
+HIGH_WATER_MARK = 10_000  # messages queued for a slow peer; more are dropped, a gap in the numbers of numbered messages
 RECHECK_US = 20_000  # interval of the check for sockets that also send
 
 
