--- a/yardspindle/lab/day.py
+++ b/yardspindle/lab/day.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import os
 import signal
 from collections.abc import Callable
@@ -23,8 +24,9 @@
 from yardspindle.lab.engine import CONTROL
 from yardspindle.lab.engine_settings import EngineSettings
 from yardspindle.lab.fleet import Dispatcher, EngineInstance, LocalFleet
+from yardspindle.runtime.process import Child, ChildError
 from yardspindle.runtime.real import RealWorld
-from yardspindle.runtime.scheduler import DeadlineExceeded
+from yardspindle.runtime.scheduler import DeadlineExceeded, Signal, Task
 
 SETTLE_US = 6_500_000  # after the last request: longer than any client's deadline and than engines keep a hold
 
@@ -177,22 +179,31 @@
             settings = msgspec.structs.replace(settings, cold_ms=0.0)  # all are warm at the start
             self.fleet.engines.append(EngineInstance(settings, rack, kind))
         self.http = HttpClient(world, 1_000_000, 1_000_000)
+        self._tasks: list[Task] = []
+        self._error: BaseException | None = None  # the first one that ended a task
+        self._killed: set[Child] = set()  # engine processes that a fault killed
 
     def run(self) -> AuditReport:
-        """Run the day and audit its journals."""
-        day, world = self.day, self.world
+        """Run the day and audit its journals. Raises the first error of any of its tasks, once all are stopped.
+
+        The scheduler ends the program at an error of a task that no other task has joined yet, as faults and clients
+        are for most of the day. The processes would keep running then, so the day handles such errors itself.
+        """
+        ended = self.world.signal()
+
+        def record_error(task: Task, error: BaseException) -> None:
+            self._error = self._error or error
+            ended.set()
+
+        self.world.scheduler.on_crash = record_error
         try:
-            self.print_line(f"starting {len(self.fleet.engines)} engines and {day.dispatchers} dispatchers")
-            self.fleet.start()
-            self.fleet.engines = [self._cold_from_now(engine) for engine in self.fleet.engines]
-            started = world.now_us()
-            faults = [world.spawn("trouble", self._run_fault, fault, started) for fault in day.troubles]
-            requests = self._send_requests(started)
-            for task in (*requests, *faults):
-                task.join()
-            world.sleep_until(world.now_us() + SETTLE_US)
+            self._spawn("play", self._play, ended)
+            ended.wait()
         finally:
+            self._cancel_tasks()
             codes = self.fleet.stop()
+        if self._error is not None:
+            raise self._error
         report = self.audit()
         self.fleet.remove_files()
         for name, code in codes.items():
@@ -200,6 +211,34 @@
                 report.add_violation("programs end in order", f"{name} ended with {code}")
         return report
 
+    def _play(self, ended: Signal) -> None:
+        """Start the fleet, send the requests and carry out the faults; sets `ended` when all are over."""
+        day, world = self.day, self.world
+        self.print_line(f"starting {len(self.fleet.engines)} engines and {day.dispatchers} dispatchers")
+        self.fleet.start()
+        self.fleet.engines = [self._cold_from_now(engine) for engine in self.fleet.engines]
+        started = world.now_us()
+        faults = [self._spawn("trouble", self._run_fault, fault, started) for fault in day.troubles]
+        requests = self._send_requests(started)
+        for task in (*requests, *faults):
+            task.join()
+        world.sleep_until(world.now_us() + SETTLE_US)
+        ended.set()
+
+    def _spawn(self, name: str, function: Callable[..., None], *args: Any) -> Task:
+        task = self.world.spawn(name, function, *args)
+        self._tasks.append(task)
+        return task
+
+    def _cancel_tasks(self) -> None:
+        """Cancel the tasks that still run and wait for their end: a fault in progress could start a process later."""
+        running = [task for task in self._tasks if not task.done]
+        for task in running:
+            task.cancel()
+        for task in running:
+            with contextlib.suppress(Exception):  # `run` raises the first error
+                task.join()
+
     def _cold_from_now(self, engine: EngineInstance) -> EngineInstance:
         engine.settings = msgspec.structs.replace(engine.settings, cold_ms=self.day.cold_ms)
         return engine
@@ -214,7 +253,7 @@
         )
         return audit_journals(read_journal(self.client_journal), read_journal(self.engine_journal), limits)
 
-    def _send_requests(self, started: int) -> list[Any]:
+    def _send_requests(self, started: int) -> list[Task]:
         day, world = self.day, self.world
         classes = tuple(ClientClass(c.name, c.share, c.give_up_ms, c.answer_tokens) for c in day.classes)
         clients = Clients(
@@ -224,13 +263,13 @@
             day.habits,
         )
         edges = [("127.0.0.1", dispatcher.port) for dispatcher in self.fleet.dispatchers]
-        tasks: list[Any] = []
+        tasks: list[Task] = []
         at, number = 0.0, 0
         while (at := at + self.rng.expovariate(day.rate_per_s)) < day.seconds:
             plan = draw_request(self.rng, number, classes, day.habits)
             number += 1
             world.sleep_until(started + int(at * 1e6))
-            tasks.append(world.spawn("client", clients.request, plan, edges))
+            tasks.append(self._spawn("client", clients.request, plan, edges))
         self.print_line(f"{number} requests sent")
         return tasks
 
@@ -264,10 +303,22 @@
             self.world.sleep_until(self.world.now_us() + int(fault.down_s * 1e6))
             for engine in engines:
                 self.fleet.launch_engine(engine)
-            for engine in engines:
-                self.fleet.wait_engine_ready(engine)
+            launched = [(engine, engine.child) for engine in engines]
+            for engine, child in launched:
+                assert child is not None
+                self._wait_restarted(engine, child)
             self.fleet.write_list()
 
+    def _wait_restarted(self, engine: EngineInstance, child: Child) -> None:
+        """Wait until a restarted engine serves, unless another fault replaces or kills its process before that."""
+        if engine.child is not child or child in self._killed:
+            return
+        try:
+            self.fleet.wait_engine_ready(engine)
+        except ChildError:
+            if child not in self._killed:
+                raise
+
     def _wait_for_stage(self, when: str, candidates: list[EngineInstance]) -> EngineInstance:
         """Wait until the journal shows a candidate in a read, a move (of KV cache) or a stream; returns that engine."""
         at = os.path.getsize(self.engine_journal)
@@ -299,6 +350,7 @@
 
     def _kill_engine(self, engine: EngineInstance) -> None:
         assert engine.child is not None
+        self._killed.add(engine.child)
         engine.child.send(signal.SIGKILL)
         engine.child.wait(self.world.now_us() + 5_000_000)
         line = {"t": self.world.now_us(), "box": engine.settings.name, "ev": "killed", "id": ""}
--- a/yardspindle/lab/fleet.py
+++ b/yardspindle/lab/fleet.py
@@ -69,6 +69,7 @@
     folder: tempfile.TemporaryDirectory[str] = field(
         default_factory=lambda: tempfile.TemporaryDirectory(prefix="yardspindle-")
     )
+    started: list[Child] = field(default_factory=list)  # each process of each program, including restarts
 
     def path(self, name: str) -> str:
         """The path of a file in the fleet's folder."""
@@ -144,7 +145,10 @@
         os.replace(self.path("servers.new"), self.path("servers.toml"))
 
     def stop(self) -> dict[str, int]:
-        """Stop all processes, edges first; returns exit codes by name. The files stay until `remove_files`."""
+        """Stop all processes, edges first; returns exit codes by name. The files stay until `remove_files`.
+
+        Processes that still run after another start of their program replaced them are stopped too, without a code.
+        """
         children = [d.edge for d in self.dispatchers] + [d.planner for d in self.dispatchers] + [self.steward]
         codes: dict[str, int] = {}
         try:
@@ -154,10 +158,12 @@
             for child in (*children, *(engine.child for engine in self.engines)):
                 if child is not None:
                     codes[child.name] = child.stop(STOP_TIMEOUT_US)  # those already asked to end are only waited for
+            for replaced in self.started:
+                if replaced.running():
+                    replaced.stop(STOP_TIMEOUT_US)
         finally:
-            for child in (*children, *(engine.child for engine in self.engines)):
-                if child is not None and child.running():
-                    child.send(signal.SIGKILL)
+            for started in self.started:
+                started.send(signal.SIGKILL)
         return codes
 
     def remove_files(self) -> None:
@@ -166,7 +172,9 @@
 
     def _child(self, name: str, *arguments: str) -> Child:
         argv = [sys.executable, "-m", "yardspindle", *arguments]
-        return Child(self.world, name, argv, self.path(f"{name}.log"))
+        child = Child(self.world, name, argv, self.path(f"{name}.log"))
+        self.started.append(child)
+        return child
 
     def _config_file(self, dispatcher: Dispatcher) -> str:
         file = self.path(f"dispatcher{dispatcher.number}.toml")
--- a/yardspindle/runtime/process.py
+++ b/yardspindle/runtime/process.py
@@ -50,8 +50,9 @@
         try:
             with self._world.deadline(self._world.now_us() + timeout_us):
                 while b"\n" not in self._buffer:
-                    self._world.poller.block(self._world.scheduler, self._stdout, READ_MASK)
-                    data = os.read(self._stdout, 4_096)
+                    if self._stdout >= 0:
+                        self._world.poller.block(self._world.scheduler, self._stdout, READ_MASK)
+                    data = os.read(self._stdout, 4_096) if self._stdout >= 0 else b""
                     if not data:
                         raise ChildError(f"{self.name} exited before it was ready: {self._last_log_line()}")
                     self._buffer += data
@@ -86,7 +87,9 @@
             finally:
                 os.close(pidfd)
         code = self._process.wait()
-        if self._process.stdout is not None and not self._process.stdout.closed:
+        if self._process.stdout is not None and self._stdout >= 0:
+            self._world.poller.unregister(self._stdout)  # wakes a task in `first_line`
+            self._stdout = -1
             self._process.stdout.close()
         return code
 
