--- a/yardspindle/lab/engine.py
+++ b/yardspindle/lab/engine.py
@@ -22,7 +22,7 @@
 from yardspindle.engine.vllm import COMPLETIONS, HOLDS, PLACE_HEADER, PLACES
 from yardspindle.lab.block_cache import BlockCache
 from yardspindle.lab.engine_holds import HoldRegistry
-from yardspindle.lab.engine_settings import ChatCall, EngineControl, EngineSettings, Hold, message_text
+from yardspindle.lab.engine_settings import ChatCall, EngineControl, EngineSettings, Hold, message_text, token_choice
 from yardspindle.protocol import http1
 from yardspindle.protocol.sse import write_event
 from yardspindle.runtime.scheduler import DeadlineExceeded, Signal
@@ -362,31 +362,30 @@
     def _answer(
         self, exchange: Exchange, request: str, call: ChatCall, total: int, hits: int, steps: int, closed: Signal
     ) -> str:
-        sent = 0
         head = exchange.start(200, [(b"content-type", b"text/event-stream")]) if call.stream else b""
         base = {"id": f"chatcmpl-{request}", "object": "chat.completion.chunk", "created": 0, "model": "stand-in"}
         for step in range(steps):
             pause_us = self.settings.step_ms * 1_000 * self.slowdown / self._warmth() * (1 + self.load.running / 64)
             if not self._spend(pause_us, closed) or self.reset:
-                self.record("sent", request, tokens=sent)
+                self.record("sent", request, tokens=step)
                 exchange.stream.abort()
                 exchange.abort()
                 return "reset" if self.reset else "client gone"
             if call.stream:
-                last = step == steps - 1
-                delta = {"content": f" w{step}"} if step else {"role": "assistant", "content": f"w{step}"}
-                choice = {"index": 0, "delta": delta, "logprobs": None, "finish_reason": "stop" if last else None}
-                chunk = {**base, "choices": [choice]}
-                exchange.send(write_event(msgspec.json.encode(chunk)), head)
+                chunk = {**base, "choices": [token_choice(step, steps)]}
+                try:
+                    exchange.send(write_event(msgspec.json.encode(chunk)), head)
+                except StreamError:  # the client disconnected, which the write found first
+                    self.record("sent", request, tokens=step)
+                    raise
                 head = b""
-            sent += 1
         usage = {
             "prompt_tokens": total,
-            "completion_tokens": sent,
-            "total_tokens": total + sent,
+            "completion_tokens": steps,
+            "total_tokens": total + steps,
             "prompt_tokens_details": {"cached_tokens": hits},
         }
-        self.record("sent", request, tokens=sent, whole=True)
+        self.record("sent", request, tokens=steps, whole=True)
         if not call.stream:
             text = " ".join(f"w{step}" for step in range(steps))
             choice = {"index": 0, "message": {"role": "assistant", "content": text}, "finish_reason": "stop"}
--- a/yardspindle/lab/engine_settings.py
+++ b/yardspindle/lab/engine_settings.py
@@ -111,3 +111,10 @@
         return content.encode()
     parts = (part.get("text") for part in content or [])
     return "\n".join(part for part in parts if isinstance(part, str)).encode()
+
+
+def token_choice(step: int, steps: int) -> dict[str, Any]:
+    """The choice in the chunk of a streamed answer that carries token `step` of `steps`, counted from 0."""
+    delta = {"content": f" w{step}"} if step else {"role": "assistant", "content": f"w{step}"}
+    last = step == steps - 1
+    return {"index": 0, "delta": delta, "logprobs": None, "finish_reason": "stop" if last else None}
