--- a/tests/processes.py
+++ b/tests/processes.py
@@ -9,12 +9,14 @@
 import http.client
 import json
 import signal
+import socket
 import sys
 import threading
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any, TypeVar
 
+from tests.ports import port_of, reserve_port
 from tests.relay import Relay
 from yardspindle.lab.fleet import to_toml
 from yardspindle.runtime.process import Child
@@ -39,6 +41,7 @@
         self.children: dict[str, Child] = {}
         self.relays: dict[str, Relay] = {}
         self.ports: dict[str, int] = {}
+        self.reserved: dict[str, socket.socket] = {}  # keep the ports of programs that are restarted
         self.engines: dict[str, tuple[str, int]] = {}  # engine: role, cell
         self.fault = ""  # name of the planted fault that every program runs with
 
@@ -51,6 +54,12 @@
         self.children[name] = Child(self.world, name, argv, str(self.folder / f"{name}.log"))
         return self.children[name].first_line(START_TIMEOUT_US)
 
+    def reserve(self, name: str) -> int:
+        """Return the port of a program, the same at each start."""
+        if name not in self.reserved:
+            self.reserved[name] = reserve_port()
+        return port_of(self.reserved[name])
+
     def store(self) -> None:
         ready = self.child("store", "lab", "etcd", "--journal", str(self.folder / "store.jsonl"))
         self.ports["store"] = int(ready.rpartition(":")[2])
@@ -70,7 +79,7 @@
         }
         file = self.folder / f"{name}.json"
         file.write_text(json.dumps(settings))
-        ready = self.child(name, "engine", "--settings", str(file), "--port", str(port))
+        ready = self.child(name, "engine", "--settings", str(file), "--port", str(port or self.reserve(name)))
         self.ports[name] = int(ready.split()[1].split("//")[1].split("/")[0].rpartition(":")[2])
         self.engines[name] = (role, cell)
 
@@ -110,7 +119,7 @@
     def dispatcher(self, number: int, dispatchers: int = 1) -> None:
         planner = {
             "servers": str(self.folder / "servers.toml"),
-            "listen": f"127.0.0.1:{self.ports.get(f'p{number}', 0)}",
+            "listen": f"127.0.0.1:{self.reserve(f'p{number}')}",
         }
         ready = self.child(f"planner{number}", "plan", self.config(f"planner{number}", planner=planner))
         self.ports[f"p{number}"] = int(ready.rpartition(":")[2])
@@ -121,7 +130,7 @@
             "planner": f"127.0.0.1:{self.ports[f'p{number}']}",
             "number": number,
             "dispatchers": dispatchers,
-            "listen": f"127.0.0.1:{self.ports.get(f'edge{number}', 0)}",
+            "listen": f"127.0.0.1:{self.reserve(f'edge{number}')}",
         }
         ready = self.child(f"edge{number}", "edge", self.config(f"edge{number}", edge=edge))
         self.ports[f"edge{number}"] = int(ready.split("//")[1].split("/")[0].rpartition(":")[2])
@@ -142,6 +151,8 @@
                 child.send(signal.SIGKILL)
         for child in self.children.values():
             child.wait(self.world.now_us() + 5 * S)
+        for reserved in self.reserved.values():
+            reserved.close()
 
     # --- observing
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -21,6 +21,7 @@
 
 from tests.crossing_parties import LOOPBACK_ADDRESS
 from tests.crossings import FAILURE_LOG_LINES, LATE_ANSWER_LOG_LINE
+from tests.ports import port_of, reserve_port
 from tests.soak_judge import judge_run
 from tests.soak_parties import MAX_LISTING_DELAY_S, DispatcherRun, Plan, SoakCluster, SoakHost
 from tests.soak_slow_start import COLD_S, WindowLoad, fullest_windows, overloaded_hosts
@@ -215,10 +216,8 @@
             self.start_host(f"writer-{at}", "write")
         for name in names:
             await self.start_agent(name)
-            spare = await asyncio.start_server(lambda reader, writer: None, LOOPBACK_ADDRESS, 0)
-            self.ports[name] = spare.sockets[0].getsockname()[1]
-            spare.close()
-            await spare.wait_closed()
+            self.reserved.append(reserve_port(LOOPBACK_ADDRESS))
+            self.ports[name] = port_of(self.reserved[-1])
             self.start_dispatcher(name)
         for name in names:
             await self.wait_until_ready(name)
--- a/tests/soak_parties.py
+++ b/tests/soak_parties.py
@@ -7,6 +7,7 @@
 import json
 import os
 import signal
+import socket
 import subprocess
 import sys
 from collections import Counter
@@ -20,6 +21,7 @@
 from tests.crossing_messages import plain, read_message
 from tests.crossing_parties import LOOPBACK_ADDRESS
 from tests.crossings import ALLOWED, SETTINGS
+from tests.ports import port_of, reserve_port
 from tests.soak_slow_start import OBLIGATIONS, ColdStart
 
 ROOT = Path(__file__).parent.parent
@@ -119,6 +121,7 @@
         self.runs: list[DispatcherRun] = []
         self.current: dict[str, DispatcherRun] = {}
         self.ports: dict[str, int] = {}
+        self.reserved: list[socket.socket] = []  # keep the ports of hosts and dispatchers, which are restarted
         self.agents: dict[str, str] = {}
         self.servers: list[asyncio.Server] = []
         self.dead_hosts: set[str] = set()  # hosts that are dead at present
@@ -141,6 +144,9 @@
     # --- processes
 
     def start_host(self, name: str, role: str, port: int = 0, cold: bool = False) -> None:
+        if not port:
+            self.reserved.append(reserve_port(LOOPBACK_ADDRESS))
+            port = port_of(self.reserved[-1])
         argv = [sys.executable, "-m", "tests.soak_host", name, role, str(self.folder), LOOPBACK_ADDRESS, str(port)]
         ramp = "work" if self.warm_by_work else "time"
         process = subprocess.Popen(argv + [ramp] * cold, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
@@ -356,3 +362,5 @@
             for pipe in (process.stdin, process.stdout):
                 if pipe is not None:
                     pipe.close()
+        for reserved in self.reserved:
+            reserved.close()
--- a/tests/test_node_left.py
+++ b/tests/test_node_left.py
@@ -21,6 +21,7 @@
     request,
 )
 from tests.platform_standin import read_request as next_request
+from tests.ports import port_of, reserve_port
 from tests.test_node import readers, run_node, writers
 from tests.test_node_sending import HOP_US, slow, wait_for_request
 from yardspindle import interface as i
@@ -367,14 +368,15 @@
         def lists(head: http1.RequestHead) -> bytes:
             return b"" if b"wait" in head.target else plain(200, listed)
 
-        free = world.listen("127.0.0.1", 0)
-        free.close()
-        variables = {**ENVIRONMENT, "ROUTER_LISTEN": f"127.0.0.1:{free.port}", "ROUTER_DISCOVERY": serve(lists)}
+        reserved = reserve_port()
+        port = port_of(reserved)
+        variables = {**ENVIRONMENT, "ROUTER_LISTEN": f"127.0.0.1:{port}", "ROUTER_DISCOVERY": serve(lists)}
         node = Node(
             world, parse_config(variables, json.dumps({"limits": {"sockets": 256}, "settings": SETTINGS}).encode())
         )
         node.start()
-        main(world, lambda: world.connect("127.0.0.1", free.port, world.now_us() + 1_000_000), seen)
+        reserved.close()
+        main(world, lambda: world.connect("127.0.0.1", port, world.now_us() + 1_000_000), seen)
 
     world.run("main", run)
 
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -16,6 +16,7 @@
 import pytest
 
 from tests.platform_standin import SETTINGS
+from tests.ports import port_of, reserve_port
 from yardspindle.protocol import http1
 from yardspindle.runtime.real import RealWorld
 from yardspindle.runtime.scheduler import Closed
@@ -127,9 +128,8 @@
     def main() -> tuple[int, str]:
         nonlocal agent_asked
         first, second = agent("first"), agent("second")
-        spare = world.listen("127.0.0.1", 0)
-        port = spare.port
-        spare.close()
+        reserved = reserve_port()
+        port = port_of(reserved)
         path.write_text(json.dumps({"settings": SETTINGS}))
         process = start_process(str(path), f"127.0.0.1:{port}", first)
         try:
@@ -158,6 +158,7 @@
             if process.poll() is None:
                 process.kill()
             _, log = process.communicate()
+            reserved.close()
         return process.returncode, log
 
     code, log = world.run("main", main)
@@ -199,8 +200,8 @@
     path, new_path = tmp_path / "config.json", tmp_path / "config.json.new"
     with socket.create_server(("127.0.0.1", 0)) as first, socket.create_server(("127.0.0.1", 0)) as second:
         second.settimeout(20)
-        with socket.create_server(("127.0.0.1", 0)) as spare:
-            listen = f"127.0.0.1:{spare.getsockname()[1]}"
+        reserved = reserve_port()
+        listen = f"127.0.0.1:{port_of(reserved)}"
         old, new = (f"127.0.0.1:{agent.getsockname()[1]}" for agent in (first, second))
         path.write_text(json.dumps({"settings": SETTINGS}))
         new_path.write_text(json.dumps({"settings": SETTINGS, "discovery": new}))
@@ -219,3 +220,4 @@
         finally:
             process.kill()
             process.communicate()
+            reserved.close()
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import http.server
 import json
 import signal
 import socket
@@ -14,6 +15,7 @@
 
 import pytest
 
+from tests.ports import port_of, reserve_port
 from tests.processes import Processes, S, play
 
 UNITS = ("u0", "u1", "u2", "u3")
@@ -21,18 +23,13 @@
 LEASE_MS = 3_000  # the default; a program that gets no CPU for longer counts as out by accident
 
 
-def free_port() -> int:
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return int(probe.getsockname()[1])
-
-
 class Releases:
     """A store, stewards and units, and the operator's command line."""
 
     def __init__(self, processes: Processes) -> None:
         self.processes = processes
-        self.unit_ports = {name: free_port() for name in UNITS}
+        self.reserved = {name: reserve_port() for name in UNITS}  # a unit is down at times, and its port stays its own
+        self.unit_ports = {name: port_of(reserved) for name, reserved in self.reserved.items()}
 
     def start(self, stewards: int = 2) -> None:
         processes = self.processes
@@ -123,6 +120,8 @@
             file = self.processes.folder / f"{name}.state"
             if file.exists() and (pid := json.loads(file.read_text()).get("pid")):
                 subprocess.run(["kill", "-9", str(pid)], check=False, capture_output=True)
+        for reserved in self.reserved.values():
+            reserved.close()
 
 
 def max_units_down(journal: Path, units: tuple[str, ...]) -> int:
@@ -298,3 +297,23 @@
             releases.end()
 
     play(tmp_path, test, LEASE_MS)
+
+
+def test_a_units_port_goes_to_nobody_else_before_and_between_its_starts(tmp_path: Path) -> None:
+    """Another program that got the port kept the unit from starting, and answered its check in its place."""
+
+    def test(processes: Processes) -> None:
+        releases = Releases(processes)
+        try:
+            for port in releases.unit_ports.values():
+                for _ in range(3):
+                    with socket.socket() as other, pytest.raises(OSError, match="Address already in use"):
+                        other.bind(("127.0.0.1", port))
+                    with pytest.raises(ConnectionRefusedError):
+                        socket.create_connection(("127.0.0.1", port))
+                    with http.server.HTTPServer(("127.0.0.1", port), http.server.BaseHTTPRequestHandler):
+                        socket.create_connection(("127.0.0.1", port)).close()
+        finally:
+            releases.end()
+
+    play(tmp_path, test)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -11,6 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from tests.ports import port_of, reserve_port
 from yardspindle.core.fleet.kv import (
     BadRequest,
     Changes,
@@ -281,9 +282,8 @@
     def program() -> None:
         stand_in = EtcdStandIn(world)
         endpoint = stand_in.start("127.0.0.1", 0)
-        dead = world.listen("127.0.0.1", 0)
-        dead.close()
-        test(world, stand_in, EtcdStore(world, [("127.0.0.1", dead.port), endpoint][-endpoints:], 200_000))
+        with reserve_port() as dead:
+            test(world, stand_in, EtcdStore(world, [("127.0.0.1", port_of(dead)), endpoint][-endpoints:], 200_000))
 
     world.run("test", program)
 
