--- a/tests/planted.py
+++ b/tests/planted.py
@@ -72,7 +72,7 @@
 
 @plant
 def place_of_an_unheard_write_forgotten() -> None:
-    swap(Lifecycle, "_unconfirmed_write", lambda _: lambda self, record, out: None)
+    swap(Lifecycle, "_unconfirmed_write", lambda _: lambda self, *more: None)
 
 
 @plant
@@ -92,8 +92,8 @@
 @plant
 def state_of_an_aborted_read_forgotten() -> None:
     def make(real: Any) -> Any:
-        def abort(self: Lifecycle, now: int, record: RequestRecord) -> None:
-            real(self, now, record)
+        def abort(self: Lifecycle, now: int, record: RequestRecord, *more: Any) -> None:
+            real(self, now, record, *more)
             self._commands = [row for row in self._commands if not isinstance(row, c.ReleaseState)]
 
         return abort
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -158,6 +158,7 @@
         "event_cut_between_reads_lost",
         "unheard_releases_use_up_the_line",
         "place_release_forgotten",
+        "state_of_an_aborted_read_forgotten",
         "late_place_answer_forgotten",
         "bad_list_taken_in_part",
         "deadline_later_than_the_client_said",
@@ -173,6 +174,7 @@
         check=True,
     )
     assert name in done.stdout and "not found" not in done.stdout
+    assert "TypeError" not in done.stdout, "the fault's replacement does not fit what it replaces"
 
 
 # --- the commands
