--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -20,14 +20,22 @@
 
 UNITS = ("u0", "u1", "u2", "u3")
 MAX_OUT = 1
-LEASE_MS = 3_000  # the default; a program that gets no CPU for longer counts as out by accident
+LIMITS = {"limit": [{"group": "all", "most_out": MAX_OUT}]}
+LEASE_MS = 3_000  # of stewards, and of a unit program that the scenario kills
+# A machine with other work may give a program no processor for several seconds. A unit counts as out if its program is
+# silent for its lease or its check fails meanwhile, and one that takes longer than `start_s` halts the release. The
+# scenarios mean none of these, so the limits are longer than such a pause.
+UNIT_LEASE_MS = 12_000
+START_S, CHECK_S = 60.0, 15.0
+OPERATOR = {"ttl_ms": 40_000, "call_ms": 10_000}  # a command makes its calls once and takes no lease
 
 
 class Releases:
     """A store, stewards and units, and the operator's command line."""
 
-    def __init__(self, processes: Processes) -> None:
-        self.processes = processes
+    def __init__(self, processes: Processes, killed: str = "") -> None:
+        """`killed`: the unit whose program the scenario kills; its registration must end soon after that."""
+        self.processes, self.killed = processes, killed
         self.reserved = {name: reserve_port() for name in UNITS}  # a unit is down at times, and its port stays its own
         self.unit_ports = {name: port_of(reserved) for name, reserved in self.reserved.items()}
 
@@ -39,20 +47,21 @@
             self.unit(name)
         for number in range(stewards):
             self.steward(f"s{number}")
-        processes.until("all are well", lambda: all(self.standing(name) == "well" for name in UNITS), 30 * S)
+        processes.until("all are well", lambda: all(self.standing(name) == "well" for name in UNITS), 60 * S)
+        self.config = processes.config("operator", fleet=OPERATOR, release=LIMITS)
 
     def steward(self, name: str) -> None:
         file = self.processes.config(
             name,
             planner={"servers": str(self.processes.folder / "servers.toml")},
-            release={"limit": [{"group": "all", "most_out": MAX_OUT}]},
+            release=LIMITS,
         )
-        self.config = file
         self.processes.child(name, "steward", file)
 
     def unit(self, name: str) -> None:
         processes, port = self.processes, self.unit_ports[name]
-        fleet = processes.config(name)
+        lease_ms = LEASE_MS if name == self.killed else UNIT_LEASE_MS
+        fleet = processes.config(name, fleet={"ttl_ms": lease_ms, "margin_ms": lease_ms / 10, "call_ms": lease_ms / 4})
         journal = str(processes.folder / "units.jsonl")
         module = [sys.executable, "-m", "tests.unit_standin"]
         rows: dict[str, Any] = {
@@ -61,10 +70,10 @@
             "fleet": fleet,
             "versions": ["v1", "v2", "never1", "ill1"],
             "run": [*module, "run", name, "{version}", str(port), journal],
-            "check": [*module, "check", str(port)],
+            "check": [*module, "check", str(port), str(CHECK_S / 2)],
             "state": str(processes.folder / f"{name}.state"),
-            "start_s": 5.0,
-            "check_s": 3.0,
+            "start_s": START_S,
+            "check_s": CHECK_S,
             "groups": {"zone": "a" if name < "u2" else "b"},
         }
         file = processes.folder / f"{name}.unit.toml"
@@ -97,19 +106,22 @@
 
         thread = threading.Thread(target=work)
         thread.start()
-        self.processes.until("the command's end", lambda: not thread.is_alive(), 30 * S)
+        self.processes.until("the command's end", lambda: not thread.is_alive(), 60 * S)
         return result[0]
 
     def start_release(self, version: str) -> None:
         plan = self.processes.folder / "plan.toml"
-        plan.write_text(f'version = "{version}"\nbefore = "v1"\nsettle_s = 0.5\nstart_s = 20.0\n')
+        plan.write_text(f'version = "{version}"\nbefore = "v1"\nsettle_s = 0.5\nstart_s = {START_S}\n')
         code, text = self.run_command("release", "start", self.config, str(plan), "--by", "ana", "--why", "a test")
         assert code == 0, text
 
     def until_phase(self, phase: str) -> dict[str, Any]:
-        return self.processes.until(
-            phase, lambda: release if (release := self.release()).get("phase") == phase else None, 60 * S
+        ends = (phase, "halted", "done", "back", "abandoned")  # a release stays in each of these by itself
+        release = self.processes.until(
+            phase, lambda: release if (release := self.release()).get("phase") in ends else None, 120 * S
         )
+        assert release["phase"] == phase, release
+        return release
 
     def check_limit(self, max_out: int = MAX_OUT) -> None:
         assert 0 < max_units_down(self.processes.folder / "units.jsonl", UNITS) <= max_out
@@ -168,7 +180,7 @@
 
     worker = releases.processes.world.spawn("work", work)
     plan = releases.processes.folder / "plan.toml"
-    plan.write_text('version = "ill1"\nbefore = "v1"\nsettle_s = 60\nstart_s = 20.0\n')
+    plan.write_text(f'version = "ill1"\nbefore = "v1"\nsettle_s = 60\nstart_s = {START_S}\n')
     assert releases.run_command("release", "start", releases.config, str(plan), "--by", "ana")[0] == 0
     halted = releases.until_phase("halted")
     assert "worse" in halted["why"] and sum(releases.status(name).get("version") == "ill1" for name in UNITS) == 1
@@ -197,6 +209,7 @@
 def a_unit_program_is_killed_in_the_middle(releases: Releases) -> None:
     releases.start_release("v2")
     name = next(iter(releases.processes.until("a unit has a permit", lambda: releases.processes.rows("permits/"))))
+    assert name == releases.killed, "the first wave is the first unit"
     releases.processes.until(
         "its order is started",
         lambda: (
@@ -254,7 +267,6 @@
     assert releases.run_command("drain", releases.config, "u1", "--by", "ana")[0] == 0
     processes.until("it is drained", lambda: releases.standing("u1") == "draining")
     (processes.folder / "servers.toml").write_text("count = 0\n")
-    limits = {"limit": [{"group": "all", "most_out": MAX_OUT}]}
     planner = processes.config(
         "planner0", planner={"servers": str(processes.folder / "servers.toml"), "listen": "127.0.0.1:0"}
     )
@@ -262,7 +274,7 @@
     file = processes.config(
         "u0",
         edge={"planner": f"127.0.0.1:{port}"},
-        release=limits,
+        release=LIMITS,
         fleet={"ask_leave": True, "member": "u0", "leave_wait_ms": 60_000},
     )
     processes.child("edge of u0", "edge", file)
@@ -284,12 +296,16 @@
     drained_by_hand_and_let_back,
     an_edge_told_to_end_asks_first,
 ]
+KILLED_UNITS: dict[Callable[[Releases], None], str] = {
+    a_unit_program_is_killed_in_the_middle: "u0",
+    an_accident_counts_as_out: "u3",
+}
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
 def test_with_the_real_programs(tmp_path: Path, scenario: Callable[[Releases], None]) -> None:
     def test(processes: Processes) -> None:
-        releases = Releases(processes)
+        releases = Releases(processes, KILLED_UNITS.get(scenario, ""))
         try:
             releases.start()
             scenario(releases)
--- a/tests/unit_standin.py
+++ b/tests/unit_standin.py
@@ -1,7 +1,8 @@
 """Stand-in for a unit: serves its load and request counts, and can fail by version.
 
 A version named `never...` exits at start; one named `ill...` serves with a high failure rate.
-Run: `python -m tests.unit_standin run NAME VERSION PORT JOURNAL` or `python -m tests.unit_standin check NAME PORT`.
+Run: `python -m tests.unit_standin run NAME VERSION PORT JOURNAL` or
+`python -m tests.unit_standin check PORT TIMEOUT_S`.
 """
 
 from __future__ import annotations
@@ -56,8 +57,8 @@
     server.serve_forever()
 
 
-def check(port: int) -> None:
-    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=1)
+def check(port: int, timeout_s: float) -> None:
+    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=timeout_s)
     try:
         connection.request("GET", "/")
         print(connection.getresponse().read().decode(), flush=True)
@@ -69,4 +70,4 @@
     if sys.argv[1] == "run":
         run(sys.argv[2], sys.argv[3], int(sys.argv[4]), sys.argv[5])
     else:
-        check(int(sys.argv[2]))
+        check(int(sys.argv[2]), float(sys.argv[3]))
