--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -26,6 +26,7 @@
 RELEASE_S = 0.3
 GRACE_S = 0.25
 PLACE_S = 0.05  # most places are requested within this time after their read arrived
+SERVE_POLL_S = 0.01
 MAX_STARTS = 3
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 TIMER_MARGIN_S = 0.01  # this long after its time, a timer of the program is surely due
@@ -139,8 +140,9 @@
         )
         assert self.node.stderr is not None
         self._stderr = self.node.stderr.fileno()
+        os.set_blocking(self._stderr, False)
         seen = len(self.log)
-        self.watch(self._stderr, self._read_log)
+        self.watch(self._stderr, self.read_log)
         calls = self.agent.call_count
         return not self.wait_for(
             "a start",
@@ -234,44 +236,37 @@
             while not self.ledger.place_requested(number) and monotonic() < until:
                 self.changed.wait(until - monotonic())
 
-    def serve_until_answered(self, *clients: Client) -> None:
-        """Serves all calls until each of these clients has all its answers or its connection has ended."""
+    def serve_until_answered(self, *clients: Client, place_s: float = PLACE_S) -> None:
+        """Serves all calls until each of these clients has all its answers or its connection has ended.
+
+        Each read waits up to `place_s` for its place, alone: if others waited too, their hosts would seem unresponsive.
+        """
 
         def finished(client: Client) -> bool:
             return bool(client.end) or len(client.answers) >= len(client.requests)
 
-        while self.wait_for("calls or answers", lambda: bool(self.calls) or all(map(finished, clients))):
-            with self.changed:
-                if not self.calls:
-                    return
-                call, kind, _, _ = self.calls.pop(0)
+        def is_due(call: Call, kind: str, number: bytes) -> bool:
+            received_at = call.attempt.received_at if call.attempt is not None else 0.0
+            return kind != "read" or self.ledger.place_requested(number) or monotonic() >= received_at + place_s
+
+        def next_step() -> tuple[Call | None, str] | None:
+            for at, (call, kind, number, _) in enumerate(self.calls):
+                if is_due(call, kind, number):
+                    del self.calls[at]
+                    return call, kind
+            return (None, "") if not self.calls and all(map(finished, clients)) else None
+
+        while True:
+            call, kind = self.wait_for("calls or answers", next_step, SERVE_POLL_S)
+            if call is None:
+                return
             if kind == "read":
-                self._wait_place(call.id)
                 call.answer(202)
             elif kind == "write":
                 call.serve_stream()
             else:
                 call.answer({"place": 200, "free": 204}[kind])
 
-    def _syn_is_pending(self, host: Host) -> bool:
-        port = f"{host.listener.getsockname()[1]:04X}"
-        rows = [row.split() for row in Path("/proc/net/tcp").read_text().splitlines()[1:]]
-        return any(row[2].endswith(f":{port}") and row[3] == "02" for row in rows)
-
-    def wait_connecting(self, host: Host, poll_s: float = 0.01) -> None:
-        """Waits until the program is connecting to a host: its SYN is unanswered, for 0.15 s while a state is held."""
-        self.wait_for(f"a connection to {host.name}", lambda: self._syn_is_pending(host), poll_s)
-
-    def wait_connected(self, host: Host) -> None:
-        """Waits until no connection to a host is being established, and all established ones were used or ended."""
-        self.wait_for(
-            f"no more connections to {host.name}",
-            lambda: (
-                not self._syn_is_pending(host)
-                and all(call.end or call.count for call in host.connections if not call.is_filler)
-            ),
-        )
-
     # --- the program
 
     def send_signal(self, number: signal.Signals) -> None:
@@ -299,14 +294,19 @@
         """Waits until a time of the monotonic clock."""
         sleep(max(time - monotonic(), 0.0))
 
-    def _read_log(self) -> None:
-        data = os.read(self._stderr, 1 << 16)
-        if not data:
-            self.unwatch(self._stderr)
-        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
-        for line in lines:
-            self.log.append((monotonic(), line.decode()))
-            self.ledger.log(f"log: {line.decode()}")
+    def read_log(self) -> None:
+        """Reads what the program has logged so far."""
+        with self.changed:
+            try:
+                data = os.read(self._stderr, 1 << 16)
+            except BlockingIOError:
+                return
+            if not data:
+                self.unwatch(self._stderr)
+            *lines, self._partial_line = (self._partial_line + data).split(b"\n")
+            for line in lines:
+                self.log.append((monotonic(), line.decode()))
+                self.ledger.log(f"log: {line.decode()}")
 
     def wait_log_line(self, text: str) -> float:
         """Waits for a line of the program's log; returns when it was read."""
