--- a/yardspindle/lab/clients.py
+++ b/yardspindle/lab/clients.py
@@ -61,8 +61,8 @@
     stop_reading: float = 0.02
     whole: float = 0.2  # probability that the answer is not streamed
     retries: int = 2
-    openings: int = 4  # shared prefixes
-    opening_words: int = 400
+    openings: int = 4  # number of shared prefixes
+    opening_words: int = 400  # length of a shared prefix
     words: int = 60  # mean length of the part that is not shared
 
 
@@ -78,7 +78,7 @@
     hang_up_us: int
     stop_reading: bool
     deadline_us: int
-    pause_us: int
+    pause_us: int  # before a retry, if the refusal names no time
 
 
 def draw_request(
@@ -170,7 +170,7 @@
                     response.close()
                     result.outcome, result.events = "served", 1
                 else:
-                    self._stream_started(result, response)
+                    self._record_first_token(result)
             if not result.outcome:
                 self._read_stream(plan, result, response)
         except DeadlineExceeded:
@@ -223,8 +223,8 @@
         result.outcome = "refused" if result.status in (429, 503) and retry_after else "failed"
         response.close()
 
-    def _stream_started(self, result: _TryResult, response: Response) -> None:
-        """The edge sends the status with the first token, so its time is that of the first token."""
+    def _record_first_token(self, result: _TryResult) -> None:
+        """Record the time of the first token: the edge sends the response's head together with it."""
         result.first_token_us = self._world.now_us()
 
     def _read_stream(self, plan: RequestPlan, result: _TryResult, response: Response) -> None:
--- a/yardspindle/lab/day.py
+++ b/yardspindle/lab/day.py
@@ -1,4 +1,4 @@
-"""A scripted day: a fleet of real processes, generated clients, faults at set times, and an audit of the journals.
+"""A scripted day, a test run of up to an hour: real processes, generated clients, faults at set times, and an audit.
 
 A file describes the fleet, the load and the faults; all random choices come from its seed. In the file, `box` is an
 engine, and a dispatcher is an edge (which holds the client connections) with its planner (which decides which engine
@@ -26,7 +26,7 @@
 from yardspindle.runtime.real import RealWorld
 from yardspindle.runtime.scheduler import DeadlineExceeded
 
-SETTLE_US = 6_500_000  # after the last request: longer than any client's deadline and than engines keep a hold
+SETTLE_US = 6_500_000  # after the last request: longer than the defaults of a client's deadline and of a hold's expiry
 
 Positive = Annotated[float, Meta(gt=0)]
 
@@ -40,27 +40,27 @@
     aim_ms: Positive = 1_500.0  # latency target
     give_up_ms: Positive = 4_000.0  # time limit
     answer_tokens: Annotated[int, Meta(ge=1)] = 40
-    worth: Positive = 1.0
+    worth: Positive = 1.0  # value of an answer in time, relative to the other classes
 
 
 class DayFault(Struct, forbid_unknown_fields=True, frozen=True):
-    """A fault, its time and target: an engine by name or drawn by role, or all engines of a rack (cell)."""
+    """A fault, its time and target: an engine by name or drawn by role, or all of a rack (server list: `cell`)."""
 
     at_s: Annotated[float, Meta(ge=0)]
     do: Literal[
-        "kill",
-        "restart",
-        "hang",
+        "kill",  # an engine, as all but the last three
+        "restart",  # kill it and start it again after `down_s`
+        "hang",  # answer nothing, until "wake"
         "wake",
-        "slow",
-        "normal",
-        "forget",
+        "slow",  # by `factor`
+        "normal",  # end "slow" and "full"
+        "forget",  # clear the prefix cache
         "reset_streams",
-        "full",
-        "drain",
-        "remove",
+        "full",  # refuse new requests
+        "drain",  # list it as draining
+        "remove",  # remove it from the server list
         "restart_rack",
-        "kill_planner",
+        "kill_planner",  # and start it again after `down_s`
         "stall_planner",
         "wake_planner",
     ]
@@ -70,7 +70,7 @@
     dispatcher: int = 0
     factor: float = 1.0
     down_s: float = 1.0
-    when: Literal["read", "move", "stream", ""] = ""  # apply it to the first engine seen at this stage
+    when: Literal["read", "move", "stream", ""] = ""  # apply it to the first engine at this stage; move: KV transfer
 
 
 class Day(Struct, forbid_unknown_fields=True, frozen=True):
@@ -85,10 +85,10 @@
     readers: Annotated[int, Meta(ge=1, le=64)] = 3
     writers: Annotated[int, Meta(ge=1, le=64)] = 3
     cold_ms: Annotated[float, Meta(ge=0)] = 3_000.0
-    box: dict[str, Any] = {}
-    rules: dict[str, Any] = {}
+    box: dict[str, Any] = {}  # EngineSettings of all engines
+    rules: dict[str, Any] = {}  # section `rules` of the router's settings
     habits: ClientHabits = msgspec.field(default_factory=ClientHabits)
-    troubles: tuple[DayFault, ...] = ()
+    troubles: tuple[DayFault, ...] = ()  # faults
 
 
 def load_day(path: str) -> Day:
@@ -174,7 +174,7 @@
                 },
                 EngineSettings,
             )
-            settings = msgspec.structs.replace(settings, cold_ms=0.0)  # all are warm at the start
+            settings = msgspec.structs.replace(settings, cold_ms=0.0)  # warm at the first start
             self.fleet.engines.append(EngineInstance(settings, rack, kind))
         self.http = HttpClient(world, 1_000_000, 1_000_000)
 
@@ -201,6 +201,7 @@
         return report
 
     def _cold_from_now(self, engine: EngineInstance) -> EngineInstance:
+        """Change the settings so that a restart is cold; the running process keeps its own."""
         engine.settings = msgspec.structs.replace(engine.settings, cold_ms=self.day.cold_ms)
         return engine
 
--- a/yardspindle/lab/engine.py
+++ b/yardspindle/lab/engine.py
@@ -1,8 +1,8 @@
 """A stand-in engine: serves vLLM's two-stage calls and yardspindle's extensions, takes time, and injects faults.
 
-It does not emulate a GPU: a read (prefill) processes its uncached tokens, and a write (decode) takes one step per
-token, both slower with more running requests. Slots, queue, prefix cache, states (KV cache kept for the decode) and
-places (memory reserved for a decode) are real: they run out and expire, and the writer fetches a state from its reader
+It does not emulate a GPU: a read (prefill) processes its uncached tokens, a write (decode) takes one step per token;
+n running requests make them n and 1 + n/64 times as long. Slots, queue, prefix cache, states (KV cache kept for the
+decode) and places (memory reserved for a decode) run out and expire, and the writer fetches a state from its reader
 over a socket. Every request, token count, hold and release is appended to a journal before its effect is visible.
 The audit (audit.py, which checks a run against the router's rules) reads no other record of an engine.
 """
@@ -127,7 +127,7 @@
         call = msgspec.json.decode(exchange.body, type=ChatCall)
         params = call.kv_transfer_params or {}
         stage = "read" if params.get("do_remote_decode") else "write"
-        lab_id = (call.metadata or {}).get("lab_id", "")  # a try's name: for the audit, and to vary the answer's length
+        lab_id = (call.metadata or {}).get("lab_id", "")  # the client's try: for the audit; sets the answer's length
         self.record("arrive", request, stage=stage, lab=lab_id)
         closed = self.world.signal()  # set when the client disconnects
 
@@ -138,7 +138,7 @@
         exchange.on_disconnect = on_disconnect
         if self.hang_signal is not None:
             self.hang_signal.wait()
-        outcome = "failed"
+        outcome = "failed"  # journalled as `how`: this, "client gone", or what `_read` and `_write` return
         try:
             outcome = (self._read if stage == "read" else self._write)(exchange, request, call, params, lab_id, closed)
         except StreamError:
@@ -195,7 +195,7 @@
         return not closed.is_set
 
     def _within_cold_limit(self, work_us: float) -> bool:
-        """Add to the work received in the last `fall_ms`; False if a cold engine is overloaded by it and goes down."""
+        """Add to the work received in the last `fall_ms`; False if that overloads a cold engine (it then hangs)."""
         now, window_us = self.world.now_us(), self.settings.fall_ms * 1_000
         recent_work = self.load.recent_work
         recent_work.append((now, work_us))
@@ -303,7 +303,7 @@
             self.record("take place", place)
             self._free_slot(reservation.tokens)
         elif place:
-            self._remember_release(place)  # its reservation may arrive later: this engine then refuses it
+            self._remember_release(place)  # the call that reserves it may arrive later and is then refused
         steps = self._answer_length(call, lab_id)
         if not self._admit(exchange, request, total, steps * self.settings.step_ms * 1_000, closed):
             return "turned away"
@@ -348,10 +348,10 @@
             return False
         if response.head.status != 200:
             return False
-        move_us = tokens / self.settings.move_tokens_per_s * 1e6 * (0.3 if has_place else 1.0)
-        return self._spend(move_us * self.slowdown, closed) or True
+        move_us = tokens / self.settings.move_tokens_per_s * 1e6 * (0.3 if has_place else 1.0)  # faster to a place
+        return self._spend(move_us * self.slowdown, closed) or True  # `_answer` ends the request if the client has left
 
-    def _fetched(self, exchange: Exchange, request: str) -> None:
+    def _fetched(self, exchange: Exchange, request: str) -> None:  # a writer fetches a state
         held = self.states.pop(request, None)
         if held is None:
             exchange.reply(ApiError(404, "no_state", "No such state.").reply())
--- a/yardspindle/lab/engine_holds.py
+++ b/yardspindle/lab/engine_holds.py
@@ -24,8 +24,8 @@
 from yardspindle.protocol import http1
 from yardspindle.runtime.world import World
 
-EXPIRY_CHECKS_PER_HOLD = 20  # during `hold_ms`, the time after which a hold expires
-MAX_EARLY_RELEASES = 10_000
+EXPIRY_CHECKS_PER_HOLD = 20  # checks for expired holds within `hold_ms`, the time after which they expire
+MAX_EARLY_RELEASES = 10_000  # ids kept of releases that arrived before their hold; the oldest are dropped first
 
 
 class HoldRegistry:
@@ -43,7 +43,7 @@
         self.states: dict[str, Hold] = {}
         self.places: dict[str, Hold] = {}
         self.released_early: OrderedDict[str, None] = OrderedDict()  # ids released before they were held
-        self.full = self.draining = False  # set by injected faults: refuse new calls though there is room
+        self.full = self.draining = False  # set by faults: the engine refuses new calls although it has room
         self.fences = FenceRegistry(self._known_fences())
 
     def _known_fences(self) -> dict[str, int]:
@@ -75,7 +75,8 @@
     def _check_fence(self, head: http1.RequestHead) -> Reply | None:
         """The refusal of a request with a stale fence; None if its fence is current, or if it carries none.
 
-        Each request with a fence is journalled as an `order`, with the last part of its path (`holds` or a hold's id).
+        Each request with a fence is journalled as the event `order`, with the last part of its path: `holds`, or the id
+        of the hold to release.
         """
         fence = head.get(FENCE_HEADER)
         if fence is None:
@@ -85,7 +86,7 @@
         admitted = self.fences.admits(duty, number)
         self.record("order", head.target.rpartition(b"/")[2].decode(), duty=duty, fence=number, admitted=admitted)
         if not admitted:
-            return ApiError(409, "stale_fence", f"The fence in force is {highest}.").reply()
+            return ApiError(409, "stale_fence", f"The highest fence seen of this duty is {highest}.").reply()
         if self.settings.fences and number > highest:
             self.world.append_file(self.settings.fences, msgspec.json.encode((duty, number)) + b"\n")
         return None
--- a/yardspindle/lab/engine_settings.py
+++ b/yardspindle/lab/engine_settings.py
@@ -23,22 +23,24 @@
     role: Literal["read", "write", "both"] = "both"
     slots: int = 16
     queue: int = 32
-    memory_tokens: int = 640_000  # a token is a byte here, where a model's are about four
+    memory_tokens: int = 640_000  # a token is one byte here; a model's token is about four bytes of text
     cache_tokens: int = 640_000
     block_size: int = 64
     read_tokens_per_s: float = 160_000.0
     step_ms: float = 4.0
     move_tokens_per_s: float = 1_600_000.0  # speed at which a writer fetches a state
-    cold_ms: float = 0.0  # time from the start until full speed; it starts at `start_capacity` of that
+    cold_ms: float = 0.0  # time from the start until full speed; the first speed is `start_capacity` times that
     start_capacity: float = 1.0
-    fall_multiple: float = 2.5  # a cold engine goes down when its work exceeds this multiple of its capacity
+    fall_multiple: float = 2.5  # a cold engine hangs for good when its work exceeds this multiple of its capacity
     fall_ms: float = 2_000.0  # the period over which that work is summed
     hold_ms: float = 5_000.0  # after which an unused hold expires
-    places: bool = True  # places can be reserved, and holds released
+    places: bool = True  # supports the calls that reserve places and release holds
     events: bool = False  # publish cache events (blocks stored, removed)
     journal: str = ""
-    holds: bool = True  # it lists its holds, and checks the fence (number of a duty's owner) of releases that carry one
-    fences: str = ""  # file that keeps the highest fence seen of each duty (background task) across restarts
+    holds: bool = True  # supports the call that lists its holds
+    # The file that keeps the highest fence (number of a duty's owner) seen of each duty (background task) across
+    # restarts. Fences are checked in any case.
+    fences: str = ""
 
 
 class EngineControl(Struct, forbid_unknown_fields=True):
@@ -84,7 +86,7 @@
 
     place: str
     tokens: int
-    read: dict[str, Any] = {}
+    read: dict[str, Any] = {}  # the read's attempt id, and its reader's host and port; not used here
 
 
 @dataclass(slots=True)
--- a/yardspindle/lab/etcd.py
+++ b/yardspindle/lab/etcd.py
@@ -1,9 +1,9 @@
 """A stand-in for etcd's JSON gateway: the store model of core/fleet/kv.py behind HTTP, with a journal and faults.
 
-`POST /lab/control` with `{"do": ...}` injects or ends a fault: `no_leader` and `leader`; `late` (`ms` before each
-answer); `lose` (the answers to the next `count` calls that write are lost after their commit); `break_watches`;
-`expire` (all leases end early, as on a change of leader); `compact`; `mark` and `restore` (save the data, return to
-it); `stale_reads` (serializable reads see the data that `mark` saved).
+`POST /lab/control` with `{"do": ...}` injects or ends a fault: `no_leader` and `leader`; `late` (delay each
+answer by `ms`); `lose` (carry out each of the next `count` calls that write, then reset its connection instead of
+answering); `break_watches`; `expire` (all leases end early, as on a change of leader); `compact`; `mark` and `restore`
+(save the data, return to it); `stale_reads` (serializable reads see the data that `mark` saved).
 """
 
 from __future__ import annotations
@@ -151,6 +151,7 @@
 
     def _error(self, exchange: Exchange, target: bytes, body: bytes, error: BadRequest) -> None:
         self.record("refused", path=target.decode(), call=msgspec.Raw(body), code=error.code, text=str(error))
+        # HTTP status by gRPC code: invalid argument, not found, failed precondition, out of range, unavailable.
         status = {3: 400, 5: 404, 9: 400, 11: 400, 14: 503}.get(error.code, 500)
         exchange.reply(
             Reply(status, [JSON_CONTENT_TYPE], msgspec.json.encode(j.ErrorResponse(str(error), error.code, str(error))))
--- a/yardspindle/lab/fleet.py
+++ b/yardspindle/lab/fleet.py
@@ -63,7 +63,7 @@
     config: dict[str, Any]
     engines: list[EngineInstance]
     dispatchers: list[Dispatcher]
-    # The dispatchers share a key-value store, a file in the folder; a steward (a process for background tasks) runs.
+    # Whether the dispatchers share a key-value store, a file in the folder, and a steward (for background tasks) runs.
     shared_store: bool = False
     steward: Child | None = None
     folder: tempfile.TemporaryDirectory[str] = field(
@@ -98,6 +98,7 @@
         file = self.path(f"{name}.json")
         with open(file, "wb") as out:
             out.write(msgspec.json.encode(engine.settings))
+        # 0 at the first start: routers take the engine for warm.
         engine.up_since_ms = self.world.now_us() / 1_000 if engine.child is not None else 0.0
         engine.child = self._child(
             name,
--- a/yardspindle/lab/load.py
+++ b/yardspindle/lab/load.py
@@ -49,7 +49,7 @@
     seconds: Annotated[float, Meta(gt=0, le=3_600)]
     rate_per_s: Annotated[float, Meta(gt=0, le=2_000)]
     arrivals: Literal["poisson", "bursts"] = "poisson"
-    burst_times: Positive = 4.0  # the rate in a burst, relative to the rate between bursts
+    burst_times: Positive = 4.0  # factor of the rate in a burst to the rate between bursts
     burst_s: Positive = 1.0  # length of a burst
     burst_every_s: Positive = 5.0  # from the start of one burst to the next
     openings: Annotated[int, Meta(ge=1)] = 50  # shared prefixes
@@ -210,7 +210,9 @@
 
 
 def compare_runs(first: LoadReport, second: LoadReport, seed: int) -> str:
-    """Compare two runs of the same traffic: median difference of time to first token per request, with its spread."""
+    """Compare two runs of the same traffic: median difference of time to first token per request, with its spread.
+
+    In the text, A is the first run and B the second, as in `yardspindle lab compare FILE A B`."""
     both = sorted(first.first_token_us.keys() & second.first_token_us.keys())
     if not both:
         return "no request was answered in both"
