--- a/yardspindle/lab/audit.py
+++ b/yardspindle/lab/audit.py
@@ -1,16 +1,16 @@
 """The audit: checks a run against the router's five rules, from what clients and engines recorded at their sockets.
 
-The rules: 1. each try of a request gets one final answer, in time, and nothing after it ("one final answer"); 2. what
-must not run twice does not, and what was refused did not run ("no effect twice"); 3. a draining engine gets nothing new
-("drains kept"); 4. no cold engine is overloaded ("no cold server pushed over"); 5. engines hold no state (KV cache that
-a prefill leaves for the decode) or place (memory reserved for a decode) that nobody uses ("nothing left pinned").
+The rules: 1. each try of a request gets one final answer, in time, and nothing after it ("one final answer"); 2. an
+unsafe request runs at most once, and not if refused; no try runs at two engines at once ("no effect twice"); 3. a
+draining engine gets nothing new ("drains kept"); 4. no cold engine is overloaded ("no cold server pushed over"); 5. no
+state (KV cache left by a prefill) or place (memory reserved for a decode) is held unused ("nothing left pinned").
 
 The audit shares no code with the router and reads none of its logs. Its input is the journals of `clients.py` and
 `engine.py`, and lines of the fault injection: `killed` for an engine; `control` for a command to it; `edge killed`,
 `edge started`, `edge stalled`, `edge woke` for an edge (the process that holds the client connections), by its port and
-the prefix of its request ids; `blind` and `seen` for an engine that edges cannot reach. Keys: `box` is an engine; `try`
-in the clients' journal and `lab` in the engines' name a try; `order` is the request that it is a try of. An attempt is
-an edge's call to an engine. Times are microseconds of one clock, in order.
+the prefix of its request ids; `blind` and `seen`, begin and end of a time in which edges cannot reach an engine. A
+request (key `order`) is sent in one or more tries (`try` in the clients' journal, `lab` in the engines'); a try causes
+attempts, an edge's calls to engines (`box`). Times are microseconds of one clock, in order.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 
 
 class AuditLimits(Struct, forbid_unknown_fields=True, frozen=True):
-    """Limits that the rules state, and the measuring slack for several busy processes on one machine."""
+    """Limits that the rules state, and the measuring slack."""
 
     release_ms: float = 300.0  # until a hold that no attempt uses is released
     drain_grace_ms: float = 500.0  # during which an engine listed as draining may still get new attempts
     list_ms: float = 250.0  # until every planner (it decides which engine does what) has read a changed server list
-    slack_ms: float = 400.0
-    left_ms: float = 1_000.0  # until an attempt ends after its client hung up
+    slack_ms: float = 400.0  # how late busy processes that share a machine may act or record
+    abandoned_ms: float = 1_000.0  # until an attempt ends after its client hung up
     hold_ms: float = 5_000.0  # after which engines expire what a killed edge left
     unsafe: tuple[str, ...] = ()  # classes of requests that must not run twice
 
@@ -108,7 +108,7 @@
         self._runs: dict[str, list[JournalLine]] = defaultdict(list)
         self._try_of_run: dict[str, str] = {}  # by attempt id, once its writer (decode engine) runs it
         self._ends: dict[tuple[str, str], JournalLine] = {}
-        self._order_runs: Counter[str] = Counter()  # runs of unsafe requests, by request (all its tries)
+        self._run_counts: Counter[str] = Counter()  # runs of unsafe requests, by request (all its tries)
         self._complete_events: dict[str, int] = {}  # by try: number of events of an answer that its writer completed
         self._draining_since: dict[str, int] = {}
         self._attempt_spans: dict[str, Spans] = defaultdict(list)  # by request: start, end of each attempt
@@ -152,7 +152,7 @@
             for line in self._ends.values()
             if line["stage"] == "write" and line["how"] == "client gone" and line["id"] not in self._try_of_run
         ]
-        self.report.counts["requests given up while they waited for their state"] += len(cancelled)
+        self.report.counts["writes cancelled before they ran"] += len(cancelled)
         return self.report
 
     # --- edges
@@ -193,19 +193,18 @@
         if answered and waited > sent["deadline_us"] + self._slack_us and not edge_down:
             report.add_violation("one final answer", f"{name}: answered after {waited} us of {sent['deadline_us']}")
         if answered and waited > sent["deadline_us"]:
-            report.counts["answers past the client's time, within the measuring slack"] += 1
+            report.counts["answers after the client's deadline, within the slack"] += 1
         if line["outcome"] == "served":
             if name not in self._complete_events:
-                report.add_violation("one final answer", f"{name} was served, but no engine sent it whole")
+                report.add_violation("one final answer", f"{name} was served, but no engine completed its answer")
             elif line["events"] not in (1, self._complete_events[name]):
                 report.add_violation(
-                    "one final answer",
-                    f"{name}: {line['events']} of {self._complete_events[name]} events",
+                    "one final answer", f"{name}: {line['events']} of {self._complete_events[name]} events"
                 )
         if line["outcome"] == "refused" and sent["cls"] in self._limits.unsafe and self._runs.get(name):
             report.add_violation("no effect twice", f"{name} ran and was refused")
 
-    # --- rule 2: what must not run twice does not, and what was refused did not run
+    # --- rule 2: an unsafe request runs at most once, and not if refused; no try runs at two engines at once
 
     def _run_started(self, line: JournalLine) -> None:
         name, report = line["lab"], self.report
@@ -216,9 +215,9 @@
         if sent is None:
             report.add_violation("no effect twice", f"{name} ran and no client sent it")
         elif sent["cls"] in self._limits.unsafe:
-            self._order_runs[sent["order"]] += 1
-            if self._order_runs[sent["order"]] > 1:
-                report.add_violation("no effect twice", f"{sent['order']} ran {self._order_runs[sent['order']]} times")
+            self._run_counts[sent["order"]] += 1
+            if self._run_counts[sent["order"]] > 1:
+                report.add_violation("no effect twice", f"{sent['order']} ran {self._run_counts[sent['order']]} times")
             if sent["outcome"] == "refused":
                 report.add_violation("no effect twice", f"{name} ran and was refused")
 
@@ -239,9 +238,9 @@
             row for row in rows if (end := self._ends.get((row["box"], row["id"]))) is None or end["how"] == "reset"
         ]
         if interrupted and sent["outcome"] not in ("left", "lost", "late"):
-            self.report.counts["orders whose writer broke off"] += 1
+            self.report.counts["tries of unsafe requests whose writer was interrupted"] += 1
             if sent["outcome"] != "failed":
-                self.report.add_violation("no effect twice", f"{name}: its writer broke off, it was {sent['outcome']}")
+                self.report.add_violation("no effect twice", f"{name}: writer interrupted, but {sent['outcome']}")
 
     # --- engines, and rules 3 and 4
 
@@ -275,12 +274,12 @@
                 excused = self._overlaps(self._unresponsive_spans(engine), since, t) or self._overlaps(
                     self._edge_outages[_edge_of(name)], since, t
                 )
-                if not excused:  # no release was possible while the engine or its edge was unresponsive
+                if not excused:  # the engine and its edge responded, so that a release was possible
                     report.add_violation("nothing left pinned", f"{name} expired at {engine}")
                 self._end_hold(engine, name, t)
             case "killed":
                 self._engine_killed(engine, t)
-            case "fell":
+            case "fell":  # a cold engine was overloaded and stopped answering
                 report.add_violation("no cold server pushed over", f"{engine} went down overloaded at {t}")
             case "control":
                 self._control(engine, line["do"], t)
@@ -327,7 +326,7 @@
         for key in [key for key in self._open_attempts if key[0] == engine]:
             self._open_attempts.pop(key)[1] = t
             part = "stream" if key[1] in self._try_of_run else "read" if self._stages[key[1]] == "read" else "move"
-            self.report.counts[f"attempts whose box died mid-{part}"] += 1
+            self.report.counts[f"attempts whose box died mid-{part}"] += 1  # box: engine; move: fetching the state
         _close(self._hung[engine], t)
 
     # --- rule 5: a state or place with no attempt in flight is used or released in time
@@ -342,6 +341,7 @@
         hold = self._holds[(engine, name)]
         outages = self._edge_outages[_edge_of(name)]
         expiry_us = self._limits.hold_ms * 1.1 * 1_000 + self._slack_us
+        # Spans of all engines count: an edge may keep a hold at one while it waits for an answer of another.
         unresponsive = [span for group in (self._unreachable, self._hung) for spans in group.values() for span in spans]
         idle = _longest_uncovered(hold.since_us, t, self._attempt_spans[_request_of(name)] + unresponsive + outages)
         orphaned = t - hold.since_us > expiry_us and outages and outages[-1][1] == FOREVER and not unresponsive
@@ -353,15 +353,15 @@
             )
 
     def _check_abandoned(self, engine: str, name: str, since: int, now_us: int) -> None:
-        """An attempt whose client hung up ends in time."""
-        left_us = self._hung_up_us.get(self._try_of_attempt.get(name, ""))
-        if left_us is None or (engine, name) in self._reported:
+        """Check that an attempt whose client hung up ends in time."""
+        hung_up_us = self._hung_up_us.get(self._try_of_attempt.get(name, ""))
+        if hung_up_us is None or (engine, name) in self._reported:
             return
-        since_us = max(left_us, since)
+        since_us = max(hung_up_us, since)
         idle = _longest_uncovered(
             since_us, now_us, self._unresponsive_spans(engine) + self._edge_outages[_edge_of(name)]
         )
-        if idle > self._limits.left_ms * 1_000 + self._slack_us:
+        if idle > self._limits.abandoned_ms * 1_000 + self._slack_us:
             self._reported.add((engine, name))
             self.report.add_violation("nothing left pinned", f"{name} at {engine} runs {idle} us after its client left")
 
@@ -380,13 +380,13 @@
         spans[-1][1] = min(spans[-1][1], t)
 
 
-def _request_of(name: str) -> str:
-    """Attempt ids are `EDGE-NUMBER.ATTEMPT`."""
-    return name.rpartition(".")[0]
+def _request_of(attempt_id: str) -> str:
+    """The request in an attempt's id, `EDGE-NUMBER.ATTEMPT`."""
+    return attempt_id.rpartition(".")[0]
 
 
-def _edge_of(name: str) -> str:
-    return name.partition("-")[0]
+def _edge_of(attempt_id: str) -> str:
+    return attempt_id.partition("-")[0]
 
 
 def _longest_uncovered(start: int, end: int, spans: Spans) -> int:
--- a/yardspindle/lab/fault_injection.py
+++ b/yardspindle/lab/fault_injection.py
@@ -15,9 +15,10 @@
 from yardspindle.lab.simulated_fleet import SimulatedFleet
 from yardspindle.runtime.virtual import VirtualWorld
 
-RELEASE_RETRY_US = 2_300_000  # a lost release is sent again after its time-out and the longest back-off
+# From the end of a cut until every release lost in it has been sent again: its time-out and the longest back-off.
+RELEASE_RETRY_US = 2_300_000
 FLOOD_REQUESTS = 60
-CLOCK_STEP_US = 150_000
+CLOCK_STEP_US = 150_000  # a clock steps by -0.9 to 1 times this, by the fault's factor (1 to 20)
 
 
 def inject(fleet: SimulatedFleet, fault: Fault) -> None:
@@ -120,6 +121,7 @@
     instance = fleet.instances[fault.on]
     if instance.state != "serving" or not instance.listed:
         return None
+    # "box gone" removes the engine from the list as well.
     instance.state, instance.listed = "draining", fault.kind == "box draining"
     fleet.write_list()
     fleet.record_draining(fault.on)
@@ -239,9 +241,9 @@
     previous = [(path.latency_us, path.bytes_per_s) for path in paths]
     for path in paths:
         if fault.kind == "box far":
-            path.latency_us = (1_000, int(1_000 + 2_500 * fault.factor))
+            path.latency_us = (1_000, int(1_000 + 2_500 * fault.factor))  # up to 3.5 to 51 ms, by the factor
         else:
-            path.bytes_per_s = 500_000 / fault.factor
+            path.bytes_per_s = 500_000 / fault.factor  # 25 to 500 kB/s
 
     def undo() -> None:
         for path, (latency_us, bytes_per_s) in zip(paths, previous, strict=True):
@@ -253,7 +255,7 @@
 def _slow_link(fleet: SimulatedFleet, fault: Fault) -> Undo:
     paths = [fleet.sim.network.path(*pair) for pair in ((fault.on, PLANNER), (PLANNER, fault.on))]
     for path in paths:
-        path.latency_us = (1_000, int(1_000 + 10_000 * fault.factor))
+        path.latency_us = (1_000, int(1_000 + 10_000 * fault.factor))  # up to 11 to 201 ms, by the factor
 
     def undo() -> None:
         for path in paths:
@@ -296,6 +298,7 @@
     return None
 
 
+# Of cuts, "up" is from edge to planner, "there" from edge to engine; "down" and "back" are the other directions.
 _INJECTORS: dict[str, Injector] = {
     "box hangs": _hang_engines,
     "box stalls": _stall_engine,
--- a/yardspindle/lab/fleet_simulation.py
+++ b/yardspindle/lab/fleet_simulation.py
@@ -4,7 +4,8 @@
 time; a fence numbers the owners); the dispatchers are edges, which hold the client connections. The programs are those
 that run on real sockets; only the World (their interface to clock, sockets, files and randomness) is a simulated one.
 Invariants, checked all the time: no engine obeys a lower fence after a higher one of the same duty; nothing is released
-for an edge that is alive; no two stewards may act for one duty (not checked if a clock steps or leases end early).
+for an edge that is alive; no two stewards consider themselves owner of a duty at the same time (not checked if a clock
+steps or leases end early).
 After the last fault, every duty has exactly one owner again, and nothing is held for an edge that is dead.
 """
 
@@ -38,7 +39,8 @@
 CHECK_INTERVAL_US = 20_000
 HOLD_WAIT_US = 4_000_000  # the longest wait for an edge to hold something before it is killed
 FAULT_WINDOW_MS = 12_000  # in which faults and requests begin
-# After the last fault: a clock that was set back by 1 min stands still for as long, and back-off doubles.
+# After the last fault: a program's clock that was set back by 1 min stands still until real time has caught up, and a
+# steward's back-off doubles with each lost lease.
 SETTLE_TIMEOUT_US = 100_000_000
 REQUEST_CLASS = ClientClass("chat", 1.0, 4_000.0, 12)
 HABITS = ClientHabits(hang_up=0.1, stop_reading=0.0, retries=0, openings=2, opening_words=10, words=10)
@@ -49,7 +51,7 @@
     "stalls": (STEWARDS + EDGES, (), 50, 7_000),
     "steps": (STEWARDS, (), 0, 0),  # the program's clock, by a minute
     "cut": (STEWARDS + EDGES, (STORE, *ENGINES), 50, 6_000),  # traffic in both directions
-    "deaf": (STEWARDS + EDGES, (STORE,), 50, 6_000),  # traffic from the store only
+    "deaf": (STEWARDS + EDGES, (STORE,), 50, 6_000),  # receives nothing from the store
     "engine dies": (ENGINES, (), 50, 3_000),
     "engine hangs": (ENGINES, (), 500, 6_000),
     "no leader": ((STORE,), (), 50, 6_000),
@@ -103,13 +105,13 @@
     )
 
 
-class RecordingEngine(StandInEngine):
-    """A stand-in engine that reports each order (a steward's request with a fence) to the simulation."""
+class OrderReportingEngine(StandInEngine):
+    """A stand-in engine without a journal that reports each order, a steward's call with a fence, to the simulation."""
 
     on_order: Callable[[str, dict[str, Any]], None]
 
     def record(self, event: str, request: str = "", **more: object) -> None:
-        """Append an event to the journal (StandInEngine)."""
+        """Report the event if it is an order; the others are not kept (StandInEngine)."""
         if event == "order":
             self.on_order(self.settings.name, {"id": request, **more})
 
@@ -125,7 +127,7 @@
         self.counts: Counter[str] = Counter()
         self.stewards: dict[str, Steward] = {}
         self.edges: dict[str, Edge] = {}
-        self.engines: dict[str, RecordingEngine] = {}
+        self.engines: dict[str, OrderReportingEngine] = {}
         self.instances: dict[str, EngineInstance] = {}
         self.ports: dict[str, int] = {}
         self._highest_fences: dict[tuple[str, str], int] = defaultdict(int)
@@ -152,9 +154,9 @@
                 {
                     "name": name,
                     "role": role,
-                    "hold_ms": 600_000.0,
+                    "hold_ms": 600_000.0,  # longer than a run: holds end by release only
                     "fences": f"{name}.fences",
-                    "read_tokens_per_s": 300.0,
+                    "read_tokens_per_s": 300.0,  # slow, so that places are held when an edge dies
                 },
                 EngineSettings,
             )
@@ -208,7 +210,7 @@
         """Start or restart a program; a restarted one gets its former port."""
         world = self.sim.program(name)
         if name in ENGINES:
-            engine = self.engines[name] = RecordingEngine(world, self.instances[name].settings)
+            engine = self.engines[name] = OrderReportingEngine(world, self.instances[name].settings)
             engine.on_order = self._check_order
             _, self.instances[name].port = engine.start(HOST, self.instances[name].port)
         elif name in EDGES:
@@ -262,6 +264,7 @@
                 world.stall()
                 return world.resume
             case "steps":
+                # Half of the steps go back: scripts have no field for the direction.
                 world.step(60_000_000 if fault.at_ms % 2 else -60_000_000)
             case "cut" | "deaf":
                 directions = [(fault.other, on)] if fault.kind == "deaf" else [(fault.other, on), (on, fault.other)]
@@ -354,7 +357,7 @@
     def _check_settled(self) -> None:
         """Wait until every duty has one active owner and nothing is held for a dead edge."""
         sim, until_us = self.sim, self.sim.now_us() + SETTLE_TIMEOUT_US
-        duties = {"clock", "sweep/0", "sweep/1"}
+        duties = {"clock", "sweep/0", "sweep/1"}  # without "release": no release runs here
         while True:
             alive = {edge.instance_id for name, edge in self.edges.items() if self.world(name).alive}
             # Stewards sweep (release at engines what a dead edge left) only for edges that had registered in the store.
@@ -369,7 +372,7 @@
                 for duty in duties
                 if len(owners.get(duty, [])) != 1 or duty not in self.stewards[owners[duty][0]].duty_tasks
             ]
-            # If all clocks are skewed, no steward may own a duty.
+            # A steward whose clock is skewed gives up its duties; if all are, nobody is left to own one.
             all_skewed = all(steward.state.clock_skewed for steward in self.stewards.values())
             if not left and not idle or all_skewed:
                 return
--- a/yardspindle/lab/release_simulation.py
+++ b/yardspindle/lab/release_simulation.py
@@ -3,8 +3,8 @@
 A unit is a dispatcher or model host; its process outlives its supervisor. A steward, which does background work for the
 fleet, runs the release through the store, the key-value store that all share: it grants a unit a permit to be out of
 service and writes an order, such as the version to run. At every grant, the number of units that are out, by permit or
-by an outage that the steward must know of, is recomputed from the store's rows alone and checked against the limits.
-Each order starts its unit at most once. After the last fault, the release completes, or halts and is rolled back; then
+by an outage older than KNOWN_OUTAGE_US, is recomputed from the store's rows alone and checked against the limits. Each
+order starts its unit at most once. After the last fault, the release completes, or halts and is rolled back; then
 every unit runs the same version and none is out.
 """
 
@@ -34,7 +34,7 @@
 KNOWN_OUTAGE_US = 1_500_000  # a steward that grants a permit must know of any outage older than this
 CHECK_INTERVAL_US, RELEASE_TIMEOUT_US = 50_000, 400_000_000
 GOOD_VERSION = "good"
-UNSTARTABLE_VERSION = "never"
+UNSTARTABLE_VERSION = "never"  # its process never runs
 CRASHING_VERSION = "frail"  # ends 3 s after its start
 
 
@@ -47,7 +47,7 @@
         self.version, self.mark, self.start_number, self.started_us = "", "", 0, 0
         self.running = False
         self.no_start_until_us = 0  # starts before this time fail
-        self.starts: Counter[str] = Counter()  # by the start's mark; a supervisor that repeats a start reuses it
+        self.starts: Counter[str] = Counter()  # by mark, the id of a start, which stays if the supervisor repeats it
 
     def crash(self, for_us: int = 0) -> None:
         """End the process; it cannot be started again for the given time."""
@@ -64,7 +64,7 @@
         self._process = (0, 0)
 
     def adopt(self, pid: int, born: int) -> None:
-        """Take over the process that an earlier run of the supervisor started (UnitRunner)."""
+        """Take over a process that an earlier run of the supervisor started; `born`: its start time (UnitRunner)."""
         self._process = (pid, born)
 
     def id(self) -> tuple[int, int]:
@@ -110,7 +110,7 @@
         return 0
 
     def check(self, version: str) -> tuple[int | None, bytes]:
-        """The health check's exit code (0: well, 1: cold, other: failing) and output (UnitRunner)."""
+        """The health check's exit code (0: healthy, 1: cold, other: failing) and output (UnitRunner)."""
         self._take_time(200_000)
         return (0 if self._unit.sim.now_us() - self._unit.started_us > 800_000 else 1) if self._unit.running else 2, b""
 
@@ -189,7 +189,7 @@
         until_us = self.sim.now_us() + within_us
         while not condition():
             if self.sim.now_us() > until_us or self.violations:
-                self.violations.append(f"liveness: not seen: {what}")
+                self.violations.append(f"liveness: not reached: {what}")
                 return False
             self.sim.scheduler.sleep_until(self.sim.now_us() + CHECK_INTERVAL_US)
         return True
@@ -202,19 +202,19 @@
         sim.files["servers.toml"] = b"count = 0\n"
         for name in UNITS + STEWARDS:
             self.start(name)
-        sim.scheduler.spawn("ills", self._track_outages)
-        if not self._wait_for("all are well", lambda: self._all_run({"old"})):
+        sim.scheduler.spawn("track outages", self._track_outages)
+        if not self._wait_for("all units are healthy", lambda: self._all_run({"old"})):
             return
         places = self.store_view().placements
         release = r.create_release("r", r.PlanFile(self.version, "old", settle_s=1.0, start_s=25.0), places)
         self._update_release(release, "start")
         faults = [sim.scheduler.spawn("fault", self._run_fault) for _ in range(self.rng.randint(0, 5))]
-        back_us = sim.now_us() + self.rng.randrange(40_000_000) if self.rng.random() < 0.3 else None
+        rollback_at_us = sim.now_us() + self.rng.randrange(40_000_000) if self.rng.random() < 0.3 else None
         for task in faults:
             task.join()
-        while back_us is not None and sim.now_us() < back_us:
+        while rollback_at_us is not None and sim.now_us() < rollback_at_us:
             sim.scheduler.sleep_until(sim.now_us() + CHECK_INTERVAL_US)
-        if back_us is not None:
+        if rollback_at_us is not None:
             self._operator_command("back")
         ends = {"done", "back"}
         if not self._wait_for("the release's end", lambda: self._phase() in {*ends, "halted"}):
@@ -247,13 +247,14 @@
             self.store_view(), release, AuditEntry(self.sim.now_us(), "ana", what)
         )
         if not self.etcd.model.txn(txn).succeeded:
-            self.violations.append(f"say: {what} was not accepted")
+            self.violations.append(f"operator: {what} was not accepted")
         self.etcd._notify_watches()
 
     def _operator_command(self, command: str) -> None:
+        """Apply a command, unless the release's phase no longer allows it."""
         release = self.store_view().release
         changed = r.apply_operator_command(release, command, "") if release is not None else "none"
-        if isinstance(changed, r.Release):
+        if isinstance(changed, r.Release):  # else a text: why not
             self._update_release(changed, command)
 
     # --- faults
@@ -280,6 +281,7 @@
                 sim.network.cut(name, STORE)
                 undo = lambda: sim.network.restore(name, STORE)  # noqa: E731
             case "crash":
+                # Of any unit, as `name` may be a steward; it cannot start for 3 times the fault's duration.
                 self.simulated_units[rng.choice(UNITS)].crash(3 * duration_us)
             case "no leader":
                 self.etcd.leaderless = True
@@ -318,7 +320,8 @@
             down = {unit for unit, since in self._down_since.items() if now - since > KNOWN_OUTAGE_US} - permits
             out = permits | down
             zone = {unit for unit in out if int(unit[1:]) % 3 == int(name[1:]) % 3}
-            already_out = name in self._down_since  # down without the permit, and a roll-back must reach the unit
+            # A permit for a unit that is down anyway takes none out of service, and a roll-back has to reach it.
+            already_out = name in self._down_since
             if not already_out and (len(out) > MAX_OUT or len(zone) > 1):
                 self.violations.append(
                     f"limit: {name} got a permit with {sorted(permits - {name})} out, {sorted(down)} down"
--- a/yardspindle/lab/script.py
+++ b/yardspindle/lab/script.py
@@ -24,14 +24,14 @@
 REQUEST_COUNT_RANGE = (50, 70)
 FAULT_COUNT_RANGE = (5, 14)
 
-# kind: (target, shortest duration, longest duration in ms). Kinds include failures that users reported. In the names,
-# "box" is an engine, "move" a KV cache's transfer from reader to writer, and "link" the one between edge and planner.
+# kind: (target, shortest duration, longest duration in ms). In the names, "box" is an engine, "move" a KV cache's
+# transfer from reader to writer, "link" the connection between edge and planner, and "events" are cache events.
 FAULT_KINDS: dict[str, tuple[str, int, int]] = {
-    "box hangs": ("box", 50, 3_000),
-    "box stalls": ("box", 20, 2_000),
+    "box hangs": ("box", 50, 3_000),  # it accepts requests and answers none
+    "box stalls": ("box", 20, 2_000),  # its process is stopped
     "box dies": ("box", 50, 4_000),  # and restarts cold
     "box slow": ("box", 100, 3_000),
-    "box full": ("box", 50, 2_000),
+    "box full": ("box", 50, 2_000),  # it refuses requests
     "box forgets": ("box", 0, 0),  # its prefix cache is cleared
     "box resets": ("box", 20, 500),  # it aborts its streams
     "box draining": ("box", 500, 3_000),
@@ -42,34 +42,36 @@
     "all forget": ("", 0, 0),
     "edge dies": ("edge", 50, 2_000),
     "edge stalls": ("edge", 20, 1_500),
-    "edge clock": ("edge", 0, 0),
+    "edge clock": ("edge", 0, 0),  # it steps forwards or backwards
     "planner dies": ("", 50, 2_500),
     "planner stalls": ("", 20, 3_000),
-    "planner clock": ("", 0, 0),
+    "planner clock": ("", 0, 0),  # it steps forwards or backwards
     "link reset": ("edge", 0, 0),
     "link cut up": ("edge", 20, 3_000),  # from edge to planner only
-    "link cut down": ("edge", 20, 3_000),
+    "link cut down": ("edge", 20, 3_000),  # from planner to edge only
     "link slow": ("edge", 100, 3_000),
     "box cut there": ("edge box", 20, 3_000),  # from edge to engine only
     "box cut back": ("edge box", 20, 3_000),  # from engine to edge only
     "box connects refused": ("edge box", 20, 2_000),
     "box connects hang": ("edge box", 20, 2_000),
     "box connections reset": ("box", 0, 0),
-    "box far": ("box", 100, 3_000),
-    "box narrow": ("box", 100, 3_000),
-    "move cut": ("move", 20, 3_000),  # writer to reader
-    "events bad": ("box", 200, 4_000),  # cache events lost, duplicated, reordered
+    "box far": ("box", 100, 3_000),  # long latency to and from all edges
+    "box narrow": ("box", 100, 3_000),  # low bandwidth to and from all edges
+    "move cut": ("move", 20, 3_000),  # from writer to reader only: the writer's requests for the KV cache
+    "events bad": ("box", 200, 4_000),  # lost, duplicated, reordered
     "list bad": ("", 100, 2_000),  # the server list has a wrong count
     "list half": ("", 20, 1_000),  # the server list is cut off in the middle
-    "list missing": ("", 100, 2_000),
-    "flood": ("", 0, 0),
-    "flood of hang-ups": ("", 0, 0),
-    "half-closing clients": ("", 0, 0),
+    "list missing": ("", 100, 2_000),  # the server list's file is gone
+    "flood": ("", 0, 0),  # many requests at once
+    "flood of hang-ups": ("", 0, 0),  # a flood whose clients hang up
+    "half-closing clients": ("", 0, 0),  # a flood whose clients close their sending side and go on reading
 }
 
 
 class Fault(Struct, frozen=True, forbid_unknown_fields=True):
-    """A fault: its kind, time, duration and targets. `factor` is its strength."""
+    """A fault: its kind, time, duration and targets.
+
+    `factor` (1 to 20) is its strength: of slowness, latency, low bandwidth or a clock step; other kinds ignore it."""
 
     kind: str
     at_ms: int
@@ -108,7 +110,9 @@
 
 
 def _draw_fault(rng: random.Random, before: list[Fault], last_ms: int) -> Fault:
-    """Draw a fault; half of the time during one of those before it. `last_ms` is the time of the last request."""
+    """Draw a fault. With probability 1/2 it begins during one of `before`, the faults drawn so far, or just after it.
+
+    `last_ms` is the time of the last request."""
     kind = rng.choice(tuple(FAULT_KINDS))
     targets, shortest, longest = FAULT_KINDS[kind]
     for_ms = int(shortest + (longest - shortest) * rng.random() ** 2)  # short durations are more likely
--- a/yardspindle/lab/seeds.py
+++ b/yardspindle/lab/seeds.py
@@ -22,7 +22,7 @@
 from yardspindle.lab.traffic_simulation import Outcome, run_script
 
 GC_INTERVAL = 10  # seeds between garbage collections
-CRITICAL_LEVEL = 50  # above every level that the programs log at
+ABOVE_ALL_LEVELS = 50  # higher than every level that the programs log at
 
 
 @dataclass(slots=True)
@@ -41,7 +41,7 @@
         self.runs += 1
         if outcome.breaks:
             self.failed[outcome.seed] = outcome.breaks[0]
-        if outcome.trace:  # a traffic run: fleet runs have scripts of another kind
+        if outcome.trace:  # empty for fleet runs, whose scripts are of another kind, and after an exception
             self.fault_pairs.update(overlapping_kinds(draw_script(outcome.seed)))
         self.transitions.update(outcome.transitions)
         self.counts.update(outcome.tally)
@@ -50,12 +50,13 @@
     def summary(self) -> str:
         """The summary as text."""
         states = {name for step in self.transitions for name in step.split(" -> ")}
+        # A "world" is a simulation.
         rows = [f"worlds played: {self.runs}, {self.virtual_ms / 3_600_000:.1f} virtual hours"]
         if self.fault_pairs:
             rows.append(f"pairs of faults that overlapped: {len(self.fault_pairs)} of {FAULT_PAIR_COUNT}")
         if self.transitions:
             rows.append(
-                f"life cycle: {len(states)} states, {len(self.transitions)} transitions; the rarest: "
+                f"request life cycle: {len(states)} states, {len(self.transitions)} transitions; the rarest: "
                 + "; ".join(f"{step} ({count})" for step, count in self.transitions.most_common()[:-6:-1])
             )
         rows += [f"{name}: {count}" for name, count in sorted(self.counts.items())]
@@ -68,7 +69,7 @@
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C is handled by the parent, which stops its workers
     gc.disable()
     if quiet:
-        structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(CRITICAL_LEVEL))
+        structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(ABOVE_ALL_LEVELS))
 
 
 def _run_traffic(job: tuple[int, bool]) -> Outcome:
@@ -111,7 +112,7 @@
     fails = fails or first_violated_rule
     rule = fails(script)
     if not rule:
-        raise ValueError("this world breaks nothing")
+        raise ValueError("this world breaks nothing")  # the simulation of this script violates no rule
 
     def still_fails(candidate: Script) -> bool:
         assert fails is not None
--- a/yardspindle/lab/simulated_fleet.py
+++ b/yardspindle/lab/simulated_fleet.py
@@ -34,12 +34,14 @@
 
 HOST = "127.0.0.1"
 SERVERS = "servers.toml"
+# "order" is the unsafe class: its requests must not run twice.
 CLASSES = (ClientClass("chat", 0.5, 4_000.0, 12), ClientClass("order", 0.5, 4_000.0, 12))
 HABITS = ClientHabits(hang_up=0.1, stop_reading=0.05, openings=3, opening_words=60, words=30)
 PROBE_HABITS = ClientHabits(hang_up=0.0, stop_reading=0.0, retries=0, openings=1, opening_words=4, words=4)
 COLD_MS = 2_000.0
-RULES = {"cold_ms": COLD_MS, "start_capacity": 0.3, "fall_ms": 500.0, "fall_multiple": 1.2}
-AUDIT_LIMITS = AuditLimits(slack_ms=150.0, left_ms=200.0, list_ms=0.0, unsafe=("order",))
+ROUTER_RULES = {"cold_ms": COLD_MS, "start_capacity": 0.3, "fall_ms": 500.0, "fall_multiple": 1.2}
+# `list_ms` is 0 because `record_draining` journals a changed list only once every edge can know it.
+AUDIT_LIMITS = AuditLimits(slack_ms=150.0, abandoned_ms=200.0, list_ms=0.0, unsafe=("order",))
 # Faults during which a planner may decide too late, so that the edge applies its own time limits.
 PLANNER_DELAY_KINDS = {
     "planner stalls",
@@ -57,7 +59,7 @@
         {"name": c.name, "effect": effect, "aim_ms": 1_000, "give_up_ms": c.give_up_ms}
         for c, effect in zip(CLASSES, ("safe", "unsafe"), strict=True)
     ],
-    "rules": RULES,
+    "rules": ROUTER_RULES,
     "index": {"block_size": 64},
     "planner": {"reread_ms": 100.0},
     "edge": {"dispatchers": len(EDGE_NAMES), "stalled_client_ms": 2_000.0, "stalled_stream_ms": 2_000.0},
@@ -69,7 +71,7 @@
 
 
 class RecordingEngine(StandInEngine):
-    """A stand-in engine whose journal lines go to the audit, with the simulation's clock instead of its own."""
+    """A stand-in engine whose journal lines go to the audit, all with the time of the simulation's one clock."""
 
     def __init__(self, fleet: SimulatedFleet, world: VirtualWorld, settings: EngineSettings) -> None:
         """An engine of the given fleet, in its own World."""
@@ -77,7 +79,7 @@
         super().__init__(world, settings)
 
     def record(self, event: str, request: str = "", **more: object) -> None:
-        """Append an event to the journal (StandInEngine)."""
+        """Pass an event on to the fleet's journal, unless the engine has been killed (StandInEngine)."""
         world = self.world
         assert isinstance(world, VirtualWorld)
         if world.alive:
@@ -111,7 +113,7 @@
         self._edges = {name: _EdgeSlot() for name in EDGE_NAMES}
         self._planner_port = 0
         self._planner: Planner | None = None
-        self._published_lists: set[frozenset[str]] = {frozenset()}  # names in every list ever written
+        self._published_lists: set[frozenset[str]] = {frozenset()}  # the names in each list written so far
         self._print_line, self._count_transitions = print_line, count_transitions
         self._trace_hash = hashlib.sha256()
         self._list_fault = ""  # kind of the active fault of the server list file
@@ -122,11 +124,11 @@
             self._clients_world, "yardspindle-demo", lambda line: self.record(**line), PROBE_HABITS
         )
         self._extra_requests: list[Any] = []
-        self._last_number = 10_000  # of requests beside the script's, which have lower numbers
+        self._last_number = 10_000  # of the latest request that is not in the script; the script's numbers are lower
         self._violations: list[str] = []
         self._main_task: Task | None = None
         self._stopped = False
-        self._planner_may_be_late = any(fault.kind in PLANNER_DELAY_KINDS for fault in script.faults)
+        self._decisions_may_be_late = any(fault.kind in PLANNER_DELAY_KINDS for fault in script.faults)
         self.sim.files[SERVERS] = b""
 
     # --- journal
@@ -220,9 +222,9 @@
     def _watch_transitions(self, edge: Edge) -> None:
         """Count the transitions between the phases of each request."""
         core, phases = edge.core, dict[int, str]()
-        out = core._out
+        out = core._out  # called at the end of every event that the core processes
 
-        def counted(now_us: int, commands: Any) -> Any:
+        def count_and_call(now_us: int, commands: Any) -> Any:
             for number, request in core.lifecycle.requests.items():
                 now = phase(request)
                 before = phases.get(number, "new")
@@ -233,7 +235,7 @@
                 self.transitions[f"{phases.pop(number)} -> gone"] += 1
             return out(now_us, commands)
 
-        core._out = counted  # type: ignore[method-assign]
+        core._out = count_and_call  # type: ignore[method-assign]
 
     # --- faults
 
@@ -252,7 +254,7 @@
         correct = self.sim.files.get(SERVERS, b"")
         match kind:
             case "list bad":
-                self.sim.files[SERVERS] = correct.replace(b"count = ", b"count = 9")
+                self.sim.files[SERVERS] = correct.replace(b"count = ", b"count = 9")  # one digit more: too many
             case "list half":
                 self.sim.files[SERVERS] = correct[: len(correct) // 2]
             case "list missing":
@@ -312,7 +314,9 @@
         self._clients.request(plan, self._edge_addresses())
 
     def _half_close(self, plan: RequestPlan, at_us: int) -> None:
-        """A client that sends its request, closes its sending side and keeps reading."""
+        """A client that sends its request, closes its sending side and keeps reading.
+
+        How its answer ends is not checked: the outcome is always recorded as "left"."""
         self.sim.scheduler.sleep_until(at_us)
         host, port = self._edge_addresses()[plan.number % len(self._edges)]
         name, world = f"q{plan.number}.0", self._clients_world
--- a/yardspindle/lab/traffic_simulation.py
+++ b/yardspindle/lab/traffic_simulation.py
@@ -23,32 +23,36 @@
     HABITS,
     HOST,
     PROBE_HABITS,
-    RULES,
+    ROUTER_RULES,
     RuleViolated,
     SimulatedFleet,
 )
 
 PROBE_CLASS = ClientClass("chat", 1.0, 4_000.0, 4)
 # Interlocks (rules by which an edge overrides its planner, the process that decides which engine does what) that must
-# not act while the planner decides in time.
+# not act while the planner decides in time: the edge answers a request whose deadline has passed, and releases what was
+# held for too long with no attempt running.
 FALLBACK_INTERLOCKS = {"answer overdue", "held too long"}
 QUIESCE_US = 8_000_000  # after the probes: longer than any hold, time-out and idle connection
 RECOVERY_TIMEOUT_US = 6_000_000  # every edge must serve again within this time after the last fault
 # Timers of an idle fleet: each engine's check for expired holds, the ticks of each edge and of its policy (the
-# planner's decision module), the reader of the server list, the check of the rules, this task.
+# planner's decision module), the reader of the server list, the check of the rules, the main task.
 MAX_IDLE_TIMERS = len(ENGINE_NAMES) + 2 * len(EDGE_NAMES) + 3
 MAX_RUN_US = 90_000_000  # virtual time; a run that has not ended by then is stuck
 
 
 class Outcome(Struct, frozen=True):
-    """The result of a run. `trace` is a hash of all that clients and engines saw; `breaks` are rule violations."""
+    """The result of a run.
+
+    `trace` is a hash of all that clients and engines saw, `breaks` are rule violations, `tally` counts outcomes of
+    requests and what the audit counts."""
 
     seed: int
     trace: str
     breaks: tuple[str, ...]
     tally: dict[str, int]
     transitions: dict[str, int]
-    pieces: int  # network segments delivered
+    segments: int  # of the network, delivered
     virtual_ms: int
 
 
@@ -96,9 +100,9 @@
                     "events": role == "read",
                     "slots": 3,
                     "queue": 6,
-                    "start_capacity": RULES["start_capacity"],
-                    "fall_ms": RULES["fall_ms"],
-                    "fall_multiple": RULES["fall_multiple"],
+                    "start_capacity": ROUTER_RULES["start_capacity"],
+                    "fall_ms": ROUTER_RULES["fall_ms"],
+                    "fall_multiple": ROUTER_RULES["fall_multiple"],
                     "read_tokens_per_s": 20_000.0,
                     "memory_tokens": 40_000,
                     "cache_tokens": 20_000,
@@ -116,7 +120,7 @@
             slot.idle_tasks, slot.idle_streams = self._task_names(name), self._stream_count(name)
         self.started_us = sim.now_us()
         watch = sim.scheduler.spawn("rules", self._check_rules)
-        tasks = [sim.scheduler.spawn("trouble", fault_injection.inject, self, fault) for fault in self.script.faults]
+        tasks = [sim.scheduler.spawn("fault", fault_injection.inject, self, fault) for fault in self.script.faults]
         for number, at_ms in self.script.requests:
             plan = draw_request(sim.random(f"client {number}"), number, CLASSES, HABITS)
             tasks.append(self._clients_world.spawn("client", self._request, plan, self.started_us + at_ms * 1_000))
@@ -141,7 +145,7 @@
                     self._violations.append(f"{name}'s rule checker: {slot.edge.core.rule_checker.last_violation}")
                 if (
                     slot.edge is not None
-                    and not self._planner_may_be_late
+                    and not self._decisions_may_be_late
                     and (fired := FALLBACK_INTERLOCKS & slot.edge.core.lifecycle.counts.interlocks.keys())
                 ):
                     self._violations.append(
@@ -156,7 +160,7 @@
                 )
             if self.sim.now_us() > self.started_us + MAX_RUN_US:
                 self._violations.append(
-                    "liveness: not ended: "
+                    "liveness: still running after the time limit: "
                     + ", ".join(
                         sorted(
                             task.name
@@ -195,10 +199,10 @@
             edge = slot.edge
             assert edge is not None
             left = {
-                "open": len(edge.core.lifecycle.requests),
-                "owed": edge.core.engine_releases.pending,
-                "running": len(edge.executor.running),
-                "watched": len(edge.core.rule_checker.requests),
+                "open requests": len(edge.core.lifecycle.requests),
+                "pending releases": edge.core.engine_releases.pending,
+                "requests in the executor": len(edge.executor.running),
+                "requests in the rule checker": len(edge.core.rule_checker.requests),
                 "tasks": len(self._task_names(name) - slot.idle_tasks),
                 "connections": max(self._stream_count(name) - slot.idle_streams, 0),
             }
