--- a/benchmarks/slow_start_fleet.py
+++ b/benchmarks/slow_start_fleet.py
@@ -2,10 +2,12 @@
 
     python benchmarks/slow_start_fleet.py [SEED]
 
-Prints for each case the largest ratio to the allowance in any window: over all senders (all), over senders that knew of
-the start (told), over windows with more than two thirds from such senders (rule); and utilisation while cold (busy).
+Prints for each case the largest number of attempts that a cold host was sent in a window of FALL_US, divided by its
+allowance (`slow_start_hosts.allowance`): attempts of all dispatchers (all); those of dispatchers that knew of the
+host's start (told); all, in windows with more than two thirds from such dispatchers, to which the operators' rule
+applies (rule). Also prints the utilisation of cold hosts (busy), and the names of the checks that failed.
 
-As in the platform's rules, every attempt that reaches the host counts as one request of mean work, also one that it
+As the operators' platform counts, every attempt that reaches the host is one request of mean work, also one that it
 refuses. Reservations of places and refused connections do not count.
 """
 
@@ -17,7 +19,7 @@
 from bisect import bisect_left
 from collections import Counter
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass, replace
+from dataclasses import replace
 from functools import partial
 from itertools import accumulate, count
 from pathlib import Path
@@ -27,6 +29,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent))
 
+from slow_start_cases import CASES, Case  # noqa: E402
 from slow_start_hosts import (  # noqa: E402
     AIM_US,
     COLD_US,
@@ -39,46 +42,15 @@
     PROMPT_TOKENS,
     RETURN_AT_US,
     START_CAPACITY,
-    WARM_RATE,
     WRITER_SLOTS,
+    Arrival,
     Host,
     S,
-    all_but_one_pair,
-    all_but_one_writer,
     allowance,
     budget,
-    every_second,
-    one_pair,
 )
 
 
-@dataclass
-class Case:
-    """Parameters of one scenario; cells have three readers and three writers and are spread over two zones."""
-
-    cold: Callable[[int, Host], bool]  # by index in the list
-    cells: int = 4
-    quota: tuple[float, ...] = (0.8,)  # tenants' quotas over the capacity of the warm hosts; empty: no tenants
-    load: float = 0.9  # offered work over the capacity of the warm hosts of a stage
-    burst: float = 1.5  # factor on the load from the hosts' return on
-    dies: Callable[[int, Host], bool] = lambda at, host: False  # hosts that die for good
-    death_delay_us: int = 0  # time of their death after the return
-    rate: float = WARM_RATE
-    by_work: bool = False  # cold hosts warm up by completed work only, not by time
-    roots: int = 2  # square roots of N allowed beyond N; the platform's rules give 3 for N under 30
-    full: Callable[[int, Host], bool] = lambda at, host: False
-    downtime_us: int = 1 * S  # how long the cold hosts were down
-    listed_after_us: tuple[int, int] = (300 * MS, 700 * MS)  # after the start, drawn per dispatcher
-    clock_ahead_us: int = 0  # how far a cold host's clock is ahead
-    started_at: int = 0  # when the dispatchers start
-    traffic_exponent: float = 0.0  # exponent of the dispatchers' traffic by rank
-    hot_prefix_share: float = 0.0  # share of the requests with one prefix, whose home is the first cold reader
-    prefixes: int = 60
-    repeats: int = 0  # immediate retries of a client, at a random dispatcher
-    stagger_us: int = 0  # delay between the returns of consecutive cold hosts
-    end_us: int = RETURN_AT_US + COLD_US
-
-
 class Fleet:
     """Simulates a case: dispatchers' policies, hosts and clients, driven by one event queue."""
 
@@ -185,9 +157,8 @@
         if host.is_down(self.now):
             return self.end_attempt(me, number, seq, i.Status.CONNECT_FAILED, sent)
         if host in self.cold and self.now >= host.up_at:
-            host.sent.append(
-                (self.now, host.warmth(self.now), self.now >= self.start_known_at.get((me, host.entry.server), 1 << 60))
-            )
+            informed = self.now >= self.start_known_at.get((me, host.entry.server), 1 << 60)
+            host.arrivals.append(Arrival(self.now, host.warmth(self.now), informed))
         work = self.rng.uniform(0.5, 1.5) / host.warmth(self.now)
         held = host in self.places.get(number, set())
         if host.full or (
@@ -329,12 +300,13 @@
     def worst_ratio(self, informed: bool = False) -> float:
         """Return the largest ratio to the allowance in any window of a cold host; `informed`: of informed senders."""
         return max(
-            (self.largest_ratio(h, [row for row in h.sent if row[2] or not informed]) for h in self.cold), default=0.0
+            (self.largest_ratio(h, [a for a in h.arrivals if a.informed or not informed]) for h in self.cold),
+            default=0.0,
         )
 
-    def largest_ratio(self, host: Host, sent: list[tuple[int, float, bool]]) -> float:
-        while_cold = [row for row in sent if row[0] < host.up_at + COLD_US]
-        times = [at for at, _, _ in while_cold]
+    def largest_ratio(self, host: Host, arrivals: list[Arrival]) -> float:
+        while_cold = [arrival for arrival in arrivals if arrival.at < host.up_at + COLD_US]
+        times = [arrival.at for arrival in while_cold]
         return max(
             (
                 (bisect_left(times, at + FALL_US) - n) / allowance(budget(host, warmth), self.case.roots)
@@ -344,12 +316,12 @@
         )
 
     def informed_ratio(self) -> float:
-        """Return the largest ratio of a window with over two thirds from informed senders, as the rule is judged."""
+        """Return the largest ratio in windows with over two thirds from informed senders, which the rule judges."""
         largest = 0.0
         for host in self.cold:
-            sent = [row for row in host.sent if row[0] < host.up_at + COLD_US]
-            for n, (at, warmth, _) in enumerate(sent):
-                window = [knew for when, _, knew in sent[n:] if when < at + FALL_US]
+            while_cold = [arrival for arrival in host.arrivals if arrival.at < host.up_at + COLD_US]
+            for n, (at, warmth, _) in enumerate(while_cold):
+                window = [later.informed for later in while_cold[n:] if later.at < at + FALL_US]
                 if 3 * sum(window) > 2 * len(window):
                     largest = max(largest, len(window) / allowance(budget(host, warmth), self.case.roots))
         return largest
@@ -382,39 +354,6 @@
         }
 
 
-LISTED_LATE = (3 * S, 3_500 * MS)  # the list shows a start this much later
-SHORT_END_US = RETURN_AT_US + 3 * S
-CASES: dict[str, tuple[Case, tuple[int, ...]]] = {  # each with its numbers of dispatchers
-    "listed at once": (Case(one_pair), (20,)),
-    "back before the list says so": (Case(one_pair, listed_after_us=LISTED_LATE, downtime_us=2 * S), (30, 200)),
-    "started before the processes did": (Case(one_pair, started_at=RETURN_AT_US + 500 * MS), (200,)),
-    "half of all in an outage of discovery": (
-        Case(every_second, listed_after_us=LISTED_LATE, downtime_us=2 * S),
-        (30,),
-    ),
-    "half of all": (Case(every_second), (20, 200)),
-    "every host": (Case(lambda at, host: True), (30, 200)),
-    "every host, one after the other": (Case(lambda at, host: True, stagger_us=150 * MS), (30,)),
-    "the reader's cell": (Case(lambda at, host: host.entry.cell == 0), (30,)),
-    "all writers, placed ahead": (Case(lambda at, host: not host.is_reader), (20, 30)),
-    "few carry most": (Case(one_pair, traffic_exponent=1.5), (200,)),
-    "started in the future": (Case(one_pair, clock_ahead_us=3_600 * S), (30,)),
-    "repeats: all others die": (Case(one_pair, dies=all_but_one_pair, repeats=2, end_us=SHORT_END_US), (20, 200)),
-    "repeats: a zone dies": (
-        Case(one_pair, dies=lambda at, host: host.entry.zone == "b", repeats=2, end_us=SHORT_END_US),
-        (30,),
-    ),
-    "repeats: all others full": (Case(one_pair, full=all_but_one_pair, repeats=2, end_us=SHORT_END_US), (30, 200)),
-    "a hot text": (Case(one_pair, hot_prefix_share=0.3), (30, 200)),
-    "survivors of a role": (
-        Case(one_pair, dies=all_but_one_writer, death_delay_us=3 * S, rate=2.5, by_work=True, roots=3, repeats=2),
-        (6, 200),
-    ),
-    "warm by work": (Case(every_second, by_work=True), (6, 200)),
-    "no start at all": (Case(lambda at, host: False, load=0.6, burst=1.0), (6, 200)),
-}
-
-
 def played(name: str, dispatchers: int, seed: int = 1) -> Fleet:
     """Run a case to its end."""
     fleet = Fleet(CASES[name][0], dispatchers, seed)
--- a/benchmarks/slow_start_hosts.py
+++ b/benchmarks/slow_start_hosts.py
@@ -1,9 +1,10 @@
-"""Simple model of readers and writers for `slow_start_fleet.py`, with the allowance of a cold host."""
+"""Simple model of readers and writers for `slow_start_fleet.py`, and how many requests a cold one can take."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from yardspindle import interface as i
 
@@ -16,6 +17,14 @@
 RETURN_AT_US = 2 * S  # when the cold hosts of a case return
 
 
+class Arrival(NamedTuple):
+    """An attempt that reached a host after its return."""
+
+    at: int
+    warmth: float  # of the host
+    informed: bool  # whether the sender knew of the host's start
+
+
 @dataclass(eq=False)
 class Host:
     """A reader with a queue of prompts or a writer with parallel slots; slower while it is cold."""
@@ -32,9 +41,7 @@
     idle_at: float = 0.0  # reader: when its queue is empty
     queued: int = 0
     used_slots: int = 0  # writer: streams and reserved places
-    sent: list[tuple[int, float, bool]] = field(
-        default_factory=list
-    )  # time, warmth, whether the sender knew of the start
+    arrivals: list[Arrival] = field(default_factory=list)
     busy_intervals: list[tuple[float, float]] = field(
         default_factory=list
     )  # begin and end of each piece of work; of a writer per slot
@@ -51,12 +58,15 @@
 
 
 def allowance(n: float, roots: int) -> float:
-    """Return the requests that a cold host can take for a budget of `n`; beyond that it fails."""
+    """Return how many requests a cold host with a budget of `n` can take in a window of FALL_US; with more it fails.
+
+    The margin beyond the budget, `roots` * (sqrt(n) + 1), is for chance: a Poisson count deviates by about sqrt(n).
+    """
     return n + roots * math.sqrt(n) + roots
 
 
 def budget(host: Host, warmth: float) -> float:
-    """Return the budget N that the settings allow a host at this warmth."""
+    """Return the budget N of a host at this warmth: FALL_MULTIPLE times the work that it can do in FALL_US."""
     return FALL_MULTIPLE * warmth * host.rate * FALL_US / S
 
 
@@ -69,7 +79,7 @@
 
 
 def all_but_one_pair(at: int, host: Host) -> bool:
-    """All hosts except that pair."""
+    """All hosts except those of `one_pair`."""
     return at not in (0, 3)
 
 
