--- a/benchmarks/fairness.py
+++ b/benchmarks/fairness.py
@@ -2,24 +2,30 @@
 
     python benchmarks/fairness.py [--quiet | --roll] [--effects CLASS=EFFECT,...] FOLDER
 
-FOLDER holds one `*.log` per dispatcher; in a panel of days each day has a folder named after it. A row has the number
-of requests, the answered share, its bound and the margin. Without --quiet or --roll the day is an ordinary one.
+A day is one scripted test run of a deployment. Its kind (--quiet, --roll or, without a flag, ordinary) decides which
+bounds apply. FOLDER holds one `*.log` per dispatcher for one day. A row has the number of requests, the answered share,
+its bound and the margin.
+
+The bounds are those of the operators' acceptance test, which compares the deployment with a reference policy: that
+policy serves the same clients, and sees the true state of all hosts with a delay.
 
 Counting: a client's retry has a new id and no mark in the log, so lines with the same class, tenant, session and prompt
 length, at any dispatcher, are one request. It arrives with the first line, is answered if any line was served to its
 end, in time or late, and is refused if every line was (a failure that was never sent to a host counts as a refusal). A
-request whose client disconnected is not answered: the policy of comparison meets the same clients. Nor is a stream that
-broke and was never served again. The stretches of a dispatcher count lines, not requests.
-
-Bounds: those of classes, tenants, effects and thirds of the day are fractions of what a policy serves that sees the
-true state late; the logs do not show it, so these rows have no margin. Prompts: the longest tenth of a class (under 400
-requests the longest quarter) and the next fifth are answered at least half as often as their class, two thirds on a
-quiet day; the gate asks less where the policy of comparison does worse. Sessions, on a quiet day: the share of a
+request whose client disconnected is not answered; the comparison stays fair, because the reference policy meets the
+same clients. Nor is a stream that broke and was never served again. The row on dispatchers counts log lines, not
+requests.
+
+Bounds: those of classes, tenants, effects and thirds of the day are fractions of what the reference policy serves,
+which the logs do not show, so these rows have no margin. Prompts: the longest tenth of a class (under 400 requests the
+longest quarter) and the next fifth are answered at least half as often as their class, two thirds on a quiet day; the
+acceptance test uses a lower bound where the reference policy does worse. Sessions, on a quiet day: the share of a
 class's sessions that are refused throughout exceeds chance by at most 0.12; chance is the mean over the sessions of the
 class's refused share to the power of their turns. Dispatchers, on quiet and roll days: at most one in ten refuses all,
 15 or more requests, for 4 s from the first to the last with no attempt in between. The log has only the time of the
-last attempt of each stage, so a stretch may appear longer than it was. Request values, tenant shares and the requests
-open at a killed process are not in the logs.
+last attempt of each stage, so a stretch may appear longer than it was.
+
+Not checked, because the logs lack them: the values of requests, tenant shares and requests open at a killed process.
 """
 
 from __future__ import annotations
@@ -37,7 +43,8 @@
 from stages import Row, rows, send_times
 
 REFUSALS = {"overloaded", "draining", "edge_full", "planner_lost"}
-PROMPT_PART, PROMPT_PART_QUIET = 1 / 2, 2 / 3
+# Least answered share of long prompts, relative to that of all requests of the class.
+MIN_LONG_PROMPT_RATIO, MIN_LONG_PROMPT_RATIO_QUIET = 1 / 2, 2 / 3
 SESSIONS_OVER_CHANCE = 0.12
 STRETCH_MS, STRETCH_REQUESTS, STRETCH_DISPATCHERS = 4_000.0, 15, 0.1
 
@@ -85,7 +92,10 @@
 
 
 def refused(row: Row) -> bool:
-    """Whether the request was refused; a failure without any attempt counts as a refusal."""
+    """Whether the request was refused; a failure without any attempt counts as a refusal.
+
+    The end `left` says that the client disconnected.
+    """
     return row["end"] in REFUSALS or (row["end"] != "left" and never_sent(row))
 
 
@@ -142,7 +152,7 @@
 
 
 def longest_ms(lines: list[Row]) -> float:
-    """Return the longest time in which one dispatcher refused STRETCH_REQUESTS or more requests and served none.
+    """Return the longest time, in ms, in which a dispatcher refused STRETCH_REQUESTS or more requests and served none.
 
     Clients that disconnected before any attempt are ignored.
     """
@@ -159,7 +169,11 @@
 
 
 def figures(dispatchers: list[list[Row]], effects: dict[str, str], quiet: bool, roll: bool) -> list[Figure]:
-    """Compute all rows of a day from the log lines of each dispatcher."""
+    """Compute all rows of a day from the log lines of each dispatcher.
+
+    `effects`: by class, whether a request that may have run may be run again: safe (always), keyed (with the same key)
+    or unsafe. Without it there are no rows by effect.
+    """
     everything = requests(row for lines in dispatchers for row in lines)
     if not everything:
         return []
@@ -175,12 +189,13 @@
     out += [Figure(name[2:], len(some), answered(some)) for name, some in sorted(groups.items())]
     for cls in sorted({r.cls for r in everything}):
         some = groups[f"0 class {cls}"]
-        floor = (PROMPT_PART_QUIET if quiet else PROMPT_PART) * answered(some)
+        floor = (MIN_LONG_PROMPT_RATIO_QUIET if quiet else MIN_LONG_PROMPT_RATIO) * answered(some)
         out += [
             Figure(f"{cls}: {name}", len(group), answered(group), floor) for name, group in prompt_groups(some).items()
         ]
         out.append(refused_sessions(f"{cls}: refused sessions", some, quiet))
     stretches = [longest_ms(lines) for lines in dispatchers]
+    # The dispatchers that refused all requests for STRETCH_MS or longer; "most" is the longest such time of any one.
     out.append(
         Figure(
             f"dispatchers turning all away, most {max(stretches) / 1_000:.1f} s",
@@ -203,9 +218,13 @@
 
 
 @click.command()
-@click.option("--quiet", is_flag=True, help="A quiet day (calm): two thirds for prompts, and all bounds.")
+@click.option("--quiet", is_flag=True, help="A quiet day: all bounds apply, with two thirds for long prompts.")
 @click.option("--roll", is_flag=True, help="A roll day: the bound on dispatchers applies.")
-@click.option("--effects", default="", help="CLASS=EFFECT,... for all classes, as in the day's settings.")
+@click.option(
+    "--effects",
+    default="",
+    help="CLASS=EFFECT,... for all classes (safe, keyed or unsafe to repeat), as in the day's settings.",
+)
 @click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
 def main(folder: Path, quiet: bool, roll: bool, effects: str) -> None:
     """Print a day's rows and the smallest margin."""
@@ -220,8 +239,8 @@
         "\n".join(
             [
                 *map(str, day),
-                "no bound: it depends on what the policy of comparison serves, which the logs do "
-                "not show, or is not required on such a day",
+                "no bound: a day of this kind has none, or it depends on what the reference policy serves, which the "
+                "logs do not show",
                 least(day),
             ]
         )
--- a/benchmarks/first_token.py
+++ b/benchmarks/first_token.py
@@ -1,4 +1,6 @@
-"""Time to first token with cache events, with estimates and without an index, through the router at 10 and 40 readers.
+"""Time to first token by source of the prefix index, through the router, at 10 and 40 readers.
+
+Modes: the index is fed by cache events (events), by estimates (guess), or there is none (off).
 
 Run: python benchmarks/first_token.py [--jobs N]. Edges, planner, link, engines and clients are the real programs on the
 virtual World, so times are virtual, reproducible and independent of the machine. Three kinds of traffic: steady shared
@@ -42,14 +44,14 @@
             "seed": seed,
             "seconds": SECONDS[readers],
             "rate_per_s": RATE_PER_READER * readers,
-            "openings": 200,
+            "openings": 200,  # shared prefixes
             "answer_tokens": 4,
             **overrides,
         }
     )
 
 
-def play(job: tuple[str, int, str]) -> tuple[tuple[str, int, str], dict[int, int], dict[str, int], float]:
+def run_case(job: tuple[str, int, str]) -> tuple[tuple[str, int, str], dict[int, int], dict[str, int], float]:
     """Run one case; returns it with times to first token by request, outcomes and the share of cached prompt tokens."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
     kind, readers, mode = job
@@ -78,7 +80,7 @@
                     "queue": 64,
                     "cache_tokens": 40_000,
                     "read_tokens_per_s": 20_000.0,
-                    "journal": "boxes",
+                    "journal": "engines.jsonl",
                 },
                 EngineSettings,
             )
@@ -143,7 +145,7 @@
     with multiprocessing.get_context("spawn").Pool(jobs) as pool:
         results = {
             case: (LoadReport(outcomes=outcomes, first_token_us=first_us), hits)
-            for case, first_us, outcomes, hits in pool.imap_unordered(play, cases)
+            for case, first_us, outcomes, hits in pool.imap_unordered(run_case, cases)
         }
     for readers in sorted(SECONDS):
         for kind in KINDS:
@@ -157,7 +159,7 @@
                     f"{dict(sorted(report.outcomes.items()))}"
                 )
                 if mode != "off":
-                    click.echo(f"{'':14}against off: {compare_runs(off, report, 1)}")
+                    click.echo(f"{'':14}compared with mode off: {compare_runs(off, report, 1)}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -27,6 +27,8 @@
 S = 1_000_000
 TTL_MS = 2_000
 HOST = "127.0.0.1"
+CELLS = 49  # in the fleet whose store calls are counted
+DUTIES = CELLS + 2  # one sweep per cell, the clock and the release
 
 
 class Stewards:
@@ -74,6 +76,7 @@
             world.spawn("join", join_fleet, world, config(f"m{n}").fleet, "edge", f"m{n}", f"epoch{n}", "z", "bench")
 
     def owner(self, duty: str) -> str | None:
+        """Return the steward that can act on the duty now; a stalled one (`gate.shut`) cannot."""
         for name, steward in self.stewards.items():
             world = self.sim.programs[name]
             if (
@@ -129,7 +132,7 @@
 
 def calls_per_member(members: int) -> tuple[float, float]:
     """Return the store calls per second of an idle fleet, per member and in total."""
-    bench = Stewards(1, 5, 49, members - 5)
+    bench = Stewards(1, 5, CELLS, members - 5)
     seconds = 20
 
     def program() -> None:
@@ -143,17 +146,21 @@
     return total / members, total
 
 
-def last_hold_released(seed: int, stewards: bool) -> int | None:
-    """Return the microseconds from an edge's death to the release of its last hold; None if it held nothing."""
+def time_to_last_release(seed: int, with_stewards: bool) -> int | None:
+    """Return the microseconds from an edge's death to the release of its last hold.
+
+    None if no engine held anything for the edge.
+    """
     world = FleetSimulation(FleetScript(seed, (), tuple(range(0, 3_000, 120))))
     took: int | None = None
 
     def kill_edge() -> None:
         nonlocal took
         sim = world.sim
-        if not stewards:
+        if not with_stewards:
             for name in ("s0", "s1", "s2"):
                 sim.programs[name].kill()
+        # Kills the edge as soon as an engine holds something for it.
         world._apply_fault(FleetFault("dies holding", "edge0", "", 0, 0))
         epoch, died = world.edges["edge0"].instance_id, sim.now_us()
         if any(epoch_of(hold) == epoch for hold in world.held_ids()):
@@ -165,8 +172,6 @@
     world._run_fault = lambda fault, started: kill_edge() if fault.kind == "bench" else real(fault, started)  # type: ignore
     world.script = FleetScript(seed, (FleetFault("bench", "edge0", "", 500, 0),), world.script.requests)
     world._check_settled = lambda: None  # type: ignore[method-assign]
-    for box in world.instances.values():
-        box.settings = box.settings
     world.run()
     return took
 
@@ -200,14 +205,20 @@
         )
     for members in (10, 200, 1_000):
         each, total = calls_per_member(members)
-        print(f"{members} members, 50 duties: {each:.2f} store calls a second for each, {total:.0f} in all", flush=True)
-    after = [took for seed in range(max(runs // 8, 4)) if (took := last_hold_released(seed, True)) is not None]
-    print(f"from an edge's death to its last hold, with stewards: {quantiles(after)} ({len(after)} deaths with holds)")
+        print(
+            f"{members} members, {DUTIES} duties: {each:.2f} store calls per second and member, {total:.0f} in all",
+            flush=True,
+        )
+    after = [took for seed in range(max(runs // 8, 4)) if (took := time_to_last_release(seed, True)) is not None]
+    print(
+        f"from an edge's death to the release of its last hold, with stewards: {quantiles(after)} "
+        f"({len(after)} deaths with holds)"
+    )
     for store in (True, False):
         counts: Counter[str] = Counter()
         for seed in range(max(runs // 20, 2)):
             counts.update(outcomes(store, seed))
-        print(f"store {'there' if store else 'away'}: {dict(counts)}", flush=True)
+        print(f"store {'available' if store else 'unavailable'}: {dict(counts)}", flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,6 +1,7 @@
 """Overhead of the dispatcher: CPU per streamed event and per request, system calls, time to first token.
 
-Run: python benchmarks/path.py. Everything runs on loopback with bounded load and is compared within the run:
+Run: python benchmarks/path.py. Everything runs on loopback with bounded load. Each ratio compares two
+measurements of the same run:
 
 - streamed event: CPU of the edge over that of a bare loop which copies bytes between two sockets on the same scheduler,
   both fed the same streams by the same stand-in engine;
@@ -132,7 +133,7 @@
             ratios.append((after[0] - before[0]) / edge_events / ((after[1] - before[1]) / bare_events))
         print(
             f"CPU of a streamed event, edge / bare copy loop: {statistics.median(ratios):.2f} "
-            f"(of {', '.join(f'{r:.2f}' for r in ratios)}); aim: at most 3"
+            f"(of {', '.join(f'{r:.2f}' for r in ratios)}); goal: at most 3"
         )
         for _ in range(3):
             started = [cpu_ns(pid) for pid in (edge, planner, bare.pid)]
@@ -149,8 +150,8 @@
 
 
 def first_tokens(world: RealWorld, fleet: LocalFleet, http: HttpClient, address: tuple[str, int]) -> None:
-    reader = next(box for box in fleet.engines if box.kind == "reader")
-    writer = next(box for box in fleet.engines if box.kind == "writer")
+    reader = next(engine for engine in fleet.engines if engine.kind == "reader")
+    writer = next(engine for engine in fleet.engines if engine.kind == "writer")
     via_dispatcher, direct = [], []
     for number in range(100):
         started = world.now_us()
@@ -174,7 +175,9 @@
         )
         direct.append(first - started)
     ratio = statistics.median(via_dispatcher) / statistics.median(direct)
-    print(f"time to first token, dispatcher / straight at the same engines: {ratio:.2f} (medians of 100 each)")
+    print(
+        f"time to first token, through the dispatcher / directly at the same engines: {ratio:.2f} (medians of 100 each)"
+    )
 
 
 def system_calls() -> None:
@@ -210,17 +213,18 @@
             ),
         ) as fleet,
     ):
-        started = real.RealStream.__init__
-        edge_ports = {fleet.port, fleet.planner_port}
+        original_init = real.RealStream.__init__
+        # Local ports of accepted connections, which are not connections from the edge to an engine.
+        listening_ports = {fleet.port, fleet.planner_port}
 
-        def counted(self: Any, world: RealWorld, sock: Any) -> None:
-            started(self, world, sock)
+        def counting_init(self: Any, world: RealWorld, sock: Any) -> None:
+            original_init(self, world, sock)
             server_side = sock.getsockname()[1] == fleet.port
             to_engine = any(sock.getpeername()[1] == engine.port for engine in fleet.engines)
-            if server_side or (to_engine and sock.getsockname()[1] not in edge_ports):
+            if server_side or (to_engine and sock.getsockname()[1] not in listening_ports):
                 self._sock = Counting(sock)
 
-        real.RealStream.__init__ = counted  # type: ignore[method-assign]
+        real.RealStream.__init__ = counting_init  # type: ignore[method-assign]
         done: list[dict[str, int]] = []
 
         def client() -> None:
@@ -239,7 +243,7 @@
         thread = threading.Thread(target=client)
         thread.start()
         thread.join(60)
-        real.RealStream.__init__ = started  # type: ignore[method-assign]
+        real.RealStream.__init__ = original_init  # type: ignore[method-assign]
     short, long = done
     for name in counts:
         print(
--- a/benchmarks/policy_size.py
+++ b/benchmarks/policy_size.py
@@ -1,4 +1,4 @@
-"""Cost of the policy by number of hosts: a list change, a complete request, a sweep over waiting requests.
+"""Cost of the policy by number of hosts: a list change, a complete request, a check of all waiting requests (sweep).
 
 Printed as ratios to the smallest fleet, because absolute times depend on the machine.
 """
--- a/benchmarks/prefix_hits.py
+++ b/benchmarks/prefix_hits.py
@@ -1,10 +1,10 @@
 """Cache hit rate with cache events, with estimates, with neither, and with an oracle under the same limits.
 
-Run: python benchmarks/prefix_hits.py. The policy and the cores run on random traffic against emulated caches and a
-simulated clock, without sockets; the figures are reproducible. Three kinds of traffic, at 10 and 40 readers: steady
-shared prefixes (steady), unseen prompts during the middle third (flood), all caches cleared half-way (forget). The
-oracle gives the policy the true content of each cache; with "neither" the policy relies on its own history. Several
-routers share the readers and know nothing of each other.
+Run: python benchmarks/prefix_hits.py. The policy and the prefix tracker run on random traffic against emulated caches
+and a simulated clock, without sockets; the figures are reproducible. Three kinds of traffic, at 10 and 40 readers:
+steady shared prefixes (steady), unseen prompts during the middle third (flood), all caches cleared half-way (forget).
+The oracle gives the policy the true content of each cache; the mode of estimates is called "guess"; with "neither" the
+policy relies on its own history. Several routers share the readers and know nothing of each other.
 """
 
 from __future__ import annotations
@@ -47,31 +47,36 @@
 
 @dataclass
 class Tally:
-    """Totals of one run: prompt tokens, cached tokens and read times."""
+    """Totals of one run: prompt tokens, cached tokens, and the times that reads took, queueing included."""
 
     prompt_tokens: int = 0
     cached_tokens: int = 0
-    waits_us: list[int] = field(default_factory=list)
+    read_times_us: list[int] = field(default_factory=list)
 
 
 def draw_prompt(
     rng: random.Random, kind: str, now_s: float, sessions: dict[int, list[int]], seconds: float
 ) -> tuple[str, str, list[int], int]:
-    """Draw a prompt: name of the shared prefix, session, tokens, and length of the shared prefix."""
+    """Draw a prompt: name of the shared prefix, session, tokens, and length of the shared prefix.
+
+    Prefixes that are used repeatedly are named `t` and their number, the prefix of a prompt not seen before `u` and a
+    random number.
+    """
     if kind == "flood" and seconds / 3 < now_s < 2 * seconds / 3 and rng.random() < 0.3:
-        name = rng.randrange(10**9)
-        return f"u{name}", f"su{name}", [rng.randrange(50_000) for _ in range(1_500)], 1_400
-    text = min(int(rng.paretovariate(0.9)) - 1, 199)
-    base = [text * 7 + at % 911 for at in range(800 + text * 37 % 1_600)]
+        number = rng.randrange(10**9)
+        return f"u{number}", f"su{number}", [rng.randrange(50_000) for _ in range(1_500)], 1_400
+    prefix_number = min(int(rng.paretovariate(0.9)) - 1, 199)
+    # Arbitrary tokens, from 800 to 2,399 of them, but always the same for a prefix number.
+    base = [prefix_number * 7 + at % 911 for at in range(800 + prefix_number * 37 % 1_600)]
     session = rng.randrange(400)
-    turns = sessions.setdefault(text * 1_000 + session, [])
+    turns = sessions.setdefault(prefix_number * 1_000 + session, [])
     turns += [rng.randrange(50_000) for _ in range(rng.randrange(40, 200))]
     if len(turns) > 900:
         turns.clear()
-    return f"t{text}", f"s{text}-{session}", base + turns, len(base)
+    return f"t{prefix_number}", f"s{prefix_number}-{session}", base + turns, len(base)
 
 
-def play(kind: str, readers: int, mode: str) -> Tally:
+def run_case(kind: str, readers: int, mode: str) -> Tally:
     rng, seconds = random.Random(f"{kind} {readers}"), SECONDS[readers]
     reader_states: list[Reader] = []
     for _ in range(readers):
@@ -151,7 +156,7 @@
                 reader.idle_at_us = started + int((len(tokens) - cached) / TOKENS_PER_S * 1e6)
                 tally.prompt_tokens += len(tokens)
                 tally.cached_tokens += cached
-                tally.waits_us.append(reader.idle_at_us - now_us)
+                tally.read_times_us.append(reader.idle_at_us - now_us)
                 schedule(reader.idle_at_us, "read", (router, action.request, action.server, cached, now_us))
 
     while queue:
@@ -228,16 +233,18 @@
     for size in readers:
         SECONDS[size] = seconds or SECONDS[size]
         for kind in KINDS:
-            tallies = {mode: play(kind, size, mode) for mode in MODES}
+            tallies = {mode: run_case(kind, size, mode) for mode in MODES}
             oracle = tallies["oracle"]
             rows = []
             for mode, tally in tallies.items():
                 rate = tally.cached_tokens / tally.prompt_tokens
-                mean = sum(tally.waits_us) / len(tally.waits_us)
+                mean = sum(tally.read_times_us) / len(tally.read_times_us)
                 work = (tally.prompt_tokens - tally.cached_tokens) / (oracle.prompt_tokens - oracle.cached_tokens)
                 of_best = rate / (oracle.cached_tokens / oracle.prompt_tokens)
-                wait = mean / (sum(oracle.waits_us) / len(oracle.waits_us))
-                rows.append(f"{mode} {rate:.3f} ({of_best:.2f} of the oracle; work {work:.2f}, read time {wait:.2f})")
+                read_time = mean / (sum(oracle.read_times_us) / len(oracle.read_times_us))
+                rows.append(
+                    f"{mode} {rate:.3f} ({of_best:.2f} of the oracle; work {work:.2f}, read time {read_time:.2f})"
+                )
             print(f"{size} readers, {kind}: " + "; ".join(rows))
 
 
--- a/benchmarks/prefix_index.py
+++ b/benchmarks/prefix_index.py
@@ -27,21 +27,21 @@
     def __init__(self) -> None:
         self.blocks: dict[int, set[str]] = {}
 
-    def store(self, box: str, hashes: list[int]) -> None:
+    def store(self, engine: str, hashes: list[int]) -> None:
         for block in hashes:
-            self.blocks.setdefault(block, set()).add(box)
+            self.blocks.setdefault(block, set()).add(engine)
 
-    def remove(self, box: str, hashes: list[int]) -> None:
+    def remove(self, engine: str, hashes: list[int]) -> None:
         for block in hashes:
             holders = self.blocks.get(block)
             if holders is not None:
-                holders.discard(box)
+                holders.discard(engine)
                 if not holders:
                     del self.blocks[block]
 
-    def clear(self, box: str) -> None:
-        for block in [block for block, holders in self.blocks.items() if box in holders]:
-            self.remove(box, [block])
+    def clear(self, engine: str) -> None:
+        for block in [block for block, holders in self.blocks.items() if engine in holders]:
+            self.remove(engine, [block])
 
     def match(self, hashes: list[int]) -> dict[str, int]:
         found: dict[str, int] = {}
@@ -49,22 +49,22 @@
         for depth, block in enumerate(hashes):
             holders = self.blocks.get(block, set())
             now = set(holders) if alive is None else alive & holders
-            for box in (alive or set()) - now:
-                found[box] = depth
+            for engine in (alive or set()) - now:
+                found[engine] = depth
             alive = now
             if not alive:
                 return found
-        for box in alive or set():
-            found[box] = len(hashes)
+        for engine in alive or set():
+            found[engine] = len(hashes)
         return found
 
 
 def build(make: Callable[[], Any], prompts: list[list[int]], holders: list[list[str]]) -> tuple[Any, int]:
     tracemalloc.start()
     index = make()
-    for prompt, boxes in zip(prompts, holders, strict=True):
-        for box in boxes:
-            index.store(box, prompt)
+    for prompt, engines in zip(prompts, holders, strict=True):
+        for engine in engines:
+            index.store(engine, prompt)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return index, size
@@ -81,9 +81,9 @@
 
 def compare(count: int, blocks: int) -> None:
     rng = random.Random(1)
-    boxes = [f"box{n}" for n in range(count)]
+    engines = [f"engine{n}" for n in range(count)]
     prompts = [[rng.getrandbits(64) for _ in range(PROMPT_BLOCKS)] for _ in range(blocks // PROMPT_BLOCKS)]
-    holders = [rng.sample(boxes, min(count, 1 + int(rng.expovariate(1 / (MEAN_HOLDERS - 1))))) for _ in prompts]
+    holders = [rng.sample(engines, min(count, 1 + int(rng.expovariate(1 / (MEAN_HOLDERS - 1))))) for _ in prompts]
     ours, our_bytes = build(lambda: PrefixIndex(2 * blocks), prompts, holders)
     plain, plain_bytes = build(DictIndex, prompts, holders)
     sample = rng.sample(prompts, 1_000)
@@ -92,8 +92,8 @@
     def updates(index: Any) -> Callable[[], None]:
         def work() -> None:
             for prompt in sample:
-                index.remove("box1", prompt)
-                index.store("box1", prompt)
+                index.remove("engine1", prompt)
+                index.store("engine1", prompt)
 
         return work
 
@@ -101,9 +101,9 @@
         lambda: [plain.match(prompt) for prompt in sample]
     )
     update = median_time(updates(ours)) / median_time(updates(plain))
-    clear = median_time(lambda: ours.clear("box2"), 1) / median_time(lambda: plain.clear("box2"), 1)
+    clear = median_time(lambda: ours.clear("engine2"), 1) / median_time(lambda: plain.clear("engine2"), 1)
     print(
-        f"{count} boxes, {len(prompts) * PROMPT_BLOCKS} blocks, ours / dict of sets: "
+        f"{count} engines, {len(prompts) * PROMPT_BLOCKS} blocks, ours / dict of sets: "
         f"look-up {lookup:.2f}, update {update:.2f}, clear {clear:.6f}; "
         f"bytes a block {our_bytes / blocks:.0f} against {plain_bytes / blocks:.0f}"
     )
--- a/benchmarks/releases.py
+++ b/benchmarks/releases.py
@@ -17,22 +17,24 @@
 
 S = 1_000_000
 MIXES = ((100, 400), (400, 100), (30, 30))  # requests of released and other units in a window
-POLL_US = 1_000_000  # a tenth of the steward's rate: the result changes little and the benchmark stays short
+# Between two evaluations. The steward's interval is a tenth; here it would change the result little and take longer.
+POLL_US = 1_000_000
 
 
 def until_halt(seed: int, base: float, added_rate: float, mix: tuple[int, int], windows: int) -> int | None:
     """Return the requests of released units until the halt; None without a halt.
 
-    In a quarter of the windows the failure rate of both groups is five times as high.
+    In a quarter of the windows the failure rate of both groups is five times as high, as in an outage that affects all
+    units.
     """
-    rng, trial = random.Random(seed), SequentialTest()
+    rng, test = random.Random(seed), SequentialTest()
     for number in range(windows):
         rate = base * (5 if number % 20 > 14 else 1)
         bad = sum(rng.random() < min(rate + added_rate, 1) for _ in range(mix[0]))
         others = sum(rng.random() < rate for _ in range(mix[1]))
-        trial = add_window(trial, OutcomeCounts(mix[0], bad), OutcomeCounts(mix[1], others))
-        if trial.shows_harm:
-            return trial.seen
+        test = add_window(test, OutcomeCounts(mix[0], bad), OutcomeCounts(mix[1], others))
+        if test.shows_harm:
+            return test.seen
     return None
 
 
@@ -87,8 +89,8 @@
                 took = sorted(until_halt(seed, base, more, mix, 200) or 1 << 30 for seed in range(20))[10]
                 found.append(f"{more:.0%} more: {took if took < 1 << 30 else 'not in 200 windows'}")
             print(
-                f"bad {base:.1%}, {mix[0]} and {mix[1]} a window: false halts {false} of {runs}; requests until the "
-                f"halt, median: {'; '.join(found)}",
+                f"failure rate {base:.1%}, {mix[0]} released and {mix[1]} other requests per window: false halts "
+                f"{false} of {runs}; requests until the halt, median: {'; '.join(found)}",
                 flush=True,
             )
     for size in (20, 60, 300):
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -2,9 +2,11 @@
 
     python benchmarks/slow_start.py
 
-The derivation is in docs/design.md. The budget N is fall_multiple x warmth x (work that a warm host completes in
-fall_us), with a linear warm-up ramp. The arrivals are SLOW_START_PART x warmth x g x that work, where g is the load of
-the warm fleet times the excess from bursts, from a host's share of requests above the even one, and from retries. Each
+The derivation is in docs/design.md. A cold host can do `warmth` times the work of a warm one; warmth grows linearly
+from start_capacity to 1. The host fails if it is sent more requests within fall_us than the allowance, which exceeds
+the budget N by a margin for chance: N + 2 sqrt(N) + 2. N is fall_multiple x warmth x (work that a warm host completes
+in fall_us). The arrivals are SLOW_START_PART x warmth x g x that work, where g is the load of the warm fleet times
+three factors: that of a burst, that of a host's share of requests relative to an even share, and that of retries. Each
 request is drawn independently, so arrivals are Poisson whatever the dispatchers' traffic shares. A window above the
 allowance can be assumed to begin with an arrival, so its probability is at most the sum over arrivals of the
 probability that enough others follow within fall_us (union bound).
@@ -20,6 +22,7 @@
 
 RAMP_STEPS = 200
 MAX_OVERLOAD_PROBABILITY = 1e-3  # of any overload among all hosts that are cold at once
+# start_capacity, time for which a host is cold in s, fall_multiple, fall_us in s
 SETTINGS = ((0.26, 14.0, 2.5, 2.0), (0.27, 13.0, 3.0, 1.0), (0.32, 14.0, 3.0, 1.0))
 WORK = (1, 4, 16, 64, 256)  # requests of mean work that a warm host completes in fall_us
 
@@ -46,16 +49,9 @@
     for at in (cold_s * (step + 0.5) / RAMP_STEPS for step in range(RAMP_STEPS)):
         warmth, later = (start + (1 - start) * min(t / cold_s, 1.0) for t in (at, at + fall_s / 2))
         n = multiple * (warmth if ramp else start) * work
+        allowance = n + 2 * math.sqrt(n) + 2
         mean = share * later * work
-        total += (
-            share
-            * warmth
-            * work
-            / fall_s
-            * cold_s
-            / RAMP_STEPS
-            * poisson_tail(mean, math.floor(n + 2 * math.sqrt(n) + 2))
-        )
+        total += share * warmth * work / fall_s * cold_s / RAMP_STEPS * poisson_tail(mean, math.floor(allowance))
     return total
 
 
@@ -94,8 +90,8 @@
 def main() -> None:
     """Print the bound for typical settings, and the dispersion of both ways to share requests."""
     print(
-        f"sent over what the host can do, for a chance of {MAX_OVERLOAD_PROBABILITY:g} of one fall; "
-        "over SLOW_START_PART: g"
+        f"largest work sent / work that a cold host can do, with a probability of at most {MAX_OVERLOAD_PROBABILITY:g} "
+        "that any host is overloaded; g: that ratio / SLOW_START_PART"
     )
     for settings in SETTINGS:
         print("start {}, cold {:g} s, multiple {} in {:g} s".format(*settings))
--- a/benchmarks/stages.py
+++ b/benchmarks/stages.py
@@ -1,4 +1,4 @@
-"""Table of one day from the dispatchers' logs: outcomes, cached prompt tokens, spread, places, moves, time by stage.
+"""Table of one day from the dispatchers' logs: outcomes, cached prompt tokens, spread, places, cells, time by stage.
 
     python benchmarks/stages.py FOLDER [COLD_S [WINDOW_S]]
 
@@ -17,6 +17,7 @@
 from pathlib import Path
 
 FIELD = re.compile(r"(\w+)=(\S*)")
+# As in the log (node/trace.py); `hold`: from the read's answer to the write, while the reader keeps the prompt's state.
 STAGES = ("wait", "prefill", "hold", "transfer", "decode")
 Row = dict[str, str]
 
@@ -54,7 +55,11 @@
 
 
 def table(requests: list[Row]) -> list[str]:
-    """Return the lines of the table."""
+    """Return the lines of the table.
+
+    "places asked": places requested at writers. "moved": requests whose read and write were in different cells or
+    zones. "the fullest": the host with the most requests, compared with the mean of all hosts used.
+    """
     out = [f"requests {len(requests)}"]
     for cls in sorted({row["cls"] for row in requests}):
         ends = Counter(row["end"] for row in requests if row["cls"] == cls)
@@ -104,29 +109,30 @@
 
 
 def failed_attempts(lines: Iterable[str], requests: list[Row]) -> Iterator[tuple[str, float]]:
-    """Yield host and approximate time of failed attempts: the log has their end, on its own clock.
+    """Yield host and approximate time, in milliseconds of Unix time, of failed attempts.
 
-    That clock is converted to Unix time with the median offset at the lines of finished requests.
+    Their log lines have only the time of the end, in seconds of the logger's clock. It is converted to Unix time with
+    the median offset at the lines of finished requests.
     """
     ends = {
         row["id"]: float(row["came"]) + sum(float(p.split(":")[1]) for p in row["ms"].split(",") if p)
         for row in requests
     }
     offsets = []
-    tried = []
+    failed = []
     for line in lines:
         clock, _, rest = line.partition(" ")
         row = dict(FIELD.findall(rest))
         if rest.startswith("request id=") and row["id"] in ends:
             offsets.append(ends[row["id"]] - float(clock) * 1_000)
         elif rest.startswith("attempt failed "):
-            tried.append((row["at"], float(clock) * 1_000))
+            failed.append((row["at"], float(clock) * 1_000))
     offset = quantile(offsets, 0.5)
-    yield from ((host, at + offset) for host, at in tried)
+    yield from ((host, at + offset) for host, at in failed)
 
 
 def cold(lines: list[str], cold_ms: float, window_ms: float) -> list[str]:
-    """Return a line per kind of host: hosts started, and the most attempts to any of them in a window while cold."""
+    """Return a line on cold hosts by kind: how many started, and the most attempts to one in a window while cold."""
     requests = rows(lines)
     times = send_times(requests)
     for host, at in failed_attempts(lines, requests):
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -63,7 +63,7 @@
             / run(plain.set, plain.pop_due)
         )
     print(
-        f"held for {OPEN_REQUESTS} open timers: ours {len(bucketed)} timers and {bucketed.heap_size} ticks, "
+        f"held for {OPEN_REQUESTS} open timers: ours {len(bucketed)} timers and {bucketed.heap_size} heap entries, "
         f"plain heap {len(plain.heap)} entries"
     )
     print(f"time, ours / plain: median {sorted(ratios)[2]:.2f} of {', '.join(f'{r:.2f}' for r in ratios)}")
