--- a/yardspindle/cli/fleet.py
+++ b/yardspindle/cli/fleet.py
@@ -112,7 +112,11 @@
 @click.option("--json", "as_json", is_flag=True, help="Print JSON, one list per read.")
 @click.option("--watch", is_flag=True, help="Repeat every second.")
 def members_command(file: str, as_json: bool, watch: bool) -> None:
-    """List registered members: kind, name, epoch, page, and how long the registration lasts."""
+    """List registered members.
+
+    epoch: one run of the process; page: address of its HTTP status page; able: whether a steward can take duties now;
+    left_s: seconds until the registration ends unless it is renewed.
+    """
     _print_rows(file, as_json, watch, ("kind", "name", "epoch", "zone", "page", "version", "able", "left_s"), _members)
 
 
@@ -121,5 +125,5 @@
 @click.option("--json", "as_json", is_flag=True, help="Print JSON, one list per read.")
 @click.option("--watch", is_flag=True, help="Repeat every second.")
 def duties_command(file: str, as_json: bool, watch: bool) -> None:
-    """List duties: owner, fence, start by the owner's clock, and how long the lease lasts."""
+    """List duties: owner, fence, start by the owner's clock, and seconds until the lease ends (left_s)."""
     _print_rows(file, as_json, watch, ("duty", "owner", "epoch", "fence", "since_us", "left_s"), _duties)
--- a/yardspindle/cli/lab.py
+++ b/yardspindle/cli/lab.py
@@ -22,7 +22,7 @@
 
 @click.group("lab")
 def lab_group() -> None:
-    """Test runs on loopback or on simulated time; each ends by itself."""
+    """Test runs on loopback or in simulated time, and a simulated etcd server. Test runs end by themselves."""
 
 
 lab_group.add_command(seeds_command)
@@ -35,7 +35,9 @@
 @click.option("--seed", type=int, help="Seed to use instead of the file's.")
 @click.option("--keep", type=click.Path(file_okay=False, exists=True), help="Directory to keep the journals in.")
 def day_command(file: str, seed: int | None, keep: str | None) -> None:
-    """Run a scripted day; exit 0 if no rule was violated, else 1."""
+    """Run a scripted day: a local fleet under load, with faults at set times, then an audit.
+
+    Exit 0 if no rule was violated, else 1."""
     configure_logging(LogConfig(format="console", level="warning"))
     try:
         day = load_day(file)
--- a/yardspindle/cli/plan.py
+++ b/yardspindle/cli/plan.py
@@ -1,4 +1,7 @@
-"""`yardspindle plan FILE`: runs a planner (the process that decides which server does what)."""
+"""`yardspindle plan FILE`: runs a planner (the process that decides which server does what).
+
+`yardspindle release plan` is unrelated: it shows the waves of a release.
+"""
 
 from __future__ import annotations
 
--- a/yardspindle/cli/release.py
+++ b/yardspindle/cli/release.py
@@ -49,7 +49,7 @@
     world.run("release", run)
 
 
-def _load_plan(file: str, units: ReleaseView, limits: tuple[Limit, ...], now_us: int) -> r.Release:
+def _load_plan(file: str, view: ReleaseView, limits: tuple[Limit, ...], now_us: int) -> r.Release:
     """Read a plan file and create its release. Raises CliError with one line that lists all faults."""
     try:
         with open(file, "rb") as source:
@@ -58,13 +58,13 @@
         raise CliError(f"{file}: {error.strerror}") from None
     except ConfigError as error:
         raise CliError(str(error)) from None
-    wanted = list(plan.units) or [unit for unit, place in units.placements.items() if place.kind == plan.kind]
+    wanted = list(plan.units) or [unit for unit, place in view.placements.items() if place.kind == plan.kind]
     if not wanted:
         raise CliError(f"{file}: units: the fleet has no {plan.kind}")
-    denials = p.permanent_denials(units.placements.values(), limits, wanted)
+    denials = p.permanent_denials(view.placements.values(), limits, wanted)
     if denials:
         raise CliError(f"{file}: units: {'; '.join(denials)}")
-    return r.create_release(f"{plan.version}-{now_us // 1_000_000}", plan, units.placements)
+    return r.create_release(f"{plan.version}-{now_us // 1_000_000}", plan, view.placements)
 
 
 @click.group("release")
@@ -78,8 +78,8 @@
 def plan_command(config: str, plan: str) -> None:
     """Show the waves of a plan without starting it."""
 
-    def show(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: ReleaseView) -> None:
-        release = _load_plan(plan, units, loaded.release.limit, world.now_us())
+    def show(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, view: ReleaseView) -> None:
+        release = _load_plan(plan, view, loaded.release.limit, world.now_us())
         for number, wave in enumerate(release.waves, 1):
             click.echo(f"wave {number}: {', '.join(wave)}")
 
@@ -94,13 +94,14 @@
 def start_command(config: str, plan: str, by: str, why: str) -> None:
     """Start a release; only one can run at a time."""
 
-    def start(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: ReleaseView) -> None:
-        if units.release is not None and units.release.phase in ("running", "halted", "going back"):
-            raise CliError(f"release {units.release.id} is {units.release.phase}: abandon it or let it end first")
+    def start(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, view: ReleaseView) -> None:
+        # "going back": the rollback is in progress
+        if view.release is not None and view.release.phase in ("running", "halted", "going back"):
+            raise CliError(f"release {view.release.id} is {view.release.phase}: abandon it or let it end first")
         now = world.now_us()
-        release = _load_plan(plan, units, loaded.release.limit, now)
+        release = _load_plan(plan, view, loaded.release.limit, now)
         if not store.txn(
-            keys.update_release_by_operator(units, release, AuditEntry(now, by, f"release {release.id}: start", why))
+            keys.update_release_by_operator(view, release, AuditEntry(now, by, f"release {release.id}: start", why))
         ).succeeded:
             raise CliError("the release was changed by another command: check `release status`")
         click.echo(release.id)
@@ -114,14 +115,14 @@
     @BY
     @WHY
     def command(config: str, by: str, why: str) -> None:
-        def apply_command(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: ReleaseView) -> None:
-            if units.release is None:
+        def apply_command(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, view: ReleaseView) -> None:
+            if view.release is None:
                 raise CliError("there is no release")
-            updated = r.apply_operator_command(units.release, verb, why)
+            updated = r.apply_operator_command(view.release, verb, why)
             if isinstance(updated, str):
                 raise CliError(updated)
             entry = AuditEntry(world.now_us(), by, f"release {updated.id}: {verb}", why)
-            if not store.txn(keys.update_release_by_operator(units, updated, entry)).succeeded:
+            if not store.txn(keys.update_release_by_operator(view, updated, entry)).succeeded:
                 raise CliError("the release has advanced in the meantime: check `release status`")
             click.echo(f"{updated.id}: {updated.phase}")
 
@@ -129,9 +130,9 @@
 
     command.help = {
         "halt": "Stop granting permits.",
-        "resume": "Continue after a halt; the comparison of versions restarts.",
+        "resume": "Continue after a halt; the canary analysis (comparison of the versions' failures) starts anew.",
         "back": "Roll back to the previous version, newest wave first.",
-        "abandon": "End the release as it is; units that are out come back by themselves.",
+        "abandon": "End the release as it is; units that are being restarted return to service by themselves.",
     }[verb]
     return command
 
@@ -144,25 +145,28 @@
 @CONFIG
 @click.option("--json", "as_json", is_flag=True)
 def status_command(config: str, as_json: bool) -> None:
-    """Show the release, unavailable units with reasons, and exceeded limits."""
+    """Show the release, the units and exceeded limits.
 
-    def show(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: ReleaseView) -> None:
-        fleet = units.snapshot(loaded.release.limit, 0)
-        release, unavailable, violations = units.release, p.unavailable_units(fleet), p.violated_limits(fleet)
+    A unit's line: name, standing, version, why it is unavailable, why its last order failed.
+    """
+
+    def show(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, view: ReleaseView) -> None:
+        fleet = view.snapshot(loaded.release.limit, 0)
+        release, unavailable, violations = view.release, p.unavailable_units(fleet), p.violated_limits(fleet)
         if as_json:
             click.echo(
                 msgspec.json.encode(
-                    {"release": release, "out": unavailable, "exceeded": violations, "units": units.statuses}
+                    {"release": release, "out": unavailable, "exceeded": violations, "units": view.statuses}
                 ).decode()
             )
             return
         if release is not None:
             click.echo(f"{release.id}: {release.phase}, wave {release.wave + 1} of {len(release.waves)} {release.why}")
-        for unit, status in sorted(units.statuses.items()):
+        for unit, status in sorted(view.statuses.items()):
             click.echo(
                 f"{unit}  {status.standing}  {status.version}  {unavailable.get(unit, '')} {status.refused}".rstrip()
             )
-        for unit in sorted(set(unavailable) - set(units.statuses)):
+        for unit in sorted(set(unavailable) - set(view.statuses)):
             click.echo(f"{unit}  {unavailable[unit]}")
         for line in violations:
             click.echo(f"exceeded: {line}")
@@ -175,19 +179,19 @@
 def log_command(config: str) -> None:
     """Show the audit log: time (Unix seconds), operator, action, reason."""
 
-    def show(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: ReleaseView) -> None:
-        for _, entry in sorted(units.audit_log.items()):
+    def show(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, view: ReleaseView) -> None:
+        for _, entry in sorted(view.audit_log.items()):
             click.echo(f"{entry.at_us / 1e6:.3f}  {entry.by}  {entry.what}  {entry.why}".rstrip())
 
     _with_store(config, show)
 
 
 def _request_drains(config: str, names: tuple[str, ...], drain_request: DrainRequest) -> None:
-    def send(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, units: ReleaseView) -> None:
-        unknown = [name for name in names if name not in units.placements]
+    def send(world: RealWorld, loaded: Config, store: Store, keys: UnitKeys, view: ReleaseView) -> None:
+        unknown = [name for name in names if name not in view.placements]
         if unknown:
             raise CliError(f"there is no such unit: {', '.join(unknown)}")
-        fleet = units.snapshot(loaded.release.limit, 0)
+        fleet = view.snapshot(loaded.release.limit, 0)
         for name in names:
             denial = p.check_departure(fleet, name) if drain_request.do == "drain" else None
             store.txn(
--- a/yardspindle/cli/simulation.py
+++ b/yardspindle/cli/simulation.py
@@ -28,7 +28,11 @@
 @click.option("--first", default=0, type=click.IntRange(0), help="First seed.")
 @click.option("--count", default=1_000, type=click.IntRange(1), help="Number of seeds.")
 @click.option("--jobs", default=os.cpu_count() or 1, type=click.IntRange(1, 256), help="Processes.")
-@click.option("--transitions/--no-transitions", default=True, help="Count the state transitions of the life cycles.")
+@click.option(
+    "--transitions/--no-transitions",
+    default=True,
+    help="Count the state transitions of the requests' life cycles (traffic only).",
+)
 @click.option(
     "--world",
     default="traffic",
@@ -43,7 +47,7 @@
     try:
         with (
             closing(seeds.run_seeds(first, count, jobs, transitions, world)) as outcomes,
-            click.progressbar(length=count, label="worlds", file=sys.stderr) as bar,
+            click.progressbar(length=count, label="seeds", file=sys.stderr) as bar,
         ):
             for outcome in outcomes:
                 tally.add(outcome)
@@ -64,7 +68,7 @@
 @click.option("--trace", is_flag=True, help="Print what clients and engines see, and the programs' logs.")
 @click.option("--world", default="traffic", show_default=True, type=click.Choice(["traffic", "fleet"]))
 def seed_command(seed: int | None, file: str | None, trace: bool, world: str) -> None:
-    """Run one simulation; exit 0 if no rule was violated, else 1."""
+    """Run one simulation; exit 0 if no rule was violated, else 1. Violations are printed as BROKEN."""
     if world == "fleet":
         return _fleet_seed(seed, file, trace)
     script = _load_script(seed, file)
@@ -101,7 +105,7 @@
 @click.argument("seed", type=click.IntRange(0), required=False)
 @click.option("--script", "file", type=click.Path(dir_okay=False), help="A script's file instead of a seed.")
 def shrink_command(seed: int | None, file: str | None) -> None:
-    """Reduce a failing simulation to the fewest faults and requests and print it as a script."""
+    """Reduce a failing traffic simulation to the fewest faults and requests and print it as a script."""
     script = _load_script(seed, file)
     _configure_logging(False)
     try:
--- a/yardspindle/cli/unit.py
+++ b/yardspindle/cli/unit.py
@@ -48,4 +48,5 @@
             raise ConfigError(f"{file}: state: {error}") from None
         return f"http://{running[0].start()}"
 
+    # `page`: the setting with the address to listen at
     run_until_stopped("unit", world, start, lambda: running[0].stop(), f"{file}: page")
--- a/yardspindle/steward/app.py
+++ b/yardspindle/steward/app.py
@@ -30,7 +30,7 @@
 from yardspindle.steward.release import ReleaseDuty
 from yardspindle.steward.sweep import SweepDuty
 
-TICK_US = 20_000  # interval of `Tick` events; passing a duty to another steward must take less than 100 ms
+TICK_US = 20_000  # interval of `Tick` events; well below the 100 ms in which a duty must pass to another steward
 RETRY_US = 50_000  # delay before an unanswered store call for a duty is repeated
 SHUTDOWN_TIMEOUT_US = 2_000_000  # how long a shutdown waits for the store
 
@@ -39,7 +39,7 @@
 
 
 class Duty(Protocol):
-    """A fleet-wide task that only its owner performs."""
+    """A duty as its owner runs it; who owns a duty is recorded in the store (`Owner` of core/fleet/members.py)."""
 
     def run(self) -> None:
         """Runs until cancelled, even if there is nothing to do."""
@@ -56,7 +56,7 @@
         self.name = fleet.member or self.epoch
         self.keys = FleetKeys(fleet.name)
         self.server_list = ServerList(config)
-        self.follower = FleetWatcher(world, store, self.keys, self._on_view_change)
+        self.watcher = FleetWatcher(world, store, self.keys, self._on_view_change)
         self.membership = Membership(
             world,
             fleet,
@@ -89,7 +89,7 @@
         self._started = True
         self.world.spawn("list", source.run, microseconds(self.config.planner.reread_ms))
         self.world.spawn("count starts", self._record_start)
-        self.world.spawn("follow", self.follower.run)
+        self.world.spawn("follow", self.watcher.run)
         self.world.spawn("tick", self._tick)
         address = split_address(self.membership.member.page)
         return address[0], address[1]
@@ -123,15 +123,16 @@
 
     def _on_lease_renewed(self, lease: int, sent_us: int, ttl_us: int, revision: int) -> None:
         self._handle_event(ownership.LeaseRenewed(lease, sent_us, ttl_us))
-        self.follower.observe_revision(revision)
+        self.watcher.observe_revision(revision)
 
     def _on_call_failed(self, granting: bool) -> None:
         self._handle_event(ownership.StoreCallFailed(granting))
 
     def _on_view_change(self) -> None:
         if self._started:
-            self._handle_event(ownership.ClockChecked(self.epoch in self.follower.view.clocks.out))
-            self._handle_event(ownership.ViewUpdated(self.follower.view.duty_view(self.required_duties())))
+            # `clocks.out`: the epochs whose clock is skewed
+            self._handle_event(ownership.ClockChecked(self.epoch in self.watcher.view.clocks.out))
+            self._handle_event(ownership.ViewUpdated(self.watcher.view.duty_view(self.required_duties())))
 
     def _tick(self) -> None:
         while True:
@@ -142,10 +143,13 @@
         """Applies an event to the ownership state, and executes the resulting commands."""
         now_us = self.world.now_us()
         self.state, commands = ownership.step(self.state, now_us, event)
+        # Without a valid lease the registration has ended, or is about to. `able` is then true, so that the
+        # registration under the next lease starts with it.
         self.membership.set_able(ownership.is_eligible(self.state, now_us) or now_us >= self.state.lease_valid_until_us)
         for command in commands:
             match command:
                 case ownership.RequestLease():
+                    # Gives up the current lease; the membership then requests another.
                     self.membership.replace_lease(self.membership.lease)
                 case ownership.AcquireDuty(duty, lease):
                     self.world.spawn(f"take {duty}", self._acquire, duty, lease)
@@ -171,16 +175,16 @@
                 self.world,
                 self.store,
                 self.keys,
-                self.follower,
+                self.watcher,
                 self.membership,
                 microseconds(self.config.fleet.clock_bound_ms),
                 fence_to_act,
             )
         if duty == "release":
             return ReleaseDuty(
-                self.world, self.store, self.keys, self.follower, self.config.release.limit, self.name, fence_to_act
+                self.world, self.store, self.keys, self.watcher, self.config.release.limit, self.name, fence_to_act
             )
-        return SweepDuty(self.world, self.store, self.keys, self.follower, self.server_list, duty, fence_to_act)
+        return SweepDuty(self.world, self.store, self.keys, self.watcher, self.server_list, duty, fence_to_act)
 
     def _acquire(self, duty: str, lease: int) -> None:
         owner = Owner(self.name, self.epoch, self.world.now_us())
--- a/yardspindle/steward/clock.py
+++ b/yardspindle/steward/clock.py
@@ -22,7 +22,7 @@
 from yardspindle.fleet.store.interface import Store, StoreError
 from yardspindle.runtime.world import World
 
-ROUND_INTERVAL_US = 1_000_000  # between two rounds over all members
+ROUND_PAUSE_US = 1_000_000  # from the end of a round over all members to the next one
 REPORT_INTERVAL_US = 30_000_000  # how often offsets are reported while the set of skewed clocks is unchanged
 CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US = 300_000, 4_000_000
 MAX_CONCURRENT = 32  # pages fetched in parallel
@@ -38,7 +38,7 @@
         world: World,
         store: Store,
         keys: FleetKeys,
-        follower: FleetWatcher,
+        watcher: FleetWatcher,
         membership: Membership,
         bound_us: int,
         fence_to_act: Callable[[], int | None],
@@ -48,7 +48,7 @@
         `fence_to_act`: the fencing token (a number that grows with each owner) to write with, or None if this process
         does not own the duty. `world`: the interface to clock, sockets, files and randomness.
         """
-        self._world, self._store, self._keys, self._follower = world, store, keys, follower
+        self._world, self._store, self._keys, self._watcher = world, store, keys, watcher
         self._membership, self._bound_us, self._fence_to_act = membership, bound_us, fence_to_act
         self._http = HttpClient(world, CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US)
         self._reported: ClockReport | None = None
@@ -58,23 +58,24 @@
         """Repeat rounds over all members until cancelled; write a report at changes and at intervals (`Duty`)."""
         while True:
             own = self._membership.member
-            epochs = {name: member.epoch for name, member in self._follower.view.members.items()} | {own.id: own.epoch}
+            epochs = {name: member.epoch for name, member in self._watcher.view.members.items()} | {own.id: own.epoch}
             offsets = self._probe_all()
             report = find_skewed_clocks(
                 {name: offset for name, offset in offsets.items() if name in epochs}, epochs, self._bound_us
             )
             now_us = self._world.now_us()
+            # `out`: the epochs whose clock is skewed
             if (
                 self._reported is None
                 or report.out != self._reported.out
                 or now_us - self._reported_us > REPORT_INTERVAL_US
             ):
                 self._report(now_us, report)
-            self._world.sleep_until(now_us + ROUND_INTERVAL_US)
+            self._world.sleep_until(now_us + ROUND_PAUSE_US)
 
     def _probe_all(self) -> dict[str, ClockOffset]:
         offsets = {self._membership.member.id: ClockOffset(0, 0)}
-        pending = [m for name, m in sorted(self._follower.view.members.items()) if name not in offsets and m.page]
+        pending = [m for name, m in sorted(self._watcher.view.members.items()) if name not in offsets and m.page]
 
         def probe_next() -> None:
             while pending:
--- a/yardspindle/steward/release.py
+++ b/yardspindle/steward/release.py
@@ -36,7 +36,7 @@
         world: World,
         store: Store,
         keys: FleetKeys,
-        follower: FleetWatcher,
+        watcher: FleetWatcher,
         limits: tuple[Limit, ...],
         name: str,
         fence_to_act: Callable[[], int | None],
@@ -46,7 +46,7 @@
         `fence_to_act`: the fencing token (a number that grows with each owner) to write with, or None if this process
         does not own the duty. `world`: the interface to clock, sockets, files and randomness.
         """
-        self._world, self._store, self._follower = world, store, follower
+        self._world, self._store, self._watcher = world, store, watcher
         self._keys, self._limits, self._name, self._fence_to_act = UnitKeys(keys), limits, name, fence_to_act
         self._previous: dict[str, permits.UnitStatus] = {}  # each unit's status at the end of the last window
         self._window_us = world.now_us()
@@ -61,8 +61,8 @@
 
     def _run_once(self, fence: int) -> None:
         now_us = self._world.now_us()
-        view = self._keys.read(self._follower.view.rows)
-        steps = self._next_steps(view, now_us, now_us - self._follower.confirmed_us, fence)
+        view = self._keys.read(self._watcher.view.rows)
+        steps = self._next_steps(view, now_us, now_us - self._watcher.confirmed_us, fence)
         if any(isinstance(step, release_plan.GrantPermit) for step in steps):
             # The watch on the store may lag: before a permit is granted, the store is read and the steps are computed
             # again.
@@ -95,7 +95,8 @@
     def _write_step(self, now_us: int, fence: int, view: ReleaseView, step: release_plan.Step) -> None:
         """Writes one step to the store (the fleet's key-value store).
 
-        The store rejects later steps based on the same rows; they are decided again.
+        If an earlier step has changed the rows that this one is based on, the store rejects it, and the next evaluation
+        decides again.
         """
         txn: Txn
         match step:
@@ -125,7 +126,7 @@
             log.warning("release step was not answered", reason=str(error))
 
     def _add_window(self, view: ReleaseView, release: release_plan.Release) -> release_plan.Release:
-        """Adds a window of request counts, of released units and of all others, to the release's test."""
+        """Adds a window's request counts, of released and other units, to the release's canary analysis (`trial`)."""
         totals = {True: [0, 0], False: [0, 0]}
         for unit, status in view.statuses.items():
             previous = self._previous.get(unit)
--- a/yardspindle/steward/sweep.py
+++ b/yardspindle/steward/sweep.py
@@ -44,7 +44,7 @@
         world: World,
         store: Store,
         keys: FleetKeys,
-        follower: FleetWatcher,
+        watcher: FleetWatcher,
         server_list: ServerList,
         duty: str,
         fence_to_act: Callable[[], int | None],
@@ -53,7 +53,7 @@
 
         `world`: the interface to clock, sockets, files and randomness.
         """
-        self._world, self._store, self._keys, self._follower = world, store, keys, follower
+        self._world, self._store, self._keys, self._watcher = world, store, keys, watcher
         self._server_list, self._duty, self._fence_to_act = server_list, duty, fence_to_act
         self._cell = int(duty.partition("/")[2])
         self._http = HttpClient(world, CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US)
@@ -68,6 +68,9 @@
     def run(self) -> None:
         """Find dead edges and sweep the cell's engines until cancelled (`Duty`).
 
+        An edge whose registration has ended is probed at its status page; it is dead if the address refuses connections
+        or another epoch answers. When no engine can still hold anything for a dead epoch, its record is deleted.
+
         Calls in flight when the duty ends carry its fence, a number that grows with each owner: an engine that has
         seen a higher one rejects them with status 409.
         """
@@ -75,7 +78,7 @@
         try:
             while True:
                 now_us = self._world.now_us()
-                self._epochs.update(now_us, self._follower.view)
+                self._epochs.update(now_us, self._watcher.view)
                 for epoch, member in self._epochs.due_probes(now_us):
                     if epoch not in self._probing:
                         self._probing.add(epoch)
@@ -108,6 +111,7 @@
             result, answer = probe_member(self._http, member.page)
             found = answer.member.epoch if answer is not None else ""
             if self._epochs.record_probe(self._world.now_us(), epoch, result, found):
+                # The epoch is confirmed dead; `proof`: the result of the probe.
                 log.info("an edge is gone for good", edge=member.name, epoch=epoch, proof=result.value)
                 self._swept_us = 0  # triggers an immediate sweep
         finally:
@@ -129,6 +133,7 @@
                 return
             holds = [hold.id for hold in msgspec.json.decode(data, type=vllm.HoldsAnswer).holds]
             for hold in holds_to_release(holds, self._epochs.confirmed_dead()):
+                # The hold is under one of the two paths; releasing an unknown id does no harm, so its kind is ignored.
                 for root in (vllm.STATES, vllm.PLACES):
                     if (headers := self._fence_headers()) is None:
                         return
--- a/yardspindle/unit/app.py
+++ b/yardspindle/unit/app.py
@@ -28,17 +28,20 @@
 from yardspindle.fleet.store.interface import Store, StoreError
 from yardspindle.runtime.world import World
 
-POLL_US = 200_000  # how often the unit's order is read
+ORDER_POLL_US = 200_000  # how often the unit's order is read
+PROCESS_POLL_US = 100_000  # how often it is checked whether the unit's process still runs
+STATUS_POLL_US = 50_000  # how often the status is compared with the published one
 CHECK_INTERVAL_US = 500_000  # between two check commands
-FIGURES_INTERVAL_US = 1_000_000  # minimum time between status updates in which only figures differ
+METRICS_INTERVAL_US = 1_000_000  # minimum time between status updates in which only metrics differ
 
 log = structlog.get_logger("yardspindle.unit")
 
 
-class CheckFigures(msgspec.Struct, frozen=True):
-    """The figures that a check command may print as one line of JSON, copied into the unit's `UnitStatus`.
+class CheckMetrics(msgspec.Struct, frozen=True):
+    """The metrics that a check command may print as one line of JSON, copied into the unit's `UnitStatus`.
 
-    `load`: work; `room`: capacity; `served` and `bad`: requests since the unit's start that succeeded and failed.
+    `load`: current work, in a measure that depends on the unit's role (streams, tokens); `room`: total capacity in the
+    same measure; `served` and `bad`: requests since the unit's start that succeeded and failed.
     """
 
     load: float = 0.0
@@ -60,7 +63,7 @@
         """Whether the unit's process is running."""
 
     def start(self, version: str, mark: str) -> int:
-        """Start the unit, unless a process with this mark (a text that identifies one start) runs; 0 on success."""
+        """Start the unit, unless a process that carries `mark`, the id of one start, runs already; 0 on success."""
 
     def stop(self) -> None:
         """Stop the unit, and wait until it has exited."""
@@ -69,7 +72,10 @@
         """Run the drain command, which waits until the unit is idle; its exit code, or None if it timed out."""
 
     def check(self, version: str) -> tuple[int | None, bytes]:
-        """The check's exit code (0: well, 1: cold (not warmed up), other: failing, None: timed out) and figures."""
+        """The check's exit code and its metrics as JSON.
+
+        0: healthy, 1: cold (not warmed up), other: failing, None: timed out. Without a check command always 0.
+        """
 
 
 class UnitSupervisor:
@@ -107,11 +113,12 @@
             f"{world.random('unit').getrandbits(48):012x}",
             file.groups.get("zone", ""),
             version,
+            # A unit obeys orders whatever becomes of its lease; `_publish_status` reads the lease itself.
             LeaseCallbacks(lambda lease, sent, ttl: None, lambda *renewed: None, lambda granting: None),
         )
         self._listen = split_address(file.page or fleet.listen)
         self._call_us = microseconds(fleet.call_ms)
-        self._figures = CheckFigures()
+        self._metrics = CheckMetrics()
         self._published: tuple[UnitStatus, int] | None = None
         self._published_us = 0
         self._placement_published = False
@@ -123,7 +130,7 @@
         self._apply(*unit_control.resume(self.state, self.world.now_us(), self.runner.alive()))
         self.world.spawn("orders", self._poll_orders)
         self.world.spawn("watch", self._watch_process)
-        self.world.spawn("tell", self._publish_status)
+        self.world.spawn("publish status", self._publish_status)
         return self.membership.member.page
 
     def stop(self) -> None:
@@ -172,12 +179,12 @@
             except StoreError as error:
                 log.debug("order could not be read from the store", reason=str(error))
             self._handle_event(unit_control.Tick())
-            self.world.sleep_until(self.world.now_us() + POLL_US)
+            self.world.sleep_until(self.world.now_us() + ORDER_POLL_US)
 
     def _watch_process(self) -> None:
         checked_us = 0
         while True:
-            self.world.sleep_until(self.world.now_us() + POLL_US // 2)
+            self.world.sleep_until(self.world.now_us() + PROCESS_POLL_US)
             if self.state.alive and not self.runner.alive() and self.state.saved.stage != "stopping":
                 log.warning("unit exited unexpectedly", pid=self.state.saved.pid)
                 self._handle_event(unit_control.UnitExited())
@@ -193,7 +200,7 @@
                     code, line = self.runner.check(self.state.saved.version)
                 finally:
                     self._checking = False
-                self._figures = decode_row(line, CheckFigures) or self._figures
+                self._metrics = decode_row(line, CheckMetrics) or self._metrics
                 self._handle_event(unit_control.CommandEnded("check", code))
             case "drain":
                 self._handle_event(unit_control.CommandEnded("drain", self.runner.drain(self.state.saved.version)))
@@ -214,25 +221,25 @@
 
     def status(self) -> UnitStatus:
         """The unit's current status."""
-        saved, figures = self.state.saved, self._figures
+        saved, metrics = self.state.saved, self._metrics
         return UnitStatus(
             self.file.name,
             f"{saved.pid}-{saved.born}",
             self.state.standing,
             saved.version,
-            saved.done,
-            saved.refused,
-            figures.load,
-            figures.room,
-            figures.served,
-            figures.bad,
+            saved.done,  # number of the last order that ended
+            saved.refused,  # why it failed; empty if it did not
+            metrics.load,
+            metrics.room,
+            metrics.served,
+            metrics.bad,
             saved.crashed,
         )
 
     def _publish_status(self) -> None:
-        """Keeps the status in the store, until the lease ends. Changes of figures alone are written less often."""
+        """Keeps the status in the store, until the lease ends. Changes of metrics alone are written less often."""
         while True:
-            self.world.sleep_until(self.world.now_us() + POLL_US // 4)
+            self.world.sleep_until(self.world.now_us() + STATUS_POLL_US)
             lease, status, now_us = self.membership.lease, self.status(), self.world.now_us()
             if lease <= 0:
                 continue
@@ -240,7 +247,7 @@
                 current = replace(status, load=0.0, room=0.0, served=0, bad=0)
                 previous = replace(self._published[0], load=0.0, room=0.0, served=0, bad=0)
                 if current == previous and (
-                    status == self._published[0] or now_us - self._published_us < FIGURES_INTERVAL_US
+                    status == self._published[0] or now_us - self._published_us < METRICS_INTERVAL_US
                 ):
                     continue
             puts = [Put(self.keys.row_key("statuses", self.file.name), msgspec.json.encode(status), lease)]
--- a/yardspindle/unit/runner.py
+++ b/yardspindle/unit/runner.py
@@ -41,8 +41,8 @@
     def start(self, version: str, mark: str) -> int:
         """Start the unit; returns 0, or 127 if it cannot be started (`UnitRunner`).
 
-        `mark`: a text in the process's environment. A running process that carries it is taken over: the supervisor was
-        killed after starting it and before storing its process id."""
+        `mark`: the id of this start, which the process carries in its environment. A running process that carries it is
+        taken over; there is one if a supervisor was killed after starting it and before storing its process id."""
         argv = [part.replace("{version}", version) for part in self._file.run]
         try:
             self._service = DetachedProcess.find(self._world, mark) or DetachedProcess.start(
@@ -67,7 +67,7 @@
         return self._run(self._file.drain, version, self._file.drain_s)[0] if self._file.drain else 0
 
     def check(self, version: str) -> tuple[int | None, bytes]:
-        """Run the check command, if the file has one; its exit code and first line (`UnitRunner`)."""
+        """Run the check command; its exit code and first line. Without a command the unit is healthy (`UnitRunner`)."""
         return self._run(self._file.check, version, self._file.check_s) if self._file.check else (0, b"")
 
     def _run(self, command: Sequence[str], version: str, timeout_s: float) -> tuple[int | None, bytes]:
