--- a/yardspindle/cli/steward.py
+++ b/yardspindle/cli/steward.py
@@ -29,7 +29,7 @@
         where = f"{file}: fleet.store: {', '.join(config.fleet.store)}"
         try:
             store = open_store(world, config.fleet)
-            store.range(b"\0")
+            store.range(b"\0")  # any read will do: an unreachable store is reported now, not after the start
         except (StoreError, OSError) as error:
             raise ConfigError(f"{where}: {error}") from None
         running.append(Steward(world, config, store, version("yardspindle")))
--- a/yardspindle/core/fleet/ownership.py
+++ b/yardspindle/core/fleet/ownership.py
@@ -1,11 +1,12 @@
 """The duty ownership protocol: each duty has at most one owner at a time, enforced by leases and fencing tokens.
 
-A duty is a background task of the fleet; its owner is a steward (a process that runs duties). The store is a key-value
-store that the fleet's processes share: etcd or a file. A duty's key in the store is attached to its owner's lease; its
-fence is the revision at which it was acquired. The owner measures its lease from before the last successful renewal was
-sent, less a margin, and stops on its own before the store can give the duty to another. Safety does not depend on that:
-a process that was suspended past its lease and resumes is stopped by the fence, which every store write compares and
-every receiver of orders checks.
+A duty is a background task of the fleet; its owner is a steward (a process that runs duties). It acts by writes to the
+store and by orders: commands to other processes, such as engines. The store is a key-value store that the fleet's
+processes share: etcd or a file. A duty's key in the store is attached to its owner's lease; its fence is the revision
+at which it was acquired. The owner measures its lease from before the last successful renewal was sent, less a margin,
+and stops on its own before the store can give the duty to another. Safety does not depend on that: a process that was
+suspended past its lease and resumes is stopped by the fence, which every store write compares and every process that
+receives orders checks.
 
 Pure: `step` maps a state, the time on the process's own clock and an event to the next state and the commands to
 execute. It is run by the steward, by the seeded simulations and by the explicit-state model checker.
@@ -28,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTiming:
-    """In microseconds. `margin_us` covers clock drift within one TTL, and the time until an order has arrived."""
+    """In microseconds. `margin_us` covers clock drift within one TTL, and the time that an order takes to arrive."""
 
     ttl_us: int
     margin_us: int
@@ -60,14 +61,14 @@
     name: str
     timing: LeaseTiming
     lease: int = 0
-    lease_valid_until_us: int = 0  # it may act before this time, by its own clock; 0 without a lease
+    lease_valid_until_us: int = 0  # by its own clock; until then it may act for its duties; 0: no lease
     lease_requested: bool = False  # a lease request is in flight
     held: tuple[tuple[str, int], ...] = ()  # duty and fence
     pending: tuple[str, ...] = ()  # duties with an acquire whose outcome is not known yet
     view: DutyView = field(default_factory=DutyView)
     free_since_us: tuple[tuple[str, int], ...] = ()  # duty, and when it was first seen without an owner
     last_change_us: int = 0  # when a duty last changed owner
-    losses: int = 0  # lost leases plus recent restarts
+    losses: int = 0  # leases lost since its start, plus the restarts reported then; never reset
     eligible_from_us: int = 0  # acquires no duty before this time
     store_success_rate: float = 1.0  # moving average
     store_unhealthy: bool = False
@@ -112,10 +113,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AcquireResult:
-    """A duty's row after an acquire: from its answer, or read later if the answer was lost."""
+    """Who holds a duty after an attempt to acquire it: from the store's answer, or read later if that was lost."""
 
     duty: str
-    lease: int  # under which it was acquired
+    lease: int  # under which this process tried to acquire it
     holder: Holder | None
     revision: int
 
@@ -127,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockChecked:
-    """Whether the process's clock was reported as skewed."""
+    """Whether this process's clock is reported as skewed by the owner of the duty `clock` (`clock_skew.py`)."""
 
     skewed: bool
 
@@ -230,7 +231,7 @@
                     lease_requested=False,
                     lease_valid_until_us=sent_us + ttl_us - state.timing.margin_us,
                 )
-            elif state.lease_requested:  # the grant arrived too late to be used
+            elif state.lease_requested:  # the grant arrived too late to be used: request another
                 state = replace(state, lease_requested=True)
                 commands.append(RequestLease())
             state = _record_store_call(state, True)
@@ -351,7 +352,8 @@
     commands: list[Command],
 ) -> OwnershipState:
     if lease != state.lease or duty not in state.pending:
-        return state  # acquired under an ended lease, with which the store deletes the key; or reported before
+        # The lease has ended, and the store deletes its keys; or this acquire's result was reported before.
+        return state
     state = replace(state, pending=tuple(name for name in state.pending if name != duty))
     if holder is None or (holder.name, holder.lease) != (state.name, state.lease):
         return state
--- a/yardspindle/core/fleet/permits.py
+++ b/yardspindle/core/fleet/permits.py
@@ -1,11 +1,14 @@
 """Decides whether a unit may be taken out of service now, so that no group has too many units unavailable at once.
 
 A unit is a dispatcher or model host that a release restarts. It counts in every group that it belongs to (its zone,
-cell, rack, role and kind). Unavailable are the units with a permit, and those with an unplanned outage: silent, cold or
-failing. Missing information counts against a permit: a unit without a status is unavailable, and a view older than
-`MAX_VIEW_AGE_US` permits nothing. A permit outlives the process that holds it; it ends when the unit has been restarted
-and is well, when it is well after an order to undrain it, or at an operator's request. Grants are serialised: each is a
-transaction of the fleet's store, conditional on a head key that every grant writes.
+cell, rack, role and kind). A unit is unavailable if it has a permit; or without one, as an unplanned outage, if its
+standing is not "well" or it has no status ("silent"). Missing information thus counts against a permit, and a snapshot
+of the fleet older than `MAX_VIEW_AGE_US` permits nothing. A permit outlives the process that holds it; it ends when the
+unit has been restarted and is well, when it is well after an order to undrain it, or at an operator's request. Grants
+are serialised: each is a transaction of the fleet's store, conditional on a head key that every grant writes.
+
+An order is a command of the release duty to a unit's supervisor to drain, undrain or restart the unit; the orders of a
+unit are numbered.
 """
 
 from __future__ import annotations
@@ -22,7 +25,7 @@
 # A cold unit has started recently and has not regained its full capacity.
 Standing = Literal["well", "cold", "failing", "draining", "stopped", "starting"]
 RETRY_AFTER_US = 2_000_000  # delay before asking again after a denial that may change with time
-MAX_VIEW_AGE_US = 3_000_000  # at a grant; of the order of a lease's time to live
+MAX_VIEW_AGE_US = 3_000_000  # an older snapshot grants no permit; of the order of a lease's time to live
 
 
 class UnitPlacement(Struct, frozen=True):
@@ -41,9 +44,9 @@
     standing: Standing
     version: str = ""
     done: int = 0  # number of the last order that ended, whether it was carried out or failed
-    refused: str = ""  # why the last order failed; empty if it did not
+    refused: str = ""  # why the last order was rejected or failed; else empty
     load: float = 0.0  # current work, in a measure that depends on its role (streams, tokens)
-    room: float = 0.0  # capacity, in the same measure
+    room: float = 0.0  # total capacity, the load included, in the same measure
     served: int = 0  # requests since its start that ended well; compared between versions
     bad: int = 0  # requests since its start that ended badly
     crashed: int = 0  # unexpected exits since its last order
@@ -139,7 +142,7 @@
 def check_departure(fleet: FleetSnapshot, unit: str) -> Denial | None:
     """Whether a unit may become unavailable now: None if it may, which includes a unit that already has a permit."""
     if fleet.age_us > MAX_VIEW_AGE_US:
-        return Denial(f"the view is {fleet.age_us / 1e6:.1f} s old", RETRY_AFTER_US)
+        return Denial(f"the last known state of the fleet is {fleet.age_us / 1e6:.1f} s old", RETRY_AFTER_US)
     if unit in fleet.permits:
         return None
     placement = fleet.placements.get(unit)
@@ -180,7 +183,8 @@
     load = sum(peer.load for peer in peers) + (own.load if own is not None else 0.0)
     capacity = sum(peer.room for peer in peers) * (1 - fleet.reserve)
     if load > capacity and load > 0:
-        # "it": the unit that is to leave. `capacity` is that of the other units less the reserve.
+        # docs/operate/releases.md quotes this text. "Room" is the capacity of the other units of the role less the
+        # reserve; "it" is the unit that is to leave, whose load counts as the others have to take it over.
         return Denial(f"role {role}: load {load:g}, room without it {capacity:g}", RETRY_AFTER_US)
     return None
 
--- a/yardspindle/core/hosts/resource_budget.py
+++ b/yardspindle/core/hosts/resource_budget.py
@@ -1,4 +1,4 @@
-"""How a dispatcher divides its file descriptors among clients, engines and idle connections, and its memory.
+"""What parts of its file descriptors and memory a dispatcher may use for connections and for request bodies.
 
 A dispatcher is a router process: it forwards clients' requests to engines.
 """
@@ -7,13 +7,16 @@
 
 from dataclasses import dataclass
 
-# Of the descriptors, for client connections. At most a third of the descriptors is meant for clients with a request in
-# progress, as each also needs a connection to an engine; the rest of these is for idle clients and for refusals.
+# Of the descriptors, for client connections. It is assumed that clients with a request in progress use a third of the
+# descriptors at most, as each also needs a connection to an engine; the rest of the fraction is for idle clients and
+# for refusals. Nothing enforces the third: if descriptors run out, a connect to an engine waits for one.
 CLIENT_FRACTION = 0.55
 IDLE_FRACTION = 1 / 64  # of the descriptors, for idle connections to each engine: a dozen engines take a fifth at most
 MIN_IDLE_PER_HOST = 2
 MEBIBYTE = 1 << 20
-BODY_FRACTION = 1 / 8  # of the memory: a body exists twice when it is complete, and again as it is forwarded
+# Of the memory, for request bodies. A body exists twice when it is complete, and again as it is forwarded, so each may
+# take three times its size.
+BODY_FRACTION = 1 / 8
 # The least `limits.sockets` that is accepted: a dispatcher uses 7 descriptors itself; the rest is for a few clients,
 # connections to their engines and a call that releases what an engine holds for a request.
 MIN_SOCKETS = 16
@@ -21,9 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceBudget:
-    """Each use's part of the file descriptors and of the memory.
+    """The limits on connections and request bodies that follow from a dispatcher's descriptors and memory.
 
-    They are the settings `limits.sockets`, or the machine's limit if that is lower, and `limits.memory_mb`.
+    `descriptors` is the setting `limits.sockets`, or the machine's limit if that is lower; `memory_mib` is
+    `limits.memory_mb`.
     """
 
     descriptors: int
--- a/yardspindle/core/request/held_resources.py
+++ b/yardspindle/core/request/held_resources.py
@@ -2,10 +2,13 @@
 
 A place is memory reserved at a writer (decode server); a state is the KV cache that a reader (prefill server) keeps
 until the writer has fetched it. What is held must be used by an attempt or released within the configured release time.
-The clock stops only while a running server is known to have an attempt (`evidence.py`): not while a connection is being
-made, and not once the attempt's bytes are written, as an unresponsive server never reads them. An attempt without an
-answer by `RELEASE_FRACTION` of the time is aborted and what is held is released; the rest is for the release to be
-confirmed.
+That time does not run while a running server is known to have an attempt (`evidence.py`), and starts anew when that
+attempt ends. It does run while a connection is being made, and after the attempt's bytes are written, as an
+unresponsive server never reads them. An attempt that no running server is known to have by `RELEASE_FRACTION` of the
+time is aborted and what is held is released; the rest is for the release to be confirmed.
+
+With `release_by_request`, one message to any engine releases all that engines hold for a request. Without it, each
+state and place is released at its own engine, and every attempt in flight counts as accepted by a running server.
 """
 
 from __future__ import annotations
@@ -20,8 +23,9 @@
 
 RELEASE_FRACTION = 0.75  # of the release time: the edge then releases by itself; the routing policy does so at half
 CONNECTS_WHILE_HELD = 2  # writers that can be tried one after another within that time while a state is held
-# A running writer answers a call for a place within this time. It takes longest, 0.3 s, to say that it does not know
-# whether it holds the place, as it knows of no read of the request. After a longer silence the connection may be dead.
+# A running writer answers a call for a place within this time: one that knows of no read of the request waits for 0.3 s
+# before it answers that, and then it is unknown whether the place is held. After a longer silence the connection may be
+# dead.
 PLACE_ANSWER_LIMIT_US = 450_000
 
 
@@ -30,7 +34,7 @@
 
     @property
     def held_connect_timeout_us(self) -> int | None:
-        """Connect time-out of a write, as the state stays held meanwhile; None without `release_by_request`."""
+        """Connect time-out of a write while its state stays held; None (the usual one) without `release_by_request`."""
         return (
             round(RELEASE_FRACTION * self.rules.release_us / CONNECTS_WHILE_HELD)
             if self.rules.release_by_request
@@ -86,6 +90,7 @@
         record = self.requests.get(request)
         if held is None and self.rules.release_by_request:
             asked = record.unanswered_places.get(number) if record is not None else None
+            # If it is not on record when the call was written, the connection is taken to be dead, to be safe.
             silent = asked is None or now_us - asked.sent_us > PLACE_ANSWER_LIMIT_US
             self._commands.append(c.TrackUnreadCall(request, server, silent))
         place = record.place if record is not None else None
@@ -117,14 +122,15 @@
         if not self.rules.release_by_request:
             self._commands.append(c.ReleasePlace(request, number, server))
         elif record is None:
-            self._commands.append(c.ReleaseAll(request, False))
+            self._commands.append(c.ReleaseAll(request, repeat=False))
         else:  # an earlier release may have arrived before the call for the place
             self._mark_held(now_us, record)
+            # A release now would free a held state too; the place is released together with that state later.
             if record.state_server is None:
                 self._release(record)
 
     def _mark_read_accepted(self, read: Attempt) -> None:
-        """Called when a writer grants or declines a place, which it can only if a running reader has the read."""
+        """Called when a writer grants or declines a place: it does so only once a running reader has the read."""
         if read.written:
             read.evidence = Evidence.ACCEPTED
 
@@ -135,8 +141,10 @@
 
     def _check_held(self, now_us: int, record: RequestRecord) -> None:
         """Release what has been held for too long, and abort an attempt that no running server is known to have."""
-        held = record.held or record.state_server is not None or record.place is not None
-        if not held or now_us - record.held_since_us <= RELEASE_FRACTION * self.rules.release_us:
+        # `record.held`: an engine may hold something for it, confirmed or not. With `release_by_request`, a place alone
+        # (neither `held` nor a state) is one whose call is not written yet, for which no attempt is aborted.
+        may_be_held = record.held or record.state_server is not None or record.place is not None
+        if not may_be_held or now_us - record.held_since_us <= RELEASE_FRACTION * self.rules.release_us:
             return
         if record.attempt is None:
             self._interlock(record, "held too long")
@@ -162,7 +170,7 @@
             status = i.Status.CANCELLED  # the unresponsive server may be the one with the place: neither is blamed
         else:
             record.may_have_run = record.may_have_run or may_have_run(attempt.server.role, status)
-        self._unconfirmed_write(now_us, record, attempt)
+        self._unconfirmed_write(now_us, record, attempt)  # its place may be held; no effect on a read, which has none
         self._abort_unanswered_places(record)
         self._release(record)
         self._notify(
@@ -177,5 +185,5 @@
                 NOTE_NO_STATE,
             ),
         )
-        if not record.epoch:
+        if not record.epoch:  # no planner knows the request any more
             self._end_without_policy(record, "planner_lost")
