--- a/yardspindle/cli/engine.py
+++ b/yardspindle/cli/engine.py
@@ -25,7 +25,7 @@
     "--replay-port", default=0, type=click.IntRange(0, 65_535), help="Port for replays of missed cache events."
 )
 def engine_command(file: str | None, host: str, port: int, events_port: int, replay_port: int) -> None:
-    """Run a simulated engine that reads, writes, or both, without a model."""
+    """Run a simulated engine that serves prefill, decode, or both, without a model."""
     settings = EngineSettings()
     if file is not None:
         try:
@@ -40,6 +40,7 @@
 
     def start() -> str:
         address = engine.start(host, port, events_port, replay_port)
+        # Parsed by lab/fleet.py: the URL, and the ports of cache events and of their replays (0: not published).
         return f"http://{address[0]}:{address[1]}/v1 {engine.events_port} {engine.replay_port}"
 
     run_until_stopped("engine", world, start, lambda: None, f"--port: {host}:{port}")
--- a/yardspindle/engine/http_client.py
+++ b/yardspindle/engine/http_client.py
@@ -1,6 +1,6 @@
-"""An HTTP/1.1 client with pooled connections that reports for each failure whether anything was sent.
+"""An HTTP/1.1 client with pooled connections, whose errors tell whether the server may have the whole request.
 
-The caller decides with that report whether a request may be sent again without running twice.
+By that the caller decides whether a request may be sent again without running twice.
 
 A pooled connection is reused only if `Stream.is_idle`, that is, open with no data to read. A connection that its server
 closed while it was pooled must be detected before a request is written to it, since afterwards it is unknown whether
@@ -20,14 +20,15 @@
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.world import ConnectError, DescriptorsExhausted, Stream, StreamError, World
 
-MAX_IDLE = 64  # default number of pooled connections for each server; others are closed after use
+MAX_POOLED = 64  # default number of pooled connections for each server; others are closed after use
 MAX_INTERIM = 16  # 1xx responses before the final one
 
 
 class ExchangeBroken(Exception):
-    """The connection broke after all or part of the request was sent, or the response was malformed (`malformed`).
+    """The exchange failed. Unless it is a `NotSent`, the server may have received the whole request.
 
-    `stale`: a pooled connection broke with no data received, which is evidence about the connection, not the server.
+    `malformed`: the response was invalid. `stale`: a pooled connection broke in use, with no data received, which is
+    evidence about the connection, not the server.
     """
 
     malformed = False
@@ -94,7 +95,9 @@
 
     opened: int = 0
     reused: int = 0
-    stale: int = 0  # pooled ones discarded before use: idle for too long, closed, or with data to read
+    # Pooled ones discarded before use, as they were idle for too long, closed, or had data to read. (The exception's
+    # `stale` is about one that broke in use.)
+    stale: int = 0
 
 
 @dataclass(slots=True)
@@ -107,7 +110,7 @@
     world: World
     connect_us: int  # limit on opening a connection
     idle_us: int  # a pooled connection that was idle for longer is not reused
-    max_idle: int = MAX_IDLE
+    max_pooled: int = MAX_POOLED  # connections to one server
     limits: http1.Limits = field(default_factory=http1.Limits)
     idle_limit: IdleLimit | None = None  # in place of `idle_us`: lowered when connections are found closed
     head_us: int = 0  # limit from the first byte of a response head to its last; 0: none
@@ -152,7 +155,7 @@
                 break
             if not connection.idle_since_us:
                 connection.stream.close()
-                raise NotSent("closed before the request's first byte")
+                raise NotSent("connection closed, or data received on it, before the request was written")
             self._discard_idle(connection)  # it was idle until `late_headers` blocked
         succeeded = False
         try:
@@ -252,7 +255,7 @@
         idle = self._idle.setdefault(key, deque())
         connection.idle_since_us = self.world.now_us()
         idle.append(connection)
-        if len(idle) > self.max_idle:
+        if len(idle) > self.max_pooled:
             idle.popleft().stream.close()
 
     def close_idle(self, host: str, port: int) -> None:
--- a/yardspindle/lab/day.py
+++ b/yardspindle/lab/day.py
@@ -1,6 +1,6 @@
-"""A scripted day, a test run of up to an hour: real processes, generated clients, faults at set times, and an audit.
+"""A day (`yardspindle lab day`) is a scripted load test of up to an hour, with real processes, which is then audited.
 
-A file describes the fleet, the load and the faults; all random choices come from its seed. In the file, `box` is an
+A file describes the fleet, the load and the faults with their times; all random choices come from its seed. `box` is an
 engine, and a dispatcher is an edge (which holds the client connections) with its planner (which decides which engine
 does what). The run ends by itself: the clients stop, open requests end, all processes are stopped by their ids, and the
 audit reads the two journals (what clients and what engines recorded).
@@ -40,7 +40,7 @@
     effect: Literal["safe", "unsafe"]  # unsafe: must not run twice
     share: Positive
     aim_ms: Positive = 1_500.0  # latency target
-    give_up_ms: Positive = 4_000.0  # time limit
+    give_up_ms: Positive = 4_000.0  # the router's time limit; each client gives up after 50 to 100% of it
     answer_tokens: Annotated[int, Meta(ge=1)] = 40
     worth: Positive = 1.0  # value of an answer in time, relative to the other classes
 
@@ -50,7 +50,8 @@
 
     at_s: Annotated[float, Meta(ge=0)]
     do: Literal[
-        "kill",  # an engine, as all but the last three
+        # These act on one engine, "restart_rack" on all of a rack:
+        "kill",
         "restart",  # kill it and start it again after `down_s`
         "hang",  # answer nothing, until "wake"
         "wake",
@@ -62,6 +63,7 @@
         "drain",  # list it as draining
         "remove",  # remove it from the server list
         "restart_rack",
+        # These act on the planner of `dispatcher`:
         "kill_planner",  # and start it again after `down_s`
         "stall_planner",
         "wake_planner",
@@ -76,7 +78,7 @@
 
 
 class Day(Struct, forbid_unknown_fields=True, frozen=True):
-    """A day, as its file describes it."""
+    """The description of a day (a scripted load test), as read from its file."""
 
     seed: int
     seconds: Annotated[float, Meta(gt=0, le=3_600)]
@@ -84,9 +86,9 @@
     classes: tuple[DayClass, ...]
     dispatchers: Annotated[int, Meta(ge=1, le=32)] = 3
     racks: Annotated[int, Meta(ge=1, le=64)] = 2
-    readers: Annotated[int, Meta(ge=1, le=64)] = 3
+    readers: Annotated[int, Meta(ge=1, le=64)] = 3  # in each rack, as `writers`
     writers: Annotated[int, Meta(ge=1, le=64)] = 3
-    cold_ms: Annotated[float, Meta(ge=0)] = 3_000.0
+    cold_ms: Annotated[float, Meta(ge=0)] = 3_000.0  # how long a restarted engine has less than its full capacity
     box: dict[str, Any] = {}  # EngineSettings of all engines
     rules: dict[str, Any] = {}  # section `rules` of the router's settings
     habits: ClientHabits = msgspec.field(default_factory=ClientHabits)
@@ -120,7 +122,7 @@
 
 
 class DayRun:
-    """One run of a day."""
+    """Runs a day once: starts its processes, sends its requests, applies its faults and audits the journals."""
 
     def __init__(
         self, world: RealWorld, day: Day, print_line: Callable[[str], None], journal_folder: str | None = None
@@ -161,7 +163,7 @@
         for path in (self.engine_journal, self.client_journal):
             open(path, "wb").close()
         for name in _engine_names(day):
-            kind, rack = name[:6], int(name[6:].split("-")[0])
+            kind, rack = name[:6], int(name[6:].split("-")[0])  # "reader" and "writer" have six letters each
             settings = msgspec.convert(
                 {
                     "name": name,
@@ -170,6 +172,7 @@
                     "journal": self.engine_journal,
                     "cold_ms": day.cold_ms,
                     "start_capacity": rules["start_capacity"],
+                    # The engines behave as the router assumes; defaults as in `RulesConfig`.
                     "fall_multiple": rules.get("fall_multiple", 2.5),
                     "fall_ms": rules.get("fall_ms", 2_000.0),
                     **day.box,
@@ -186,8 +189,9 @@
     def run(self) -> AuditReport:
         """Run the day and audit its journals. Raises the first error of any of its tasks, once all are stopped.
 
-        The scheduler ends the program at an error of a task that no other task has joined yet, as faults and clients
-        are for most of the day. The processes would keep running then, so the day handles such errors itself.
+        By default an uncaught error ends the program if no other task waits for the one that failed. The tasks of
+        faults and clients are waited for only at the end, so the fleet's processes would be left running; therefore
+        the first such error is recorded, and ends the day.
         """
         ended = self.world.signal()
 
@@ -208,7 +212,7 @@
         self.fleet.remove_files()
         for name, code in codes.items():
             if name.startswith(("edge", "planner")) and code not in (0, -signal.SIGKILL):
-                report.add_violation("programs end in order", f"{name} ended with {code}")
+                report.add_violation("edges and planners exit with status 0", f"{name} ended with {code}")
         return report
 
     def _play(self, ended: Signal) -> None:
@@ -246,7 +250,7 @@
 
     def audit(self) -> AuditReport:
         """Audit the journals written so far."""
-        rules = self.day.rules
+        rules = self.day.rules  # what it leaves out is as in `RulesConfig`
         limits = AuditLimits(
             release_ms=rules.get("release_ms", 300.0),
             drain_grace_ms=rules.get("drain_grace_ms", 500.0),
@@ -259,7 +263,7 @@
         classes = tuple(ClientClass(c.name, c.share, c.give_up_ms, c.answer_tokens) for c in day.classes)
         clients = Clients(
             world,
-            "yardspindle-demo",
+            "yardspindle-demo",  # the model name that dispatchers have by default
             lambda line: world.append_file(self.client_journal, msgspec.json.encode(line) + b"\n"),
             day.habits,
         )
@@ -331,6 +335,7 @@
             complete = data.rfind(b"\n") + 1
             at += complete
             for line in map(msgspec.json.decode, data[:complete].splitlines()):
+                # A write fetches the KV cache first (move); "run" is recorded when it begins to decode (stream).
                 stage = {"run": "stream"}.get(line["ev"]) or (
                     {"read": "read", "write": "move"}[line["stage"]] if line["ev"] == "arrive" else ""
                 )
@@ -345,6 +350,7 @@
             case "drain" | "remove":
                 engine.state, engine.listed = "draining", fault.do == "drain"
                 self.fleet.write_list()
+                # The engine only records this in its journal: the audit counts the drain from then on.
                 self.send_control(engine, "listed_draining")
             case _:
                 self.send_control(engine, fault.do, fault.factor)
--- a/yardspindle/node/__main__.py
+++ b/yardspindle/node/__main__.py
@@ -28,7 +28,7 @@
     except ConfigError as error:
         print(error, file=sys.stderr)
         return 2
-    except OSError as error:
+    except OSError as error:  # expected from listening only: `read_config` turns its own into a ConfigError
         print(
             f"ROUTER_LISTEN: {os.environ.get('ROUTER_LISTEN')}, or `listen` in {os.environ.get('ROUTER_CONFIG')}: "
             f"{error.strerror}",
@@ -42,9 +42,10 @@
     """The main task: handle signals, start, wait for a stop signal, drain.
 
     Signal handlers are installed before the configuration file is read, so that a change announced by SIGHUP is either
-    in what is read or causes a reload. Until then SIGHUP is ignored: `run` in deploy/balancer.toml sets it to SIG_IGN.
+    in what is read or causes a reload. Until then SIGHUP is ignored, as the command in deploy/balancer.toml sees to.
     """
 
+    # Both handlers run in a task of their own, at the earliest when this one first waits: `node` is set by then.
     def reload() -> None:
         try:
             node.reload(read_config(world.read_file, variables))
@@ -52,7 +53,7 @@
             log.write("the new configuration is not taken", fault=error)  # the running one stays in force
 
     def stop() -> None:
-        node.stop()
+        node.stop()  # the health check fails from now on; the main task then drains
         world.stop.set()
 
     world.scheduler.on_crash = log_crash
--- a/yardspindle/policy/request_lifecycle.py
+++ b/yardspindle/policy/request_lifecycle.py
@@ -17,12 +17,14 @@
 # The pause is at least this multiple of the time that the refusal took, so that requests spend little of
 # their time on refusals.
 FULL_PAUSE_FACTOR = 20
-# Most writers that are asked for a place during one read; asking costs as much as probing a server.
+# Most writers that are asked for a place during one read: each call loads a server as a probe does.
 MAX_PLACE_REQUESTS = 4
 # Fraction of the latency target (aim) that a request may wait before its read; the rest is for the work.
 MAX_WAIT_AIM_FRACTION = 0.2
+# `Outcome.note` of an attempt that did not succeed: no state is held for the request any more.
+NOTE_NO_STATE = 1
 MEAN_WEIGHT = 0.1  # weight of a new observation in the exponentially weighted means
-LOG_INTERVAL_US = 5_000_000  # at most one log line on requests that the policy gave up in this time
+LOG_INTERVAL_US = 5_000_000  # least time between log lines on requests that the policy gave up
 
 
 class RequestLifecycle(WriterSelection):
@@ -34,7 +36,7 @@
         key = arrival.prefix or arrival.session or str(arrival.request)
         self._count_arrival(arrival)
         request = self.open_requests[arrival.request] = OpenRequest(
-            arrival, cls, aim_us, key, self.random.random() * self._surge()
+            arrival, cls, aim_us, key, admission_draw=self.random.random() * self._surge()
         )
         self._count_key(key)
         self._start_read(request)
@@ -45,6 +47,7 @@
         )
         server.in_flight[(request.arrival.request, request.attempts)] = self.now_us
         request.in_flight[request.attempts] = server
+        # `held_since_us` is the time since which something is held with no attempt in flight.
         request.attempts, request.held_since_us = request.attempts + 1, 0
         self.actions.append(i.Send(request.arrival.request, server.entry.server))
 
@@ -60,6 +63,7 @@
         if reader is not None and reader.role is i.Role.BOTH:
             return self._start_write(request, reader)  # a mixed server does both stages
         writer = self._choose_writer(request)
+        # While no reader is listed as serving, writers may run both stages.
         if (
             writer is not None
             and reader is None
@@ -103,6 +107,7 @@
         if server.role is i.Role.READ:
             server.pending_tokens -= request.uncached_tokens
             return True
+        # If its answer had not begun, moving a state out of the reader's cell may take at least so long.
         self._record_cell_delay(request, server, sent_us, first=False)
         self._count_stream(request, server, -1)
         return False
@@ -120,7 +125,7 @@
             and self._admits(request, request.place_writer, request.home_writer)
         ):
             return self._start_write(request, request.place_writer)
-        request.full_writers.clear()
+        request.full_writers.clear()  # those that refused a place during the read may have room by now
         if (writer := self._choose_writer(request)) is not None:
             return self._start_write(request, writer)
         request.held_since_us = request.held_since_us or self.now_us
@@ -158,27 +163,29 @@
         server, request = self.servers[event.server], self.open_requests.get(event.request)
         status = event.status
         if status is i.Status.FULL and event.note == 0 and request is not None:
-            # Note 0: the server had no room (note 1: it found no state for the write). It may refuse one
+            # The server had no room (with NOTE_NO_STATE it found no state for the write). It may refuse one
             # tenant though it has room for others, so it is paused for that tenant only.
             times_full = server.full_by_tenant.get(request.arrival.tenant, (0, 0))[1]
             pause_us = max(MIN_FULL_PAUSE_US, FULL_PAUSE_FACTOR * event.latency_us) * (times_full + 1)
             server.full_by_tenant[request.arrival.tenant] = self.now_us + pause_us, times_full + 1
         elif status in (i.Status.CONNECT_FAILED, i.Status.RESET) and not event.stale:
-            # A pooled connection that broke under its next request, or one that was reset during connect,
-            # shows that connections break, not that the server died.
+            # Not if stale: a pooled connection that broke under its next request, or one that was reset
+            # during connect, shows that connections break, not that the server died.
             self._eject(server, status.value)
-        elif status is i.Status.TIMEOUT and event.note == 1:
-            # Note 1: the writer did not answer within the time for which the state may be held, so the state
-            # was released. The writer may be unresponsive to everyone; docs/on-call.md names this reason.
+        elif status is i.Status.TIMEOUT and event.note == NOTE_NO_STATE:
+            # The writer did not answer within the time for which the state may be held, so the state was
+            # released. The writer may be unresponsive to everyone; docs/on-call.md names this reason.
             self._eject(server, "silent")
         if event.stale:
-            self.last_loss_us = self.now_us
+            self.last_loss_us = self.now_us  # for some time, late readers get trial requests
         sent_us = self.now_us - event.latency_us
         if (
             status is i.Status.TIMEOUT
             and server.role is i.Role.READ
             and sent_us >= server.last_answered_send_us
         ):
+            # A read that timed out shows that its reader is slow, unless one sent later was answered: then it
+            # may have been lost on the way. The reader is avoided for a while.
             server.delay_us, server.delay_seen_us = (
                 self._avoidance_time(max(event.latency_us, self.min_aim_us)),
                 self.now_us,
@@ -188,7 +195,7 @@
                 self.actions.append(i.Discard(event.request))
             return None
         is_read_attempt = event.attempt in request.in_flight and self._remove_attempt(request, event.attempt)
-        if event.closed:
+        if event.closed:  # this has given the request its final answer
             return self._end(request, None)
         if event.attempt in request.cancelled_attempts:
             return None  # a state that it may have left is released when the request ends
@@ -206,14 +213,16 @@
                 request.unreachable_zones.add(server.entry.zone)
             self._release_held(request)
             return self._start_read(request)
+        # It has not run if it was not connected, was declined (FULL) or was not sent in full (MOOT).
         if status not in (i.Status.CONNECT_FAILED, i.Status.FULL, i.Status.MOOT):
             request.may_have_run = True
-            # Keyed requests are not repeated either: a server that does not know the key, or has forgotten
-            # it, would run them again.
+            # Requests with an idempotency key (KEYED) are not repeated either: a server that does not know
+            # the key, or has forgotten it, would run them again.
             if request.cls.effect is not i.Effect.SAFE:
                 return self._end(request, "fail")
-        if event.note == 1 or request.reader is None:
-            # There is no state left, or it could not be held any longer, as no writer had answered.
+        if event.note == NOTE_NO_STATE or request.reader is None:
+            # There is no state left, or it could not be held any longer, as no writer had answered; or there
+            # was none, as without a reader the writer was to run both stages.
             self._release_held(request)
             return self._start_read(request)
         request.held_since_us = self.now_us
@@ -269,7 +278,8 @@
         self.open_requests.pop(request.arrival.request, None)
 
     def _retry_lost(self, request: OpenRequest) -> None:
-        """Cancel an attempt that was lost on the way and make another."""
+        """Cancel the attempt, which has probably not reached its server (`_attempt_lost`); make another."""
+        # A request has at most one attempt in flight.
         attempt, server = next(iter(request.in_flight.items()))
         self.actions.append(i.Cancel(request.arrival.request, attempt))
         request.cancelled_attempts.add(attempt)
@@ -306,9 +316,9 @@
                 self.now_us - request.waiting_since_us > MAX_WAIT_AIM_FRACTION * request.aim_us
                 and not request.arrival.resumed
             ):
-                # The remainder of a broken stream waits instead: refusing it also loses the part that was
-                # written. When a router stops, all its streams reach the other routers at the same moment, so
-                # that some of them have to wait.
+                # The remainder of a broken stream waits instead: refusing it also loses the part that its
+                # client has received. When a router stops, all its streams reach the other routers at the
+                # same moment, so that some of them have to wait.
                 self._end(request, "late")
             else:
                 if request.held_since_us:
