--- a/tests/soak.py
+++ b/tests/soak.py
@@ -10,6 +10,7 @@
 
 import argparse
 import asyncio
+import contextlib
 import json
 import signal
 import sys
@@ -136,8 +137,9 @@
         host.process.kill()
         host.process.wait()
         for file in (self.folder / "states").iterdir():
-            if file.exists() and file.read_text() == host.name:
-                file.unlink(missing_ok=True)
+            with contextlib.suppress(FileNotFoundError):  # taken or released by another host meanwhile
+                if file.read_text() == host.name:
+                    file.unlink()
         with open(self.folder / "deaths.jsonl", "a") as file_of_deaths:
             file_of_deaths.write(json.dumps({"host": host.name, "earliest": earliest, "at": monotonic()}) + "\n")
         await asyncio.sleep(down_s or self.random.uniform(0.2, 1.0))
