--- a/tests/crossing_ledger.py
+++ b/tests/crossing_ledger.py
@@ -19,6 +19,7 @@
 ANSWER_SLACK_S = 0.5  # an answer that is not a stream arrives at most this long after the request's deadline
 STREAM_END_SLACK_S = 0.3  # later than this after its host ended a stream, the stream must not be cut
 DECLINED = (503, 504)
+CLIENTS = "clients"  # the process of the clients, where withheld time is known by process
 
 
 @dataclass
@@ -90,6 +91,7 @@
         self.requests: list[Request] = []
         self.attempts: list[Attempt] = []
         self.hold_changes: list[tuple[float, str, bytes]] = []  # changes of what is held: time, kind, request id
+        self.recorded_by: dict[tuple[float, bytes], str] = {}  # the hosts that recorded them, where they are processes
         self.draining_since: dict[str, float] = {}  # when discovery reported a host's drain
         self.pauses: list[tuple[float, float]] = []  # from when to when the program was stopped
         self.violations: list[str] = []  # violations found before the end
@@ -108,6 +110,15 @@
         """For how many seconds of an interval the program was stopped."""
         return sum(max(min(to, end) - max(begun, begin), 0.0) for begun, to in self.pauses)
 
+    def withheld_s(self, begin: float, end: float, begun_by: str = CLIENTS, ended_by: str = "") -> float:
+        """For how long those who had to act were kept from running in a span; known in the soak only."""
+        return 0.0
+
+    def excess_s(self, begin: float, end: float, bound: float, *by: str) -> float:
+        """By how much a duration, less pauses at its begin and withheld time, exceeds its bound."""
+        excess = end - self.observable_at(begin) - bound
+        return excess if excess <= 0 else excess - self.withheld_s(self.observable_at(begin), end, *by)
+
     # --- clients
 
     def on_answer(self, requests: list[Request], message: Message) -> None:
@@ -183,12 +194,13 @@
 
     def longest_hold(self, number: bytes, now: float) -> tuple[float, bool]:
         """The longest time that something was held for a request with no attempt in flight; whether it still is."""
-        held, out, since, longest = False, 0, now, 0.0
+        held, out, since, longest, bound = False, 0, now, 0.0, self.release_s + HELD_SLACK_S
         for at, kind, known in sorted(self.hold_changes, key=lambda move: move[0]):
             if known != number:
                 continue
             if held and not out:
-                longest = max(longest, at - self.observable_at(since))
+                by = (self.recorded_by.get((time, number), "") for time in (since, at))
+                longest = max(longest, bound + self.excess_s(since, at, bound, *by))
             match kind:
                 case "read":
                     out += 1
@@ -204,7 +216,7 @@
                     held = False
             since = at
         if held and not out:
-            longest = max(longest, now - self.observable_at(since))
+            longest = max(longest, bound + self.excess_s(since, now, bound, self.recorded_by.get((since, number), "")))
         return longest, held
 
     def held_requests(self) -> list[bytes]:
@@ -237,7 +249,7 @@
                     found.append(f"{number.decode()}: held for {longest:.2f} s with no attempt out")
             for attempt in self.attempts:
                 told = self.draining_since.get(attempt.host)
-                if told is not None and attempt.first_byte_at > self.observable_at(told) + self.grace_s + DRAIN_SLACK_S:
+                if told is not None and self.excess_s(told, attempt.first_byte_at, self.grace_s + DRAIN_SLACK_S) > 0:
                     found.append(
                         f"{attempt.id.decode()}: sent to {attempt.host} {attempt.first_byte_at - told:.2f} s"
                         " after it was told to drain"
@@ -286,6 +298,7 @@
                 + self.stalled_s()
                 - request.stalled_s
             )
+            due += self.withheld_s(request.sent_at, at, CLIENTS, CLIENTS) if at > due else 0.0
             return [f"answered {at - due + ANSWER_SLACK_S:.2f} s after its time"] if at > due else []
         made = next((attempt for attempt in own if attempt.events), None)
         if made is None or not made.events.startswith(message.body):
@@ -294,7 +307,7 @@
             return [] if made.finished_at is not None and message.body == made.events else ["a part passed on as whole"]
         if (
             made.finished_at is not None
-            and at - self.observable_at(made.finished_at) > STREAM_END_SLACK_S
+            and self.excess_s(made.finished_at, at, STREAM_END_SLACK_S, made.host, CLIENTS) > 0
             or (made.finished_at is not None and self.sigterm_at is None)
         ):
             return ["a stream cut though its host had ended it"]
@@ -329,12 +342,14 @@
         """No attempt starts after its client left, and none gets a deadline later than its client's."""
         found = []
         for attempt in own:
-            if request.left_at is not None and attempt.arrived_at > self.observable_at(request.left_at) + LEAVE_SLACK_S:
+            if request.left_at is not None and self.excess_s(request.left_at, attempt.arrived_at, LEAVE_SLACK_S) > 0:
                 found.append(f"{attempt.role} begun {attempt.arrived_at - request.left_at:.2f} s after its client left")
             if request.sent_at is not None:
                 left_ms = request.deadline_ms - (attempt.arrived_at - self.observable_at(request.sent_at)) * 1_000
                 # The program cannot know for how long the machine kept it from running.
                 more_ms = DEADLINE_SLACK_MS + (attempt.stalled_s - request.stalled_s) * 1_000
+                if attempt.deadline_ms > left_ms + more_ms:
+                    more_ms += self.withheld_s(self.observable_at(request.sent_at), attempt.arrived_at) * 1_000
                 if attempt.deadline_ms > left_ms + more_ms:
                     found.append(
                         f"{attempt.role} was told {attempt.deadline_ms:.0f} ms with {left_ms:.0f} ms left"
--- a/tests/soak_judge.py
+++ b/tests/soak_judge.py
@@ -10,6 +10,7 @@
 
 if TYPE_CHECKING:
     from tests.soak_parties import DispatcherRun
+    from tests.soak_withheld import WithheldTime
 
 END_NOTICE_DELAY_S = 0.02  # delay until a host's thread notices the end of a connection
 DEADLINE_SLACK_S = 0.15  # slack that the platform's rules give for the remaining time stated in an attempt
@@ -25,14 +26,15 @@
     ledger = run.ledger
     excluded: set[bytes] = set()
     if run.killed is not None:  # clients retry what it had not answered by then
-        excluded = {request.id for request in ledger.requests if not _answered_before(request, run.killed - SETTLED_S)}
+        _, settled_by, _ = ledger.withheld.reaction(run.name, run.killed, -1, SETTLED_S)
+        excluded = {request.id for request in ledger.requests if not _answered_before(request, settled_by)}
         for request in ledger.requests:
             if not _answered_before(request, run.killed) and request.left_at is None:
-                crossed = request.sent_after_close  # with the close of an idle connection
+                sent_at, crossed = request.sent_at or 0.0, request.sent_after_close  # crossed: with an idle close
                 if (
                     ledger.sigterm_at is not None
                     and not crossed
-                    and (request.sent_at or 0.0) > ledger.sigterm_at + EARLY_SHUTDOWN_S
+                    and sent_at > ledger.sigterm_at + EARLY_SHUTDOWN_S + ledger.withheld_s(ledger.sigterm_at, sent_at)
                 ):
                     ledger.violations.append(
                         f"{request.id.decode()}: taken late after SIGTERM, and SIGKILL found it unanswered"
@@ -43,6 +45,7 @@
     attempts: dict[str, Attempt] = {}
     for row in sorted((row for row in rows if row["id"].encode() in asked), key=lambda row: float(row["at"])):
         _apply_row(run, row, attempts, frozen)
+        ledger.recorded_by[row["at"], row["id"].encode()] = row["host"]
     for death in died:  # a dead host loses its holds and running attempts
         for attempt in attempts.values():
             if attempt.host == death["host"] and attempt.received_at < death["at"] and (attempt.ended_at is None):
@@ -89,7 +92,7 @@
         case "over":
             attempt = attempts[row["attempt"]]
             attempt.ended_at, attempt.status, attempt.finished_at = (
-                _earliest_end(row, frozen),
+                _earliest_end(row, frozen, ledger.withheld),
                 row["how"],
                 _latest_finish(row, frozen),
             )
@@ -103,13 +106,14 @@
             ledger.on_place_refused(number)
 
 
-def _earliest_end(row: dict[str, Any], frozen: Frozen) -> float:
+def _earliest_end(row: dict[str, Any], frozen: Frozen, withheld: WithheldTime) -> float:
     """Return the earliest time of a recorded end; one seen just after a stop may have occurred during it."""
     at = float(row["at"])
     if row["how"] and not row.get("closed"):
         return at
-    begins = [begun for host, begun, to in frozen if host == row["host"] and begun <= at <= to + RESUME_DELAY_S]
-    return min(begins, default=at if row["how"] else at - END_NOTICE_DELAY_S)
+    _, noticed_from, _ = withheld.reaction(row["host"], at, -1, RESUME_DELAY_S)
+    begins = [begun for host, begun, to in frozen if host == row["host"] and begun <= at and noticed_from <= to]
+    return min(begins, default=at if row["how"] else withheld.reaction(row["host"], at, -1, END_NOTICE_DELAY_S)[1])
 
 
 def _latest_finish(row: dict[str, Any], frozen: Frozen) -> float | None:
--- a/tests/soak_parties.py
+++ b/tests/soak_parties.py
@@ -17,12 +17,13 @@
 from time import monotonic, time
 from typing import Any
 
-from tests.crossing_ledger import Ledger, Request, make_request
+from tests.crossing_ledger import Request, make_request
 from tests.crossing_messages import plain, read_message
 from tests.crossing_parties import LOOPBACK_ADDRESS
 from tests.crossings import ALLOWED, SETTINGS
 from tests.ports import port_of, reserve_port
 from tests.soak_slow_start import OBLIGATIONS, ColdStart
+from tests.soak_withheld import SoakLedger, WithheldTime
 
 ROOT = Path(__file__).parent.parent
 RELEASE_S, GRACE_S = SETTINGS["family-info"]["let-go-by-us"] / 1e6, SETTINGS["obligations"]["drain-grace-us"] / 1e6
@@ -56,7 +57,7 @@
     """One dispatcher process, from start to end, with the ledger of what its clients saw."""
 
     name: str
-    ledger: Ledger
+    ledger: SoakLedger
     process: subprocess.Popen[bytes]
     log: Path
     drains_reported: dict[str, float] = field(
@@ -133,6 +134,7 @@
         self.stopped: list[tuple[float, float]] = []  # begin and end of each stop of a dispatcher
         self.event_log: list[str] = []
         self.began = monotonic()
+        self.withheld = WithheldTime()
         self.ended = False
         self._requests = 0
         for kind in ("states", "reads"):
@@ -150,6 +152,7 @@
         argv = [sys.executable, "-m", "tests.soak_host", name, role, str(self.folder), LOOPBACK_ADDRESS, str(port)]
         ramp = "work" if self.warm_by_work else "time"
         process = subprocess.Popen(argv + [ramp] * cold, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+        self.withheld.pids[process.pid] = name
         assert process.stdout is not None
         self.hosts[name] = SoakHost(name, role, process, int(process.stdout.readline()))
         if cold:
@@ -203,7 +206,8 @@
                 stdout=subprocess.DEVNULL,
                 stderr=errors,
             )
-        run = DispatcherRun(name, Ledger(RELEASE_S, GRACE_S, lambda: 0.0), process, log)
+        self.withheld.pids[process.pid] = name
+        run = DispatcherRun(name, SoakLedger(RELEASE_S, GRACE_S, name, self.withheld), process, log)
         self.runs.append(run)
         self.current[name] = run
 
@@ -354,6 +358,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def close(self) -> None:
+        self.withheld.close()
         for process in [run.process for run in self.runs] + [host.process for host in self.hosts.values()]:
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
