--- a/tests/agent_standin.py
+++ b/tests/agent_standin.py
@@ -14,11 +14,11 @@
 
 HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n"
 ENDLESS = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
-Fault = Callable[["Agent", Stream, bytes], None]  # runs in place of the answer, which it is given
+Fault = Callable[["Agent", Stream, bytes], None]  # called instead of sending the answer, its last argument
 
 
 class Agent:
-    """Answers with a list of hosts; `fault` replaces the next `faulty` answers."""
+    """Answers with a list of hosts; `fault` replaces the next `faulty_answers` answers."""
 
     def __init__(self, sim: Simulation, address: str, revision: int = 5, hosts: int = 2) -> None:
         self.sim, self.revision = sim, revision
@@ -26,7 +26,9 @@
         self.world = sim.program(f"agent {address}")
         self.fault: Fault | None = None
         self.faulty_answers = 0
-        self.unreachable_until_us = 0  # unreachable until then
+        self.unreachable_until_us = (
+            0  # when connections to the agent, refused before, were possible again; set by tests
+        )
         self.fault_met: Signal = self.world.signal()  # set when a call meets the fault
         self.requests: list[tuple[int, bytes]] = []
         self.streams: list[Stream] = []
--- a/tests/crossing_arrangement.py
+++ b/tests/crossing_arrangement.py
@@ -1,8 +1,8 @@
-"""Test cases with a step that has to come while the program is in a state that ends by itself.
+"""Test cases with a step that must happen within a short window, such as while a connection is being established.
 
-The program gives up a connection that does not come up, or a call that is not answered, 0.11 to 0.23 s later if a host
-holds something for the request. A test that gets no processor for that long comes too late; its case is then judged as
-it went and arranged anew.
+If a host holds something for a request, the program gives up a connection that is not established, or a call that is
+not answered, after 0.11 to 0.23 s. A test process that is not scheduled for that long is too late for the step; its
+case is then checked as it ran, and run again.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from tests.crossing_parties import Host
 from tests.crossings import Stage
 
-MAX_ARRANGEMENTS = 8  # runs of a case until its step comes in time
+MAX_ARRANGEMENTS = 8  # runs of a case in which its step may come too late
 POLL_S = 0.005
 SO_MEMINFO, MEMINFO_FIELDS, DROPS_FIELD = 55, 9, 8  # Linux's values
 SYN_SENT = "02"
@@ -25,11 +25,14 @@
 
 
 class ArrangementMissedError(Exception):
-    """The program had left the state for a step before the step came."""
+    """The window for a step had ended before the step was made."""
 
 
 def repeat_until_arranged(stage: Stage, case: Callable[[], None]) -> None:
-    """Runs a case, and again after each ArrangementMissedError: every run is judged, and one must be as intended."""
+    """Runs a case, and again after each ArrangementMissedError.
+
+    The ledger checks every run; in one of at most MAX_ARRANGEMENTS runs the step must come in time.
+    """
     for _ in range(MAX_ARRANGEMENTS):
         try:
             return case()
@@ -48,11 +51,12 @@
 
 @contextlib.contextmanager
 def connecting(stage: Stage, host: Host) -> Iterator[None]:
-    """The steps of the body come while the program's SYN to a host that does not accept is unanswered.
+    """Runs the body while the program's SYN to a host that does not accept is unanswered.
 
-    That is so from the first SYN that the kernel drops at the host's listener, which it counts, until the program logs
-    the attempt's end: neither goes unseen, however late this process looks. Raises ArrangementMissedError if an attempt
-    of the case ended before the SYN was seen, or the connection was given up before the end of the body.
+    The window begins when the kernel drops the first SYN at the host's listener (read from its drop counter) and ends
+    when the program logs the attempt's end. Both can still be read later, however late this process is scheduled.
+    Raises ArrangementMissedError if an attempt of the case ended before the SYN was seen, or the connection was given
+    up before the end of the body.
     """
 
     def look() -> str:
@@ -83,8 +87,8 @@
 def _dropped_syns(host: Host) -> int:
     """How many SYNs the kernel has dropped at a host's listener.
 
-    The list of all sockets of the machine is no substitute: to read it took 25 ms of processor time with 6,500 sockets,
-    and up to 0.8 s beside other processes, longer than the program waits for a connection.
+    The list of all sockets (/proc/net/tcp) is no substitute: with 6,500 sockets, reading it takes 25 ms of processor
+    time, and on a busy machine up to 0.8 s, longer than the program waits for a connection.
     """
     data = host.listener.getsockopt(socket.SOL_SOCKET, SO_MEMINFO, 4 * MEMINFO_FIELDS)
     return int(struct.unpack(f"{MEMINFO_FIELDS}I", data)[DROPS_FIELD])
--- a/tests/crossing_clients.py
+++ b/tests/crossing_clients.py
@@ -13,7 +13,7 @@
 from yardspindle.runtime.world import ConnectError, Stream, StreamError
 
 if TYPE_CHECKING:
-    from tests.crossing_worlds import World
+    from tests.crossing_worlds import CrossingWorld
 
 ANSWER_SLACK_US = 1_500_000  # a client waits for its answer this long past the deadline
 MAX_STREAM_US = 12_000_000  # a client reads a stream for this long
@@ -22,12 +22,12 @@
 
 
 def request_bytes(
-    number: bytes, cls: bytes, deadline_ms: int, session: bytes, body: bytes = b'{"stream":true}'
+    request_id: bytes, service: bytes, deadline_ms: int, session: bytes, body: bytes = b'{"stream":true}'
 ) -> bytes:
     headers = [
         (b"host", b"api"),
-        (b"req-id", number),
-        (b"req-kind", cls),
+        (b"req-id", request_id),
+        (b"req-kind", service),
         (b"req-key", session),
         (b"req-deadline-ms", b"%d" % deadline_ms),
         (b"req-extra", b"prompt_len=1000,max_out=10"),
@@ -48,7 +48,7 @@
 class CrossingClients:
     """All clients of a world; `open` maps ids of unanswered requests to them and their connections."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: CrossingWorld) -> None:
         self.world, self.platform, self.ledger = world, world.platform, world.ledger
         self.rng = world.sim.random("clients")
         self.now_us = world.sim.now_us
@@ -60,36 +60,41 @@
         """Runs all clients to their end."""
         spawn = self.platform.clients.spawn
         began_us = self.now_us()
-        tasks = [spawn("client", self.run_client, asks, began_us) for asks in self.world.plan.clients]
+        tasks = [spawn("client", self.run_client, requests, began_us) for requests in self.world.plan.clients]
         if any(crossing.event == "sigterm" for crossing in self.world.plan.crossings):
-            tasks += [spawn("waits", self.reuse_at_shutdown, at) for at in range(3)]
+            tasks += [spawn("shutdown client", self.reuse_at_shutdown, at) for at in range(3)]
         if self.world.plan.idle_client:
-            tasks.append(spawn("rests", self.reuse_at_idle_timeout, self.world.plan.idle_client == IDLE_UNUSED))
+            tasks.append(spawn("idle client", self.reuse_at_idle_timeout, self.world.plan.idle_client == IDLE_UNUSED))
         for task in tasks:
             task.join()
 
-    def run_client(self, asks: list[PlannedRequest], began_us: int) -> None:
+    def run_client(self, requests: list[PlannedRequest], began_us: int) -> None:
         connection: Connection | None = None
-        for ask in asks:
-            self.platform.clients.sleep_until(began_us + ask.at_us)
-            if connection is not None and (ask.new_connection or not connection.stream.is_idle()):
+        for planned in requests:
+            self.platform.clients.sleep_until(began_us + planned.at_us)
+            if connection is not None and (planned.new_connection or not connection.stream.is_idle()):
                 connection.stream.close()
                 connection = None
-            connection = self.ask(ask, connection)
+            connection = self.send_request(planned, connection)
 
     def reuse_at_shutdown(self, at: int) -> None:
         """Keeps a connection idle and uses it again at the moment a graceful shutdown closes it."""
         row = self.world.plan.settings["services"][at % 2]
-        ask = PlannedRequest(
+        planned = PlannedRequest(
             b"w%d.0" % at, 0, row["name"], row["idempotency"], int(row["give-up-us"]) // 1_000, b"w", False
         )
         self.platform.sleep(5_000)
-        connection = self.ask(ask, None)
+        connection = self.send_request(planned, None)
         with contextlib.suppress(DeadlineExceeded), self.platform.clients.deadline(self.now_us() + 15_000_000):
             self.terminated.wait()
         if connection is not None and self.terminated.is_set:
             self.platform.clients.sleep_until(self.close_idle_us + self.rng.randrange(-4_000, 2_000))
-            self.ask(PlannedRequest(b"w%d.1" % at, 0, ask.cls, ask.effect, ask.deadline_ms, b"w", False), connection)
+            self.send_request(
+                PlannedRequest(
+                    b"w%d.1" % at, 0, planned.service, planned.idempotency, planned.deadline_ms, b"w", False
+                ),
+                connection,
+            )
 
     def reuse_at_idle_timeout(self, fresh: bool) -> None:
         """Stays idle until the dispatcher closes the connection, and sends a request at that moment.
@@ -97,13 +102,18 @@
         `fresh`: on a connection that has not been used before.
         """
         row = self.world.plan.settings["services"][0]
-        ask = PlannedRequest(b"r.0", 0, row["name"], row["idempotency"], int(row["give-up-us"]) // 1_000, b"r", False)
+        planned = PlannedRequest(
+            b"r.0", 0, row["name"], row["idempotency"], int(row["give-up-us"]) // 1_000, b"r", False
+        )
         self.platform.sleep(5_000)
-        connection = self.connect() if fresh else self.ask(ask, None)
+        connection = self.connect() if fresh else self.send_request(planned, None)
         if connection is not None:
             idle_us = timeouts.CLIENT_REQUEST_US if fresh else timeouts.IDLE_CLIENT_US
             self.platform.sleep(idle_us + self.rng.randrange(-6_000, 4_000))
-            self.ask(PlannedRequest(b"r.1", 0, ask.cls, ask.effect, ask.deadline_ms, b"r", False), connection)
+            self.send_request(
+                PlannedRequest(b"r.1", 0, planned.service, planned.idempotency, planned.deadline_ms, b"r", False),
+                connection,
+            )
 
     # --- one request
 
@@ -118,33 +128,33 @@
             self.ledger.refused_connections.append(f"a client's connection was not made: {error}")
             return None
 
-    def ask(self, ask: PlannedRequest, connection: Connection | None) -> Connection | None:
+    def send_request(self, planned: PlannedRequest, connection: Connection | None) -> Connection | None:
         """Sends a request and reads its answer; returns the connection if it can be used again."""
         connection = connection or self.connect()
         if connection is None:
             return None
         fresh = not connection.used and self.now_us() < connection.made_us + MAX_FRESH_US
         connection.used = True
-        self.open[ask.number] = ask, connection
-        data = request_bytes(ask.number, ask.cls.encode(), ask.deadline_ms, ask.session)
+        self.open[planned.id] = planned, connection
+        data = request_bytes(planned.id, planned.service.encode(), planned.deadline_ms, planned.session)
         try:
             connection.stream.write(data[:-1])
-            self.platform.sleep(self.world.before("client_sent", ask.number, None) or 0)
+            self.platform.sleep(self.world.before("client_sent", planned.id, None) or 0)
             connection.stream.write(data[-1:])
-            record = ClientRequest(ask.number, ask.effect, ask.deadline_ms * 1_000, self.now_us(), fresh)
-            self.ledger.requests[ask.number] = record
-            self.world.after("client_sent", ask.number, None)
+            record = ClientRequest(planned.id, planned.idempotency, planned.deadline_ms * 1_000, self.now_us(), fresh)
+            self.ledger.requests[planned.id] = record
+            self.world.after("client_sent", planned.id, None)
             keep = self.read_response(record, connection)
         except StreamError:
-            entry = self.ledger.requests.get(ask.number)
+            entry = self.ledger.requests.get(planned.id)
             if entry is not None and not connection.left and entry.whole_us is None:
                 entry.closed_us = self.now_us()
             keep = False
-        self.open.pop(ask.number, None)
+        self.open.pop(planned.id, None)
         if connection.left or connection.flooding:  # a flood closes the connection itself
             return None
         if not keep:
-            self.close(ask.number, connection)
+            self.close(planned.id, connection)
         return connection if keep else None
 
     def read_response(self, record: ClientRequest, connection: Connection) -> bool:
@@ -192,28 +202,28 @@
 
     # --- leaving
 
-    def close(self, number: bytes, connection: Connection, reset: bool = False) -> None:
+    def close(self, request_id: bytes, connection: Connection, reset: bool = False) -> None:
         """The client closes its connection and records that it left."""
         connection.left = True
-        row = self.ledger.requests.get(number)
+        row = self.ledger.requests.get(request_id)
         if row is not None and row.whole_us is None and row.closed_us is None:
             row.left_us = self.now_us()
         (connection.stream.abort if reset else connection.stream.close)()
 
-    def disconnect(self, number: bytes, reset: bool) -> PlannedRequest | None:
+    def disconnect(self, request_id: bytes, reset: bool) -> PlannedRequest | None:
         """The client of an unanswered request leaves; returns the request."""
-        entry = self.open.pop(number, None)
+        entry = self.open.pop(request_id, None)
         if entry is None:
             return None
-        self.close(number, entry[1], reset)
+        self.close(request_id, entry[1], reset)
         return entry[0]
 
-    def flood(self, number: bytes, size: int) -> None:
+    def flood(self, request_id: bytes, size: int) -> None:
         """The client of an unanswered request sends many more requests, up to `size` bytes, and closes."""
-        entry = self.open.get(number)
-        if entry is None or number not in self.ledger.requests:
+        entry = self.open.get(request_id)
+        if entry is None or request_id not in self.ledger.requests:
             return
-        ask, connection = entry
+        planned, connection = entry
         if connection.flooding:
             return
         connection.flooding = True
@@ -222,28 +232,28 @@
             sent = at = 0
             with contextlib.suppress(StreamError):
                 while sent < size and not connection.left:
-                    more = b"%s.p%d" % (number, at)
+                    more = b"%s.p%d" % (request_id, at)
                     data = request_bytes(
                         more,
-                        ask.cls.encode(),
-                        ask.deadline_ms,
-                        ask.session,
+                        planned.service.encode(),
+                        planned.deadline_ms,
+                        planned.session,
                         b'{"stream":true,"x":"%s"}' % (b"x" * min(size, 20_000)),
                     )
                     connection.stream.write(data)
                     self.ledger.requests[more] = ClientRequest(
-                        more, ask.effect, ask.deadline_ms * 1_000, self.now_us(), False
+                        more, planned.idempotency, planned.deadline_ms * 1_000, self.now_us(), False
                     )
                     sent, at = sent + len(data), at + 1
 
         def send_and_close() -> None:
-            task = self.platform.clients.spawn("pour", send_requests)
+            task = self.platform.clients.spawn("flood sender", send_requests)
             with contextlib.suppress(DeadlineExceeded), self.platform.clients.deadline(self.now_us() + 20_000):
                 task.join()
-            self.open.pop(number, None)
-            self.close(number, connection)
+            self.open.pop(request_id, None)
+            self.close(request_id, connection)
             for more, row in self.ledger.requests.items():
-                if more.startswith(number + b".p"):
+                if more.startswith(request_id + b".p"):
                     row.left_us = self.now_us()
 
         self.platform.clients.spawn("flood", send_and_close)
--- a/tests/crossing_events.py
+++ b/tests/crossing_events.py
@@ -9,9 +9,9 @@
 from tests.crossing_hosts import CrossingHost
 
 if TYPE_CHECKING:
-    from tests.crossing_worlds import World
+    from tests.crossing_worlds import CrossingWorld
 
-HOST_ORDERS = {
+ANSWER_FAULTS = {  # the faults in answers, by the name that CrossingHost knows
     "host_silent": "silence",
     "host_503": "503",
     "host_410": "410",
@@ -21,52 +21,62 @@
     "host_spoilt": "spoilt",
     "host_fin_last": "fin_last",
 }
-LONG_HANG_US = 3_000_000
+LONG_HANG_US = 3_000_000  # longer than the program waits for a connection
 
 
 class Events:
     """Applies events to a world."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: CrossingWorld) -> None:
         self.world, self.platform = world, world.platform
 
     def fire(self, crossing: Crossing, host: CrossingHost | None) -> None:
         rng = Random(crossing.salt)
-        number, event = crossing.number, crossing.event
-        host = host or self.host_of(number) or self.random_host(rng)
-        if event in HOST_ORDERS:
-            self.platform.orders[number] = HOST_ORDERS[event]
+        request_id, event = crossing.request_id, crossing.event
+        host = host or self.host_of(request_id) or self.random_host(rng)
+        if event in ANSWER_FAULTS:
+            self.platform.answer_faults[request_id] = ANSWER_FAULTS[event]
         elif event.startswith("client_"):
-            self.fire_client(event, number, rng)
+            self.fire_client(event, request_id, rng)
         elif event.startswith("host_"):
-            self.fire_host(event, number, host, rng)
+            self.fire_host(event, request_id, host, rng)
         elif event == "sigterm":
             self.world.terminate()
         elif event.startswith("cut_"):
             self.platform.clients.spawn("cut", self.cut, event, host, rng)
-        elif event != "idle":
+        elif event != "idle":  # that is a client of its own, see Plan.idle_client
             self.fire_discovery(event, host, rng)
 
-    def host_of(self, number: bytes) -> CrossingHost | None:
+    def host_of(self, request_id: bytes) -> CrossingHost | None:
         """The host at which a request has an attempt in flight."""
-        return next((host for host in self.platform.hosts.values() if number in host.in_flight), None)
+        return next((host for host in self.platform.hosts.values() if request_id in host.in_flight), None)
 
     def random_host(self, rng: Random) -> CrossingHost:
         return rng.choice(list(self.platform.hosts.values()))
 
-    def fire_client(self, event: str, number: bytes, rng: Random) -> None:
+    def fire_client(self, event: str, request_id: bytes, rng: Random) -> None:
         clients = self.world.clients
         if event == "client_flood":
-            clients.flood(number, rng.choice((300, 20_000, 70_000, 140_000, 300_000)))
+            clients.flood(request_id, rng.choice((300, 20_000, 70_000, 140_000, 300_000)))
             return
-        ask = clients.disconnect(number, event == "client_rst" or (event == "client_again" and rng.random() < 0.5))
-        if ask is not None and event == "client_again":
-            again = PlannedRequest(number + b".again", 0, ask.cls, ask.effect, ask.deadline_ms, ask.session, True)
-            self.platform.clients.spawn("again", clients.ask, again, None)
-
-    def fire_host(self, event: str, number: bytes, host: CrossingHost, rng: Random) -> None:
+        planned = clients.disconnect(
+            request_id, event == "client_rst" or (event == "client_again" and rng.random() < 0.5)
+        )
+        if planned is not None and event == "client_again":
+            again = PlannedRequest(
+                request_id + b".again",
+                0,
+                planned.service,
+                planned.idempotency,
+                planned.deadline_ms,
+                planned.session,
+                True,
+            )
+            self.platform.clients.spawn("again", clients.send_request, again, None)
+
+    def fire_host(self, event: str, request_id: bytes, host: CrossingHost, rng: Random) -> None:
         if event in ("host_rst", "host_fin"):
-            host.close_attempt(number, event == "host_rst")
+            host.close_attempt(request_id, event == "host_rst")
         elif event == "host_again":
             self.platform.clients.spawn("again", self.restart, host, rng.randrange(20_000, 1_000_000))
         elif event == "host_rests":  # it closes its idle connections
@@ -126,7 +136,7 @@
                     platform.change_phase(host, "Gone")
                 elif alike:  # its process dies, and discovery lists it as gone a little later
                     host.die()
-                    self.platform.clients.spawn("heard", self.report_gone_later, host, rng.randrange(500_000))
+                    self.platform.clients.spawn("report gone", self.report_gone_later, host, rng.randrange(500_000))
             case "watch_silent":
                 platform.silence_watches()
             case "watch_reset":
@@ -135,7 +145,7 @@
                 platform.open_watches.clear()
             case "agent_down":
                 platform.stop_agent(rng.randrange(1_000_000, 3_000_001))
-            case "list_other":
+            case "list_other":  # the next list is outdated, or the revision jumps without a change
                 if rng.random() < 0.5:
                     platform.stale = True
                 else:
--- a/tests/crossing_hosts.py
+++ b/tests/crossing_hosts.py
@@ -17,21 +17,22 @@
 
 REQUEST_ID = re.compile(rb"req-id: *([0-9a-z.]+)\r\n|/bootstrap/rooms/([0-9a-z.]+) ")
 NO_ANSWER_US = 60_000_000
-SILENT_WATCH_LIMIT_US = 6_000_000  # after this the dispatcher must know what a silent watch withheld
+UNKNOWN_READ_US = 300_000  # after this a writer asked for a place answers that it knows of no such read
+SILENT_WATCH_LIMIT_US = 6_000_000  # after this the dispatcher must know of drains that a silent watch did not report
 MOVED_AGENT_LIMIT_US = 4_000_000  # after this it must know what the agent at a new address lists
-FIRST_REVISION = 9
+FIRST_REVISION = 9  # above 1, so that a second agent can begin with a lower revision
 PROPAGATION_US = 5_000  # what was written or listed more recently than this may not have been sent yet
 EVENT = b'data: {"choices":[{"index":0,"delta":{"content":"%s"},"finish_reason":null}]}\n\n'
 USAGE = b'data: {"choices":[],"usage":{"prompt_tokens_details":{"cached_tokens":64}}}\n\n'
 
 
 class Observer(Protocol):
-    """Is called around each step; `before` returns the delay of the step in microseconds."""
+    """Is called around each step of a request; `before` returns the delay of the step in microseconds."""
 
-    def before(self, step: str, number: bytes, host: CrossingHost | None) -> int:
+    def before(self, step: str, request_id: bytes, host: CrossingHost | None) -> int:
         """A step is about to happen."""
 
-    def after(self, step: str, number: bytes, host: CrossingHost | None) -> None:
+    def after(self, step: str, request_id: bytes, host: CrossingHost | None) -> None:
         """A step has happened."""
 
 
@@ -40,7 +41,7 @@
 
 
 class CrossingHost(Host):
-    """A reader or writer that applies the order set for a request, if any, to its next answer."""
+    """A reader or writer that applies the fault set for a request, if any, to its next answer."""
 
     platform: CrossingPlatform
 
@@ -102,52 +103,52 @@
                 if self.in_flight.get(attempt.id, (None,))[0] is attempt:
                     del self.in_flight[attempt.id]
 
-    def begin_attempt(self, to: Stream, number: bytes, first_us: int) -> Attempt:
-        attempt = Attempt(number, self.name, not self.reads, first_us)
+    def begin_attempt(self, to: Stream, request_id: bytes, first_us: int) -> Attempt:
+        attempt = Attempt(request_id, self.name, not self.reads, first_us)
         self.platform.ledger.attempts.append(attempt)
-        self.in_flight[number] = attempt, to
-        self.on_dispatcher_step("read_first" if self.reads else "write_first", number)
+        self.in_flight[request_id] = attempt, to
+        self.on_dispatcher_step("read_first" if self.reads else "write_first", request_id)
         return attempt
 
-    def answer_place(self, to: Stream, method: bytes, number: bytes) -> bool:
+    def answer_place(self, to: Stream, method: bytes, request_id: bytes) -> bool:
         platform = self.platform
         if method == b"DELETE":
-            platform.ledger.freed.append((number, self.world.now_us()))
-            platform.states.discard(number)
+            platform.ledger.freed.append((request_id, self.world.now_us()))
+            platform.states.discard(request_id)
             to.write(plain(204))
             return True
-        self.on_dispatcher_step("place_last", number)
+        self.on_dispatcher_step("place_last", request_id)
         requested_us = self.world.now_us()
-        if not any(number in host.in_flight for host in platform.hosts.values() if host.reads):
-            self.wait(to, 300_000)
+        if not any(request_id in host.in_flight for host in platform.hosts.values() if host.reads):
+            self.wait(to, UNKNOWN_READ_US)
             to.write(plain(204))
             return True
         self.wait(to, 1_000 + self.rng.randrange(8_000))
         status = 409 if self.rng.random() < 0.15 else 200
-        self.before_step("place_answer", number, to)
+        self.before_step("place_answer", request_id, to)
         if status == 200:
-            platform.ledger.holds.append(Hold(number, self.name, True, requested_us))  # a write may take it meanwhile
-        to.write(plain(status))
-        self.platform.steps.after("place_answer", number, self)
+            platform.ledger.holds.append(Hold(request_id, self.name, True, requested_us))
+        to.write(plain(status))  # after the hold is recorded: a write may use the place at once
+        self.platform.steps.after("place_answer", request_id, self)
         return True
 
     # --- answers
 
     def respond(self, to: Stream, attempt: Attempt) -> bool:
-        platform, number = self.platform, attempt.id
+        platform, request_id = self.platform, attempt.id
         self.wait(to, self.rng.randrange(*self.work_us))
-        self.before_step("read_answer" if self.reads else "first_token", number, to)
-        order = platform.orders.pop(number, "")
-        if order == "silence":
+        self.before_step("read_answer" if self.reads else "first_token", request_id, to)
+        fault = platform.answer_faults.pop(request_id, "")
+        if fault == "silence":
             self.wait(to, NO_ANSWER_US)
-        if order in ("503", "410", "500"):
-            return self.decline(to, attempt, int(order) if not self.reads or order != "410" else 503)
+        if fault in ("503", "410", "500"):  # 410 (no state) is an answer of writers only
+            return self.decline(to, attempt, int(fault) if not self.reads or fault != "410" else 503)
         if self.reads:
-            return self.read(to, attempt, order)
-        if number not in platform.states:
+            return self.read(to, attempt, fault)
+        if request_id not in platform.states:
             attempt.no_state = True
             return self.decline(to, attempt, 410)
-        return self.stream(to, attempt, order)
+        return self.stream(to, attempt, fault)
 
     def decline(self, to: Stream, attempt: Attempt, status: int) -> bool:
         attempt.never_ran = status != 500
@@ -157,15 +158,15 @@
         self.platform.steps.after("read_answer" if self.reads else "first_token", attempt.id, self)
         return True
 
-    def read(self, to: Stream, attempt: Attempt, order: str) -> bool:
+    def read(self, to: Stream, attempt: Attempt, fault: str) -> bool:
         answer = plain(202, b'{"cached_tokens":7}')
         self.keep_state(attempt)
         attempt.over_us = self.world.now_us()
-        if order == "cut":
+        if fault == "cut":
             to.write(answer[:-8])
             self.break_connection(to)
         to.write(answer)
-        if order == "second":
+        if fault == "second":
             self.answer_twice(to, answer)
         self.platform.steps.after("read_answer", attempt.id, self)
         return True
@@ -175,41 +176,41 @@
         self.platform.states.add(attempt.id)
         self.platform.ledger.holds.append(Hold(attempt.id, self.name, False, self.world.now_us()))
 
-    def stream(self, to: Stream, attempt: Attempt, order: str) -> bool:
-        platform, number = self.platform, attempt.id
-        if order == "cut":
+    def stream(self, to: Stream, attempt: Attempt, fault: str) -> bool:
+        platform, request_id = self.platform, attempt.id
+        if fault == "cut":
             attempt.broken_us = self.world.now_us()
             to.write(HEAD)
             self.break_connection(to)
-        platform.states.discard(number)
+        platform.states.discard(request_id)
         count = self.rng.randrange(3, 9)
-        tag = b"%s-%d" % (number, len(platform.ledger.attempts))
+        tag = b"%s-%d" % (request_id, len(platform.ledger.attempts))
         events = [EVENT % (b"%s-%d" % (tag, at)) for at in range(count)] + [USAGE, b"data: [DONE]\n\n"]
         for at, event in enumerate(events):
             if at:
                 self.wait(to, self.gap_us if at < count else 1_000)
-                self.before_step("chunk", number, to)
-                order = platform.orders.pop(number, "") or order
-            if order == "spoilt" and at:
+                self.before_step("chunk", request_id, to)
+                fault = platform.answer_faults.pop(request_id, "") or fault
+            if fault == "spoilt" and at:
                 attempt.broken_us = self.world.now_us()
                 to.write(self.rng.choice((b"zz\r\n", b"5\r\nhello!\r\n")))
                 self.wait(to, NO_ANSWER_US)
-            if order == "silence":
+            if fault == "silence":
                 self.wait(to, NO_ANSWER_US)
             attempt.body += event
             attempt.pieces.append((self.world.now_us(), len(attempt.body)))
             to.write((b"" if at else HEAD) + http1.write_chunk(event))
-            platform.steps.after("chunk" if at else "first_token", number, self)
-        self.before_step("last_chunk", number, to)
-        order = platform.orders.pop(number, "") or order
+            platform.steps.after("chunk" if at else "first_token", request_id, self)
+        self.before_step("last_chunk", request_id, to)
+        fault = platform.answer_faults.pop(request_id, "") or fault
         attempt.finished_us = attempt.over_us = self.world.now_us()
         to.write(http1.LAST_CHUNK)
-        if order == "fin_last":
+        if fault == "fin_last":
             to.close()
-        elif order == "second":
+        elif fault == "second":
             self.answer_twice(to, HEAD + b"".join(map(http1.write_chunk, events)) + http1.LAST_CHUNK)
-        platform.steps.after("last_chunk", number, self)
-        return order != "fin_last"
+        platform.steps.after("last_chunk", request_id, self)
+        return fault != "fin_last"
 
     def answer_twice(self, to: Stream, answer: bytes) -> None:
         """Sends a second answer, right behind the first or some milliseconds later."""
@@ -229,11 +230,11 @@
         (to.close if self.rng.random() < 0.5 else to.abort)()
         raise ExchangeEnded
 
-    def close_attempt(self, number: bytes, reset: bool) -> None:
+    def close_attempt(self, request_id: bytes, reset: bool) -> None:
         """Ends the connection of an attempt in flight here; a read's state may remain."""
-        if number not in self.in_flight:
+        if request_id not in self.in_flight:
             return
-        attempt, to = self.in_flight.pop(number)
+        attempt, to = self.in_flight.pop(request_id)
         attempt.over_us = attempt.broken_us = self.world.now_us()
         if self.reads and attempt.last_us is not None and not self.dead and self.rng.random() < 0.5:
             self.keep_state(attempt)
@@ -243,8 +244,8 @@
         """The process dies: its connections are reset, new ones refused."""
         self.dead = True
         self.platform.ledger.died[self.name] = self.world.now_us()
-        for number in list(self.in_flight):
-            self.close_attempt(number, True)
+        for request_id in list(self.in_flight):
+            self.close_attempt(request_id, True)
         for attempt in self.platform.ledger.attempts:  # the reset overtakes what was just written
             if attempt.host == self.name and (attempt.over_us or 0) > self.world.now_us() - PROPAGATION_US:
                 attempt.broken_us = attempt.broken_us or self.world.now_us()
@@ -256,18 +257,18 @@
             to.wait_input()
             raise ExchangeEnded
 
-    def before_step(self, step: str, number: bytes, to: Stream) -> None:
+    def before_step(self, step: str, request_id: bytes, to: Stream) -> None:
         """Runs the events before a step of this host. Raises ExchangeEnded if one closed the connection."""
-        delay_us = self.platform.steps.before(step, number, self)
+        delay_us = self.platform.steps.before(step, request_id, self)
         if delay_us:
             self.wait(to, delay_us)
         if not to.is_idle():
             raise ExchangeEnded
 
-    def on_dispatcher_step(self, step: str, number: bytes) -> None:
+    def on_dispatcher_step(self, step: str, request_id: bytes) -> None:
         """A step of the dispatcher reached this host."""
-        self.platform.steps.before(step, number, self)
-        self.platform.steps.after(step, number, self)
+        self.platform.steps.before(step, request_id, self)
+        self.platform.steps.after(step, request_id, self)
 
 
 class CrossingPlatform(Platform):
@@ -278,7 +279,7 @@
     def __init__(self, sim: Simulation, ledger: Ledger, steps: Observer, flavors: list[str], conn_idle_us: int) -> None:
         self.ledger, self.steps, self.conn_idle_us = ledger, steps, conn_idle_us
         self.flavors = flavors
-        self.orders: dict[bytes, str] = {}  # by request: what its host does to the next answer
+        self.answer_faults: dict[bytes, str] = {}  # by request: the fault of its next answer, applied once
         self.rng: Random = sim.random("platform")
         self.changes: list[tuple[int, str]] = []  # revision and host
         self.undelivered: dict[str, int] = {}  # hosts whose change no list has reported yet, and when it happened
@@ -339,7 +340,7 @@
         self.postpone_undelivered(self.down_until_us)
 
     def postpone_undelivered(self, known_us: int) -> None:
-        """Changes of this very moment were not delivered: the dispatcher must know them at `known_us` only."""
+        """Changes within PROPAGATION_US may not have been sent; the dispatcher must know of them by `known_us`."""
         for name, at in self.undelivered.items():
             if at > self.sim.now_us() - PROPAGATION_US:
                 self.ledger.drains_known[name] = max(self.ledger.drains_known[name], known_us)
@@ -365,7 +366,7 @@
         return json.dumps({"revision": self.revision - below, "complete": complete, "members": rows}).encode()
 
     def discovery(self, address: str, below: int = 0) -> VirtualWorld:
-        """Starts an agent; its revisions are lower by `below`."""
+        """Starts an agent; another agent may count the same changes from a lower revision, by `below`."""
         world = self.sim.program(f"discovery {address}")
         host, _, port = address.rpartition(":")
         listener = world.listen(host, int(port))
--- a/tests/crossing_ledger.py
+++ b/tests/crossing_ledger.py
@@ -89,7 +89,12 @@
         self.lock = threading.RLock()
         self.requests: list[Request] = []
         self.attempts: list[Attempt] = []
-        self.hold_changes: list[tuple[float, str, bytes]] = []  # changes of what is held: time, kind, request id
+        # Changes of what is held: time, kind, request id. Kinds:
+        #   read, write: an attempt arrived; placed: a place was requested;
+        #   left: a read ended and may have left a state;
+        #   served, lost, declined: a write was answered with 200, with 410 (it found no state), or with 503 or 504;
+        #   ended: an attempt ended otherwise; freed: all that a request holds was released; died: the host died.
+        self.hold_changes: list[tuple[float, str, bytes]] = []
         self.draining_since: dict[str, float] = {}  # when discovery reported a host's drain
         self.pauses: list[tuple[float, float]] = []  # from when to when the program was stopped
         self.violations: list[str] = []  # violations found before the end
@@ -183,7 +188,7 @@
 
     def longest_hold(self, number: bytes, now: float) -> tuple[float, bool]:
         """The longest time that something was held for a request with no attempt in flight; whether it still is."""
-        held, out, since, longest = False, 0, now, 0.0
+        held, out, since, longest = False, 0, now, 0.0  # out: attempts in flight
         for at, kind, known in sorted(self.hold_changes, key=lambda move: move[0]):
             if known != number:
                 continue
@@ -193,7 +198,7 @@
                 case "read":
                     out += 1
                 case "write":
-                    out, held = out + 1, False
+                    out, held = out + 1, False  # it takes over what is held, and gives it back if it is declined
                 case "left" | "declined":
                     out, held = max(out - 1, 0), True
                 case "ended" | "served" | "lost":
@@ -233,10 +238,10 @@
                 ]
             for number in {known for _, _, known in self.hold_changes}:
                 longest, _ = self.longest_hold(number, monotonic())
-                if longest > self.release_s + HELD_SLACK_S:
+                if longest > self.release_s + HELD_SLACK_S:  # "out": in flight
                     found.append(f"{number.decode()}: held for {longest:.2f} s with no attempt out")
             for attempt in self.attempts:
-                told = self.draining_since.get(attempt.host)
+                told = self.draining_since.get(attempt.host)  # when discovery reported the drain to the program
                 if told is not None and attempt.first_byte_at > self.observable_at(told) + self.grace_s + DRAIN_SLACK_S:
                     found.append(
                         f"{attempt.id.decode()}: sent to {attempt.host} {attempt.first_byte_at - told:.2f} s"
@@ -247,7 +252,7 @@
             return found
 
     def _attempts_of(self, request: Request) -> list[Attempt]:
-        """A request's attempts; where another request used its id again later, those before that."""
+        """A request's attempts, up to the next request that uses its id again."""
         again = min(
             (
                 other.sent_at
@@ -272,7 +277,7 @@
             and not request.sent_after_close
         ):
             return ["no answer"]
-        if request.sent_after_close and own:
+        if request.sent_after_close and own:  # forwarded although its connection had been closed before it was sent
             return ["sent on though it came after the program had ended the connection"]
         if not request.answers or request.left_at is not None or request.sent_at is None:
             return []
@@ -290,7 +295,7 @@
         made = next((attempt for attempt in own if attempt.events), None)
         if made is None or not made.events.startswith(message.body):
             return ["a stream that no host made"]
-        if message.whole:
+        if message.whole:  # the violation: an incomplete stream was ended as if it were complete
             return [] if made.finished_at is not None and message.body == made.events else ["a part passed on as whole"]
         if (
             made.finished_at is not None
@@ -309,7 +314,7 @@
             for attempt, other in zip(own, own[1:], strict=False)
             if attempt.ended_at is None or attempt.ended_at > other.received_at
         ]
-        found += [
+        found += [  # a write was sent before a read was answered with 202
             "written before it was read"
             for attempt in own
             if attempt.role == "write"
@@ -333,7 +338,7 @@
                 found.append(f"{attempt.role} begun {attempt.arrived_at - request.left_at:.2f} s after its client left")
             if request.sent_at is not None:
                 left_ms = request.deadline_ms - (attempt.arrived_at - self.observable_at(request.sent_at)) * 1_000
-                # The program cannot know for how long the machine kept it from running.
+                # The program cannot know for how long the machine kept it from running ("withheld").
                 more_ms = DEADLINE_SLACK_MS + (attempt.stalled_s - request.stalled_s) * 1_000
                 if attempt.deadline_ms > left_ms + more_ms:
                     found.append(
@@ -344,7 +349,7 @@
 
     def _check_effect(self, request: Request, own: list[Attempt]) -> list[str]:
         """A request that must run at most once is neither resent nor refused once a write may have run."""
-        if request.cls != "order":
+        if request.cls != "order":  # the service of the test settings whose requests must run at most once
             return []
         ran = next((a for a in own if a.role == "write" and a.status not in (*DECLINED, 410)), None)
         if ran is None:
--- a/tests/crossing_parties.py
+++ b/tests/crossing_parties.py
@@ -17,7 +17,7 @@
 
 T = TypeVar("T")
 MAX_WAIT_S = 10.0  # of any step of a test
-# A loopback address used by this process only: parallel tests still connect to ports of 127.0.0.1 that they have freed.
+# Used by this process only: a parallel test that connects to a port it has freed at 127.0.0.1 must not reach this one.
 LOOPBACK_ADDRESS = f"127.{64 + (os.getpid() >> 16) % 64}.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"
 SO_TIMESTAMPNS = 35  # Linux's value
 UNKNOWN_READ_S = 0.3  # after this a writer asked for a place answers that it knows of no such read
@@ -378,7 +378,7 @@
         self.stop_accepting()
 
     def thaw(self) -> None:
-        """Reads on in the connections that were open, including those that the program closed meanwhile."""
+        """Reads the open connections again, also those that the program has closed; does not accept new ones yet."""
         for call in self.connections:
             if call.sock.fileno() >= 0 and not call.end:
                 self.stage.watch(call.sock, call.on_readable)
--- a/tests/crossing_planted.py
+++ b/tests/crossing_planted.py
@@ -1,6 +1,7 @@
 """Injected faults of one line each, every one of which the ledger of the crossing worlds has to find.
 
-`python -m tests.crossing_planted [NAME ...]` runs seeds in order for each fault until a world finds it.
+`python -m tests.crossing_planted [NAME ...]` runs seeds 0 to MAX_SEEDS - 1 for each fault until a world finds it.
+A fault with a higher `first_seed`, at which the tests start, may be reported as not found.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Planted:
-    """Lines to change, the violation that the ledger must report, and the seed from which a few find it."""
+    """Lines to change, the violation that the ledger must report, and a seed from which on a few suffice to find it."""
 
     changes: tuple[tuple[Any, str, str, str], ...]  # owner, method, old text, new text
     expected_break: str
@@ -44,13 +45,16 @@
     return Planted(((owner, method, old, new),), expected_break, first_seed)
 
 
-# Repeated releases for calls that may lie unread mask these two faults, so they are tested without them.
+# Switches off repeated releases for calls that a host may not have read yet: they would mask the faults planted with
+# this change.
 NO_REPEATED_RELEASES = (UnreadCalls, "take_due", "due.append(request)", "pass")
 
 PLANTED: dict[str, Planted] = {
+    # The policy is not notified when a client disconnects.
     "a client's leaving is not told": single_change(
         Server, "_watch", "exchange.client_disconnected()", "return", "after its client left", 5
     ),
+    # A 500 counts as a refusal, as if the write had not run.
     "500 is taken for turned away": single_change(
         HostClient,
         "send",
@@ -59,20 +63,33 @@
         "sent again",
         147,
     ),
+    # A host listed as draining counts as serving.
     "a drain on the list is passed over": single_change(
         HostList,
         "_state",
         "PHASES.get(member.phase, i.State.DRAINING)",
         "i.State.SERVING",
-        "after its drain was told",
+        "after the dispatcher had to know of its drain",
         7,
     ),
     "drains on a list that may lag are passed over": single_change(
-        HostList, "apply", "self.rejection == MAY_LAG and self._drain(answer)", "False", "after its drain was told", 933
+        HostList,
+        "apply",
+        "self.rejection == MAY_LAG and self._drain(answer)",
+        "False",
+        "after the dispatcher had to know of its drain",
+        933,
     ),
+    # A host missing on a list that may lag counts as present.
     "what is missing on a list that may lag is passed over": single_change(
-        HostList, "_drain", "else host.up_since_ms <= newest", "else False", "after its drain was told", 3_888
+        HostList,
+        "_drain",
+        "else host.up_since_ms <= newest",
+        "else False",
+        "after the dispatcher had to know of its drain",
+        3_888,
     ),
+    # No release is sent; each counts as confirmed.
     "nothing is let go of": single_change(
         ReleaseTasks,
         "_release",
@@ -81,6 +98,7 @@
         "was held",
         7,
     ),
+    # A release that may have arrived before its hold is not repeated.
     "a word that may have come too early is not said again": Planted(
         (
             NO_REPEATED_RELEASES,
@@ -94,9 +112,11 @@
         "was held",
         53_680,
     ),
+    # A release that no host confirmed counts as confirmed.
     "a word that was not heard counts as heard": single_change(
         RequestReleases, "settled", "if not confirmed:", "if confirmed and not confirmed:", "was held", 4_052
     ),
+    # After a read is cancelled, the state that it may have left is not released.
     "a read that was called off left nothing": Planted(
         (
             NO_REPEATED_RELEASES,
@@ -111,31 +131,35 @@
         "was held",
         44,
     ),
+    # A connection is reused although more bytes followed the answer.
     "what is behind an answer is not looked at": single_change(
-        Response, "close", " and not self.connection.parser.buffered", "", "no host made", 644
+        Response, "close", " and not self.connection.parser.buffered", "", "not the beginning of any host's stream", 644
     ),
+    # The discovery client waits a minute for the agent's answer.
     "a silent agent is waited for": single_change(
         DiscoveryClient,
         "_fetch",
         "wait_us + timeouts.AGENT_RESPONSE_US",
         "wait_us + 60_000_000",
-        "after its drain was told",
+        "after the dispatcher had to know of its drain",
         210,
     ),
+    # An idle connection is reused without checking it for input or a close.
     "a kept connection is not looked at": Planted(
         (
             (HttpClient, "_take_idle", "elif connection.stream.is_idle():", "elif True:"),
             (HttpClient, "request", "if connection.stream.is_idle():", "if True:"),
         ),
-        "no host made",
+        "not the beginning of any host's stream",
         704,
     ),
+    # A connection is reused without its minimum idle time.
     "a kept connection does not rest": single_change(
         HttpClient,
         "_pop_idle",
         "connection.idle_since_us + min_idle_us <=",
         "connection.idle_since_us <=",
-        "two attempts out at once",
+        "two attempts in flight at once",
         43,
     ),
     "a cut stream is taken for whole": single_change(
@@ -143,20 +167,26 @@
         "_relay",
         'return AttemptResult(i.Status.RESET, detail=f"stream broken: {error}")',
         "return AttemptResult(i.Status.SERVED)",
-        "ended as whole",
+        "ended as complete",
         26,
     ),
     "an end of file ends a stream": single_change(
-        ResponseStream, "read", 'raise ExchangeBroken("closed inside the stream")', "return None", "ended as whole", 26
+        ResponseStream,
+        "read",
+        'raise ExchangeBroken("closed inside the stream")',
+        "return None",
+        "ended as complete",
+        26,
     ),
     "a spoilt stream is taken for whole": single_change(
         Executor,
         "_relay",
         'return AttemptResult(i.Status.ERROR, detail=f"stream spoilt: {error}")',
         "return AttemptResult(i.Status.SERVED)",
-        "ended as whole",
+        "ended as complete",
         42,
     ),
+    # A graceful shutdown cancels open connections instead of waiting for them.
     "the end of the process waits for nobody": single_change(
         Server,
         "drain",
@@ -165,29 +195,33 @@
         "closed without an answer",
         4,
     ),
+    # Attempts get a deadline 200 ms later than the request's.
     "attempts are told more time": single_change(
         Executor,
         "_late_headers",
         "self._start_sending(command))]",
         "(self._start_sending(command) + 200))]",
-        "more than is left",
+        "more than the request had left",
     ),
+    # An attempt's deadline is not reduced by the time since it was decided on.
     "the time left is not looked at when an attempt goes out": single_change(
         Lifecycle,
         "remaining_ms",
         "(record.attempt.deadline_us - now_us)",
         "(record.attempt.deadline_us - record.attempt.sent_us)",
-        "more than is left",
+        "more than the request had left",
         40,
     ),
+    # A cancelled attempt keeps running.
     "an attempt is called off by name only": single_change(
         Executor,
         "_carry_out",
         "known.attempts.pop(attempt).cancel()",
         "known.attempts.pop(attempt)",
-        "two attempts out at once",
+        "two attempts in flight at once",
         38,
     ),
+    # Pieces of a stream are passed on 0.4 s late.
     "a client's pieces are kept back": single_change(
         Exchange,
         "send",
@@ -195,14 +229,16 @@
         "self._world.sleep_until(self._world.now_us() + 400_000) or self._write(head +",
         "us late",
     ),
+    # An attempt is delayed after its deadline header was computed.
     "an attempt waits when all has been looked at": single_change(
         Executor,
         "_late_headers",
         'return [(b"req-deadline-ms", b"%d" % self._start_sending(command))]',
         "remaining_ms = self._start_sending(command); self._world.sleep_until(self._world.now_us() + 250_000)\n"
         '                return [(b"req-deadline-ms", b"%d" % remaining_ms)]',
-        "more than is left",
+        "more than the request had left",
     ),
+    # A connection lost after the request was written counts as not connected.
     "an attempt that was written has not run": single_change(
         HostClient,
         "send",
--- a/tests/crossing_worlds.py
+++ b/tests/crossing_worlds.py
@@ -26,8 +26,9 @@
 from yardspindle.runtime.scheduler import DeadlineExceeded
 from yardspindle.runtime.virtual import EPOCH_US, Simulation, VirtualWorld
 
-KILL_GRACE_US = 700_000  # SIGKILL comes this long after the longest deadline, counted from SIGTERM
-MAX_DEADLINE_US = 3_000_000  # the longest deadline counts up to this
+# SIGKILL follows SIGTERM after min(longest deadline of a service, MAX_DEADLINE_US) + KILL_GRACE_US.
+KILL_GRACE_US = 700_000
+MAX_DEADLINE_US = 3_000_000
 # In this share of the worlds latencies vary, so that a message may overtake a close on another connection.
 UNEVEN_LATENCY_SHARE, UNEVEN_LATENCY_US = 0.3, (100, 6_000)
 LOWER_REVISION_SHARE = 0.5  # of the moves: to an agent whose revisions are lower
@@ -46,8 +47,8 @@
 
 
 @dataclass
-class World:
-    """One run of a plan."""
+class CrossingWorld:
+    """One run of a plan; the simulated programs have Worlds (clock, sockets, files) of their own."""
 
     plan: Plan
     sim: Simulation
@@ -60,7 +61,7 @@
 
     def __post_init__(self) -> None:
         self.pending = [c for c in self.plan.crossings if c.at_us is None]
-        self.platform = CrossingPlatform(self.sim, self.ledger, self, self.plan.flavors, self.plan.conn_idle_us)
+        self.platform = CrossingPlatform(self.sim, self.ledger, self, self.plan.roles, self.plan.conn_idle_us)
         if self.sim.random("ways").random() < UNEVEN_LATENCY_SHARE:
             for name in self.platform.hosts:
                 self.sim.network.path("node", name).latency_us = UNEVEN_LATENCY_US
@@ -69,25 +70,25 @@
 
     # --- steps
 
-    def before(self, step: str, number: bytes, host: CrossingHost | None) -> int:
-        self.first_step_us.setdefault((number, step), self.sim.now_us())
+    def before(self, step: str, request_id: bytes, host: CrossingHost | None) -> int:
+        self.first_step_us.setdefault((request_id, step), self.sim.now_us())
         delay_us = 0
-        for crossing in self._pending_at(step, number):
+        for crossing in self._pending_at(step, request_id):
             if crossing.offset_us <= 0 and not crossing.after_sent:
                 self._fire(crossing, host)
                 delay_us = max(delay_us, -crossing.offset_us)
         return delay_us
 
-    def after(self, step: str, number: bytes, host: CrossingHost | None) -> None:
-        for crossing in self._pending_at(step, number):
+    def after(self, step: str, request_id: bytes, host: CrossingHost | None) -> None:
+        for crossing in self._pending_at(step, request_id):
             if crossing.offset_us <= RIGHT_AFTER_US:
                 self._fire(crossing, host)
             else:
                 self.pending.remove(crossing)
                 self._fire_at(crossing, self.sim.now_us() + crossing.offset_us, host)
 
-    def _pending_at(self, step: str, number: bytes) -> list[Crossing]:
-        return [c for c in self.pending if c.step == step and c.number == number]
+    def _pending_at(self, step: str, request_id: bytes) -> list[Crossing]:
+        return [c for c in self.pending if c.step == step and c.request_id == request_id]
 
     def _fire_at(self, crossing: Crossing, at_us: int, host: CrossingHost | None) -> None:
         def due() -> None:
@@ -155,15 +156,15 @@
         self.platform.sleep(1_500_000)
 
 
-def run_plan(plan: Plan) -> tuple[World, list[str], str]:
+def run_plan(plan: Plan) -> tuple[CrossingWorld, list[str], str]:
     """Runs a plan; returns the world, the violations and the dispatcher's log."""
     sim = Simulation(plan.seed)
     family, allowed = plan.settings["family-info"], plan.settings["allowed"]
     rules = plan.settings["obligations"]["drain-grace-us"], family["let-go-by-us"], allowed["most-tries"]
     log = Log(sim)
 
-    def main() -> World:
-        world = World(plan, sim, Ledger(*rules, family["resume"]))
+    def main() -> CrossingWorld:
+        world = CrossingWorld(plan, sim, Ledger(*rules, family["resume"]))
         world.main()
         return world
 
@@ -175,17 +176,18 @@
     return world, breaks, log.getvalue()
 
 
-def run_seed(seed: int) -> tuple[World, list[str], str]:
+def run_seed(seed: int) -> tuple[CrossingWorld, list[str], str]:
     """Runs a seed's plan.
 
-    An event before a step of the dispatcher needs a run without it first, which tells the step's time.
+    An event that comes before a step of the dispatcher cannot be triggered by that step: a first run without the event
+    finds the time of the step, and `Crossing.at_us` is set from it.
     """
     plan = draw(seed)
     for at, crossing in enumerate(plan.crossings):
         if crossing.offset_us < 0 and crossing.step in DISPATCHER_STEPS:
             others = [c for c in plan.crossings if c is not crossing and (c.at_us is not None or c.offset_us >= 0)]
             world, _, _ = run_plan(replace(plan, crossings=others))
-            when = world.first_step_us.get((crossing.number, crossing.step))
+            when = world.first_step_us.get((crossing.request_id, crossing.step))
             plan.crossings[at] = replace(crossing, at_us=when + crossing.offset_us if when else None, offset_us=0)
     return run_plan(plan)
 
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -151,7 +151,7 @@
                 if self.agent.silent and self.agent.call_count > calls
                 else next((row for _, row in self.log[seen:] if row.startswith(("ready", "ROUTER_LISTEN"))), "")
             ),
-        ).startswith("R")
+        ).startswith("R")  # a row ROUTER_LISTEN reports that the port is in use
 
     def _limit(self) -> None:
         if self.descriptors:
@@ -239,7 +239,7 @@
     def serve_until_answered(self, *clients: Client, place_s: float = PLACE_S) -> None:
         """Serves all calls until each of these clients has all its answers or its connection has ended.
 
-        Each read waits up to `place_s` for its place, alone: if others waited too, their hosts would seem unresponsive.
+        A read waits up to `place_s` for its place; calls behind it do not, or their hosts would seem unresponsive.
         """
 
         def finished(client: Client) -> bool:
@@ -278,7 +278,7 @@
 
     @contextlib.contextmanager
     def paused(self) -> Iterator[None]:
-        """Stops the program; on its return it finds all that was done meanwhile at once."""
+        """Stops the program (SIGSTOP); once continued, it finds all that happened meanwhile in one turn of its loop."""
         begun = monotonic()
         self.node.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, self.node.pid, os.WSTOPPED)
--- a/tests/fleet_check.py
+++ b/tests/fleet_check.py
@@ -1,5 +1,8 @@
 """Checks the journals of the store and the engines against the fleet's rules, sharing no code with the fleet.
 
+An order is a steward's call to an engine that lists or releases holds; it carries the fence of the duty for which the
+steward acts.
+
 Rules:
 - an engine never obeys a lower fence of a duty after a higher one, also across its own restarts;
 - nothing is released for an edge that is alive;
@@ -18,8 +21,6 @@
 from pathlib import Path
 from typing import Any
 
-MARGIN_US = 1_000_000  # between an edge's last sign of life and an order that releases what it held
-
 
 def read_journal(path: Path) -> list[dict[str, Any]]:
     """Read a journal; a last line cut short by a kill is skipped."""
@@ -166,6 +167,7 @@
             epoch = row["id"].partition("-")[0]
             if row["ev"] == "arrive":
                 last_seen[epoch] = max(last_seen.get(epoch, 0), row["t"])
+            # "holds", the end of its path, is the id of an order that lists holds; "" names no hold.
             elif row["ev"] == "order" and row["admitted"] and row["id"] not in ("", "holds"):
                 orders.append((epoch, row["t"], engine, row["id"]))
     for epoch, at, engine, hold in orders:
--- a/tests/fleet_scenarios.py
+++ b/tests/fleet_scenarios.py
@@ -84,10 +84,10 @@
     name, fence = start_balanced_fleet(p)
     hold_a_state(p)
     relay = p.relays[f"r0 {name}"]
-    p.until("it has swept", lambda: engine_received_order(p, fence))
+    p.until("the owner has swept the engine", lambda: engine_received_order(p, fence))
     relay.cut()
     p.kill("edge0")
-    p.until("its orders lie in sockets", lambda: relay.delayed_chunks)
+    p.until("orders of the owner wait in sockets", lambda: relay.delayed_chunks)
     p.send(name, signal.SIGSTOP)
     stopped = p.world.now_us()
     _, later = wait_for_other_owner(p, name)
@@ -98,11 +98,12 @@
     seen = len(p.lines("r0"))
     relay.restore()
     p.until(
-        "its order arrives", lambda: any(row["ev"] == "order" and row["fence"] == fence for row in p.lines("r0")[seen:])
+        "an order of the old owner arrives",
+        lambda: any(row["ev"] == "order" and row["fence"] == fence for row in p.lines("r0")[seen:]),
     )
     p.send(name, signal.SIGCONT)
-    p.until("it knows", lambda: p.logged(name, "duty ended"))
-    p.until("it takes part again", lambda: f"steward/{name}" in p.rows("members/"))
+    p.until("the old owner logs the end of its duty", lambda: p.logged(name, "duty ended"))
+    p.until("the old owner is registered again", lambda: f"steward/{name}" in p.rows("members/"))
     assert p.owner("sweep/0") is not None
     assert_rules_hold(p)
 
@@ -113,10 +114,10 @@
     cut = p.world.now_us()
     _, later = wait_for_other_owner(p, name)
     assert later > fence and p.world.now_us() - cut < 4 * p.ttl_ms * 1_000
-    ended = p.until("it stops by itself", lambda: p.logged(name, "duty ended", duty="sweep/0"))
+    ended = p.until("the owner ends its duty by itself", lambda: p.logged(name, "duty ended", duty="sweep/0"))
     assert ended["why"] == "its lease could not be kept alive"
     p.relays[f"store {name}"].restore()
-    p.until("it takes part again", lambda: f"steward/{name}" in p.rows("members/"))
+    p.until("the owner is registered again", lambda: f"steward/{name}" in p.rows("members/"))
     assert_rules_hold(p)
 
 
@@ -124,15 +125,15 @@
     start_balanced_fleet(p, 2)
     hold = hold_a_state(p)
     p.relays["store edge0"].cut()
-    p.until("its registration's end", lambda: "edge/edge0" not in p.rows("members/"))
-    asked = p.world.now_us() + 2 * S
-    while p.world.now_us() < asked:
-        assert hold in p.holds("r0"), "it lives, though the store knows it no more"
+    p.until("the end of the edge's registration", lambda: "edge/edge0" not in p.rows("members/"))
+    observe_until_us = p.world.now_us() + 2 * S
+    while p.world.now_us() < observe_until_us:
+        assert hold in p.holds("r0"), "the hold of a live edge was released after its registration had ended"
         p.world.sleep_until(p.world.now_us() + 50_000)
     p.call(p.ports["w0"], "POST", "/v1/lab/control", {"do": "wake"})
     assert p.chat()[0] == 200, "traffic goes on without the store"
     p.relays["store edge0"].restore()
-    p.until("it is back", lambda: "edge/edge0" in p.rows("members/"))
+    p.until("the edge is registered again", lambda: "edge/edge0" in p.rows("members/"))
     assert_rules_hold(p)
 
 
@@ -140,13 +141,13 @@
     start_balanced_fleet(p, 2)
     hold = hold_a_state(p)
     p.send("edge0", signal.SIGSTOP)
-    p.until("its registration's end", lambda: "edge/edge0" not in p.rows("members/"))
-    asked = p.world.now_us() + 2 * S
-    while p.world.now_us() < asked:
+    p.until("the end of the edge's registration", lambda: "edge/edge0" not in p.rows("members/"))
+    observe_until_us = p.world.now_us() + 2 * S
+    while p.world.now_us() < observe_until_us:
         assert hold in p.holds("r0")
         p.world.sleep_until(p.world.now_us() + 50_000)
     p.send("edge0", signal.SIGCONT)
-    p.until("it is back", lambda: "edge/edge0" in p.rows("members/"))
+    p.until("the edge is registered again", lambda: "edge/edge0" in p.rows("members/"))
     assert_rules_hold(p)
 
 
@@ -156,7 +157,7 @@
     p.kill(name)
     other, later = wait_for_other_owner(p, name)
     assert later > fence
-    p.until("it acts", lambda: p.logged(other, "duty taken", duty="sweep/0", fence=later))
+    p.until("the new owner logs the duty", lambda: p.logged(other, "duty taken", duty="sweep/0", fence=later))
     assert_rules_hold(p)
 
 
@@ -164,11 +165,14 @@
     name, fence = start_balanced_fleet(p)
     p.control("expire")
     newer = p.until(
-        "it is owned anew", lambda: owner if (owner := p.owner("sweep/0")) is not None and owner[1] > fence else None
+        "the duty has a new fence",
+        lambda: owner if (owner := p.owner("sweep/0")) is not None and owner[1] > fence else None,
+    )
+    p.until(
+        "the previous owner logs the end of its duty", lambda: p.logged(name, "duty ended", duty="sweep/0", fence=fence)
     )
-    p.until("the owner of before stops", lambda: p.logged(name, "duty ended", duty="sweep/0", fence=fence))
-    p.until("the next one acts", lambda: p.logged(newer[0], "duty taken", duty="sweep/0", fence=newer[1]))
-    p.until("all are back", lambda: len(p.rows("members/steward/")) == 3)
+    p.until("the next owner logs the duty", lambda: p.logged(newer[0], "duty taken", duty="sweep/0", fence=newer[1]))
+    p.until("all stewards are registered again", lambda: len(p.rows("members/steward/")) == 3)
     assert_rules_hold(p)
 
 
@@ -193,12 +197,13 @@
     p.steward("s0")
     p.until("an owner", lambda: p.owner("sweep/0"))
     p.control("no_leader")
-    p.until("it stops by itself", lambda: p.logged("s0", "duty ended", duty="sweep/0"))
+    p.until("the steward ends its duty by itself", lambda: p.logged("s0", "duty ended", duty="sweep/0"))
     assert p.chat()[0] == 200, "traffic goes on without the store"
     p.control("restore")
     p.control("leader")
     logged = p.until(
-        "it says so", lambda: p.logged("s0", "the store went back; nothing is taken from it or written to it")
+        "the steward logs that the store's revision went back",
+        lambda: p.logged("s0", "the store went back; nothing is taken from it or written to it"),
     )
     assert "but an earlier answer had revision" in logged["reason"]
     assert p.owner("sweep/0") is None and p.chat()[0] == 200
@@ -215,7 +220,7 @@
         "an owner", lambda: owner if (owner := p.owner("sweep/0")) is not None and owner[1] > fence else None
     )
     assert owner[0] == "s3"
-    p.until("what the edge left is found by one who did not see it end", lambda: not p.holds("r0"))
+    p.until("a steward that did not see the edge end has its holds released", lambda: not p.holds("r0"))
     assert_rules_hold(p)
 
 
@@ -223,7 +228,10 @@
     name, _ = start_balanced_fleet(p)
     p.kill(name)
     wait_for_other_owner(p, name)
-    p.until("it acts", lambda: len([n for n in ("s0", "s1", "s2") if p.logged(n, "duty taken", duty="sweep/0")]) > 1)
+    p.until(
+        "a second steward logs the duty",
+        lambda: len([n for n in ("s0", "s1", "s2") if p.logged(n, "duty taken", duty="sweep/0")]) > 1,
+    )
     assert_rules_hold(p)
 
 
@@ -233,7 +241,7 @@
     p.until("both edges", lambda: len(p.rows("members/edge/")) == 2)
     hold = hold_a_state(p)
     p.kill("edge1")
-    p.until("one is gone", lambda: p.logged("s0", "an edge is gone for good"))
+    p.until("the steward logs that an edge is gone", lambda: p.logged("s0", "an edge is gone for good"))
     at = p.world.now_us()
     p.until("engines were swept since", lambda: any(row["ev"] == "order" and row["t"] > at for row in p.lines("r0")))
     assert hold in p.holds("r0")
@@ -243,14 +251,14 @@
 def an_engine_that_was_restarted_refuses_an_old_order(p: Processes) -> None:
     name, fence = start_balanced_fleet(p)
     relay = p.relays[f"r0 {name}"]
-    p.until("it has swept", lambda: engine_received_order(p, fence))
+    p.until("the owner has swept the engine", lambda: engine_received_order(p, fence))
     relay.reset()
     relay.cut()
     p.kill("edge0")
-    p.until("its order lies in a socket", lambda: relay.delayed_chunks)
+    p.until("an order of the owner waits in a socket", lambda: relay.delayed_chunks)
     p.send(name, signal.SIGSTOP)
     _, later = wait_for_other_owner(p, name)
-    p.until("the next owner orders", lambda: engine_received_order(p, later))
+    p.until("the next owner sends an order to the engine", lambda: engine_received_order(p, later))
     p.kill("r0")
     p.engine("r0", "read", port=p.ports["r0"])
     seen = len(p.lines("r0"))
@@ -275,8 +283,12 @@
 
 
 def clocks_are_told(p: Processes) -> None:
+    """The owner of the clock duty writes its report of clock offsets to the store.
+
+    Not in SCENARIOS: run only with the planted fault that such writes do not compare the fence.
+    """
     start_balanced_fleet(p, 1)
-    p.until("clocks are told", lambda: p.rows("clocks"))
+    p.until("a report of clock offsets in the store", lambda: p.rows("clocks"))
 
 
 SCENARIOS: list[Callable[[Processes], None]] = [
--- a/tests/ledger.py
+++ b/tests/ledger.py
@@ -1,7 +1,15 @@
-"""Property-test harness for policies: feeds legal events in random order and checks five rules on the actions.
-
-The rules (names as in the violations): answered, effects, drains, cold, pinned. Servers and time are not modelled:
-outcomes, their order and the gaps between them are drawn.
+"""Property-test harness for policies: feeds legal events in random order and checks six rules on the actions.
+
+The rules, by their names in the violations:
+- answered: each request gets exactly one final answer in time, and no attempt is sent after it;
+- effects: attempts of a request do not overlap unless second copies are allowed, and one that may have run is neither
+  sent again nor refused unless its class allows repetition;
+- drains: no work is sent to a server later than the drain grace after it began to leave;
+- attempts: no request gets more than `max_attempts`;
+- cold: a server that started recently gets at most the calls of `check_slow_start`;
+- pinned: nothing is held for longer than `release_us` without an attempt in flight.
+
+Servers and time are not modelled: outcomes, their order and the gaps between them are drawn.
 """
 
 from __future__ import annotations
@@ -13,7 +21,9 @@
 
 from yardspindle import interface as i
 
-PROVEN = (i.Status.FULL, i.Status.CONNECT_FAILED, i.Status.MOOT, i.Status.READ)
+# Outcomes after which no write can have run: it did not, or the attempt was a read.
+NEVER_RAN = (i.Status.FULL, i.Status.CONNECT_FAILED, i.Status.MOOT, i.Status.READ)
+NOTE_NO_STATE = 1  # `Outcome.note` of an attempt other than a successful read: no state is held any more
 FAILURES = (i.Status.ERROR, i.Status.FULL, i.Status.CONNECT_FAILED, i.Status.RESET)
 
 
@@ -72,7 +82,7 @@
 
 
 class Ledger:
-    """Feeds events to a policy, tracks its actions and raises Broken on a rule violation."""
+    """Feeds events to a policy, tracks its actions and raises RuleViolation if one breaks a rule."""
 
     def __init__(self, policy: PolicyUnderTest, conf: i.Settings, seed: int) -> None:
         self.policy, self.settings, self.rng = policy, conf, random.Random(seed)
@@ -143,9 +153,9 @@
         record.finished = closed
         if status is i.Status.READ:
             record.has_state = True
-        elif not is_read and status not in PROVEN:
+        elif not is_read and status not in NEVER_RAN:
             record.may_have_run.append((server, sent))
-        elif status is i.Status.FULL and note == 1:
+        elif status is i.Status.FULL and note == NOTE_NO_STATE:
             record.has_state = False
         if (record.has_state or record.place_server is not None) and not record.in_flight:
             record.held_since = self.now
@@ -171,8 +181,9 @@
             else:
                 good = i.Status.SERVED
             status = good if self.rng.random() < 0.6 else self.rng.choice(FAILURES)
-            if record.streaming == attempt and status in PROVEN:
+            if record.streaming == attempt and status in NEVER_RAN:
                 status = i.Status.RESET
+            # In half of the cases a writer that declines has found no state: NOTE_NO_STATE.
             note = int(status is i.Status.FULL and not self.is_reader(server) and self.rng.random() < 0.5)
             self.resolve(number, attempt, status, note)
         elif choice < 0.85:
@@ -260,7 +271,7 @@
                     raise RuleViolation(f"answered: send for {number}, which has ended")
                 self.check_drain(server)
                 if record.in_flight and not self.settings.second_copies:
-                    raise RuleViolation(f"effects: two attempts out for {number}")
+                    raise RuleViolation(f"effects: two attempts in flight for {number}")
                 if not self.is_reader(server):
                     for server_before, sent in record.may_have_run:
                         cells = self.entries[server_before].cell, self.entries[server].cell
@@ -316,15 +327,18 @@
                 pass
 
     def check_slow_start(self, server: int) -> None:
-        """Check that one instance alone sends a cold server no more than its share of the budget can allow."""
+        """Check a weak bound on the calls to a cold server within `fall_us`.
+
+        At most `fall_multiple` times the number of all requests so far; the server's capacity is not modelled.
+        """
         since = self.entries[server].up_since_us
         if since and self.now - since < self.settings.cold_us:
             times = self.sent_cold[server] = [
                 t for t in self.sent_cold[server] if t > self.now - self.settings.fall_us
             ] + [self.now]
-            busiest = max(1, self.number)
-            if len(times) > max(1.0, self.settings.fall_multiple * busiest):
-                raise RuleViolation(f"cold: server {server} got {len(times)} in a span")
+            request_count = max(1, self.number)
+            if len(times) > max(1.0, self.settings.fall_multiple * request_count):
+                raise RuleViolation(f"cold: server {server} was sent {len(times)} attempts within fall_us")
 
     def check(self) -> None:
         for number, record in self.requests.items():
--- a/tests/ownership_model.py
+++ b/tests/ownership_model.py
@@ -27,7 +27,9 @@
     """A store call in flight; `answer` is set once it has committed."""
 
     who: int
-    kind: str  # grant, keep, take, look, over
+    # grant, keep: get or renew a lease; take: acquire the duty; look: read the duty's owner after the answer to `take`
+    # is lost; over: hand the duty over
+    kind: str
     sent_us: int
     lease: int = 0
     fence: int = 0
@@ -36,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class World:
+class ModelState:
     """One state of the model: processes, calls and orders in flight, and the store."""
 
     now: int
@@ -88,14 +90,14 @@
     receiver_compares: bool = True
     store_compares: bool = True
     lease_counts_from_send: bool = True
-    late: bool = False  # events that may occur
-    lost: bool = False
-    stops: bool = False
-    orders: int = 0
-    early: bool = False
-    ttl: int = 3
-    margin: int = 1
-    until: int = 7
+    late: bool = False  # the answer to one lease renewal may be late
+    lost: bool = False  # the answer to one acquisition may be lost
+    stops: bool = False  # one process may stop and wake up again
+    orders: int = 0  # how many orders may wait in sockets at once
+    early: bool = False  # the store may end one lease early
+    ttl: int = 3  # of leases, in time steps; also `margin` and `until`
+    margin: int = 1  # by which an owner stops acting before its lease ends
+    until: int = 7  # when the model's time ends
     states: int = 20_000  # maximum number of states searched
 
 
@@ -105,17 +107,17 @@
     def __init__(self, rules: ModelOptions) -> None:
         self.rules = rules
 
-    def initial(self) -> World:
+    def initial(self) -> ModelState:
         states, calls = [], []
         for who, name in enumerate(NAMES):
             state, commands = own.start(name, own.LeaseTiming(self.rules.ttl * STEP_US, self.rules.margin * STEP_US), 0)
             states.append(state)
             calls += self._calls_for(who, 0, commands)
-        world = World(0, tuple(states), (), (False, False), (), (), 0, (), StoreModel(), False, False, 0)
+        model = ModelState(0, tuple(states), (), (False, False), (), (), 0, (), StoreModel(), False, False, 0)
         for call in calls:
-            world = self._commit(world, world.calls, call)
-            world = self._deliver_answer(world, world.calls[:-1], world.calls[-1])
-        return world
+            model = self._commit(model, model.calls, call)
+            model = self._deliver_answer(model, model.calls[:-1], model.calls[-1])
+        return model
 
     def _calls_for(self, who: int, now: int, commands: tuple[own.Command, ...]) -> list[Call]:
         calls = []
@@ -131,130 +133,130 @@
                     pass
         return calls
 
-    def feed(self, world: World, who: int, event: own.Event) -> World:
-        state, commands = own.step(world.states[who], world.now, event)
-        states = list(world.states)
+    def feed(self, model: ModelState, who: int, event: own.Event) -> ModelState:
+        state, commands = own.step(model.states[who], model.now, event)
+        states = list(model.states)
         states[who] = state
-        world = replace(world, states=tuple(states))
-        for call in self._calls_for(who, world.now, commands):
+        model = replace(model, states=tuple(states))
+        for call in self._calls_for(who, model.now, commands):
             if call.kind == "take":
-                world = replace(world, calls=(*world.calls, call))
+                model = replace(model, calls=(*model.calls, call))
             else:  # answered at once; their failures are covered by the seeded simulations
-                world = self._commit(world, world.calls, call)
-                world = self._deliver_answer(world, world.calls[:-1], world.calls[-1])
-        return world
+                model = self._commit(model, model.calls, call)
+                model = self._deliver_answer(model, model.calls[:-1], model.calls[-1])
+        return model
 
     # --- possible next events
 
-    def successors(self, world: World) -> Iterator[tuple[str, World]]:
-        if world.now < self.rules.until * STEP_US:
-            yield "time", self._advance_time(world, False)
-            if self.rules.late and not world.late:
-                yield "time, and an answer that is late", self._advance_time(world, True)
-        for at, call in enumerate(world.calls):
-            rest = world.calls[:at] + world.calls[at + 1 :]
-            if call.done and not world.stopped[call.who]:
-                yield f"late answer to {NAMES[call.who]}", self._deliver_answer(world, rest, call)
+    def successors(self, model: ModelState) -> Iterator[tuple[str, ModelState]]:
+        if model.now < self.rules.until * STEP_US:
+            yield "time", self._advance_time(model, False)
+            if self.rules.late and not model.late:
+                yield "time, and an answer that is late", self._advance_time(model, True)
+        for at, call in enumerate(model.calls):
+            rest = model.calls[:at] + model.calls[at + 1 :]
+            if call.done and not model.stopped[call.who]:
+                yield f"late answer to {NAMES[call.who]}", self._deliver_answer(model, rest, call)
             elif not call.done:
-                then = self._commit(world, rest, call)
+                then = self._commit(model, rest, call)
                 answered = then.calls[-1]
-                if not world.stopped[call.who]:
+                if not model.stopped[call.who]:
                     yield f"{NAMES[call.who]} takes", self._deliver_answer(then, then.calls[:-1], answered)
-                if self.rules.lost and not world.lost:
-                    look = Call(call.who, "look", world.now, call.lease, done=True)
+                if self.rules.lost and not model.lost:
+                    look = Call(call.who, "look", model.now, call.lease, done=True)
                     yield "an answer is lost", replace(then, lost=1, calls=(*then.calls[:-1], look))
         for who in range(2):
-            fence = own.may_act(world.states[who], world.now, DUTY)
-            room = len(world.orders) < self.rules.orders and (who, fence) not in world.orders
-            if fence is not None and not world.stopped[who] and room:
-                yield f"{NAMES[who]} orders", replace(world, orders=(*world.orders, (who, fence)))
-            if world.stopped[who]:
-                yield f"{NAMES[who]} wakes", replace(world, stopped=(False, False))
-            elif self.rules.stops and not world.ever_stopped and fence is not None:
+            fence = own.may_act(model.states[who], model.now, DUTY)
+            room = len(model.orders) < self.rules.orders and (who, fence) not in model.orders
+            if fence is not None and not model.stopped[who] and room:
+                yield f"{NAMES[who]} orders", replace(model, orders=(*model.orders, (who, fence)))
+            if model.stopped[who]:
+                yield f"{NAMES[who]} wakes", replace(model, stopped=(False, False))
+            elif self.rules.stops and not model.ever_stopped and fence is not None:
                 stopped = (who == 0, who == 1)
-                yield f"{NAMES[who]} is stopped", replace(world, stopped=stopped, ever_stopped=True)
-        for at, (who, fence) in enumerate(world.orders):
-            left = world.orders[:at] + world.orders[at + 1 :]
-            yield f"order {fence} of {NAMES[who]} arrives", self._deliver_order(replace(world, orders=left), fence)
-        if world.store.leases and not world.early and self.rules.early:
-            store = world.store.copy()
+                yield f"{NAMES[who]} is stopped", replace(model, stopped=stopped, ever_stopped=True)
+        for at, (who, fence) in enumerate(model.orders):
+            left = model.orders[:at] + model.orders[at + 1 :]
+            yield f"order {fence} of {NAMES[who]} arrives", self._deliver_order(replace(model, orders=left), fence)
+        if model.store.leases and not model.early and self.rules.early:
+            store = model.store.copy()
             store.revoke(min(store.leases))
-            yield "a lease ends early", replace(world, store=store, early=True)
+            yield "a lease ends early", replace(model, store=store, early=True)
 
-    def _advance_time(self, world: World, late: bool) -> World:
-        now, store = world.now + STEP_US, world.store.copy()
+    def _advance_time(self, model: ModelState, late: bool) -> ModelState:
+        now, store = model.now + STEP_US, model.store.copy()
         store.expire(now)
-        world = replace(world, now=now, store=store)
+        model = replace(model, now=now, store=store)
         for who in range(2):
-            if world.stopped[who]:
+            if model.stopped[who]:
                 continue
-            row = next(iter(world.store.rows(KEYS.duty(DUTY), b"")), None)
+            row = next(iter(model.store.rows(KEYS.duty(DUTY), b"")), None)
             held = {} if row is None else {DUTY: decode_holder(row)}
-            world = self.feed(
-                world,
+            model = self.feed(
+                model,
                 who,
-                own.ViewUpdated(own.DutyView(world.store.revision, held, frozenset(NAMES), frozenset([DUTY]))),
+                own.ViewUpdated(own.DutyView(model.store.revision, held, frozenset(NAMES), frozenset([DUTY]))),
             )
-            if world.states[who].lease and not any(c.who == who and c.kind == "keep" for c in world.calls):
-                world = self._commit(world, world.calls, Call(who, "keep", now, world.states[who].lease))
-                if late and not world.late:
-                    world = replace(world, late=True)
+            if model.states[who].lease and not any(c.who == who and c.kind == "keep" for c in model.calls):
+                model = self._commit(model, model.calls, Call(who, "keep", now, model.states[who].lease))
+                if late and not model.late:
+                    model = replace(model, late=True)
                 else:
-                    world = self._deliver_answer(world, world.calls[:-1], world.calls[-1])
-        return world
+                    model = self._deliver_answer(model, model.calls[:-1], model.calls[-1])
+        return model
 
-    def _commit(self, world: World, rest: tuple[Call, ...], call: Call) -> World:
-        store = world.store.copy()
+    def _commit(self, model: ModelState, rest: tuple[Call, ...], call: Call) -> ModelState:
+        store = model.store.copy()
         answer: object = None
-        store.expire(world.now)
+        store.expire(model.now)
         match call.kind:
             case "grant":
-                answer = store.grant(world.now, self.rules.ttl)
+                answer = store.grant(model.now, self.rules.ttl)
             case "keep":
-                answer = store.keep_alive(world.now, call.lease)
+                answer = store.keep_alive(model.now, call.lease)
             case "take" if call.lease in store.leases:
                 answer = store.txn(KEYS.acquire(DUTY, Owner(NAMES[call.who], ""), call.lease))
             case "over":
                 store.txn(KEYS.hand_over(DUTY, call.fence))
-        return replace(world, store=store, calls=(*rest, replace(call, answer=answer, done=True)))
+        return replace(model, store=store, calls=(*rest, replace(call, answer=answer, done=True)))
 
-    def _deliver_answer(self, world: World, rest: tuple[Call, ...], call: Call) -> World:
-        world = replace(world, calls=rest)
-        sent = call.sent_us if self.rules.lease_counts_from_send else world.now
-        row = next(iter(world.store.rows(KEYS.duty(DUTY), b"")), None)
+    def _deliver_answer(self, model: ModelState, rest: tuple[Call, ...], call: Call) -> ModelState:
+        model = replace(model, calls=rest)
+        sent = call.sent_us if self.rules.lease_counts_from_send else model.now
+        row = next(iter(model.store.rows(KEYS.duty(DUTY), b"")), None)
         match call.kind:
             case "grant":
                 assert isinstance(call.answer, int)
-                return self.feed(world, call.who, own.LeaseGranted(call.answer, sent, self.rules.ttl * STEP_US))
+                return self.feed(model, call.who, own.LeaseGranted(call.answer, sent, self.rules.ttl * STEP_US))
             case "keep":
                 assert isinstance(call.answer, int)
-                return self.feed(world, call.who, own.LeaseRenewed(call.lease, sent, call.answer * STEP_US))
+                return self.feed(model, call.who, own.LeaseRenewed(call.lease, sent, call.answer * STEP_US))
             case "take" if call.answer is not None:
                 row = call.answer.results[-1][0]  # type: ignore[attr-defined]
             case "over":
-                return world
+                return model
             case _:
                 pass
         held = decode_holder(row) if row is not None else None
-        return self.feed(world, call.who, own.AcquireResult(DUTY, call.lease, held, world.store.revision))
+        return self.feed(model, call.who, own.AcquireResult(DUTY, call.lease, held, model.store.revision))
 
-    def _deliver_order(self, world: World, fence: int) -> World:
+    def _deliver_order(self, model: ModelState, fence: int) -> ModelState:
         """Deliver an order: the receiver checks its fence, and a write under that fence goes to the store."""
-        receiver = FenceRegistry({DUTY: world.highest} if world.highest else {})
+        receiver = FenceRegistry({DUTY: model.highest} if model.highest else {})
         if receiver.admits(DUTY, fence) or not self.rules.receiver_compares:
-            world = replace(world, accepted=(*world.accepted, fence), highest=max(world.highest, fence))
-        store = world.store.copy()
+            model = replace(model, accepted=(*model.accepted, fence), highest=max(model.highest, fence))
+        store = model.store.copy()
         txn = KEYS.with_fence(DUTY, fence, Put(KEYS.clocks, b""))
         done = store.txn(txn if self.rules.store_compares else replace(txn, compare=()))
-        return replace(world, store=store, written=(*world.written, fence) if done.succeeded else world.written)
+        return replace(model, store=store, written=(*model.written, fence) if done.succeeded else model.written)
 
     # --- invariants
 
-    def violation(self, before: World, world: World) -> str:
-        acting = [own.may_act(state, world.now, DUTY) for state in world.states]
-        if not world.early and all(fence is not None for fence in acting):
+    def violation(self, before: ModelState, model: ModelState) -> str:
+        acting = [own.may_act(state, model.now, DUTY) for state in model.states]
+        if not model.early and all(fence is not None for fence in acting):
             return f"two owners at once: fences {acting}"
-        for what, rows in (("obeyed", world.accepted), ("written", world.written)):
+        for what, rows in (("obeyed", model.accepted), ("written", model.written)):
             if len(rows) > 1 and rows[-1] < max(rows):
                 return f"fence {rows[-1]} {what} after {max(rows)}"
         return ""
@@ -265,9 +267,9 @@
         seen, frontier = {first.key()}, [(first, [""])]
         while frontier:
             after = []
-            for world, path in frontier:
-                for what, then in self.successors(world):
-                    if problem := self.violation(world, then):
+            for model, path in frontier:
+                for what, then in self.successors(model):
+                    if problem := self.violation(model, then):
                         return len(seen), problem, [*path[1:], what]
                     key = then.key()
                     if key not in seen:
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -40,7 +40,7 @@
         "max-retry-after-us": 2_000_000,
         "conn-idle-us": 15_000_000,
         "connect-timeout-us": 250_000,
-        "unheard-of": 1,
+        "unheard-of": 1,  # no setting: unknown keys must be ignored
     },
 }
 ENVIRONMENT = {
@@ -198,6 +198,7 @@
     # --- discovery
 
     def discovery(self, address: str) -> VirtualWorld:
+        """Start a discovery agent at an address."""
         world = self.sim.program(f"discovery {address}")
         host, _, port = address.rpartition(":")
         listener = world.listen(host, int(port))
@@ -234,6 +235,7 @@
     # --- the dispatcher and its clients
 
     def node(self, sockets: int = 256) -> tuple[VirtualWorld, Node]:
+        """Start the dispatcher."""
         world = self.sim.program("node")
         config = parse_config(ENVIRONMENT, json.dumps({"limits": {"sockets": sockets}, "settings": SETTINGS}).encode())
         node = Node(world, config)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -24,7 +24,7 @@
 
 T = TypeVar("T")
 START_TIMEOUT_US = 20_000_000
-S = 1_000_000
+S = 1_000_000  # one second in microseconds
 TTL_MS = 1_000
 CONFIG: dict[str, Any] = {
     "classes": [{"name": "chat", "effect": "safe", "aim_ms": 1_500, "give_up_ms": 10_000}],
@@ -61,15 +61,18 @@
         return port_of(self.reserved[name])
 
     def store(self) -> None:
+        """Start the store."""
         ready = self.child("store", "lab", "etcd", "--journal", str(self.folder / "store.jsonl"))
         self.ports["store"] = int(ready.rpartition(":")[2])
 
     def relay(self, name: str, port: int) -> Relay:
+        """Return the relay of this name to a port; starts it the first time."""
         if name not in self.relays:
             self.relays[name] = Relay(self.world, ("127.0.0.1", port))
         return self.relays[name]
 
     def engine(self, name: str, role: str, cell: int = 0, port: int = 0) -> None:
+        """Start an engine at a port, by default at the one reserved for its name."""
         settings = {
             "name": name,
             "role": role,
@@ -113,10 +116,12 @@
         return str(file)
 
     def steward(self, name: str) -> None:
+        """Start a steward, with relays to all engines known so far."""
         self.write_server_list(name)
         self.child(name, "steward", self.config(name, planner={"servers": str(self.folder / f"servers{name}.toml")}))
 
     def dispatcher(self, number: int, dispatchers: int = 1) -> None:
+        """Start a planner and its edge."""
         planner = {
             "servers": str(self.folder / "servers.toml"),
             "listen": f"127.0.0.1:{self.reserve(f'p{number}')}",
@@ -126,6 +131,7 @@
         self.edge(number, dispatchers)
 
     def edge(self, number: int, dispatchers: int = 1) -> None:
+        """Start the edge of a planner that runs; `dispatchers`: how many the fleet has."""
         edge = {
             "planner": f"127.0.0.1:{self.ports[f'p{number}']}",
             "number": number,
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -84,7 +84,11 @@
         self.log_event(f"thawed: {' '.join(h.name for h in group)}")
 
     async def _cold_return(self, hosts: list[SoakHost]) -> None:
-        """Restart one or two hosts of a role cold; later all others of the role fail the same way during a burst."""
+        """Restart one or two hosts of a role cold, and later cause a burst of requests.
+
+        During it the role's other hosts, but for the first two drawn, all decline, are dead or are silent, or work
+        ("well").
+        """
         rng = self.random
         role, outage = rng.choice(("read", "write")), rng.choice(("full", "dead", "silent", "well"))
         group = [host for host in hosts if host.role == role]
@@ -291,6 +295,8 @@
         """Count how often each rule applied in the run."""
         kinds = Counter(row["what"] for row in rows)
         requests = [request for run in self.runs for request in run.ledger.requests]
+        # Drains told: reported to a dispatcher; fullest of them: the highest load of a cold host, as a share of what is
+        # allowed; shut unread: new connections that a dispatcher closed near its socket limit without reading them.
         self.coverage = {
             "final answers": len(requests),
             "orders": sum(request.cls == "order" for request in requests),
@@ -338,7 +344,7 @@
         broken += bool(found)
         injected.update(soak.injected)
         coverage.update({rule: count for rule, count in soak.coverage.items() if rule != "fullest of them"})
-        print(
+        print(  # crowd: whether the run had many idle clients
             f"seed {seed}: {len(found)} breaks, answers {soak.counts()}, {soak.family}, "
             f"deadline {soak.deadline_ms} ms, retries {soak.retries}, crowd {soak.has_idle_clients}, {soak.coverage}",
             flush=True,
--- a/tests/soak_host.py
+++ b/tests/soak_host.py
@@ -40,11 +40,16 @@
 
 
 class SoakHost:
-    """Serves reads or writes, one thread per connection, with faults injected through standard input."""
+    """The host in its own process (`soak_parties.SoakHost` is the test's record of it).
+
+    Serves reads or writes, one thread per connection, with faults injected through standard input.
+    """
 
     def __init__(self, name: str, role: str, folder: Path, address: str, port: int, ramp: str = "") -> None:
         self.started = monotonic() if ramp else -COLD_S
-        self.done = 0 if ramp == "work" else None
+        self.completed = (
+            0 if ramp == "work" else None
+        )  # work accepted since a cold start; None: warm, or warms up by time
         self.free_at = 0.0  # when all accepted work is done
         self.name, self.role, self.folder = name, role, folder
         self.log = open(folder / f"{name}.jsonl", "a", buffering=1)  # noqa: SIM115
@@ -176,9 +181,9 @@
             begins = max(self.free_at, now)
             if begins - now > MAX_WAIT_S:
                 return False
-            capacity = WARM_RATE_PER_S[self.role] * warmth(self.role, now - self.started, self.done)
+            capacity = WARM_RATE_PER_S[self.role] * warmth(self.role, now - self.started, self.completed)
             self.free_at = begins + 1 / capacity
-            self.done = None if self.done is None else self.done + 1
+            self.completed = None if self.completed is None else self.completed + 1
             return True
 
     def _work(self, sock: socket.socket) -> None:
--- a/tests/soak_judge.py
+++ b/tests/soak_judge.py
@@ -17,7 +17,7 @@
 STEP_BY_STATUS = {200: "served", 410: "lost"} | dict.fromkeys(DECLINED, "declined")
 EARLY_SHUTDOWN_S = 0.75  # SIGKILL may not leave a request unanswered that arrived later than this after SIGTERM
 SETTLED_S = 1.0  # this long after its answer nothing is held for a request
-Frozen = Sequence[tuple[str, float, float]]
+Frozen = Sequence[tuple[str, float, float]]  # host, begin and end of each stop (SIGSTOP to SIGCONT)
 
 
 def judge_run(run: DispatcherRun, rows: list[dict[str, Any]], died: list[dict[str, Any]], frozen: Frozen) -> list[str]:
@@ -33,7 +33,7 @@
                     ledger.sigterm_at is not None
                     and not crossed
                     and (request.sent_at or 0.0) > ledger.sigterm_at + EARLY_SHUTDOWN_S
-                ):
+                ):  # it arrived too long after SIGTERM to be left unanswered at SIGKILL
                     ledger.violations.append(
                         f"{request.id.decode()}: taken late after SIGTERM, and SIGKILL found it unanswered"
                     )
@@ -55,7 +55,9 @@
             for number in {a.id for a in attempts.values() if a.host == death["host"] and a.received_at < death["at"]}
         ]
     ledger.attempts = list(attempts.values())
-    ended = run.ended if run.ended is not None else math.inf  # the platform frees places read after that
+    ended = (
+        run.ended if run.ended is not None else math.inf
+    )  # a place whose call a host reads after that is freed by the platform
     ledger.hold_changes = [
         (at, kind, number)
         for at, kind, number in ledger.hold_changes
@@ -77,7 +79,7 @@
     ledger, number, at = run.ledger, row["id"].encode(), row["at"]
     match row["what"]:
         case "taken":
-            attempt = Attempt(
+            attempt = Attempt(  # DEADLINE_SLACK_S as its `stalled_s`, by which the ledger's deadline check is widened
                 number, row["host"], row["role"], row["told"], row["first"], at, DEADLINE_SLACK_S, row["arrived"]
             )
             attempts[row["attempt"]] = attempt
--- a/tests/soak_parties.py
+++ b/tests/soak_parties.py
@@ -68,7 +68,7 @@
 
 @dataclass
 class SoakHost:
-    """A model host's process and its entry in the server list."""
+    """The soak test's record of one host process, which runs `tests.soak_host`, and its entry in the server list."""
 
     name: str
     role: str
@@ -130,7 +130,7 @@
         self.silent_until = 0.0  # until then all agents are silent
         self.silent: dict[str, float] = {}  # stopped hosts and hosts with silent connections: end of the silence
         self.frozen: list[tuple[str, float, float]] = []  # host, begin and end of each stop
-        self.stopped: list[tuple[float, float]] = []  # begin and end of each stop of a dispatcher
+        self.stopped: list[tuple[float, float]] = []  # unused; a dispatcher's stops are in its ledger's `pauses`
         self.event_log: list[str] = []
         self.began = monotonic()
         self.ended = False
--- a/tests/soak_slow_start.py
+++ b/tests/soak_slow_start.py
@@ -7,9 +7,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-COLD_S, START_CAPACITY, FALL_MULTIPLE, FALL_S = 5.0, 0.26, 2.5, 2.0
+COLD_S = 5.0  # after this a restarted host is warm
+START_CAPACITY = 0.26  # of a host at its cold start, as a share of its capacity when warm
+# By the settings a cold host fails if the calls within FALL_S seconds exceed FALL_MULTIPLE times what it can complete
+# meanwhile; this product is the budget of the window.
+FALL_MULTIPLE, FALL_S = 2.5, 2.0
 WARM_RATE_PER_S = {"read": 20.0, "write": 6.0}  # requests per second that a warm host of a role completes
-SMALL_BUDGET = 30  # below this many requests the platform's rules allow three times the square root
+# The platform's rules allow budget + 3 * sqrt(budget) + 3 calls below this budget, else budget + 2 * sqrt(budget) + 2.
+SMALL_BUDGET = 30
 OBLIGATIONS = {
     "cold-us": COLD_S * 1e6,
     "start-capacity": START_CAPACITY,
@@ -55,7 +60,7 @@
 
 
 def allowance(budget: float) -> float:
-    """Return the calls that a host may be sent in a window whose budget by the settings is given."""
+    """Return the number of calls that a host may be sent in a window of this budget."""
     root_factor, constant = (3, 3) if budget < SMALL_BUDGET else (2, 2)
     return budget + root_factor * math.sqrt(budget) + constant
 
--- a/tests/withheld.py
+++ b/tests/withheld.py
@@ -17,10 +17,11 @@
 
 
 class MeasuringPoller(PollPoller):
-    """Samples at clock reads, so that a pause is known by the first time that is read after it.
+    """Samples withheld time when the clock is read, so that the first time read after a pause already includes it.
 
     Withheld time is what the thread waited in the run queue, and what a hypervisor took from the processor that it runs
-    on. The latter counts while the thread waits for events as well: a task of the World must wake up often.
+    on. The latter also counts while the thread waits for events, when nothing is withheld from it: some task of the
+    World must wake up often, so that these waits are short.
     """
 
     def __init__(self) -> None:
@@ -70,7 +71,9 @@
         """Journal lines of this World in order, their times without the time withheld."""
         found, latest = [], 0
         for line in sorted(lines, key=lambda line: int(line["t"])):
-            latest = max(latest, line["t"] - self.measure.withheld_us(line["t"]))  # samples do not change the order
+            latest = max(
+                latest, line["t"] - self.measure.withheld_us(line["t"])
+            )  # keeps the order of lines although samples are coarse
             times = {"t": latest}
             if "first_t" in line:
                 times["first_t"] = line["first_t"] - self.measure.withheld_us(line["first_t"])
--- a/tests/world_ledger.py
+++ b/tests/world_ledger.py
@@ -11,11 +11,13 @@
 
 NETWORK_US = 15_000  # two network latencies plus clock ticks
 SLACK_US = 50_000  # added to every time limit on sockets
-MAX_ANSWER_DELAY_US = 500_000  # an answer up to this late earns nothing but breaks no rule
+MAX_ANSWER_DELAY_US = 500_000  # an answer up to this late is of no use to its client, but violates no rule
 AFTER_DISCONNECT_US = 100_000  # an attempt that begins later than this after the client disconnected breaks the rule
 HOLD_SLACK_US = 300_000
 MAX_EVENT_DELAY_US = 300_000
 MAX_STREAM_END_DELAY_US = 5_000_000  # longest time that a client may wait after the last event of a stream
+# A stream of a silent host may be cut this long before that limit, so that the limit is kept.
+STREAM_CUT_LEAD_US = 10 * SLACK_US
 DEADLINE_SLACK_US = 20_000  # two latencies and two ticks between the client's and the host's measurement
 EARLY_SHUTDOWN_US = 700_000  # SIGKILL may not lose a request that arrived later than this after SIGTERM
 CUT_RECOVERY_US = 50_000  # after a network cut: delayed data has arrived and failed connects have been retried
@@ -143,7 +145,7 @@
         final_us = self._answered_us(request)
         if final_us:
             if final_us > limit_us:
-                yield f"answered {final_us - limit_us} us after half a second past its time"
+                yield f"answered {final_us - limit_us} us after its deadline plus {MAX_ANSWER_DELAY_US // 1_000} ms"
         elif self._lost_by_kill(request):
             return
         elif request.closed_us is None:
@@ -151,7 +153,7 @@
         elif request.fresh:
             yield f"its new connection was closed without an answer (status {request.status})"
         elif request.status or any(a.id == request.id for a in self.attempts):
-            yield "read, sent on, and its connection closed without an answer"
+            yield "its connection closed without an answer though an attempt or the head of an answer had been sent"
         elif request.closed_us > request.sent_us + NETWORK_US:  # otherwise the request crossed with the close
             yield f"its connection closed without an answer {request.closed_us - request.sent_us} us after it was sent"
 
@@ -191,7 +193,7 @@
             ):  # cancelled long before and delayed by the cut
                 continue
             if earlier.over_us is None or earlier.over_us > later.last_us + NETWORK_US:
-                yield f"two attempts out at once, at {earlier.host} and {later.host}"
+                yield f"two attempts in flight at once, at {earlier.host} and {later.host}"
         ran = [a for a in attempts if a.write and not a.never_ran]
         if request.effect == "single_shot" and ran:
             if attempts[-1] is not ran[0]:
@@ -205,8 +207,8 @@
             gone = request.left_us is not None and request.left_us < attempt.first_us
             if attempt.stated_deadline_ms * 1_000 > left_us + DEADLINE_SLACK_US and not gone:
                 yield (
-                    f"told {attempt.host} {attempt.stated_deadline_ms} ms, "
-                    f"{attempt.stated_deadline_ms * 1_000 - left_us} us more than is left"
+                    f"the deadline sent to {attempt.host} was {attempt.stated_deadline_ms} ms, "
+                    f"{attempt.stated_deadline_ms * 1_000 - left_us} us more than the request had left"
                 )
             if final_us and attempt.first_us > final_us + NETWORK_US:
                 yield f"sent to {attempt.host} {attempt.first_us - final_us} us after its answer"
@@ -219,7 +221,7 @@
                 continue
             request = self.requests.get(number)
             if request is None:
-                yield f"{number.decode()}: {what} at {host} for a request that was never written whole"
+                yield f"{number.decode()}: {what} at {host} for a request that its client never sent completely"
             elif request.left_us is not None and first_us > request.left_us + AFTER_DISCONNECT_US + NETWORK_US:
                 yield f"{number.decode()}: {what} at {host} {first_us - request.left_us} us after its client left"
 
@@ -227,11 +229,12 @@
         calls = [(a.id, a.host, a.first_us, "an attempt") for a in self.attempts]
         calls += [(number, host, at, "a call for a place") for number, host, at in self.places]
         for number, host, first_us, what in calls:
-            told_us = self.drains_known.get(host)
+            known_us = self.drains_known.get(host)
             if self._delayed_by_cut(host, first_us, first_us):
                 continue
-            if told_us is not None and first_us > told_us + self.grace_us + SLACK_US + NETWORK_US:
-                yield f"{number.decode()}: {what} at {host} {first_us - told_us} us after its drain was told"
+            if known_us is not None and first_us > known_us + self.grace_us + SLACK_US + NETWORK_US:
+                late = f"{first_us - known_us} us after the dispatcher had to know of its drain"
+                yield f"{number.decode()}: {what} at {host} {late}"
 
     # --- streams
 
@@ -241,12 +244,12 @@
         body = bytes(request.body)
         source = next((a for a in self.attempts_of(request.id) if a.body.startswith(body)), None)
         if source is None:
-            yield f"served with what no host made for it: {body[-80:]!r}"
+            yield f"its body is not the beginning of any host's stream for it: {body[-80:]!r}"
             return
         over_us = min(at for at in (request.left_us, request.closed_us, now_us) if at is not None)
         if request.whole_us is not None:
             if source.finished_us is None or len(body) < len(source.body):
-                yield f"ended as whole after {len(body)} bytes, which the stream of {source.host} was not"
+                yield f"ended as complete after {len(body)} bytes, but the stream of {source.host} was not complete"
             elif request.whole_us > source.finished_us + MAX_EVENT_DELAY_US and not self._delayed_by_cut(
                 source.host, source.finished_us, request.whole_us
             ):
@@ -284,7 +287,7 @@
                 yield f"left waiting {closed_us - broken_us} us after its stream broke"
         elif not self._lost_by_kill(request) and (not self.resume or self.term_us is None or closed_us < self.term_us):
             silent_us = closed_us - source.pieces[-1][0]
-            if silent_us < MAX_STREAM_END_DELAY_US - 10 * SLACK_US - NETWORK_US:
+            if silent_us < MAX_STREAM_END_DELAY_US - STREAM_CUT_LEAD_US - NETWORK_US:
                 yield f"cut while {source.host} was writing"
             elif silent_us > MAX_STREAM_END_DELAY_US:
                 yield f"left waiting {silent_us} us after the last event of {source.host}"
@@ -310,7 +313,7 @@
             longest_us = max(longest_us, end_us - start_us)
             if longest_us > limit_us and not self._delayed_by_cut(hold.host, hold.since_us, hold.since_us):
                 what = "a place" if hold.place else "a state"
-                yield f"{hold.id.decode()}: {what} at {hold.host} was held {longest_us} us with nothing out"
+                yield f"{hold.id.decode()}: {what} at {hold.host} was held {longest_us} us with no attempt in flight"
 
 
 def _taken_at(hold: Hold, attempt: Attempt) -> list[int]:
