--- a/tests/planted.py
+++ b/tests/planted.py
@@ -71,7 +71,7 @@
 
 
 @plant
-def place_of_an_unheard_write_forgotten() -> None:
+def place_of_an_unconfirmed_write_forgotten() -> None:
     swap(Lifecycle, "_unconfirmed_write", lambda _: lambda self, *more: None)
 
 
@@ -102,7 +102,7 @@
 
 
 @plant
-def unheard_place_forgotten() -> None:
+def unanswered_place_forgotten() -> None:
     def make(real: Any) -> Any:
         def answered(self: Any, now: int, request: int, number: int, server: Any, held: bool | None) -> Any:
             return real(self, now, request, number, server, bool(held))
@@ -215,7 +215,7 @@
 
 
 @plant
-def clocks_taken_for_one() -> None:
+def edge_clock_taken_for_the_planners() -> None:
     def make(real: Any) -> Any:
         def init(self: PlanningSession, handle: Any, edge_now: int, planner_now: int) -> None:
             real(self, handle, planner_now, planner_now)
@@ -226,12 +226,12 @@
 
 
 @plant
-def unheard_release_given_up() -> None:
+def unconfirmed_release_given_up() -> None:
     swap(ReleaseQueues, "settled", lambda real: lambda self, now, release, confirmed: real(self, now, release, True))
 
 
 @plant
-def unheard_releases_use_up_the_line() -> None:
+def unconfirmed_releases_leak_slots() -> None:
     def make(real: Any) -> Any:
         def settled(self: ReleaseQueues, now: int, release: Any, confirmed: bool) -> None:
             real(self, now, release, confirmed)
@@ -288,7 +288,7 @@
 
 
 @plant
-def lost_planner_settles_nothing() -> None:
+def requests_stay_open_without_a_planner() -> None:
     def down(self: Lifecycle, now: int) -> list[c.Command]:
         self.epoch = 0
         return self._take_commands()
@@ -387,8 +387,8 @@
 
 def find(name: str, seeds: int) -> tuple[str, int, str]:
     """Run seeds with one fault planted; returns its name, the seeds until detection (-1: none) and the violation."""
-    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
-    gc.disable()
+    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))  # critical events only
+    gc.disable()  # collected between runs, as in lab/seeds.py
     PLANTED[name]()
     for seed in range(seeds):
         try:
--- a/tests/planted_crossings.py
+++ b/tests/planted_crossings.py
@@ -1,7 +1,7 @@
 """Injected faults of one line each for a copy of the program, and the crossing test that has to find each.
 
-Faults masked by a second layer are left out: the edge's interlocks and the policy each prevent that an order is sent
-twice and that a draining host is chosen.
+Faults masked by a second layer are left out: the edge's interlocks and the policy both prevent sending an at-most-once
+request twice and choosing a draining host.
 """
 
 from __future__ import annotations
@@ -49,20 +49,21 @@
         lambda stage: clients.flood(stage, "close", 0),
         "after its client left",
     ),
-    "what_is_called_off_goes_on": Plant(
+    "cancelled_attempts_keep_running": Plant(
         "node/executor.py",
         "known.attempts.pop(attempt).cancel()",
         "known.attempts.pop(attempt)",
         lambda stage: clients.flood(stage, "rst", 0),
         "released during its read",
     ),
-    "a_kept_connection_is_not_looked_at": Plant(
+    "idle_connections_are_reused_unchecked": Plant(
         "runtime/real.py",
         "self._sock.recv(1, socket.MSG_PEEK)",
         "return True",
         lambda stage: hosts.second_answer(stage, "read", "first", rested=True),
         "written before it was read",
     ),
+    # A connection is reused although more bytes followed the answer.
     "what_lies_behind_an_answer_is_kept": Plant(
         "engine/http_client.py",
         "if self.ended and http1.keeps_alive(self.head) and not self.connection.parser.buffered:",
@@ -70,6 +71,7 @@
         lambda stage: hosts.two_answers(stage, "read"),
         "written before it was read",
     ),
+    # Releases are not sent.
     "nothing_is_let_go_of": Plant(
         "core/request/completion.py",
         "self._commands.append(c.ReleaseAll(record.request.request, record.may_hold_later))",
@@ -77,6 +79,7 @@
         lambda stage: clients.leaving_between(stage, "close"),
         "with no attempt out",
     ),
+    # A release counts as confirmed without being sent.
     "a_release_is_taken_as_heard": Plant(
         "node/release_tasks.py",
         "acknowledged = self._hosts.release(server, self._ids[release.request], late_headers)",
@@ -91,7 +94,7 @@
         lambda stage: hosts.cut_after_head(stage, "write", "order", True, b""),
         "though it may have run",
     ),
-    "an_answer_that_breaks_counts_as_a_no": Plant(
+    "a_broken_answer_counts_as_a_refusal": Plant(
         "node/host_client.py",
         "return AttemptResult(Status.ERROR if error.malformed else Status.RESET, detail=str(error))",
         "return AttemptResult(Status.FULL)",
@@ -122,6 +125,7 @@
         lambda stage: hosts.cut_after_head(stage, "read", "ask", False, b"HTTP/1.1 202 x\r\n"),
         "cut though its host had ended it",
     ),
+    # After an answer sent before the end of the request, the connection is closed without reading the rest.
     "an_early_answer_is_not_lingered_for": Plant(
         "api/serving.py",
         "remaining = LINGER_BYTES",
--- a/tests/planted_fleet.py
+++ b/tests/planted_fleet.py
@@ -34,6 +34,10 @@
 
 @plant
 def a_duty_is_taken_without_looking() -> None:
+    """A duty is acquired without the comparison that it is free.
+
+    Each steward ranks itself first, else the first candidate alone would try and no other would race with it.
+    """
     _swap(FleetKeys, "acquire", _no_compare)
     _swap(
         duty_assignment,
@@ -48,7 +52,7 @@
     _swap(app.Steward, "__init__", _remember_name)
 
 
-_own_name = [""]
+_own_name = [""]  # of this process's steward
 
 
 def _remember_name(real: Callable[..., None]) -> Callable[..., None]:
@@ -102,13 +106,13 @@
 
 
 @plant
-def everybodys_holds_are_let_go_of() -> None:
+def everybodys_holds_are_released() -> None:
     _swap(sweep, "holds_to_release", lambda real: lambda holds, gone: list(holds))
 
 
 @plant
 def a_fence_is_guessed() -> None:
-    """The fence is the revision of the answer instead of the key's create revision, wrong after a lost answer."""
+    """The fence is one above the key's create revision: the store never gave this fence to the duty."""
     _swap(app, "decode_holder", lambda real: lambda row: replace(real(row), fence=row.create + 1))
 
 
--- a/tests/test_fleet_mistakes.py
+++ b/tests/test_fleet_mistakes.py
@@ -23,7 +23,7 @@
     "an_engine_forgets_its_fences": (s.an_engine_that_was_restarted_refuses_an_old_order, "obeyed after"),
     "an_ended_lease_is_taken_for_a_death": (s.an_edge_cut_off_from_the_store_keeps_what_it_holds, "still sends"),
     "silence_is_taken_for_a_death": (s.a_stopped_edge_is_not_taken_for_a_dead_one, "still sends"),
-    "everybodys_holds_are_let_go_of": (s.an_edge_lives_while_another_dies, "is registered"),
+    "everybodys_holds_are_released": (s.an_edge_lives_while_another_dies, "is registered"),
     "a_fence_is_guessed": (s.an_edge_that_is_killed_leaves_nothing_behind, "was never given"),
     "a_store_that_went_back_is_used": (s.a_store_that_is_away_and_comes_back_older_is_refused, "went back"),
 }
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -154,9 +154,9 @@
 @pytest.mark.parametrize(
     "name",
     [
-        "place_of_an_unheard_write_forgotten",
+        "place_of_an_unconfirmed_write_forgotten",
         "event_cut_between_reads_lost",
-        "unheard_releases_use_up_the_line",
+        "unconfirmed_releases_leak_slots",
         "place_release_forgotten",
         "state_of_an_aborted_read_forgotten",
         "late_place_answer_forgotten",
