--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -29,7 +29,7 @@
 def journals(tmp_path_factory: pytest.TempPathFactory) -> tuple[list[JournalLine], list[JournalLine]]:
     folder = tmp_path_factory.mktemp("day")
     result = subprocess.run(
-        [sys.executable, "-m", "yardspindle", "lab", "day", "examples/days/short.toml", "--keep", str(folder)],
+        [sys.executable, "-m", "tests.day_program", "examples/days/short.toml", "--keep", str(folder)],
         cwd=ROOT,
         capture_output=True,
         text=True,
