--- a/yardspindle/core/fleet/release_keys.py
+++ b/yardspindle/core/fleet/release_keys.py
@@ -1,8 +1,9 @@
 """The store's records of units, permits, orders and the release, and the transactions on them.
 
 The store is a key-value store that the fleet's processes share: etcd or a file. A unit is a dispatcher or model host; a
-permit allows it to be out of service, and an order tells its supervisor what to do. The duty `release` is a background
-task with one owner at a time, which grants permits and gives orders.
+permit allows it to be out of service, and an order tells its supervisor what to do. A release is the rollout of a
+version to units, wave by wave. A duty is a background task with one owner at a time; the duty `release` grants permits
+and gives orders, both for the release and for operators' drain requests.
 """
 
 from __future__ import annotations
@@ -53,11 +54,13 @@
     audit_log: dict[str, AuditEntry] = field(default_factory=dict)
     release: release_plan.Release | None = None
     release_mod: int = 0  # revision that last wrote the release
-    head_mod: int = 0  # revision that last wrote the head key, which every grant of a permit writes
+    # Revision that last wrote the head key. Each grant and each closing of a permit writes that key, on condition that
+    # it is unchanged: of two decisions made from the same permits, only one is written, so limits on units out hold.
+    head_mod: int = 0
     order_mods: dict[str, int] = field(default_factory=dict)  # by unit: revision that last wrote its order
 
     def snapshot(self, limits: tuple[Limit, ...], age_us: int) -> permit_rules.FleetSnapshot:
-        """The input of a permit decision."""
+        """The input of a permit decision; `age_us`: time since this view was read from the store."""
         return permit_rules.FleetSnapshot(self.placements, self.statuses, self.permits, limits, age_us)
 
 
@@ -74,7 +77,8 @@
     def row_key(self, kind: str, unit: str) -> bytes:
         """The key of a row; `kind` is places, statuses, permits, orders, wishes or log.
 
-        Here `places` are the units' kinds and groups, `wishes` operators' drain requests, and `log` the audit log.
+        These names are stored. `places` holds `ReleaseView.placements` (the units' kinds and groups), `wishes` its
+        `drain_requests`, and `log` its `audit_log`.
         """
         return self.root + f"{kind}/{unit}".encode()
 
@@ -178,7 +182,8 @@
     """The next step, at most one, for operators' drain requests and for permits that no release has asked for.
 
     Drains are under the same permits as releases. A permit without a drain request, such as one that a unit granted
-    itself to shut down, is closed once its unit is back. `by` is not used: permits and orders name the operator.
+    itself to shut down, is closed once its unit is back. The signature follows `release_plan.next_steps`, but `by`, the
+    duty's owner, is not used: these permits and orders name the operator who requested the drain.
     """
     found: list[release_plan.Step] = [
         release_plan.ClosePermit(unit)
--- a/yardspindle/core/request/commands.py
+++ b/yardspindle/core/request/commands.py
@@ -111,15 +111,16 @@
 
     The last two apply while engines hold, or may hold, a state or place for the request ("something" in their texts):
     these must be used or released within a time limit (`held_resources.py`), so the attempt gets less time to connect
-    and be answered than otherwise. The texts are logged as `why`; operators look for that of UNANSWERED.
+    and be answered than otherwise. The texts are logged as `why`. Operators search logs for that of UNANSWERED
+    (docs/operate/node.md), as it means that the server may be unresponsive.
     """
 
     REQUEST_OVER = "its request is over"
     POLICY = "the policy called it off"
     PLANNER_LOST = "no planner is connected"
     SHUTDOWN = "the process is shutting down"
-    NOT_CONNECTED = "not connected in time while something is held"
-    UNANSWERED = "no word of it in time while something is held"
+    NOT_CONNECTED = "not connected in time while something is held"  # the call was not written
+    UNANSWERED = "no word of it in time while something is held"  # written, but no sign that a running server has it
 
 
 @dataclass(frozen=True, slots=True)
--- a/yardspindle/core/request/planning.py
+++ b/yardspindle/core/request/planning.py
@@ -46,7 +46,7 @@
         return decisions
 
     def handle_events(self, edge_now_us: int, events: list[i.Event]) -> Decisions:
-        """Pass the events of one message from the edge to the policy in order, after the timers that are due before."""
+        """Fire the timers due by `edge_now_us`, then pass the events of one edge message to the policy in order."""
         decisions = Decisions()
         self._fire_due(edge_now_us, decisions)
         for event in events:
--- a/yardspindle/node/config.py
+++ b/yardspindle/node/config.py
@@ -102,7 +102,9 @@
         raise ConfigError(f"{file}: settings: missing key or unknown value: {_one_line(error)}") from None
     except (ValueError, TypeError, AttributeError, IndexError, OverflowError) as error:
         raise ConfigError(f"{file}: settings: {_one_line(error)}") from None
-    allowed = raw.get("allowed") or {}  # holds limits that the policy's settings leave out
+    # Limits on what the router may do. Those that the policy does not need (open requests, connections) are read
+    # here, as `mapped`, its view of the settings, does not contain them.
+    allowed = raw.get("allowed") or {}
     return NodeConfig(
         name=contents.name or variables["ROUTER_NAME"],
         listen=_address(file, "listen", contents.listen, variables["ROUTER_LISTEN"]),
