--- a/yardspindle/lab/block_cache.py
+++ b/yardspindle/lab/block_cache.py
@@ -49,7 +49,7 @@
         return block_hashes(packed, self.block_size)
 
     def insert(self, hashes: list[int], packed: bytes) -> None:
-        """Insert the blocks of a prompt that was read; later ones of a chain are evicted before earlier ones."""
+        """Insert the blocks of a prompt after its prefill; later ones of a chain are evicted before earlier ones."""
         new = [at for at, block in enumerate(hashes) if block not in self.blocks]
         events: list[CacheEvent] = []
         for at in new:  # one event for each run of consecutive blocks, as engines send them
--- a/yardspindle/lab/clients.py
+++ b/yardspindle/lab/clients.py
@@ -102,7 +102,18 @@
 
 @dataclass(slots=True)
 class _TryResult:
-    """What the client saw of one try."""
+    """What the client saw of one try.
+
+    `outcome` is empty until the try ends; then it is one of:
+
+    - "served": the answer was complete;
+    - "refused": status 429 or 503 with a `retry-after-ms` header;
+    - "failed": any other error response, or an error event in the stream;
+    - "left": the client hung up (`code` is "hung up") or stopped reading the stream;
+    - "late": no complete answer by `LISTEN_GRACE_US` after the deadline;
+    - "lost": the connection broke, or the stream ended without its end mark (`code` says how);
+    - "unreachable": no connection to the edge.
+    """
 
     outcome: str = ""
     code: str = ""
@@ -143,7 +154,8 @@
     def send_once(self, plan: RequestPlan, attempt: int, edge: tuple[str, int]) -> _TryResult:
         """Send a request once and record how it ended.
 
-        In the record, `try` names this send and `order` the request that it is a try of."""
+        One record is written at the start and one at the end; `try` names this send in both. `order`, in the first,
+        names the request and is the same for all its tries: by it the audit counts how often the request ran."""
         name = f"q{plan.number}.{attempt}"
         started = self._world.now_us()
         result = _TryResult()
--- a/yardspindle/runtime/poller.py
+++ b/yardspindle/runtime/poller.py
@@ -1,7 +1,7 @@
-"""The poller of programs that run on a real machine: its clock, and one `select.poll` wait on behalf of all tasks.
+"""Waits with `select.poll` for the descriptors of all of a process's tasks at once, and provides their clock.
 
-The scheduler (runtime/scheduler.py) calls it; `RealWorld` (runtime/real.py) parks tasks in it. In simulations,
-`VirtualClock` takes its place.
+The scheduler (runtime/scheduler.py) calls the poller; `RealWorld` (runtime/real.py) parks tasks in it. Simulations use
+`VirtualClock` instead.
 """
 
 from __future__ import annotations
