--- a/tests/soak.py
+++ b/tests/soak.py
@@ -143,7 +143,7 @@
         with open(self.folder / "deaths.jsonl", "a") as file_of_deaths:
             file_of_deaths.write(json.dumps({"host": host.name, "earliest": earliest, "at": monotonic()}) + "\n")
         await asyncio.sleep(down_s or self.random.uniform(0.2, 1.0))
-        self.start_host(host.name, host.role, host.port, cold=True)
+        await self.start_host(host.name, host.role, host.port, cold=True)
         self.dead_hosts.discard(host.name)
         back, late_s = self.hosts[host.name], self.random.choice((0.0, self.random.uniform(0.0, MAX_LISTING_DELAY_S)))
         back.phase, back.listed_before_ms, back.listed_from = host.phase, host.up_since_ms, monotonic() + late_s
@@ -213,9 +213,9 @@
     async def run(self) -> list[str]:
         names = [f"n{at}" for at in range(self.plan.dispatchers)]
         for at in range(self.plan.readers):
-            self.start_host(f"reader-{at}", "read")
+            await self.start_host(f"reader-{at}", "read")
         for at in range(self.plan.writers):
-            self.start_host(f"writer-{at}", "write")
+            await self.start_host(f"writer-{at}", "write")
         for name in names:
             await self.start_agent(name)
             self.reserved.append(reserve_port(LOOPBACK_ADDRESS))
--- a/tests/soak_parties.py
+++ b/tests/soak_parties.py
@@ -99,6 +99,13 @@
             self.process.stdin.flush()
 
 
+def await_start(process: subprocess.Popen[bytes]) -> tuple[int, float, int]:
+    """Wait until a host's process listens; returns its port, and when that was (monotonic clock, Unix time in ms)."""
+    assert process.stdout is not None
+    port = int(process.stdout.readline())
+    return port, monotonic(), round(time() * 1_000)
+
+
 class SoakCluster:
     """All processes, connections and records of one run."""
 
@@ -145,7 +152,7 @@
 
     # --- processes
 
-    def start_host(self, name: str, role: str, port: int = 0, cold: bool = False) -> None:
+    async def start_host(self, name: str, role: str, port: int = 0, cold: bool = False) -> None:
         if not port:
             self.reserved.append(reserve_port(LOOPBACK_ADDRESS))
             port = port_of(self.reserved[-1])
@@ -153,11 +160,15 @@
         ramp = "work" if self.warm_by_work else "time"
         process = subprocess.Popen(argv + [ramp] * cold, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
         self.withheld.pids[process.pid] = name
-        assert process.stdout is not None
-        self.hosts[name] = SoakHost(name, role, process, int(process.stdout.readline()))
+        try:
+            port, started_at, up_since_ms = await asyncio.to_thread(await_start, process)
+        except BaseException:
+            process.kill()  # ends the thread's wait, too
+            raise
+        self.hosts[name] = SoakHost(name, role, process, port)
         if cold:
-            self.cold_starts.append(ColdStart(name, role, monotonic(), self.warm_by_work))
-            self.hosts[name].up_since_ms = round(time() * 1_000)
+            self.cold_starts.append(ColdStart(name, role, started_at, self.warm_by_work))
+            self.hosts[name].up_since_ms = up_since_ms
 
     def start_dispatcher(self, name: str) -> None:
         config = self.folder / f"{name}.json"
