--- a/tests/soak_host.py
+++ b/tests/soak_host.py
@@ -3,12 +3,14 @@
 With RAMP (`time` or `work`) the host starts cold and warms up by time or by completed work. It refuses work that would
 wait too long. It speaks the platform's protocol and logs its steps to FOLDER/NAME.jsonl with monotonic timestamps.
 Hosts share what they hold through files: FOLDER/states/ID names the reader that holds a state, FOLDER/reads/ID a read
-in progress. Lines on standard input inject faults. A stopped process reads nothing, but the kernel still accepts bytes.
+in progress, and the link FOLDER/open/ID@ATTEMPT the connection of an attempt. Lines on standard input inject faults.
+A stopped process reads nothing, but the kernel still accepts bytes.
 """
 
 from __future__ import annotations
 
 import contextlib
+import errno
 import json
 import os
 import random
@@ -26,6 +28,10 @@
 from tests.soak_slow_start import COLD_S, WARM_RATE_PER_S, warmth
 
 BACKLOG = 2  # connections that are established while the process is stopped; further ones hang
+# Of the kernel's interface for socket states.
+NETLINK_SOCK_DIAG, SOCK_DIAG_BY_FAMILY, NLM_F_REQUEST = 4, 20, 1
+ANY_STATE, NO_COOKIE = 0xFFFF_FFFF, (0xFFFF_FFFF, 0xFFFF_FFFF)
+TCP_ESTABLISHED = 1  # neither end has closed
 EVENTS = 6
 EVENT_S = 0.02
 LOST_CALL_S = 8.0  # how long a call stays unanswered under the `lose` fault; the dispatcher closes the connection first
@@ -62,14 +68,23 @@
         with self.lock:
             self.log.write(json.dumps(row) + "\n")
 
+    def record_closed_attempts(self, request_id: bytes) -> None:
+        """Log which attempts of a request, at any host, the dispatcher has closed, before a step that must follow that.
+
+        The thread of an attempt may notice the close later, as it waits for the interpreter lock.
+        """
+        for name, connection in open_attempts(self.folder / "open", request_id.decode()):
+            if is_closed(connection):
+                self.record("closed", request_id, attempt=name)
+
     def has_fault(self, kind: str) -> bool:
         return self.fault_ends.get(kind, 0.0) > monotonic()
 
     def run(self) -> None:
         threading.Thread(target=self._read_commands, daemon=True).start()
         while True:
-            sock, _ = self.listener.accept()
-            threading.Thread(target=self._serve_connection, args=(sock,), daemon=True).start()
+            sock, peer = self.listener.accept()
+            threading.Thread(target=self._serve_connection, args=(sock, peer), daemon=True).start()
 
     def _read_commands(self) -> None:
         for line in sys.stdin:
@@ -84,7 +99,8 @@
                 self.fault_ends[kind] = monotonic() + float(seconds)
         os._exit(0)  # the soak process has exited
 
-    def _serve_connection(self, sock: socket.socket) -> None:
+    def _serve_connection(self, sock: socket.socket, peer: tuple[str, int]) -> None:
+        connection = describe_connection(sock.getsockname(), peer)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.connections.add(sock)
         buffer, first_byte_at, reset, opened = b"", 0.0, False, monotonic()
@@ -99,7 +115,7 @@
                 message, size = read_message(buffer)
                 if message is not None and message.whole:
                     buffer = buffer[size:]
-                    self._serve_call(sock, message, first_byte_at, arrived)
+                    self._serve_call(sock, connection, message, first_byte_at, arrived)
                     first_byte_at = 0.0
         except (OSError, ConnectionEnded):
             reset = True
@@ -107,9 +123,12 @@
             self.connections.discard(sock)
             close_socket(sock, reset)
 
-    def _serve_call(self, sock: socket.socket, message: Message, first_byte_at: float, arrived: float) -> None:
+    def _serve_call(
+        self, sock: socket.socket, connection: str, message: Message, first_byte_at: float, arrived: float
+    ) -> None:
         method, target = message.start.split()[:2]
         reserves_place = b"/rooms/" in target and method == b"POST"
+        self.record_closed_attempts(message.headers.get(b"req-id") or target.rpartition(b"/")[2])
         if peer_closed(sock) and not (reserves_place and self.random.random() < LATE_PLACE_PROBABILITY):
             raise ConnectionEnded  # the dispatcher gave the call up before it was read
         if b"/rooms/" in target:
@@ -117,6 +136,8 @@
             return
         request_id = message.headers[b"req-id"]
         attempt = f"{self.name} {monotonic()}"
+        open_attempt = self.folder / "open" / f"{request_id.decode()}@{attempt}"
+        open_attempt.symlink_to(connection)
         self.record(
             "taken",
             request_id,
@@ -159,6 +180,7 @@
             read.unlink(missing_ok=True)
             if not status:
                 self.record("over", request_id, attempt=attempt, how=0, left=state_kept and state.exists())
+            open_attempt.unlink()
 
     def _decline(self, sock: socket.socket, request_id: bytes, attempt: str, status: int) -> None:
         self.record("over", request_id, attempt=attempt, how=status, closed=peer_closed(sock))
@@ -225,6 +247,47 @@
     return True
 
 
+def open_attempts(folder: Path, request_id: str) -> list[tuple[str, str]]:
+    """The attempts of a request that are in progress, each with its connection."""
+    found = []
+    for name in os.listdir(folder):
+        number, _, attempt = name.partition("@")
+        if number == request_id:
+            with contextlib.suppress(FileNotFoundError):  # it has ended meanwhile
+                found.append((attempt, os.readlink(folder / name)))
+    return found
+
+
+def describe_connection(local: tuple[str, int], peer: tuple[str, int]) -> str:
+    return f"{local[0]} {local[1]} {peer[0]} {peer[1]}"
+
+
+def is_closed(connection: str) -> bool:
+    """Whether a TCP connection of any local process has been closed by its peer or is gone, as the kernel states it.
+
+    Asks for this one by a netlink message: to read all of /proc/net/tcp takes over 10 ms with some thousand rows.
+    """
+    host, port, peer_host, peer_port = connection.split()
+    request = b"".join(
+        (
+            struct.pack("=BBBBI", socket.AF_INET, socket.IPPROTO_TCP, 0, 0, ANY_STATE),
+            struct.pack("!HH", int(port), int(peer_port)),
+            *(socket.inet_aton(address).ljust(16, b"\0") for address in (host, peer_host)),
+            struct.pack("=III", 0, *NO_COOKIE),
+        )
+    )
+    with socket.socket(socket.AF_NETLINK, socket.SOCK_RAW, NETLINK_SOCK_DIAG) as kernel:
+        kernel.send(struct.pack("=IHHII", 16 + len(request), SOCK_DIAG_BY_FAMILY, NLM_F_REQUEST, 1, 0) + request)
+        reply = kernel.recv(4_096)
+    (kind,) = struct.unpack_from("=H", reply, 4)
+    if kind == SOCK_DIAG_BY_FAMILY:
+        return reply[17] != TCP_ESTABLISHED  # a listener's row stands for a connection that is gone
+    (error,) = struct.unpack_from("=i", reply, 16)
+    if error != -errno.ENOENT:
+        raise OSError(-error, os.strerror(-error))
+    return True
+
+
 def receive(sock: socket.socket) -> tuple[bytes, float]:
     """Return the next bytes and when the kernel received them."""
     data, ancillary, _, _ = sock.recvmsg(1 << 16, 64)
--- a/tests/soak_judge.py
+++ b/tests/soak_judge.py
@@ -43,8 +43,9 @@
     asked = {request.id for request in ledger.requests}
     ledger.draining_since = run.drains_reported
     attempts: dict[str, Attempt] = {}
+    closed_at: dict[str, float] = {}  # when a host found an attempt's connection closed before the attempt's host did
     for row in sorted((row for row in rows if row["id"].encode() in asked), key=lambda row: float(row["at"])):
-        _apply_row(run, row, attempts, frozen)
+        _apply_row(run, row, attempts, closed_at, frozen)
         ledger.recorded_by[row["at"], row["id"].encode()] = row["host"]
     for death in died:  # a dead host loses its holds and running attempts
         for attempt in attempts.values():
@@ -76,7 +77,13 @@
     return bool(request.answers) and request.answers[0][1].whole and request.answers[0][0] < by
 
 
-def _apply_row(run: DispatcherRun, row: dict[str, Any], attempts: dict[str, Attempt], frozen: Frozen) -> None:
+def _apply_row(
+    run: DispatcherRun,
+    row: dict[str, Any],
+    attempts: dict[str, Attempt],
+    closed_at: dict[str, float],
+    frozen: Frozen,
+) -> None:
     ledger, number, at = run.ledger, row["id"].encode(), row["at"]
     match row["what"]:
         case "taken":
@@ -96,12 +103,16 @@
                 row["how"],
                 _latest_finish(row, frozen),
             )
+            if not row["how"] or row.get("closed"):
+                attempt.ended_at = min(attempt.ended_at, closed_at.get(row["attempt"], attempt.ended_at))
             kind = STEP_BY_STATUS.get(attempt.status, "ended")
             if attempt.role == "read":
                 kind = "left" if row.get("left") else "ended"
             ledger.hold_changes.append((at, kind, number))
         case "placed" | "freed" as kind:
             ledger.hold_changes.append((at, kind, number))
+        case "closed":
+            closed_at.setdefault(row["attempt"], at)
         case "no place":
             ledger.on_place_refused(number)
 
--- a/tests/soak_parties.py
+++ b/tests/soak_parties.py
@@ -144,7 +144,7 @@
         self.withheld = WithheldTime()
         self.ended = False
         self._requests = 0
-        for kind in ("states", "reads"):
+        for kind in ("states", "reads", "open"):
             (folder / kind).mkdir()
 
     def log_event(self, text: str) -> None:
--- a/tests/test_soak_judge.py
+++ b/tests/test_soak_judge.py
@@ -2,7 +2,10 @@
 
 from __future__ import annotations
 
+import json
 import os
+import socket
+import struct
 import subprocess
 import sys
 from collections.abc import Callable, Sequence
@@ -14,6 +17,7 @@
 
 from tests.crossing_ledger import CLIENTS, make_request
 from tests.crossing_messages import Message
+from tests.soak_host import SoakHost, describe_connection
 from tests.soak_judge import judge_run
 from tests.soak_parties import DispatcherRun
 from tests.soak_withheld import SoakLedger, WithheldTime
@@ -170,6 +174,47 @@
     assert judge(released(10.12), died=[death | {"host": "reader-1"}]) == ["a: released during its read"]
 
 
+def test_an_attempt_ends_when_a_host_finds_its_connection_closed() -> None:
+    def released(*rows: dict[str, Any], how: int = 0, **more: Any) -> Case:
+        def case(run: DispatcherRun) -> list[dict[str, Any]]:
+            answer(run, 10.4)
+            return [taken(10.0), *rows, row(10.2, "freed", "write"), over(10.3, how, **more)]
+
+        return case
+
+    found, early = ["a: released during its read"], row(10.19, "closed", "write", attempt="1")
+    assert judge(released()) == found
+    assert judge(released(early)) == []
+    assert judge(released(early, how=503, closed=True)) == []
+    assert judge(released(early, how=503)) == found, "its host answered on it"
+    assert judge(released(row(10.21, "closed", "write", attempt="1"))) == found, "not before the release"
+    assert judge(released(row(10.19, "closed", "write", attempt="2"))) == found, "another attempt"
+
+
+@pytest.mark.parametrize("how", ["close", "reset"])
+def test_a_host_finds_an_attempt_closed_that_no_thread_has_noticed(how: str, tmp_path: Path) -> None:
+    (tmp_path / "open").mkdir()
+    host = SoakHost("writer-0", "write", tmp_path, "127.0.0.1", 0)
+    dispatcher = socket.create_connection(host.listener.getsockname())
+    accepted, peer = host.listener.accept()
+    connection = describe_connection(accepted.getsockname(), peer)
+    for name, target in (("a@reader-0 1.5", connection), ("ab@reader-0 2.5", connection)):
+        (tmp_path / "open" / name).symlink_to(target)
+
+    def found() -> list[tuple[str, str]]:
+        host.record_closed_attempts(b"a")
+        rows = [json.loads(line) for line in (tmp_path / "writer-0.jsonl").read_text().splitlines()]
+        return [(row["what"], row["attempt"]) for row in rows]
+
+    with host.log:
+        with host.listener, accepted, dispatcher:
+            assert found() == []
+            dispatcher.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", how == "reset", 0))
+            dispatcher.close()
+            assert found() == [("closed", "reader-0 1.5")]
+        assert found() == [("closed", "reader-0 1.5")] * 2, "both ends, and the listener, are closed"
+
+
 def test_a_wait_counts_with_what_must_lie_in_the_span() -> None:
     withheld = measured(("n0", 10.0, 10.1, 0.06))
     assert withheld.seconds(("n0", 9.0, 11.0)) == pytest.approx(0.06)
